--- a/internal/decide/hingeplace/demand.go
+++ b/internal/decide/hingeplace/demand.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// demand is how often requests of a priority take a slot.
+// demand is an exponentially decaying count of the requests of one priority
+// that started.
 type demand struct {
 	priority int
 	last     time.Time
 	count    float64
-	// tokens is the prompt work that they bring, as of late.
+	// tokens is the uncached prompt tokens of these requests, with the same
+	// decay.
 	tokens float64
 }
 
-// demandMemory is how long the demand of a priority is remembered: long enough
-// to count some tens of quay queries, short enough to follow a burst.
-const demandMemory = 3 * time.Second
+// demandTimeConstant is the time constant of the decay of demand.
+const demandTimeConstant = 3 * time.Second
 
-// note counts a request of a priority that began.
-func (v *View) note(now time.Time, priority int, tokens float64) {
+// recordDemand counts a request of a priority that starts with the given
+// number of uncached prompt tokens.
+func (v *View) recordDemand(now time.Time, priority int, tokens float64) {
 	for i := range v.demand {
 		if d := &v.demand[i]; d.priority == priority {
-			keep := d.kept(now)
-			d.count = d.count*keep + 1
-			d.tokens = d.tokens*keep + tokens
+			decay := d.decay(now)
+			d.count = d.count*decay + 1
+			d.tokens = d.tokens*decay + tokens
 			d.last = now
 			return
 		}
@@ -37,36 +39,37 @@
 	})
 }
 
-// kept is the part of what was counted that is still remembered.
-func (d *demand) kept(now time.Time) float64 {
-	return math.Exp(-now.Sub(d.last).Seconds() / demandMemory.Seconds())
+// decay is the factor by which the counts have decayed since the last update.
+func (d *demand) decay(now time.Time) float64 {
+	return math.Exp(-now.Sub(d.last).Seconds() / demandTimeConstant.Seconds())
 }
 
-// notLower is the share of prompt work, as of late, that goes before a new
-// request of a priority. The work of other entry hosts is taken to be mixed as
-// ours is: reports don't tell.
-func (v *View) notLower(now time.Time, priority int) float64 {
-	var before, all float64
+// shareAhead is the share of recent prompt work that precedes a new request of
+// a priority. Reports don't state the priorities of other entry hosts' work,
+// so that work is assumed to have the same mix as this host's.
+func (v *View) shareAhead(now time.Time, priority int) float64 {
+	var ahead, total float64
 	for i := range v.demand {
-		tokens := v.demand[i].tokens * v.demand[i].kept(now)
-		all += tokens
+		tokens := v.demand[i].tokens * v.demand[i].decay(now)
+		total += tokens
 		if v.demand[i].priority >= priority {
-			before += tokens
+			ahead += tokens
 		}
 	}
-	if all <= 0 {
+	if total <= 0 {
 		return 1
 	}
-	return before / all
+	return ahead / total
 }
 
-// rate is in requests a second.
+// rate is the number of requests per second.
 func (d *demand) rate(now time.Time) float64 {
-	return d.count * d.kept(now) / demandMemory.Seconds()
+	return d.count * d.decay(now) / demandTimeConstant.Seconds()
 }
 
-// higher is how many requests of a higher priority are likely to come, a second.
-func (v *View) higher(now time.Time, priority int) float64 {
+// higherRate is the expected number of requests per second of a higher
+// priority.
+func (v *View) higherRate(now time.Time, priority int) float64 {
 	var sum float64
 	for i := range v.demand {
 		if v.demand[i].priority > priority {
@@ -76,52 +79,53 @@
 	return sum
 }
 
-// reserveFor is the time for which slots are left to higher priorities: about
-// their own prefill and transfer.
-const reserveFor = 100 * time.Millisecond
+// reserveWindow is the time for which slots are reserved for higher
+// priorities: about the duration of their prefill and transfer.
+const reserveWindow = 100 * time.Millisecond
 
-// reserve is how many free slots a request may not take, because requests of a
-// higher priority are about to ask for them.
+// reservedSlots is the number of free slots that a request may not use because
+// requests of a higher priority are expected to need them soon.
 //
-// Made for full engines, where each slot that comes free is taken at once by
-// the long work that waits, and the next quay query finds none. A few slots out
-// of a hundred keep its wait short; they cost that part of the throughput.
+// On full engines, waiting long requests would otherwise occupy each slot as
+// soon as it is free, and the next interactive request would find none.
 //
-// Other hosts' high priorities come for the same slots. Their demand is taken to
-// be to ours as what they hold is to what we hold.
-func (v *View) reserve(now time.Time, priority int) int {
-	higher := v.higher(now, priority)
+// Other entry hosts' high-priority requests compete for the same slots. Their
+// demand is estimated from this host's, in proportion to the slots held.
+func (v *View) reservedSlots(now time.Time, priority int) int {
+	higher := v.higherRate(now, priority)
 	if higher <= 0 {
 		return 0
 	}
 	ours, others := 0, 0
 	for _, e := range v.engines {
 		ours += len(e.holding)
-		others += e.foreign
+		others += e.foreignHeld
 	}
-	scale := min(mostScale, 1+float64(others)/float64(max(1, ours)))
-	return int(math.Ceil(higher * scale * reserveFor.Seconds()))
+	scale := min(maxDemandScale, 1+float64(others)/float64(max(1, ours)))
+	return int(math.Ceil(higher * scale * reserveWindow.Seconds()))
 }
 
-// mostScale bounds how far others' demand is guessed from ours.
-const mostScale = 8
+// maxDemandScale bounds the factor by which reservedSlots scales this host's
+// demand.
+const maxDemandScale = 8
 
-// followBusy is how fast the share of busy prefill engines follows.
-const followBusy = 0.05
+// busySmoothing is the weight of a new sample in View.busyShare.
+const busySmoothing = 0.05
 
-// noteBusy looks how many prefill engines are at work as a request begins.
-func (v *View) noteBusy() {
-	all, busy := 0, 0
+// updateBusy samples the share of prefill engines with work when a request
+// starts.
+func (v *View) updateBusy() {
+	total, busy := 0, 0
 	for _, e := range v.engines {
 		if !e.prefills() {
 			continue
 		}
-		all++
+		total++
 		if len(e.prefilling) > 0 || e.foreignTokens > 0 {
 			busy++
 		}
 	}
-	if all > 0 {
-		v.busy += followBusy * (float64(busy)/float64(all) - v.busy)
+	if total > 0 {
+		v.busyShare += busySmoothing * (float64(busy)/float64(total) - v.busyShare)
 	}
 }
--- a/internal/decide/hingeplace/flight.go
+++ b/internal/decide/hingeplace/flight.go
@@ -9,121 +9,124 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// flight is a request that goes on.
-type flight struct {
+// inflightRequest is a request that has started and has not finished.
+type inflightRequest struct {
 	request Request
 	prefill *engine
 	decode  *engine
-	// uncached is the prefill work expected, in tokens.
-	uncached  float64
-	cached    hingeids.Tokens
-	sentAt    time.Time
-	runsSince time.Time
-	// readyAt is when the KV cache is ready, predicted and then real.
+	// uncached is the expected prefill work, in tokens, that remains at
+	// prefillStart.
+	uncached     float64
+	cached       hingeids.Tokens
+	sentAt       time.Time
+	prefillStart time.Time
+	// readyAt is the predicted time at which the KV cache is ready; once ready is
+	// set, it is the actual time.
 	readyAt time.Time
 	ready   bool
-	// putAside says that a higher priority came between, so that the prefill's
-	// time tells nothing of the engine's speed.
-	putAside bool
-	boundAt  time.Time
-	// transfer is how much of the time since then went to the transfer.
-	transfer time.Duration
+	// preempted is set if a prefill of a higher priority interrupted this one, so
+	// that its duration says nothing about the engine's speed.
+	preempted bool
+	boundAt   time.Time
+	// transferTime is the part of the time since boundAt that the KV cache spent
+	// in transfer or waiting for the link.
+	transferTime time.Duration
 }
 
-// Began notes that a decision is carried out.
+// Began records that the caller carries out the decision d.
 func (v *View) Began(now time.Time, r *Request, d Decision) {
-	f := &flight{
-		request:   *r,
-		sentAt:    now,
-		runsSince: now,
-		cached:    d.Cached,
-		uncached:  float64(r.Prompt - d.Cached),
-		readyAt:   now.Add(d.end),
-	}
-	v.flights[r.ID] = f
-	v.note(now, r.Priority, f.uncached)
-	v.noteBusy()
+	f := &inflightRequest{
+		request:      *r,
+		sentAt:       now,
+		prefillStart: now,
+		cached:       d.Cached,
+		uncached:     float64(r.Prompt - d.Cached),
+		readyAt:      now.Add(d.prefillEnd),
+	}
+	v.inflight[r.ID] = f
+	v.recordDemand(now, r.Priority, f.uncached)
+	v.updateBusy()
 	if d.Action == Local {
 		f.ready = true
-		v.seat(now, f, v.byID[d.Decode])
+		v.assignSlot(now, f, v.byID[d.Decode])
 		return
 	}
-	v.coming = append(v.coming, f)
+	v.unbound = append(v.unbound, f)
 	if e := v.byID[d.Prefill]; e != nil {
 		f.prefill = e
-		e.beginPrefill(now, f, v.config.PrefillRate/e.speed.prefill)
-		// Rule 3: what we sent will be there when the next one comes.
+		e.beginPrefill(now, f, v.config.PrefillRate/e.slowdown.prefill)
+		// Rule 3: the prefix will be cached by the time the next request arrives.
 		for _, b := range r.Prefix {
 			v.index.add(e, b)
 		}
 	}
 }
 
-// PrefillDone notes that the KV cache is ready; found is how many tokens the
-// engine had cached. Rule 3: it corrects the index.
+// PrefillDone records that the KV cache is ready; found is the number of
+// prompt tokens that the engine had cached. Rule 3: it corrects the index.
 func (v *View) PrefillDone(now time.Time, id hingeids.RequestID, found hingeids.Tokens) {
-	f := v.flights[id]
+	f := v.inflight[id]
 	if f == nil || f.prefill == nil || f.ready {
 		return
 	}
 	e := f.prefill
 	f.ready, f.readyAt = true, now
-	v.learnPrefill(now, f, found)
+	v.updatePrefillFactor(now, f, found)
 	e.endPrefill(now, f)
 	for _, b := range f.request.Prefix {
 		v.index.add(e, b)
 	}
 }
 
-// learnPrefill compares how long the prefill ran with how long it should have,
-// if it ran alone from its start.
-func (v *View) learnPrefill(now time.Time, f *flight, found hingeids.Tokens) {
+// updatePrefillFactor compares the duration of a prefill with the expected
+// one, if it ran without preemption and is at the head of the engine's queue.
+func (v *View) updatePrefillFactor(now time.Time, f *inflightRequest, found hingeids.Tokens) {
 	work := float64(f.request.Prompt - found)
-	took := now.Sub(f.runsSince).Seconds()
-	if f.putAside || f.prefill.prefilling[0] != f || work < leastWork {
+	elapsed := now.Sub(f.prefillStart).Seconds()
+	if f.preempted || f.prefill.prefilling[0] != f || work < minSampleTokens {
 		return
 	}
 	e := f.prefill
-	e.speed.prefill = max(0.1, follow(e.speed.prefill, took*v.config.PrefillRate/work, followPrefill))
+	e.slowdown.prefill = max(0.1, smooth(e.slowdown.prefill, elapsed*v.config.PrefillRate/work, prefillSmoothing))
 }
 
-// leastWork is the shortest prefill, in tokens, that tells an engine's speed:
-// below it most of the time seen is the way there and back.
-const leastWork = 200
+// minSampleTokens is the smallest prefill used to measure an engine's speed.
+// In shorter ones the round trip dominates.
+const minSampleTokens = 200
 
-// beginPrefill queues a prefill as the engine does: the highest priority first,
-// then in order of arrival. One that runs is put aside for a higher one.
-func (e *engine) beginPrefill(now time.Time, f *flight, rate float64) {
+// beginPrefill queues a prefill in the engine's own order: by priority, then
+// by arrival. A running prefill is preempted by one of a higher priority.
+func (e *engine) beginPrefill(now time.Time, f *inflightRequest, rate float64) {
 	i := len(e.prefilling)
 	for i > 0 && e.prefilling[i-1].request.Priority < f.request.Priority {
 		i--
 	}
 	if i == 0 && len(e.prefilling) > 0 {
 		first := e.prefilling[0]
-		first.uncached = max(0, first.uncached-rate*now.Sub(first.runsSince).Seconds())
-		first.putAside = true
+		first.uncached = max(0, first.uncached-rate*now.Sub(first.prefillStart).Seconds())
+		first.preempted = true
 	}
 	e.prefilling = slices.Insert(e.prefilling, i, f)
 }
 
-func (e *engine) endPrefill(now time.Time, f *flight) {
+func (e *engine) endPrefill(now time.Time, f *inflightRequest) {
 	first := e.prefilling[0] == f
-	e.prefilled = append(recent(e.prefilled), ended{
-		began:  f.sentAt,
-		at:     now,
+	e.finishedPrefills = append(trimFinished(e.finishedPrefills), finished{
+		start:  f.sentAt,
+		end:    now,
 		tokens: f.uncached,
 	})
 	e.prefilling = without(e.prefilling, f)
 	if first && len(e.prefilling) > 0 {
-		e.prefilling[0].runsSince = now
+		e.prefilling[0].prefillStart = now
 	}
 }
 
-// Ready gives the requests whose KV cache waits for a slot, those that bind
-// first in front: by priority, then by how long they wait.
+// Ready returns the requests whose KV cache is ready and that have no slot, in
+// the order in which they bind: by priority, then by waiting time.
 func (v *View) Ready() []hingeids.RequestID {
-	var waiting []*flight
-	for _, f := range v.coming {
+	var waiting []*inflightRequest
+	for _, f := range v.unbound {
 		if f.ready {
 			waiting = append(waiting, f)
 		}
@@ -142,67 +145,68 @@
 	return out
 }
 
-// Bind takes a decode slot for a request whose KV cache is ready, at the engine
-// with the shortest predicted gap. Rule 5. It gives false if none is free.
+// Bind assigns a decode slot, at the engine with the shortest predicted token
+// gap, to a request whose KV cache is ready. Rule 5. It returns false if no
+// slot is available.
 func (v *View) Bind(now time.Time, id hingeids.RequestID) (hingeids.ServerID, bool) {
-	f := v.flights[id]
+	f := v.inflight[id]
 	if f == nil || f.decode != nil {
 		return "", false
 	}
-	e, room := v.rooms(now, &f.request)
-	if e == nil || room <= v.reserve(now, f.request.Priority) || v.linkBusy(now, f) {
+	e, free := v.freeSlots(now, &f.request)
+	if e == nil || free <= v.reservedSlots(now, f.request.Priority) || v.linkBusy(now, f) {
 		return "", false
 	}
-	v.coming = without(v.coming, f)
-	v.seat(now, f, e)
+	v.unbound = without(v.unbound, f)
+	v.assignSlot(now, f, e)
 	if f.prefill != nil {
 		begin := now
-		if f.prefill.linkFree.After(begin) {
-			begin = f.prefill.linkFree
+		if f.prefill.linkFreeAt.After(begin) {
+			begin = f.prefill.linkFreeAt
 		}
-		f.prefill.linkFree = begin.Add(v.transfer(f.prefill, e, f.request.Prompt))
-		f.transfer = f.prefill.linkFree.Sub(now)
+		f.prefill.linkFreeAt = begin.Add(v.transferTime(f.prefill, e, f.request.Prompt))
+		f.transferTime = f.prefill.linkFreeAt.Sub(now)
 	}
 	return e.id, true
 }
 
-// linkAhead is how long a transfer may wait for its link while it already holds
-// a slot, if requests of a higher priority are about.
-const linkAhead = 20 * time.Millisecond
+// maxLinkWait is how long a transfer may wait for its link while it holds a
+// slot, if requests of a higher priority are expected.
+const maxLinkWait = 20 * time.Millisecond
 
-// linkBusy keeps the queue at a link short. What waits for a link in our own
-// hands lets a quay query go before it; what waits at the link does not, and
-// holds a decode slot meanwhile.
-func (v *View) linkBusy(now time.Time, f *flight) bool {
-	return f.prefill != nil && f.prefill.linkFree.Sub(now) > linkAhead && v.higher(now, f.request.Priority) > 0
+// linkBusy reports whether f must not join the queue of its link yet. A
+// request of a higher priority can overtake transfers that wait here, but not
+// those queued at the link, which also hold a decode slot.
+func (v *View) linkBusy(now time.Time, f *inflightRequest) bool {
+	return f.prefill != nil && f.prefill.linkFreeAt.Sub(now) > maxLinkWait && v.higherRate(now, f.request.Priority) > 0
 }
 
-// Unbind gives the slot back that Bind took, when its granter refused it.
+// Unbind releases the slot that Bind assigned, after the slot's allocator
+// refused it.
 func (v *View) Unbind(now time.Time, id hingeids.RequestID) {
-	f := v.flights[id]
+	f := v.inflight[id]
 	if f == nil || f.decode == nil {
 		return
 	}
-	v.free(now, f)
-	v.coming = append(v.coming, f)
+	v.releaseSlot(now, f)
+	v.unbound = append(v.unbound, f)
 }
 
-// Other names the engine that is next best to the one that a request is bound
-// to. What is free by the reports may be taken by now, so a request waits for a
-// slot at two engines: one that waits at one alone waits out every wrong guess
-// (see docs/design/04-slots-and-holds.md for what that costs).
+// Other returns the second-best engine for a bound request. A slot that is
+// free by the reports may be in use by now, so a request waits for a slot at
+// two engines; see docs/design/04-slots-and-holds.md.
 func (v *View) Other(now time.Time, id hingeids.RequestID) (hingeids.ServerID, bool) {
-	f := v.flights[id]
+	f := v.inflight[id]
 	if f == nil || f.decode == nil {
 		return "", false
 	}
 	var best *engine
 	shortest := time.Duration(math.MaxInt64)
 	for _, e := range v.engines {
-		if e == f.decode || f.request.Avoid[e.id] || v.room(now, e, &f.request) <= 0 {
+		if e == f.decode || f.request.Avoid[e.id] || v.capacity(now, e, &f.request) <= 0 {
 			continue
 		}
-		if g := v.gap(e, len(e.holding)+e.foreign+1); g < shortest {
+		if g := v.expectedGap(e, len(e.holding)+e.foreignHeld+1); g < shortest {
 			shortest, best = g, e
 		}
 	}
@@ -212,85 +216,88 @@
 	return best.id, true
 }
 
-// Rebind moves a request to the engine whose granter gave it a slot.
+// Rebind moves a request to the engine whose allocator granted it a slot.
 func (v *View) Rebind(now time.Time, id hingeids.RequestID, s hingeids.ServerID) {
-	f := v.flights[id]
+	f := v.inflight[id]
 	if f == nil || f.decode == nil || f.decode.id == s {
 		return
 	}
-	v.free(now, f)
+	v.releaseSlot(now, f)
 	if e := v.byID[s]; e != nil {
-		v.seat(now, f, e)
+		v.assignSlot(now, f, e)
 		return
 	}
-	v.coming = append(v.coming, f)
+	v.unbound = append(v.unbound, f)
 }
 
-func (v *View) seat(now time.Time, f *flight, e *engine) {
+func (v *View) assignSlot(now time.Time, f *inflightRequest, e *engine) {
 	if e == nil {
 		return
 	}
-	if len(e.holding)+e.foreign == 0 {
-		e.speed.tried = now
+	if len(e.holding)+e.foreignHeld == 0 {
+		e.slowdown.probed = now
 	}
 	f.decode, f.boundAt = e, now
 	e.holding = append(e.holding, f)
-	e.strictest = stricter(e.strictest, f.request.TokenGap)
+	e.strictestGap = stricter(e.strictestGap, f.request.TokenGap)
 }
 
-func (v *View) free(now time.Time, f *flight) {
+func (v *View) releaseSlot(now time.Time, f *inflightRequest) {
 	e := f.decode
 	e.holding = without(e.holding, f)
-	e.strictest = 0
+	e.strictestGap = 0
 	for _, h := range e.holding {
-		e.strictest = stricter(e.strictest, h.request.TokenGap)
+		e.strictestGap = stricter(e.strictestGap, h.request.TokenGap)
 	}
-	e.released = append(recent(e.released), ended{
-		began: f.boundAt,
-		at:    now,
+	e.finishedHolds = append(trimFinished(e.finishedHolds), finished{
+		start: f.boundAt,
+		end:   now,
 	})
 	f.decode = nil
 }
 
-// mostEnded bounds what is kept for the next report of an engine: some seconds
-// of requests. An engine whose reports stay away would else fill the memory.
-const mostEnded = 256
+// maxFinished bounds the lists of finished requests, which are otherwise
+// shortened only when the engine reports.
+const maxFinished = 256
 
-func recent(list []ended) []ended {
-	if len(list) < mostEnded {
+func trimFinished(list []finished) []finished {
+	if len(list) < maxFinished {
 		return list
 	}
 	return append(list[:0], list[len(list)/2:]...)
 }
 
-// Ended notes that a request is over: answered with so many tokens, or, with 0,
-// cancelled or failed. Whatever it held is free.
+// Ended records that a request has finished with the given number of output
+// tokens, or with 0 if it was cancelled or failed. It releases everything that
+// the request held.
 func (v *View) Ended(now time.Time, id hingeids.RequestID, output hingeids.Tokens) {
-	f := v.flights[id]
+	f := v.inflight[id]
 	if f == nil {
 		return
 	}
-	delete(v.flights, id)
-	v.coming = without(v.coming, f)
+	delete(v.inflight, id)
+	v.unbound = without(v.unbound, f)
 	if f.prefill != nil && !f.ready {
 		f.prefill.endPrefill(now, f)
 	}
 	if f.decode != nil {
-		v.free(now, f)
+		v.releaseSlot(now, f)
 	}
 	if output > 0 {
-		v.class(f.request.Class).see(float64(output))
+		v.class(f.request.Class).observe(float64(output))
 	}
 }
 
-// Evicted notes that the KV cache is gone: the request is to be placed again.
+// Evicted records that the KV cache was evicted: the request must be placed
+// again.
 func (v *View) Evicted(now time.Time, id hingeids.RequestID) {
 	v.Ended(now, id, 0)
 }
 
-// Work is what a request costs, in the time for which it would hold a decode
-// slot: that time, or its part of all prefill engines if that is more. At each
-// moment one of the two is scarce, and a request weighs by the scarcer.
+// Work is the cost of a request as slot time: the time for which it would hold
+// a decode slot, or its share of the total prefill capacity, converted to slot
+// time, if that is more. Decode slots and prefill are alternately the
+// bottleneck, and the scarcer one determines the cost.
 func (v *View) Work(r *Request) time.Duration {
 	v.index.mark(r.Prefix)
 	var hit hingeids.Tokens
@@ -299,7 +306,7 @@
 		hit = max(hit, e.hit)
 		e.hit = 0
 		if e.prefills() {
-			rate += v.config.PrefillRate / e.speed.prefill
+			rate += v.config.PrefillRate / e.slowdown.prefill
 		}
 		if e.decodes() {
 			slots += float64(e.slots)
@@ -312,14 +319,14 @@
 	return max(hold, seconds(float64(r.Prompt-min(hit, r.Prompt))/rate*slots))
 }
 
-// Hold is how long a request is expected to hold a decode slot, at engines as
-// full as they are now.
+// Hold is how long a request is expected to hold a decode slot at the engines'
+// present load.
 func (v *View) Hold(r *Request) time.Duration {
 	var gap time.Duration
 	n := 0
 	for _, e := range v.engines {
 		if e.decodes() {
-			gap += v.gap(e, len(e.holding)+e.foreign)
+			gap += v.expectedGap(e, len(e.holding)+e.foreignHeld)
 			n++
 		}
 	}
@@ -329,7 +336,7 @@
 	return time.Duration(v.class(r.Class).mean * float64(gap) / float64(n))
 }
 
-func without(list []*flight, f *flight) []*flight {
+func without(list []*inflightRequest, f *inflightRequest) []*inflightRequest {
 	for i, x := range list {
 		if x == f {
 			return append(list[:i], list[i+1:]...)
--- a/internal/decide/hingeplace/index.go
+++ b/internal/decide/hingeplace/index.go
@@ -8,23 +8,24 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Block is the end of a leading part of a prompt that may be cached.
+// Block is a leading part of a prompt, on a block boundary, that may be
+// cached.
 type Block struct {
-	// Hash is of the whole part, so equal hashes mean equal beginnings.
+	// Hash covers the whole leading part, so equal hashes mean equal prefixes.
 	Hash uint64
-	// Tokens counts the tokens of the part.
+	// Tokens is the length of the leading part.
 	Tokens hingeids.Tokens
 }
 
-// Chain cuts a prompt into blocks and hashes each leading part of it. A prompt
-// shorter than one block has none: caching it would gain nothing. At most
-// longest blocks are made, so that a dossier of megabytes doesn't flood the index.
-func Chain(prompt []byte, bytesPerToken, blockTokens, longest int) []Block {
+// Chain divides a prompt into blocks and hashes each leading part of it. It
+// returns at most maxBlocks blocks, so that a very long prompt doesn't flood
+// the index, and none for a prompt shorter than one block.
+func Chain(prompt []byte, bytesPerToken, blockTokens, maxBlocks int) []Block {
 	size := bytesPerToken * blockTokens
 	if size <= 0 {
 		return nil
 	}
-	n := min(len(prompt)/size, longest)
+	n := min(len(prompt)/size, maxBlocks)
 	out := make([]Block, n)
 	d := xxhash.New()
 	for i := range out {
@@ -37,16 +38,15 @@
 	return out
 }
 
-// index is rule 3: which engine may have which prefix. The least recently used
-// entry goes first when it is full, so that its memory is bounded however many
-// prefixes there are.
+// index records which engines may have which prefix cached. Rule 3. It evicts
+// the least recently used entry when it is full.
 type index struct {
 	limit  int
 	blocks map[uint64][]*list.Element
-	recent *list.List
+	lru    *list.List
 }
 
-type cached struct {
+type cacheEntry struct {
 	hash   uint64
 	engine *engine
 	tokens hingeids.Tokens
@@ -56,83 +56,83 @@
 	return &index{
 		limit:  limit,
 		blocks: make(map[uint64][]*list.Element),
-		recent: list.New(),
+		lru:    list.New(),
 	}
 }
 
-// mark sets the hit of each engine that may have part of the prefix, longest
-// part first.
+// mark sets the hit of each engine that may have part of the prefix cached.
 func (x *index) mark(prefix []Block) {
 	for i := len(prefix) - 1; i >= 0; i-- {
 		for _, el := range x.blocks[prefix[i].Hash] {
-			c := el.Value.(*cached)
+			c := el.Value.(*cacheEntry)
 			c.engine.hit = max(c.engine.hit, prefix[i].Tokens)
 		}
 	}
 }
 
-// add notes that an engine has a block.
+// add records that an engine has a block cached.
 func (x *index) add(e *engine, b Block) {
 	if el := x.find(e, b.Hash); el != nil {
-		x.recent.MoveToFront(el)
+		x.lru.MoveToFront(el)
 		return
 	}
-	el := x.recent.PushFront(&cached{
+	el := x.lru.PushFront(&cacheEntry{
 		hash:   b.Hash,
 		engine: e,
 		tokens: b.Tokens,
 	})
 	x.blocks[b.Hash] = append(x.blocks[b.Hash], el)
-	for x.recent.Len() > x.limit {
-		x.drop(x.recent.Back())
+	for x.lru.Len() > x.limit {
+		x.removeEntry(x.lru.Back())
 	}
 }
 
 func (x *index) find(e *engine, hash uint64) *list.Element {
 	for _, el := range x.blocks[hash] {
-		if el.Value.(*cached).engine == e {
+		if el.Value.(*cacheEntry).engine == e {
 			return el
 		}
 	}
 	return nil
 }
 
-// remove notes that an engine has a block no more.
+// remove records that an engine no longer has a block cached.
 func (x *index) remove(e *engine, hash uint64) {
 	if el := x.find(e, hash); el != nil {
-		x.drop(el)
+		x.removeEntry(el)
 	}
 }
 
-func (x *index) drop(el *list.Element) {
-	c := el.Value.(*cached)
-	x.recent.Remove(el)
-	left := x.blocks[c.hash]
-	for i, other := range left {
+func (x *index) removeEntry(el *list.Element) {
+	c := el.Value.(*cacheEntry)
+	x.lru.Remove(el)
+	remaining := x.blocks[c.hash]
+	for i, other := range remaining {
 		if other == el {
-			left = append(left[:i], left[i+1:]...)
+			remaining = append(remaining[:i], remaining[i+1:]...)
 			break
 		}
 	}
-	if len(left) == 0 {
+	if len(remaining) == 0 {
 		delete(x.blocks, c.hash)
 		return
 	}
-	x.blocks[c.hash] = left
+	x.blocks[c.hash] = remaining
 }
 
-// forget drops all of an engine that is gone.
-func (x *index) forget(e *engine) {
-	for el := x.recent.Front(); el != nil; {
+// removeEngine removes all entries of an engine.
+func (x *index) removeEngine(e *engine) {
+	for el := x.lru.Front(); el != nil; {
 		next := el.Next()
-		if el.Value.(*cached).engine == e {
-			x.drop(el)
+		if el.Value.(*cacheEntry).engine == e {
+			x.removeEntry(el)
 		}
 		el = next
 	}
 }
 
-// Cached takes a cache event of an engine: it stored a block, or dropped it.
+// Cached handles a cache event of an engine: it stored the block, or dropped
+// it.
 func (v *View) Cached(s hingeids.ServerID, b Block, stored bool) {
 	e := v.byID[s]
 	if e == nil {
--- a/internal/decide/hingeplace/lengths.go
+++ b/internal/decide/hingeplace/lengths.go
@@ -5,156 +5,158 @@
 	"time"
 )
 
-// lengths learns how long the answers of a class are. Rule 4 asks how likely an
-// answer that has come so far ends in the next moment: an answer that has only
-// begun is not, and a burst of answers begun together frees no slot for a while.
-type lengths struct {
+// lengthStats estimates the distribution of output lengths of a class. Rule 4
+// needs the probability that an answer of a given length finishes soon: it is
+// low for one that has just started, so a burst of answers that started
+// together frees no slot for a while.
+type lengthStats struct {
 	mean float64
-	// bins count answers by length, four bins to each doubling.
+	// bins is a decaying histogram of lengths with binsPerDoubling bins for each
+	// doubling.
 	bins [binCount]float64
-	// longer sums the bins above each, and all sums all, as they were at the
-	// last refresh.
+	// longer holds, for each bin, the sum of the bins above it, and total the sum
+	// of all, both as of the last updateSums.
 	longer [binCount]float64
-	all    float64
+	total  float64
 }
 
 const (
-	binCount = 72
-	perTwice = 4
-	// followOutput is how fast the mean and the bins follow what is seen.
-	followOutput = 0.02
-	// enoughSeen is how much of the bins must be filled to be used.
-	enoughSeen = 0.3
+	binCount        = 72
+	binsPerDoubling = 4
+	// outputSmoothing is the weight of a new sample in the mean and the bins.
+	outputSmoothing = 0.02
+	// minBinWeight is the least total weight at which the bins are used.
+	minBinWeight = 0.3
 )
 
 func binOf(tokens float64) int {
-	return min(binCount-1, int(perTwice*math.Log2(max(1, tokens))))
+	return min(binCount-1, int(binsPerDoubling*math.Log2(max(1, tokens))))
 }
 
-// binFrom is where each bin begins, and after the last one ends.
-var binFrom = func() (from [binCount + 1]float64) {
+// binStart holds the first length of each bin, followed by the end of the last
+// one.
+var binStart = func() (from [binCount + 1]float64) {
 	for i := range from {
-		from[i] = math.Exp2(float64(i) / perTwice)
+		from[i] = math.Exp2(float64(i) / binsPerDoubling)
 	}
 	return from
 }()
 
-func (l *lengths) see(tokens float64) {
-	l.mean += followOutput * (tokens - l.mean)
+func (l *lengthStats) observe(tokens float64) {
+	l.mean += outputSmoothing * (tokens - l.mean)
 	for i := range l.bins {
-		l.bins[i] *= 1 - followOutput
+		l.bins[i] *= 1 - outputSmoothing
 	}
-	l.bins[binOf(tokens)] += followOutput
+	l.bins[binOf(tokens)] += outputSmoothing
 }
 
-func (l *lengths) refresh() {
-	l.all = 0
+func (l *lengthStats) updateSums() {
+	l.total = 0
 	for i := binCount - 1; i >= 0; i-- {
-		l.longer[i] = l.all
-		l.all += l.bins[i]
+		l.longer[i] = l.total
+		l.total += l.bins[i]
 	}
 }
 
-// hazard is the probability for each further token that an answer ends with it,
-// if it has come to the given length.
-func (l *lengths) hazard(soFar float64) float64 {
-	if l.all < enoughSeen {
+// hazard is the probability per further token that an answer finishes, if it
+// has reached the given length.
+func (l *lengthStats) hazard(soFar float64) float64 {
+	if l.total < minBinWeight {
 		return 1 / max(1, l.mean)
 	}
-	at := binOf(soFar)
-	from, to := binFrom[at], binFrom[at+1]
-	left := l.bins[at] * min(1, (to-soFar)/(to-from))
-	if l.longer[at]+left < 0.01 {
-		// Longer than any seen lately: it may end at any token, but nothing says
-		// that it does.
+	bin := binOf(soFar)
+	start, end := binStart[bin], binStart[bin+1]
+	remaining := l.bins[bin] * min(1, (end-soFar)/(end-start))
+	if l.longer[bin]+remaining < 0.01 {
+		// Longer than nearly all recent answers, so the histogram says nothing.
 		return 1 / max(1, l.mean)
 	}
-	return l.bins[at] / (to - from) / (l.longer[at] + left)
+	return l.bins[bin] / (end - start) / (l.longer[bin] + remaining)
 }
 
-// refreshEvery is how old the forecast of ends may get. It is a sum over all
-// held slots, too long for each decision at a thousand engines.
-const refreshEvery = 50 * time.Millisecond
+// forecastMaxAge is the age at which the forecast is recomputed. It is a sum
+// over all held slots, too slow for every decision with a thousand engines.
+const forecastMaxAge = 50 * time.Millisecond
 
-// horizons are the times, in seconds, for which ends are forecast, each twice the
-// one before; between them the forecast is interpolated.
+// horizons are the times, in seconds, for which releases are forecast. Each is
+// twice the previous one; times in between are interpolated.
 var horizons = [...]float64{0.25, 0.5, 1, 2, 4}
 
-// ends forecasts how many of the slots held by requests of a priority come free
-// within each horizon.
-type ends struct {
+// releaseForecast is the expected number of slots, of those held by requests
+// of a priority, that are released within each horizon.
+type releaseForecast struct {
 	priority int
-	by       [len(horizons)]float64
+	expected [len(horizons)]float64
 }
 
-// refresh sums the forecast over all held slots.
-func (v *View) refresh(now time.Time) {
-	if now.Sub(v.refreshed) < refreshEvery {
+// refreshForecast recomputes the forecast if it is older than forecastMaxAge.
+func (v *View) refreshForecast(now time.Time) {
+	if now.Sub(v.forecastAt) < forecastMaxAge {
 		return
 	}
-	v.refreshed = now
-	for i := range v.ends {
-		v.ends[i].by = [len(horizons)]float64{}
+	v.forecastAt = now
+	for i := range v.releaseForecast {
+		v.releaseForecast[i].expected = [len(horizons)]float64{}
 	}
 	for _, l := range v.classes {
-		l.refresh()
+		l.updateSums()
 	}
 	for _, e := range v.engines {
-		gap := v.gap(e, len(e.holding)+e.foreign).Seconds()
+		gap := v.expectedGap(e, len(e.holding)+e.foreignHeld).Seconds()
 		for _, f := range e.holding {
-			soFar := max(0, now.Sub(f.boundAt)-f.transfer).Seconds() / gap
+			soFar := max(0, now.Sub(f.boundAt)-f.transferTime).Seconds() / gap
 			rate := v.class(f.request.Class).hazard(soFar) / gap
-			by := v.endsOf(f.request.Priority)
-			stays := math.Exp(-rate * horizons[0])
+			forecast := v.releasesOf(f.request.Priority)
+			survival := math.Exp(-rate * horizons[0])
 			for i := range horizons {
-				by.by[i] += 1 - stays
-				stays *= stays
+				forecast.expected[i] += 1 - survival
+				survival *= survival
 			}
 		}
 	}
 }
 
-func (v *View) endsOf(priority int) *ends {
-	for i := range v.ends {
-		if v.ends[i].priority == priority {
-			return &v.ends[i]
+func (v *View) releasesOf(priority int) *releaseForecast {
+	for i := range v.releaseForecast {
+		if v.releaseForecast[i].priority == priority {
+			return &v.releaseForecast[i]
 		}
 	}
-	v.ends = append(v.ends, ends{
+	v.releaseForecast = append(v.releaseForecast, releaseForecast{
 		priority: priority,
 	})
-	return &v.ends[len(v.ends)-1]
+	return &v.releaseForecast[len(v.releaseForecast)-1]
 }
 
-// freed forecasts how many slots that a request may have come free within a
-// time. Those of higher priorities are left out: as one of them ends another
-// comes, and takes its slot.
-func (v *View) freed(priority int, within time.Duration) float64 {
+// expectedReleases forecasts how many slots usable by a request of the given
+// priority are released within a time. Slots of higher priorities don't count:
+// the next request of that priority will need them.
+func (v *View) expectedReleases(priority int, within time.Duration) float64 {
 	var sum float64
-	for i := range v.ends {
-		if v.ends[i].priority <= priority {
-			sum += v.ends[i].within(within.Seconds())
+	for i := range v.releaseForecast {
+		if v.releaseForecast[i].priority <= priority {
+			sum += v.releaseForecast[i].within(within.Seconds())
 		}
 	}
 	return sum
 }
 
-func (n *ends) within(s float64) float64 {
-	from, was := 0.0, 0.0
+func (n *releaseForecast) within(s float64) float64 {
+	start, previous := 0.0, 0.0
 	for i, h := range horizons {
 		if s <= h {
-			return was + (n.by[i]-was)*(s-from)/(h-from)
+			return previous + (n.expected[i]-previous)*(s-start)/(h-start)
 		}
-		from, was = h, n.by[i]
+		start, previous = h, n.expected[i]
 	}
-	return was
+	return previous
 }
 
-// class gives what is learned of a class.
-func (v *View) class(name string) *lengths {
+// class returns the statistics of a class and creates them if there are none.
+func (v *View) class(name string) *lengthStats {
 	l := v.classes[name]
 	if l == nil {
-		l = &lengths{
+		l = &lengthStats{
 			mean: float64(v.config.Output),
 		}
 		v.classes[name] = l
--- a/internal/decide/hingeplace/place.go
+++ b/internal/decide/hingeplace/place.go
@@ -7,12 +7,12 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Action is what to do with a request now.
+// Action is the next step for a request.
 type Action uint8
 
-// Wait is to ask again when something changes; Start begins prefill at a prefill
-// engine; Local takes a slot now and prefills where it decodes; NoEngine says
-// that there is nothing to wait for.
+// Wait means to call Place again after a change; Start begins prefill at a
+// prefill engine; Local acquires a decode slot at once and prefills on the
+// decode engine; NoEngine means that no engine can serve the request.
 const (
 	Wait Action = iota
 	Start
@@ -20,41 +20,42 @@
 	NoEngine
 )
 
-// Decision is where a request goes.
+// Decision is the result of Place for one request.
 type Decision struct {
 	Action Action
-	// Prefill is the engine that prefills; with Local it is empty.
+	// Prefill is the engine that prefills; it is empty with Local.
 	Prefill hingeids.ServerID
-	// Decode is, with Local, the engine that decodes. With Start it is a hint of
-	// the likely one: Bind decides when the KV cache is ready.
+	// Decode is the decode engine with Local. With Start it is only the likely
+	// one: Bind decides when the KV cache is ready.
 	Decode hingeids.ServerID
-	// Cached is how many tokens the prefill engine is expected to have.
+	// Cached is the number of prompt tokens expected in the prefill engine's
+	// cache.
 	Cached hingeids.Tokens
 	// FirstToken is the predicted time from now to the first token.
 	FirstToken time.Duration
-	// Slot is the predicted probability that the slot is there in time.
+	// Slot is the predicted probability that a slot is free in time.
 	Slot float64
 
-	wait, end, transfer time.Duration
+	wait, prefillEnd, transferTime time.Duration
 }
 
-// Place decides about a request. It changes nothing: call Began when the
-// decision is carried out.
+// Place decides the next step for a request. It doesn't change the view: call
+// Began when the decision is carried out.
 //
-// Made for engines near full, where each of the four (cached prefix, prefill
-// queue, link, decode slot) is at times the one that decides: judged one by one,
-// as a router with two separate balancers does, the best prefill engine feeds a
-// full decode engine and its work is evicted.
+// Cached prefix, prefill queue, link and decode slot are considered together,
+// since each is at times the bottleneck. Separate balancers for prefill and
+// decode would choose the best prefill engine while all decode slots are in
+// use, and the KV cache would be evicted.
 func (v *View) Place(now time.Time, r *Request) Decision {
-	v.refresh(now)
+	v.refreshForecast(now)
 	best, remote := v.bestPrefill(now, r)
-	decode, room := v.rooms(now, r)
-	local := v.local(now, r, decode, room)
+	decode, free := v.freeSlots(now, r)
+	local := v.placeLocal(now, r, decode, free)
 	if best == nil {
 		switch {
 		case local.Action == Local:
 			return local
-		case decode == nil && !v.anyDecode():
+		case decode == nil && !v.hasDecode():
 			return Decision{
 				Action: NoEngine,
 			}
@@ -65,104 +66,103 @@
 	if decode != nil {
 		remote.Decode = decode.id
 	}
-	if local.Action == Local && local.end < remote.FirstToken {
+	if local.Action == Local && local.prefillEnd < remote.FirstToken {
 		return local
 	}
-	remote.Slot = v.slotBy(now, r, room, v.patience(now, r, remote))
-	if remote.Slot >= v.enough() && remote.wait <= v.config.PrefillAhead {
+	remote.Slot = v.slotProbability(now, r, free, v.maxWait(now, r, remote))
+	if remote.Slot >= v.startThreshold() && remote.wait <= v.config.PrefillAhead {
 		remote.Action = Start
 	}
 	return remote
 }
 
-// patience is by when a slot must be there: before the finished KV cache is
-// evicted, and before the first token is late.
-//
-// Made for a burst of quay queries: with their caches they could wait for slots
-// longer than their callers can for them, and each would be answered too late.
-func (v *View) patience(now time.Time, r *Request, d Decision) time.Duration {
-	kept := d.end + v.config.KeepCache
+// maxWait is the time within which a slot must be free: before the finished KV
+// cache is evicted, and before the target of the first token is missed.
+// Without the second limit, requests with short targets would start prefill
+// and be answered too late.
+func (v *View) maxWait(now time.Time, r *Request, d Decision) time.Duration {
+	cacheExpiry := d.prefillEnd + v.config.KeepCache
 	if r.FirstTokenBy.IsZero() {
-		return kept
+		return cacheExpiry
 	}
-	left := r.FirstTokenBy.Sub(now) - (d.FirstToken - d.end)
-	return max(d.end, min(kept, left))
+	remaining := r.FirstTokenBy.Sub(now) - (d.FirstToken - d.prefillEnd)
+	return max(d.prefillEnd, min(cacheExpiry, remaining))
 }
 
-// enough is rule 4: the one rule of the weights. It is kept off both ends, where
-// nothing would start, or everything at once.
-func (v *View) enough() float64 {
+// startThreshold is the slot probability at which prefill starts. Rule 4. It
+// is clamped, since at 0 everything would start at once and at 1 nothing.
+func (v *View) startThreshold() float64 {
 	w := v.config.Weights
-	lost := w.WastedPrefill + w.Goodput*v.busy
-	if lost+w.Goodput <= 0 {
+	prefillCost := w.WastedPrefill + w.Goodput*v.busyShare
+	if prefillCost+w.Goodput <= 0 {
 		return 0.5
 	}
-	return min(0.999, max(0.01, lost/(lost+w.Goodput)))
+	return min(0.999, max(0.01, prefillCost/(prefillCost+w.Goodput)))
 }
 
-// bestPrefill is rule 2.
+// bestPrefill chooses the prefill engine. Rule 2.
 func (v *View) bestPrefill(now time.Time, r *Request) (*engine, Decision) {
 	v.index.mark(r.Prefix)
 	var best *engine
-	var found Decision
-	least := math.Inf(1)
-	care := 1 + v.enough()
-	others := v.notLower(now, r.Priority)
+	var decision Decision
+	lowest := math.Inf(1)
+	uncachedWeight := 1 + v.startThreshold()
+	foreignShare := v.shareAhead(now, r.Priority)
 	for _, e := range v.engines {
 		hit := e.hit
 		e.hit = 0
 		if !e.prefills() || r.Avoid[e.id] {
 			continue
 		}
-		rate := v.config.PrefillRate / e.speed.prefill
-		own := float64(r.Prompt-min(hit, r.Prompt)) / rate
-		ours := e.before(now, r.Priority, rate)
-		end := ours + e.othersBefore(now, rate, others) + own
-		// The link may be busy for longer than the prefill takes.
-		sent := max(end, e.linkFree.Sub(now).Seconds())
-		if score := sent + care*own; score < least {
-			least = score
+		rate := v.config.PrefillRate / e.slowdown.prefill
+		prefillTime := float64(r.Prompt-min(hit, r.Prompt)) / rate
+		queueWait := e.ownWait(now, r.Priority, rate)
+		prefillEnd := queueWait + e.foreignWait(now, rate, foreignShare) + prefillTime
+		// The link may be busy for longer than the prefill runs.
+		transferStart := max(prefillEnd, e.linkFreeAt.Sub(now).Seconds())
+		if score := transferStart + uncachedWeight*prefillTime; score < lowest {
+			lowest = score
 			best = e
-			found = Decision{
-				Prefill: e.id,
-				Cached:  min(hit, r.Prompt),
-				wait:    seconds(ours),
-				end:     seconds(end),
+			decision = Decision{
+				Prefill:    e.id,
+				Cached:     min(hit, r.Prompt),
+				wait:       seconds(queueWait),
+				prefillEnd: seconds(prefillEnd),
 			}
 		}
 	}
 	if best != nil {
-		found.transfer = v.transfer(best, nil, r.Prompt)
-		found.FirstToken = max(found.end, best.linkFree.Sub(now)) + found.transfer
+		decision.transferTime = v.transferTime(best, nil, r.Prompt)
+		decision.FirstToken = max(decision.prefillEnd, best.linkFreeAt.Sub(now)) + decision.transferTime
 	}
-	return best, found
+	return best, decision
 }
 
-// othersBefore is the prefill time, in seconds, of what other hosts have at an
-// engine, of which the share given goes before the request.
-func (e *engine) othersBefore(now time.Time, rate, share float64) float64 {
-	return share * max(0, e.foreignTokens/rate-now.Sub(e.reported).Seconds())
+// foreignWait is the time, in seconds, that the engine needs for the given
+// share of other entry hosts' prompt work.
+func (e *engine) foreignWait(now time.Time, rate, share float64) float64 {
+	return share * max(0, e.foreignTokens/rate-now.Sub(e.reportedAt).Seconds())
 }
 
-// before is the prefill time, in seconds, of what goes before a request of a
-// priority at an engine, of our own.
-func (e *engine) before(now time.Time, priority int, rate float64) float64 {
+// ownWait is the time, in seconds, that the engine needs for this host's
+// prefills that precede a new request of the given priority.
+func (e *engine) ownWait(now time.Time, priority int, rate float64) float64 {
 	var tokens float64
 	for i, f := range e.prefilling {
-		left := f.uncached
+		remaining := f.uncached
 		if i == 0 {
-			left = max(0, left-rate*now.Sub(f.runsSince).Seconds())
+			remaining = max(0, remaining-rate*now.Sub(f.prefillStart).Seconds())
 		}
 		if f.request.Priority >= priority {
-			tokens += left
+			tokens += remaining
 		}
 	}
 	return tokens / rate
 }
 
-// transfer is the time the KV cache of a prompt takes over the link. Without a
-// decode engine it is the time within the prefill engine's own zone.
-func (v *View) transfer(from, to *engine, n hingeids.Tokens) time.Duration {
+// transferTime is the time to send the KV cache of a prompt over the link. If
+// to is nil, the decode engine is assumed to be in the prefill engine's zone.
+func (v *View) transferTime(from, to *engine, n hingeids.Tokens) time.Duration {
 	if from == to {
 		return 0
 	}
@@ -177,71 +177,73 @@
 	return seconds(float64(n) * float64(v.config.CacheBytes) / float64(rate))
 }
 
-// rooms counts the free slots for a request and gives the engine that would
-// decode it with the shortest gap.
-func (v *View) rooms(now time.Time, r *Request) (best *engine, room int) {
+// freeSlots returns the number of free slots for a request and the engine
+// among them with the shortest predicted token gap.
+func (v *View) freeSlots(now time.Time, r *Request) (best *engine, free int) {
 	shortest := time.Duration(math.MaxInt64)
 	for _, e := range v.engines {
-		n := v.room(now, e, r)
+		n := v.capacity(now, e, r)
 		if n <= 0 {
 			continue
 		}
-		room += n
-		if g := v.gap(e, len(e.holding)+e.foreign+1); g < shortest {
+		free += n
+		if g := v.expectedGap(e, len(e.holding)+e.foreignHeld+1); g < shortest {
 			shortest, best = g, e
 		}
 	}
-	return best, room
+	return best, free
 }
 
-// slotBy is rule 4: the probability that a slot is left for the request within
-// the time given. Slots come free like a Poisson process; those under way take
-// theirs first, unless the request goes before them.
-func (v *View) slotBy(now time.Time, r *Request, room int, within time.Duration) float64 {
+// slotProbability is the probability that a slot is free for the request
+// within the given time. Rule 4. Releases are modelled as a Poisson process;
+// requests that have started go first unless this one has a higher priority
+// and their KV caches are ready later.
+func (v *View) slotProbability(now time.Time, r *Request, free int, within time.Duration) float64 {
 	claims := 1
 	at := now.Add(within)
-	for _, f := range v.coming {
+	for _, f := range v.unbound {
 		if f.request.Priority >= r.Priority || f.readyAt.Before(at) {
 			claims++
 		}
 	}
-	missing := float64(claims - room + v.reserve(now, r.Priority))
-	higher := v.higher(now, r.Priority) * within.Seconds()
-	mean := v.freed(r.Priority, within)
+	missing := float64(claims - free + v.reservedSlots(now, r.Priority))
+	higherArrivals := v.higherRate(now, r.Priority) * within.Seconds()
+	mean := v.expectedReleases(r.Priority, within)
 	if missing <= 0 {
 		return 1
 	}
-	if mean+higher <= 0 {
+	if mean+higherArrivals <= 0 {
 		return 0
 	}
-	z := (mean - missing + 0.5) / math.Sqrt(mean+higher)
+	z := (mean - missing + 0.5) / math.Sqrt(mean+higherArrivals)
 	return 0.5 * math.Erfc(-z/math.Sqrt2)
 }
 
-// local is rule 7.
-func (v *View) local(now time.Time, r *Request, e *engine, room int) Decision {
-	if e == nil || v.slotBy(now, r, room, 0) < 1 {
+// placeLocal decides whether the request is prefilled on the decode engine e.
+// Rule 7.
+func (v *View) placeLocal(now time.Time, r *Request, e *engine, free int) Decision {
+	if e == nil || v.slotProbability(now, r, free, 0) < 1 {
 		return Decision{}
 	}
-	if r.Prompt > v.config.LocalLimit && v.anyPrefill() {
+	if r.Prompt > v.config.LocalLimit && v.hasPrefill() {
 		return Decision{}
 	}
-	// Prefill beside decoding runs at half speed, and halves the decoding of
-	// all who are held there.
-	took := 2 * float64(r.Prompt) * e.speed.gap / v.config.PrefillRate
-	held := float64(len(e.holding) + e.foreign)
+	// Prefill concurrent with decoding runs at half speed and halves the decode
+	// speed of all requests on the engine.
+	prefillTime := 2 * float64(r.Prompt) * e.slowdown.gap / v.config.PrefillRate
+	held := float64(len(e.holding) + e.foreignHeld)
 	return Decision{
 		Action:     Local,
 		Decode:     e.id,
-		FirstToken: seconds(took),
+		FirstToken: seconds(prefillTime),
 		Slot:       1,
-		end:        seconds(took * (1 + held/2)),
+		prefillEnd: seconds(prefillTime * (1 + held/2)),
 	}
 }
 
-// Forecast predicts what a request would get that went on at once, and how many
-// requests of its kind the engines hold in all. Admission compares it with the
-// request's targets.
+// Forecast predicts the first token and token gap of a request that is started
+// now, and the number of such requests that the engines can hold in total.
+// Admission compares them with the request's targets.
 func (v *View) Forecast(now time.Time, r *Request) (firstToken, tokenGap time.Duration, slots hingeids.Slots) {
 	best, d := v.bestPrefill(now, r)
 	if best != nil {
@@ -252,19 +254,19 @@
 		if !e.decodes() {
 			continue
 		}
-		tokenGap = min(tokenGap, v.gap(e, 1))
+		tokenGap = min(tokenGap, v.expectedGap(e, 1))
 		n := e.slots
 		if r.TokenGap > 0 {
-			n = min(n, v.fill(e, r.TokenGap))
+			n = min(n, v.maxHeld(e, r.TokenGap))
 		}
 		slots += hingeids.Slots(n)
 	}
 	return firstToken, tokenGap, slots
 }
 
-// anyPrefill says whether there is a prefill engine. Without one even a dossier
-// is prefilled where it decodes: slow for all, but it is answered.
-func (v *View) anyPrefill() bool {
+// hasPrefill reports whether there is a prefill engine. Without one, prompts
+// of any length are prefilled on decode engines.
+func (v *View) hasPrefill() bool {
 	for _, e := range v.engines {
 		if e.prefills() {
 			return true
@@ -273,7 +275,7 @@
 	return false
 }
 
-func (v *View) anyDecode() bool {
+func (v *View) hasDecode() bool {
 	for _, e := range v.engines {
 		if e.decodes() {
 			return true
--- a/internal/decide/hingeplace/speed.go
+++ b/internal/decide/hingeplace/speed.go
@@ -6,99 +6,102 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// speed is rule 6: how much slower an engine is than Config says, learned from
-// what it did. 1 is as it should be.
-type speed struct {
+// slowdown holds factors by which an engine is slower than Config states,
+// learned by rule 6. 1 is the configured speed.
+type slowdown struct {
 	gap     float64
 	prefill float64
-	// seen is when the engine last showed a token gap, tried when it was last
-	// given a request to find out.
-	seen, tried time.Time
-	slow        bool
+	// observed is the time of the last token gap received, and probed the time at
+	// which the idle engine was last given a request.
+	observed, probed time.Time
+	slow             bool
 }
 
-func newSpeed() speed {
-	return speed{
+func newSlowdown() slowdown {
+	return slowdown{
 		gap:     1,
 		prefill: 1,
 	}
 }
 
-// How fast what is learned follows what is seen. Token gaps are seen about twice
-// a second, so a slow engine is found within two seconds; one stalled gap alone
-// moves it by a third.
+// Weights of a new sample in the moving averages. Token gaps arrive about
+// twice a second, so a slow engine is detected within two seconds, while a
+// single stalled gap moves the average by a third.
 const (
-	followGap     = 0.35
-	followPrefill = 0.2
+	gapSmoothing     = 0.35
+	prefillSmoothing = 0.2
 )
 
-// probeEvery is how long an engine that is given nothing is left alone. Each
-// probe may cost one request its token gap, so at most one in five seconds.
-const probeEvery = 5 * time.Second
+// probeInterval is how long an engine must be idle before it is probed. A
+// probe may miss the token gap target of its request.
+const probeInterval = 5 * time.Second
 
-// slowest bounds what is learned, so that one frozen second doesn't need
-// minutes of probes to be forgotten.
-const slowest = 10.0
+// maxSlowdown bounds the factors, so that a short stall of an engine doesn't
+// need minutes of probes to recover from.
+const maxSlowdown = 10.0
 
-func follow(was, seen, by float64) float64 {
-	return min(slowest, was+by*(min(seen, slowest)-was))
+func smooth(average, sample, weight float64) float64 {
+	return min(maxSlowdown, average+weight*(min(sample, maxSlowdown)-average))
 }
 
-// gap is the expected token gap of an engine that holds n requests.
-func (v *View) gap(e *engine, n int) time.Duration {
-	plain := v.config.GapBase + time.Duration(n)*v.config.GapPerRequest
-	return time.Duration(float64(plain) * e.speed.gap)
+// expectedGap is the predicted token gap of an engine that holds n requests.
+func (v *View) expectedGap(e *engine, n int) time.Duration {
+	nominal := v.config.GapBase + time.Duration(n)*v.config.GapPerRequest
+	return time.Duration(float64(nominal) * e.slowdown.gap)
 }
 
-// TokenGap takes the token gap that the open streams of an engine show, twice a
-// second or so. Rule 6.
-func (v *View) TokenGap(now time.Time, s hingeids.ServerID, seen time.Duration) {
+// TokenGap records the token gap measured on an engine's open streams, about
+// twice a second. Rule 6.
+func (v *View) TokenGap(now time.Time, s hingeids.ServerID, observed time.Duration) {
 	e := v.byID[s]
 	if e == nil {
 		return
 	}
-	held := len(e.holding) + e.foreign
-	plain := v.config.GapBase + time.Duration(held)*v.config.GapPerRequest
-	e.speed.gap = follow(e.speed.gap, float64(seen)/float64(plain), followGap)
-	e.speed.seen = now
-	if e.speed.gap > slowAbove {
-		e.speed.slow = true
-	} else if e.speed.gap < fastBelow {
-		e.speed.slow = false
+	held := len(e.holding) + e.foreignHeld
+	nominal := v.config.GapBase + time.Duration(held)*v.config.GapPerRequest
+	e.slowdown.gap = smooth(e.slowdown.gap, float64(observed)/float64(nominal), gapSmoothing)
+	e.slowdown.observed = now
+	if e.slowdown.gap > slowThreshold {
+		e.slowdown.slow = true
+	} else if e.slowdown.gap < recoveredThreshold {
+		e.slowdown.slow = false
 	}
 }
 
-// An engine is called slow, for the time line only, above the one and until it
-// is below the other; apart, so that it isn't told on and off.
+// An engine is reported as slow above slowThreshold, until its factor falls
+// below recoveredThreshold. The hysteresis prevents repeated events. Placement
+// doesn't use these thresholds.
 const (
-	slowAbove = 1.5
-	fastBelow = 1.2
+	slowThreshold      = 1.5
+	recoveredThreshold = 1.2
 )
 
-// Slow says whether an engine shows a token gap far above what its fill explains.
+// Slow reports whether an engine's token gap is far above the one expected at
+// its load.
 func (v *View) Slow(s hingeids.ServerID) bool {
 	e := v.byID[s]
-	return e != nil && e.speed.slow
+	return e != nil && e.slowdown.slow
 }
 
-// room is how many more requests with the given target an engine may hold.
-func (v *View) room(now time.Time, e *engine, r *Request) int {
-	held := len(e.holding) + e.foreign
+// capacity is the number of further requests with the target of r that an
+// engine may hold.
+func (v *View) capacity(now time.Time, e *engine, r *Request) int {
+	held := len(e.holding) + e.foreignHeld
 	if !e.decodes() || r.Avoid[e.id] || now.Before(e.fullUntil) || held >= e.slots {
 		return 0
 	}
-	target := stricter(r.TokenGap, e.strictest)
+	target := stricter(r.TokenGap, e.strictestGap)
 	limit := e.slots
 	if target > 0 {
-		limit = v.fill(e, target)
+		limit = v.maxHeld(e, target)
 	}
-	if limit <= 0 && held == 0 && v.probe(now, e, r) {
+	if limit <= 0 && held == 0 && v.probeDue(now, e, r) {
 		return 1
 	}
 	return max(0, min(limit, e.slots)-held)
 }
 
-// stricter is the shorter of two targets, of which 0 is none.
+// stricter returns the shorter of two targets; 0 is no target.
 func stricter(a, b time.Duration) time.Duration {
 	if a == 0 || b != 0 && b < a {
 		return b
@@ -106,24 +109,25 @@
 	return a
 }
 
-// fill is the most requests at which the engine's gap keeps to the target.
-func (v *View) fill(e *engine, target time.Duration) int {
-	left := float64(target)/e.speed.gap - float64(v.config.GapBase)
-	if left < 0 {
+// maxHeld is the largest number of requests at which the engine's token gap
+// meets the target.
+func (v *View) maxHeld(e *engine, target time.Duration) int {
+	budget := float64(target)/e.slowdown.gap - float64(v.config.GapBase)
+	if budget < 0 {
 		return 0
 	}
-	return int(left / float64(max(v.config.GapPerRequest, 1)))
+	return int(budget / float64(max(v.config.GapPerRequest, 1)))
 }
 
-// probe says whether an engine that is given nothing is due for a try. Work that
-// can wait is tried first: it loses least.
-func (v *View) probe(now time.Time, e *engine, r *Request) bool {
-	idle := now.Sub(e.speed.seen)
-	if now.Sub(e.speed.tried) < idle {
-		idle = now.Sub(e.speed.tried)
+// probeDue reports whether an idle engine may be given r as a probe. Requests
+// that can wait are used sooner, since a slow answer costs them least.
+func (v *View) probeDue(now time.Time, e *engine, r *Request) bool {
+	idle := now.Sub(e.slowdown.observed)
+	if now.Sub(e.slowdown.probed) < idle {
+		idle = now.Sub(e.slowdown.probed)
 	}
 	if r.CanWait {
-		return idle >= probeEvery
+		return idle >= probeInterval
 	}
-	return idle >= 4*probeEvery
+	return idle >= 4*probeInterval
 }
--- a/internal/decide/hingeplace/view.go
+++ b/internal/decide/hingeplace/view.go
@@ -1,40 +1,41 @@
 // Package hingeplace decides where and when a request is prefilled and decoded,
 // as one decision, for the engines of one model that an entry host can reach. It
-// has no clock, no sockets and no goroutines, and is not safe for use by several
-// goroutines at once.
+// has no clock, no sockets and no goroutines, and is not safe for concurrent use.
 //
-//  1. A View is what is known of the engines: their reports, which lag, corrected
-//     by what this process has sent since, and what became of it. What a report
-//     counts beyond our own requests belongs to other entry hosts.
-//  2. The prefill engine is the one with the earliest predicted end: the work
-//     before the request of its own or a higher priority, and its tokens that
-//     are not cached there, at the engine's speed. Uncached tokens weigh more
-//     than their time, the more so the more the firm weighs wasted prefill.
-//  3. Which prefixes are cached where is a guess: from what we sent, and from
-//     cache events, which are late and have gaps. What the engine says it found,
-//     with the end of each prefill, corrects the guess.
-//  4. Prefill starts if a decode slot is likely enough by its end plus the time
-//     its KV cache is kept. Slots come free at the rate at which the requests
-//     that hold them end; those already under way come first. Likely enough
-//     is the one rule of the weights. A lost prefill costs w, the weight of wasted
-//     prefill, and in goodput g as much as the prefill engines are busy (b from 0
-//     to 1), for then another request's prefill was put off. A slot that stands
-//     idle for want of a KV cache costs g. So the probability must reach
-//     (w+gb)/(w+gb+g), where one more early start costs as much as it saves.
-//     A prefill that would wait long at its engine isn't started either.
-//  5. The decode engine is bound only when the KV cache is ready, to the engine
-//     with a free slot and the shortest predicted token gap: a slot held through
-//     a prefill would be wasted. Higher priorities bind first, and a few slots
-//     are left to those that are likely to come in the next moment.
-//  6. An engine's token gap is learned from the streams themselves. An engine
-//     that is slower than it should be for its fill holds fewer, so that its
-//     gap keeps to the target, down to none. One that holds nothing is tried
-//     again with one request from time to time, and taken back by its token gap.
-//  7. A short prompt is prefilled where it decodes, if that gives its first token
-//     earlier even when the delay to all who decode there is added to it.
+//  1. A View combines the engines' reports, which lag, with the requests that
+//     this process has sent since and their outcomes. Whatever a report counts
+//     beyond this process's own requests belongs to other entry hosts.
+//  2. The prefill engine is the one with the earliest predicted end of the
+//     prefill: the queued work of the same or a higher priority, plus the
+//     request's tokens that are not cached there, at the engine's speed. Uncached
+//     tokens weigh more than their time, and the more so the higher the weight of
+//     wasted prefill.
+//  3. The index of cached prefixes is an estimate from the requests sent and from
+//     cache events, which are late and incomplete. The number of cached tokens
+//     that the engine reports at the end of each prefill corrects it.
+//  4. Prefill starts if the probability that a decode slot is free by its
+//     predicted end plus the retention time of its KV cache is high enough. Slots
+//     are released at the rate at which the requests that hold them finish;
+//     requests that have already started go first. The weights determine the
+//     threshold. A lost prefill costs w, the weight of wasted prefill, plus gb: the
+//     goodput weight g times the busy share b of the prefill engines (0 to 1),
+//     since another request's prefill was delayed. A slot that is idle for lack of
+//     a KV cache costs g. So the probability must reach (w+gb)/(w+gb+g), where the
+//     expected cost of starting equals that of waiting. A prefill that would wait
+//     long at its engine isn't started either.
+//  5. The decode engine is bound only when the KV cache is ready, since a slot
+//     held during prefill is wasted. It is the engine with a free slot and the
+//     shortest predicted token gap. Higher priorities bind first, and a few slots
+//     are reserved for those that are expected soon.
+//  6. An engine's token gap is learned from its streams. An engine that is slower
+//     than expected at its load is given fewer requests, down to none, so that
+//     its token gap meets the target. An idle one is probed with a single request
+//     from time to time and used again once its token gap has recovered.
+//  7. A short prompt is prefilled on the decode engine if that yields its first
+//     token earlier, with the delay to the other requests on that engine added.
 //
-// Limits: lengths of answers are known only as means of their class; the links
-// of other entry hosts' transfers are not seen.
+// Limitations: output lengths are known only as a distribution per class, and
+// the load that other entry hosts' transfers put on the links is unknown.
 package hingeplace
 
 import (
@@ -44,39 +45,45 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Weights are the two ends of the trade-off, as in the rules.
+// Weights are the costs that rule 4 balances: of lost goodput and of wasted
+// prefill.
 type Weights struct {
 	Goodput       float64
 	WastedPrefill float64
 }
 
-// Config is what is known before anything is measured.
+// Config holds the settings of a View and the estimates that it starts from.
 type Config struct {
 	Weights Weights
-	// GapBase and GapPerRequest give an engine's token gap by its fill;
-	// PrefillRate is in tokens a second. All three are only where learning starts.
+	// An engine that holds n requests has a token gap of GapBase +
+	// n*GapPerRequest. PrefillRate is in tokens per second. All three are
+	// starting values that rule 6 adjusts for each engine.
 	GapBase       time.Duration
 	GapPerRequest time.Duration
 	PrefillRate   float64
-	// KeepCache is how long a finished KV cache surely stays at its engine.
+	// KeepCache is the minimum time for which an engine retains a finished KV
+	// cache.
 	KeepCache time.Duration
-	// CacheBytes is the KV cache of one prompt token.
+	// CacheBytes is the size of the KV cache per prompt token.
 	CacheBytes hingeids.Bytes
-	// LinkRate is the rate of transfers from one zone to another.
+	// LinkRate returns the transfer rate between two zones.
 	LinkRate func(from, to hingeids.Zone) hingeids.BytesPerSecond
-	// PrefillAhead is how long a prefill may wait at its engine. What waits in
-	// our own queue instead can still go elsewhere or be cancelled at no cost; the
-	// engine needs only so much that it never stands idle.
+	// PrefillAhead is the maximum time for which a prefill may wait at its
+	// engine. It only has to keep the engine busy: requests that wait in the
+	// entry host's queue instead can still be sent elsewhere or cancelled at no
+	// cost.
 	PrefillAhead time.Duration
-	// LocalLimit is the longest prompt that may be prefilled where it decodes.
+	// LocalLimit is the longest prompt that may be prefilled on a decode engine
+	// while there are prefill engines.
 	LocalLimit hingeids.Tokens
-	// Output is the length of an answer before any of its class was seen.
+	// Output is the expected output length of a class without samples.
 	Output hingeids.Tokens
-	// PrefixLimit bounds the prefixes remembered, over all engines.
+	// PrefixLimit bounds the entries in the index of cached prefixes, over all
+	// engines.
 	PrefixLimit int
 }
 
-// Defaults are the figures of the brief's engines.
+// Defaults returns the settings for the reference engines.
 func Defaults() Config {
 	return Config{
 		Weights: Weights{
@@ -98,115 +105,117 @@
 	}
 }
 
-// Request is what placing knows of a request.
+// Request holds the properties of a request that placement uses.
 type Request struct {
 	ID       hingeids.RequestID
 	Class    string
 	Priority int
 	CanWait  bool
 	Prompt   hingeids.Tokens
-	// Prefix are the hashes of the prompt's leading blocks, each with the tokens
-	// up to its end; see Chain.
+	// Prefix holds the hashes of the prompt's leading blocks, as returned by
+	// Chain.
 	Prefix   []Block
 	TokenGap time.Duration
-	// FirstTokenBy is when the first token must be there; zero is any time.
+	// FirstTokenBy is the deadline of the first token; zero is none.
 	FirstTokenBy time.Time
-	// Avoid are engines that have failed this request.
+	// Avoid is the set of engines that have failed this request.
 	Avoid map[hingeids.ServerID]bool
 }
 
-// engine is one engine of the view.
 type engine struct {
-	id    hingeids.ServerID
-	life  hingeids.Incarnation
-	zone  hingeids.Zone
-	kind  hingeannounce.Kind
-	slots int
-	gone  bool
-	// foreign is what other entry hosts hold there, by the latest report.
-	foreign       int
+	id          hingeids.ServerID
+	incarnation hingeids.Incarnation
+	zone        hingeids.Zone
+	kind        hingeannounce.Kind
+	slots       int
+	removed     bool
+	// foreignHeld and foreignTokens are the requests and the prompt tokens of
+	// other entry hosts at the engine, by its latest report.
+	foreignHeld   int
 	foreignTokens float64
-	reported      time.Time
+	reportedAt    time.Time
 	fullUntil     time.Time
-	// holding are our requests that hold a decode slot, prefilling those whose
-	// prefill is under way there, oldest first.
-	holding []*flight
-	// strictest is the shortest target among those who are held, 0 for none.
-	strictest  time.Duration
-	prefilling []*flight
-	released   []ended
-	prefilled  []ended
-	linkFree   time.Time
-	speed      speed
-	// hit is the cached part of the request being placed; it is set for one
-	// decision only.
+	// holding are this process's requests that hold a decode slot here,
+	// prefilling those whose prefill is queued or runs here, in the order in
+	// which they run.
+	holding []*inflightRequest
+	// strictestGap is the shortest token gap target among holding, 0 for none.
+	strictestGap     time.Duration
+	prefilling       []*inflightRequest
+	finishedHolds    []finished
+	finishedPrefills []finished
+	linkFreeAt       time.Time
+	slowdown         slowdown
+	// hit is the number of cached tokens of the request being placed. It is set
+	// only during one decision.
 	hit hingeids.Tokens
 }
 
 func (e *engine) prefills() bool {
-	return !e.gone && (e.kind == hingeannounce.Prefill || e.kind == hingeannounce.Both)
+	return !e.removed && (e.kind == hingeannounce.Prefill || e.kind == hingeannounce.Both)
 }
 
 func (e *engine) decodes() bool {
-	return !e.gone && (e.kind == hingeannounce.Decode || e.kind == hingeannounce.Both)
+	return !e.removed && (e.kind == hingeannounce.Decode || e.kind == hingeannounce.Both)
 }
 
-// ended is a request that an engine no longer holds, kept until a report shows it.
-type ended struct {
-	began  time.Time
-	at     time.Time
+// finished is a request that an engine no longer holds, kept until a report of
+// the engine reflects it.
+type finished struct {
+	start  time.Time
+	end    time.Time
 	tokens float64
 }
 
-// View is what one entry host knows of the engines of one model.
+// View is an entry host's state of the engines of one model.
 type View struct {
-	config  Config
-	engines []*engine
-	byID    map[hingeids.ServerID]*engine
-	flights map[hingeids.RequestID]*flight
-	// coming are the flights that don't hold a slot yet.
-	coming  []*flight
+	config   Config
+	engines  []*engine
+	byID     map[hingeids.ServerID]*engine
+	inflight map[hingeids.RequestID]*inflightRequest
+	// unbound are the started requests that have no decode slot.
+	unbound []*inflightRequest
 	index   *index
-	classes map[string]*lengths
+	classes map[string]*lengthStats
 	demand  []demand
-	// ends forecasts the slots that come free, as it was when it was refreshed.
-	ends      []ends
-	refreshed time.Time
-	// busy is the share of prefill engines at work, lately.
-	busy float64
+	// releaseForecast has an entry for each priority, computed at forecastAt.
+	releaseForecast []releaseForecast
+	forecastAt      time.Time
+	// busyShare is a moving average of the share of prefill engines with work.
+	busyShare float64
 }
 
-// NewView makes a view without engines.
+// NewView returns a view without engines.
 func NewView(c Config) *View {
 	return &View{
-		config:  c,
-		byID:    make(map[hingeids.ServerID]*engine),
-		flights: make(map[hingeids.RequestID]*flight),
-		index:   newIndex(c.PrefixLimit),
-		classes: make(map[string]*lengths),
+		config:   c,
+		byID:     make(map[hingeids.ServerID]*engine),
+		inflight: make(map[hingeids.RequestID]*inflightRequest),
+		index:    newIndex(c.PrefixLimit),
+		classes:  make(map[string]*lengthStats),
 	}
 }
 
-// Configure puts other weights, and another size of the KV cache, in force. What
-// was learned of the engines stays.
+// Configure changes the weights and the size of the KV cache per token.
+// Learned state of the engines is kept.
 func (v *View) Configure(w Weights, cacheBytes hingeids.Bytes) {
 	v.config.Weights = w
 	v.config.CacheBytes = cacheBytes
 }
 
-// Announce takes what an engine says of itself. taken is when it was so, by
-// the receiver's clock: a report is older than its arrival. Rule 1.
-func (v *View) Announce(now, taken time.Time, a hingeannounce.Announcement) {
+// Announce handles an engine's announcement. measuredAt is when its load was
+// measured, by the receiver's clock, and is earlier than now. Rule 1.
+func (v *View) Announce(now, measuredAt time.Time, a hingeannounce.Announcement) {
 	e := v.byID[a.Server]
-	if e != nil && e.life > a.Incarnation {
+	if e != nil && e.incarnation > a.Incarnation {
 		return
 	}
-	if e == nil || e.life < a.Incarnation {
+	if e == nil || e.incarnation < a.Incarnation {
 		v.Gone(a.Server)
 		e = &engine{
-			id:    a.Server,
-			life:  a.Incarnation,
-			speed: newSpeed(),
+			id:          a.Server,
+			incarnation: a.Incarnation,
+			slowdown:    newSlowdown(),
 		}
 		v.engines = append(v.engines, e)
 		v.byID[a.Server] = e
@@ -216,81 +225,82 @@
 		v.Gone(a.Server)
 		return
 	}
-	e.report(now, taken, a.Load)
+	e.applyReport(now, measuredAt, a.Load)
 }
 
-// report is rule 1: what the report counts beyond ours is others'. Ours are
-// counted as they stood when the report was taken. Prompt work is others' only
-// as far as there are requests of others: more tokens than expected on requests
-// of our own are prefixes that were not cached.
-func (e *engine) report(now, taken time.Time, l hingeannounce.Load) {
-	held := countBefore(taken, e.holding, e.released, func(f *flight) time.Time { return f.boundAt })
-	e.released = keepAfter(taken, e.released)
-	e.reported = now
+// applyReport attributes the load beyond this process's own requests to other
+// entry hosts. Rule 1. Own requests are counted as of measuredAt. Prompt
+// tokens are attributed to others only if others have requests there:
+// otherwise the excess is prefixes of own requests that were not cached.
+func (e *engine) applyReport(now, measuredAt time.Time, l hingeannounce.Load) {
+	held := countAt(measuredAt, e.holding, e.finishedHolds, func(f *inflightRequest) time.Time { return f.boundAt })
+	e.finishedHolds = finishedAfter(measuredAt, e.finishedHolds)
+	e.reportedAt = now
 	if e.kind != hingeannounce.Prefill {
-		e.foreign = max(0, l.Running-held)
+		e.foreignHeld = max(0, l.Running-held)
 	}
-	sent := countBefore(taken, e.prefilling, e.prefilled, func(f *flight) time.Time { return f.sentAt })
+	sent := countAt(measuredAt, e.prefilling, e.finishedPrefills, func(f *inflightRequest) time.Time { return f.sentAt })
 	e.foreignTokens = 0
 	if l.Running+l.Queued > held+sent {
-		e.foreignTokens = max(0, float64(l.QueuedTokens)-e.sentTokens(taken))
+		e.foreignTokens = max(0, float64(l.QueuedTokens)-e.ownTokensAt(measuredAt))
 	}
-	e.prefilled = keepAfter(taken, e.prefilled)
+	e.finishedPrefills = finishedAfter(measuredAt, e.finishedPrefills)
 }
 
-// countBefore counts what was there at a time: of what is there now, and of
-// what has ended since.
-func countBefore(t time.Time, now []*flight, since []ended, begin func(*flight) time.Time) int {
+// countAt returns how many requests the engine held at time t, of those it
+// holds now and those that have finished since.
+func countAt(t time.Time, now []*inflightRequest, finishedSince []finished, startOf func(*inflightRequest) time.Time) int {
 	n := 0
 	for _, f := range now {
-		if !begin(f).After(t) {
+		if !startOf(f).After(t) {
 			n++
 		}
 	}
-	for _, p := range since {
-		if !p.began.After(t) && p.at.After(t) {
+	for _, p := range finishedSince {
+		if !p.start.After(t) && p.end.After(t) {
 			n++
 		}
 	}
 	return n
 }
 
-func keepAfter(t time.Time, list []ended) []ended {
+func finishedAfter(t time.Time, list []finished) []finished {
 	kept := list[:0]
 	for _, p := range list {
-		if p.at.After(t) {
+		if p.end.After(t) {
 			kept = append(kept, p)
 		}
 	}
 	return kept
 }
 
-// sentTokens is the prompt work of ours that the engine had at a time, or more.
-func (e *engine) sentTokens(t time.Time) float64 {
+// ownTokensAt is an upper bound of this process's prompt tokens at the engine
+// at time t.
+func (e *engine) ownTokensAt(t time.Time) float64 {
 	var sum float64
 	for _, f := range e.prefilling {
 		if !f.sentAt.After(t) {
 			sum += f.uncached
 		}
 	}
-	for _, p := range e.prefilled {
-		if !p.began.After(t) && p.at.After(t) {
+	for _, p := range e.finishedPrefills {
+		if !p.start.After(t) && p.end.After(t) {
 			sum += p.tokens
 		}
 	}
 	return sum
 }
 
-// Gone takes an engine out that left or died. Requests that it holds are the
-// caller's to end or to send again.
+// Gone removes an engine that has left or failed. The caller must finish or
+// resend the requests that it holds.
 func (v *View) Gone(s hingeids.ServerID) {
 	e := v.byID[s]
 	if e == nil {
 		return
 	}
-	e.gone = true
+	e.removed = true
 	delete(v.byID, s)
-	v.index.forget(e)
+	v.index.removeEngine(e)
 	for i, x := range v.engines {
 		if x == e {
 			v.engines = append(v.engines[:i], v.engines[i+1:]...)
@@ -299,14 +309,14 @@
 	}
 }
 
-// Full says that an engine refused a slot, as the slot's granter sees more than
-// we do. It is taken to be full for a moment.
+// Full records that an engine's allocator refused a slot. The engine is
+// treated as full for fullDuration.
 func (v *View) Full(now time.Time, s hingeids.ServerID) {
 	if e := v.byID[s]; e != nil {
-		e.fullUntil = now.Add(fullFor)
+		e.fullUntil = now.Add(fullDuration)
 	}
 }
 
-// fullFor is how long a refusal of a slot counts: about what two of an engine's
-// twenty requests need to end.
-const fullFor = 200 * time.Millisecond
+// fullDuration is how long an engine is treated as full after it refused a
+// slot.
+const fullDuration = 200 * time.Millisecond
--- a/internal/decide/hingeplace/view_test.go
+++ b/internal/decide/hingeplace/view_test.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// pool makes a view of engines p0, p1, ... for prefill and d0, d1, ... for decode.
-func pool(c Config, prefills, decodes int) *View {
+// newTestView returns a view of prefill engines p0, p1, ... and decode engines
+// d0, d1, ...
+func newTestView(c Config, prefills, decodes int) *View {
 	v := NewView(c)
 	for i := range prefills {
 		v.Announce(start, start, announce(fmt.Sprintf("p%d", i), hingeannounce.Prefill, 0))
@@ -43,7 +44,7 @@
 		ID: hingeids.RequestID{
 			Sequence: n,
 		},
-		Class:    "dossier",
+		Class:    "batch",
 		Priority: 1,
 		CanWait:  true,
 		Prompt:   prompt,
@@ -51,8 +52,8 @@
 	}
 }
 
-// fill gives the view requests that hold n slots.
-func fill(v *View, n int) {
+// occupySlots starts and binds n requests.
+func occupySlots(v *View, n int) {
 	for i := range n {
 		r := request(uint64(1000+i), 10)
 		v.Began(start, r, Decision{
@@ -64,12 +65,11 @@
 	}
 }
 
-// A report that was taken before our last twenty requests says that the engine
-// is empty. Believed, it would send twenty more to an engine that is full, and
-// their KV caches would be evicted while they wait.
+// A report measured before the last requests were sent must not make a full
+// engine appear empty.
 func TestLateReportDoesNotHideWhatWasSentSince(t *testing.T) {
-	v := pool(Defaults(), 1, 1)
-	fill(v, 20)
+	v := newTestView(Defaults(), 1, 1)
+	occupySlots(v, 20)
 	now := start.Add(300 * time.Millisecond)
 	v.Announce(now, start.Add(-time.Second), announce("d0", hingeannounce.Decode, 0))
 	r := request(1, 100)
@@ -79,15 +79,15 @@
 	})
 	v.PrefillDone(now, r.ID, 0)
 	if s, ok := v.Bind(now, r.ID); ok {
-		t.Fatalf("bound to %s, which holds twenty", s)
+		t.Fatalf("bound to %s, which has no free slot", s)
 	}
 }
 
-// Another entry host fills an engine. Our view knows it only from the report,
-// and must count it beside our own requests, not instead of them.
+// Other entry hosts' requests, known only from reports, must be counted in
+// addition to this host's own.
 func TestOthersRequestsTakeSlots(t *testing.T) {
-	v := pool(Defaults(), 1, 1)
-	fill(v, 5)
+	v := newTestView(Defaults(), 1, 1)
+	occupySlots(v, 5)
 	now := start.Add(time.Second)
 	v.Announce(now, now.Add(-300*time.Millisecond), announce("d0", hingeannounce.Decode, 17))
 	free := 0
@@ -107,26 +107,26 @@
 	}
 }
 
-// All slots are held by answers that have just begun. Prefill started now would
-// be evicted before a slot is free, and would have to be done again.
+// Prefill must not start while all slots are held by answers that have just
+// started: the KV cache would be evicted before a slot is free.
 func TestPrefillWaitsForASlotInSight(t *testing.T) {
-	v := pool(Defaults(), 1, 1)
+	v := newTestView(Defaults(), 1, 1)
 	for i := range 100 {
-		v.class("dossier").see(float64(300 + 2*i))
+		v.class("batch").observe(float64(300 + 2*i))
 	}
-	fill(v, 20)
+	occupySlots(v, 20)
 	var got []Action
-	for _, passed := range []time.Duration{time.Millisecond, 9 * time.Second} {
-		v.TokenGap(start.Add(passed), "d0", 25*time.Millisecond)
-		got = append(got, v.Place(start.Add(passed), request(1, 3000)).Action)
+	for _, elapsed := range []time.Duration{time.Millisecond, 9 * time.Second} {
+		v.TokenGap(start.Add(elapsed), "d0", 25*time.Millisecond)
+		got = append(got, v.Place(start.Add(elapsed), request(1, 3000)).Action)
 	}
 	if diff := cmp.Diff([]Action{Wait, Start}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// The two firms' weights are one rule: the more a firm weighs wasted prefill,
-// the surer a slot must be before prefill starts.
+// The threshold at which prefill starts must rise with the weight of wasted
+// prefill.
 func TestWeightsMoveOneThreshold(t *testing.T) {
 	var last float64
 	for _, w := range []float64{0, 0.25, 0.5, 1, 4} {
@@ -136,35 +136,35 @@
 			WastedPrefill: w,
 		}
 		v := NewView(c)
-		v.busy = 0.5
-		if got := v.enough(); got <= last {
-			t.Fatalf("weight %v asks for %v, a lower weight for %v", w, got, last)
+		v.busyShare = 0.5
+		if got := v.startThreshold(); got <= last {
+			t.Fatalf("weight %v gives threshold %v, a lower weight gives %v", w, got, last)
 		}
-		last = v.enough()
+		last = v.startThreshold()
 	}
 }
 
-// An operator changes the weights. Were they in force only from the next start
-// on, the hosts would place by different rules until each was restarted.
+// Changed weights must apply without a restart: otherwise entry hosts would
+// place by different rules.
 func TestChangedWeightsAreInForceAtOnce(t *testing.T) {
 	v := NewView(Defaults())
-	before := v.enough()
+	before := v.startThreshold()
 	v.Configure(Weights{
 		Goodput:       1,
 		WastedPrefill: 4,
 	}, 64<<10)
-	if after := v.enough(); after <= before {
-		t.Errorf("asks for %v, before the change for %v", after, before)
+	if after := v.startThreshold(); after <= before {
+		t.Errorf("threshold is %v, before the change it was %v", after, before)
 	}
 	if diff := cmp.Diff(hingeids.Bytes(64<<10), v.config.CacheBytes); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A dossier goes where most of it is cached. Once the engine tells that it has
-// dropped the prefix, waiting for that engine would gain nothing.
+// A long prompt must go to the engine that has its prefix cached, until that
+// engine reports that it dropped the prefix.
 func TestPrefillGoesWhereThePrefixIs(t *testing.T) {
-	v := pool(Defaults(), 3, 1)
+	v := newTestView(Defaults(), 3, 1)
 	prefix := []Block{
 		{
 			Hash:   7,
@@ -180,61 +180,60 @@
 	}
 	v.Cached("p2", prefix[0], false)
 	if got := v.Place(start, r); got.Cached != 0 {
-		t.Errorf("%d tokens are still believed in", got.Cached)
+		t.Errorf("%d tokens are still expected in the cache", got.Cached)
 	}
 }
 
-// All prefill engines are gone. The decode engines can still prefill, slowly:
-// better a late answer than none.
+// Without prefill engines, decode engines must prefill prompts of any length.
 func TestWithoutPrefillEnginesItIsDoneWhereItDecodes(t *testing.T) {
-	v := pool(Defaults(), 0, 1)
+	v := newTestView(Defaults(), 0, 1)
 	got := v.Place(start, request(1, 3000))
 	if got.Action != Local || got.Decode != "d0" {
 		t.Fatalf("got %+v", got)
 	}
 }
 
-// An engine's token gap doubles. It must be given less, then nothing; and once
-// it is fast again it must be found out and taken back, without an operator.
+// An engine whose token gap doubles must be given fewer requests, then none,
+// and must be used again once it has recovered.
 func TestSlowEngineIsGivenLessAndTakenBack(t *testing.T) {
-	v := pool(Defaults(), 1, 2)
+	v := newTestView(Defaults(), 1, 2)
 	r := request(1, 100)
 	r.TokenGap = 40 * time.Millisecond
 	now := start
-	rooms := func() int { return v.room(now, v.byID["d0"], r) }
-	seen := []int{rooms()}
+	capacity := func() int { return v.capacity(now, v.byID["d0"], r) }
+	capacities := []int{capacity()}
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
 		v.TokenGap(now, "d0", 24*time.Millisecond)
 	}
-	seen = append(seen, rooms())
+	capacities = append(capacities, capacity())
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
 		v.TokenGap(now, "d0", 60*time.Millisecond)
 	}
-	seen = append(seen, rooms())
-	now = now.Add(probeEvery)
-	seen = append(seen, rooms())
+	capacities = append(capacities, capacity())
+	now = now.Add(probeInterval)
+	capacities = append(capacities, capacity())
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
 		v.TokenGap(now, "d0", 12*time.Millisecond)
 	}
-	seen = append(seen, rooms())
-	if diff := cmp.Diff([]int{20, 12, 0, 1, 20}, seen); diff != "" {
+	capacities = append(capacities, capacity())
+	if diff := cmp.Diff([]int{20, 12, 0, 1, 20}, capacities); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Whatever happens in whatever order, no engine is given more than its slots,
-// and a request is in one place at a time.
+// In any order of events, no engine is assigned more requests than it has
+// slots, and each request is in exactly one place.
 func TestNoSlotIsOverGranted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		v := pool(Defaults(), 2, 2)
+		v := newTestView(Defaults(), 2, 2)
 		now := start
 		var ids []hingeids.RequestID
 		for n := range rapid.IntRange(1, 200).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "pass")) * time.Millisecond)
-			pick := func() hingeids.RequestID {
+			pickID := func() hingeids.RequestID {
 				if len(ids) == 0 {
 					return hingeids.RequestID{}
 				}
@@ -248,15 +247,15 @@
 					ids = append(ids, r.ID)
 				}
 			case 2, 3:
-				v.PrefillDone(now, pick(), 0)
+				v.PrefillDone(now, pickID(), 0)
 			case 4:
 				for _, id := range v.Ready() {
 					v.Bind(now, id)
 				}
 			case 5:
-				v.Ended(now, pick(), hingeids.Tokens(rapid.IntRange(0, 100).Draw(t, "output")))
+				v.Ended(now, pickID(), hingeids.Tokens(rapid.IntRange(0, 100).Draw(t, "output")))
 			case 6:
-				v.Unbind(now, pick())
+				v.Unbind(now, pickID())
 			case 7:
 				server := rapid.SampledFrom([]string{"p0", "d0"}).Draw(t, "server")
 				a := announce(server, hingeannounce.Decode, rapid.IntRange(0, 20).Draw(t, "running"))
@@ -266,26 +265,26 @@
 				a.Incarnation += hingeids.Incarnation(rapid.IntRange(0, 1).Draw(t, "restart"))
 				v.Announce(now, now.Add(-300*time.Millisecond), a)
 			}
-			checkPlaces(t, v)
+			checkInvariants(t, v)
 		}
 	})
 }
 
-func checkPlaces(t *rapid.T, v *View) {
-	places := make(map[*flight]int)
-	for _, f := range v.coming {
+func checkInvariants(t *rapid.T, v *View) {
+	places := make(map[*inflightRequest]int)
+	for _, f := range v.unbound {
 		places[f]++
 	}
 	for _, e := range v.engines {
 		if len(e.holding) > e.slots {
-			t.Fatalf("%s holds %d", e.id, len(e.holding))
+			t.Fatalf("%s holds %d requests, more than its slots", e.id, len(e.holding))
 		}
 		for _, f := range e.holding {
 			places[f]++
 		}
 	}
 	for f, n := range places {
-		if n != 1 || v.flights[f.request.ID] != f {
+		if n != 1 || v.inflight[f.request.ID] != f {
 			t.Fatalf("request %v is in %d places", f.request.ID, n)
 		}
 	}
