--- a/internal/decide/hingeadmit/due.go
+++ b/internal/decide/hingeadmit/due.go
@@ -2,57 +2,58 @@
 
 import "time"
 
-// band holds the recent drain of a level for requests with the same target.
-type band struct {
-	target time.Duration
-	taken  window
+// targetDrain is the recent drain of a level by requests with the same
+// first-token target.
+type targetDrain struct {
+	target   time.Duration
+	dequeued window
 }
 
-// mostBands bounds the bands of a level: there is one for each class, and more
-// only if targets came from callers. What is beyond them shares the last.
-const mostBands = 16
+// maxTargets bounds the targets that a level distinguishes. Usually there is
+// one for each class; requests with further targets share the last entry.
+const maxTargets = 16
 
-// shortest and noTarget are the ends of the order of targets: a request without
-// one goes after all that have one.
+// allTargets and noTarget are the extremes of the order of targets. A request
+// without a target goes after all that have one.
 const (
-	shortest = time.Duration(0)
-	noTarget = time.Duration(1<<63 - 1)
+	allTargets = time.Duration(0)
+	noTarget   = time.Duration(1<<63 - 1)
 )
 
-func (l *level) band(target time.Duration) *band {
+func (l *level) targetDrain(target time.Duration) *targetDrain {
 	if target == 0 {
 		target = noTarget
 	}
-	for _, b := range l.bands {
+	for _, b := range l.drains {
 		if b.target == target {
 			return b
 		}
 	}
-	if len(l.bands) >= mostBands {
-		return l.bands[mostBands-1]
+	if len(l.drains) >= maxTargets {
+		return l.drains[maxTargets-1]
 	}
-	b := &band{
+	b := &targetDrain{
 		target: target,
 	}
-	l.bands = append(l.bands, b)
+	l.drains = append(l.drains, b)
 	return b
 }
 
-// recent is the drain, in slots, that went to targets shorter than the one
-// given, or with shortest to the whole level.
-func (l *level) recent(now time.Time, target time.Duration) float64 {
+// recentDrain is the recent drain, in slots, by requests with targets shorter
+// than the given one, or by the whole level with allTargets.
+func (l *level) recentDrain(now time.Time, target time.Duration) float64 {
 	var sum float64
-	for _, b := range l.bands {
-		if target == shortest || b.target < target {
-			sum += b.taken.recent(now)
+	for _, b := range l.drains {
+		if target == allTargets || b.target < target {
+			sum += b.dequeued.recent(now)
 		}
 	}
 	return sum
 }
 
-// The work of a level by due time, in buckets, so that what is due before a new
-// request is summed and not searched for. What is due later than the span of
-// the buckets counts as due at its end.
+// Waiting work is summed in buckets by due time, so that the work due before a
+// new request is found without a search. Due times beyond the span of the
+// buckets count as due at its end.
 const (
 	bucketSpan  = 500 * time.Millisecond
 	bucketCount = 512
@@ -62,8 +63,8 @@
 	return due.UnixNano() / int64(bucketSpan)
 }
 
-// dueAfter is the work that is due after a time.
-func (l *level) dueAfter(now, due time.Time) time.Duration {
+// workDueAfter is the waiting work that is due after a time.
+func (l *level) workDueAfter(now, due time.Time) time.Duration {
 	last := bucket(now) + bucketCount/2
 	var sum time.Duration
 	for i := bucket(due) + 1; i <= last; i++ {
@@ -72,7 +73,7 @@
 	return sum
 }
 
-// countDue adds to the work by due time, or takes away.
-func (l *level) countDue(it *item, work time.Duration) {
+// addDue adds work to the bucket of an item; negative work is removed from it.
+func (l *level) addDue(it *item, work time.Duration) {
 	l.byDue[it.bucket%bucketCount] += work
 }
--- a/internal/decide/hingeadmit/giveup.go
+++ b/internal/decide/hingeadmit/giveup.go
@@ -7,23 +7,23 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// GaveUp is a request that waited and was given up.
+// GaveUp is a waiting request that was refused, with its refusal.
 type GaveUp struct {
 	Request Request
 	Err     *hingeverdict.Error
 }
 
-// GiveUp is rule 6: it takes out the requests that wait in vain. The refusals
-// go to their callers now.
+// GiveUp removes and returns the waiting requests that can no longer meet
+// their target or deadline. Rule 6. The caller must deliver the refusals.
 func (q *Queue) GiveUp(now time.Time) []GaveUp {
 	var out []GaveUp
-	for len(q.expiring.list) > 0 && !q.expiring.list[0].giveUp.After(now) {
+	for len(q.expiring.list) > 0 && !q.expiring.list[0].expiry.After(now) {
 		it := q.expiring.list[0]
 		if it.request.CanWait && now.Before(it.request.Deadline) {
 			q.postpone(now, it)
 			continue
 		}
-		q.forget(it)
+		q.remove(it)
 		code := hingeverdict.CodeTargetOutOfReach
 		if it.request.CanWait || it.request.FirstToken == 0 {
 			code = hingeverdict.CodeDeadline
@@ -36,31 +36,33 @@
 	return out
 }
 
-// postpone is rule 6 for work that can wait. When it has missed its first token
-// it makes way for those that can still make theirs; when its deadline comes
-// near it goes before others, even if its caller is ahead of its share.
+// postpone changes the order of a request that can wait. Rule 6. After it has
+// missed its first-token target it goes behind requests that can still meet
+// theirs. Close to its deadline it goes ahead of others, even if its caller is
+// ahead of its share.
 //
-// Made for a queue that is a little too long for its targets: kept in the old
-// order each request would wait for the late one before it, and all be late.
+// With a constant order, one late request in a slightly overloaded queue would
+// make all requests behind it late.
 func (q *Queue) postpone(now time.Time, it *item) {
 	r := &it.request
-	latest := r.Deadline.Add(-r.Work*3/2 - r.Deadline.Sub(r.Arrived)/8)
-	if now.Before(latest) {
-		it.giveUp = latest
-		it.level.rekey(it, latest)
+	urgentAt := r.Deadline.Add(-r.Work*3/2 - r.Deadline.Sub(r.Arrived)/8)
+	if now.Before(urgentAt) {
+		it.expiry = urgentAt
+		it.level.setDue(it, urgentAt)
 	} else {
-		it.giveUp = r.Deadline
+		it.expiry = r.Deadline
 		it.urgent = true
 		it.flow.urgent++
-		it.level.forgive(it.flow, it.level.virtual)
+		it.level.lowerTag(it.flow, it.level.virtual)
 	}
-	heap.Fix(&q.expiring, it.expireAt)
+	heap.Fix(&q.expiring, it.expiryIndex)
 }
 
-// Wake is when GiveUp is next due; the zero time when nothing waits.
+// Wake returns the time at which GiveUp must next be called, or the zero time
+// if no request waits.
 func (q *Queue) Wake() time.Time {
 	if len(q.expiring.list) == 0 {
 		return time.Time{}
 	}
-	return q.expiring.list[0].giveUp
+	return q.expiring.list[0].expiry
 }
--- a/internal/decide/hingeadmit/heaps.go
+++ b/internal/decide/hingeadmit/heaps.go
@@ -1,6 +1,6 @@
 package hingeadmit
 
-// itemHeap holds items by due time or by the time they are given up.
+// itemHeap is a heap of items by due time or by expiry.
 type itemHeap struct {
 	list []*item
 	by   order
@@ -10,7 +10,7 @@
 
 const (
 	byDue order = iota
-	byGiveUp
+	byExpiry
 )
 
 func (h *itemHeap) Len() int { return len(h.list) }
@@ -19,27 +19,27 @@
 	if h.by == byDue {
 		return h.list[i].due.Before(h.list[j].due)
 	}
-	return h.list[i].giveUp.Before(h.list[j].giveUp)
+	return h.list[i].expiry.Before(h.list[j].expiry)
 }
 
 func (h *itemHeap) Swap(i, j int) {
 	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.place(i)
-	h.place(j)
+	h.setIndex(i)
+	h.setIndex(j)
 }
 
-func (h *itemHeap) place(i int) {
+func (h *itemHeap) setIndex(i int) {
 	if h.by == byDue {
-		h.list[i].flowAt = i
+		h.list[i].flowIndex = i
 	} else {
-		h.list[i].expireAt = i
+		h.list[i].expiryIndex = i
 	}
 }
 
 // Push is for container/heap.
 func (h *itemHeap) Push(x any) {
 	h.list = append(h.list, x.(*item))
-	h.place(len(h.list) - 1)
+	h.setIndex(len(h.list) - 1)
 }
 
 // Pop is for container/heap.
@@ -51,7 +51,7 @@
 	return x
 }
 
-// flowHeap holds flows.
+// flowHeap is a heap of flows ordered by less.
 type flowHeap struct {
 	list []*flow
 	less func(a, b *flow) bool
@@ -62,13 +62,13 @@
 
 func (h *flowHeap) Swap(i, j int) {
 	h.list[i], h.list[j] = h.list[j], h.list[i]
-	h.list[i].at, h.list[j].at = i, j
+	h.list[i].index, h.list[j].index = i, j
 }
 
 // Push is for container/heap.
 func (h *flowHeap) Push(x any) {
 	f := x.(*flow)
-	f.at = len(h.list)
+	f.index = len(h.list)
 	h.list = append(h.list, f)
 }
 
--- a/internal/decide/hingeadmit/level.go
+++ b/internal/decide/hingeadmit/level.go
@@ -7,53 +7,54 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// item is a request that waits.
+// item is a waiting request.
 type item struct {
 	request Request
 	level   *level
 	flow    *flow
 	// due orders the requests of a caller and the eligible callers of a level.
 	due    time.Time
-	giveUp time.Time
+	expiry time.Time
 	bucket int64
-	// urgent says that the deadline is near.
+	// urgent is set when the deadline is near.
 	urgent bool
-	// flowAt and expireAt are the item's places in the two heaps.
-	flowAt, expireAt int
+	// flowIndex and expiryIndex are the item's positions in the two heaps.
+	flowIndex, expiryIndex int
 }
 
-// flow is one caller in one level. It outlives its requests until the level's
-// virtual time has passed its tag: a caller that emptied its queue and came
-// back would else start again with a clean sheet.
+// flow is the queue of one caller in one level. An empty flow is kept until
+// the level's virtual time has passed its tag: otherwise a caller that emptied
+// its queue and returned could exceed its share.
 type flow struct {
 	caller hingeids.CallerID
 	items  itemHeap
 	work   time.Duration
-	// tag is the virtual time at which the flow has had its share so far.
+	// tag is the virtual time up to which the flow has used its share.
 	tag      float64
 	eligible bool
-	at       int
-	// urgent counts its requests whose deadline is near.
+	index    int
+	// urgent counts the flow's requests whose deadline is near.
 	urgent int
-	// since is when the flow began to wait, taken its recent drain from then on.
-	since time.Time
-	taken window
+	// backloggedSince is when the flow last became non-empty, and dequeued its
+	// recent drain.
+	backloggedSince time.Time
+	dequeued        window
 }
 
-// level is rule 3: the callers of one priority.
+// level holds the callers of one priority. Rule 3.
 type level struct {
-	priority int
-	flows    map[hingeids.CallerID]*flow
-	eligible flowHeap
-	later    flowHeap
-	virtual  float64
-	work     time.Duration
-	count    int
-	active   int
-	credit   time.Duration
-	bands    []*band
-	byDue    [bucketCount]time.Duration
-	booked   time.Time
+	priority   int
+	flows      map[hingeids.CallerID]*flow
+	eligible   flowHeap
+	ineligible flowHeap
+	virtual    float64
+	work       time.Duration
+	count      int
+	active     int
+	credit     time.Duration
+	drains     []*targetDrain
+	byDue      [bucketCount]time.Duration
+	nextRetry  time.Time
 }
 
 func newLevel(priority int) *level {
@@ -63,59 +64,59 @@
 		eligible: flowHeap{
 			less: func(a, b *flow) bool { return a.items.list[0].due.Before(b.items.list[0].due) },
 		},
-		later: flowHeap{
+		ineligible: flowHeap{
 			less: func(a, b *flow) bool { return a.tag < b.tag },
 		},
 	}
 }
 
-// ahead is the work that goes before a new request: what is due before it, and
-// no more than what fair shares let pass before it.
-func (l *level) ahead(now time.Time, r Request) time.Duration {
+// workAhead is the work that goes before a new request: the work that is due
+// before it, but no more than fair shares allow.
+func (l *level) workAhead(now time.Time, r Request) time.Duration {
 	due := r.Deadline
 	if r.FirstToken > 0 {
 		due = r.Arrived.Add(r.FirstToken)
 	}
-	before := max(0, l.work-l.dueAfter(now, due))
+	dueBefore := max(0, l.work-l.workDueAfter(now, due))
 	active := l.active
-	fair := max(r.Work, l.work/time.Duration(max(1, l.count)))
+	fairWork := max(r.Work, l.work/time.Duration(max(1, l.count)))
 	if f := l.flows[r.Caller]; f != nil {
-		fair += f.work + time.Duration(max(0, f.tag-l.virtual)*float64(time.Second))
+		fairWork += f.work + time.Duration(max(0, f.tag-l.virtual)*float64(time.Second))
 		active = max(1, active)
 	}
-	return min(before, fair*time.Duration(active))
+	return min(dueBefore, fairWork*time.Duration(active))
 }
 
-// ownWait is how long a caller's new request waits behind its own. While
-// callers with little to send come and go, each before it, a caller with a long
-// queue gets what they leave: that is seen from what it got, and from nothing
-// else, as those who wait at any one moment are few.
+// ownWait is how long a caller's new request waits behind the caller's own. A
+// caller with a long queue gets the capacity that callers with few requests
+// leave. That is measured by the caller's drain, since the callers that wait
+// at one moment don't show how many will arrive.
 func (l *level) ownWait(now time.Time, r Request) time.Duration {
 	f := l.flows[r.Caller]
-	if f == nil || len(f.items.list) == 0 || now.Sub(f.since) < memory {
+	if f == nil || len(f.items.list) == 0 || now.Sub(f.backloggedSince) < drainTimeConstant {
 		return 0
 	}
-	return time.Duration(float64(f.work) / max(f.taken.recent(now), 0.01))
+	return time.Duration(float64(f.work) / max(f.dequeued.recent(now), 0.01))
 }
 
-// forgive lowers the tag of a flow that is ahead of its share.
-func (l *level) forgive(f *flow, tag float64) {
+// lowerTag lowers the tag of a flow that is ahead of its share.
+func (l *level) lowerTag(f *flow, tag float64) {
 	if !f.eligible && tag < f.tag {
 		f.tag = tag
-		heap.Fix(&l.later, f.at)
+		heap.Fix(&l.ineligible, f.index)
 	}
 }
 
-// rekey gives a waiting item a new due time.
-func (l *level) rekey(it *item, due time.Time) {
-	l.countDue(it, -it.request.Work)
+// setDue changes the due time of a waiting item.
+func (l *level) setDue(it *item, due time.Time) {
+	l.addDue(it, -it.request.Work)
 	it.due = due
 	it.bucket = bucket(due)
-	l.countDue(it, it.request.Work)
+	l.addDue(it, it.request.Work)
 	f := it.flow
-	heap.Fix(&f.items, it.flowAt)
+	heap.Fix(&f.items, it.flowIndex)
 	if f.eligible {
-		heap.Fix(&l.eligible, f.at)
+		heap.Fix(&l.eligible, f.index)
 	}
 }
 
@@ -130,40 +131,41 @@
 			},
 		}
 		l.flows[f.caller] = f
-		heap.Push(&l.later, f)
+		heap.Push(&l.ineligible, f)
 	}
 	it.flow = f
 	if len(f.items.list) == 0 {
 		l.active++
-		f.since = now
+		f.backloggedSince = now
 	}
 	heap.Push(&f.items, it)
 	f.work += it.request.Work
 	l.work += it.request.Work
 	it.bucket = bucket(it.due)
-	l.countDue(it, it.request.Work)
+	l.addDue(it, it.request.Work)
 	l.count++
 	if f.eligible {
-		heap.Fix(&l.eligible, f.at)
+		heap.Fix(&l.eligible, f.index)
 	}
 }
 
-// head gives the request whose turn it is. The level must not be empty.
+// head returns the item that is next by rule 3. The level must not be empty.
 func (l *level) head() *item {
 	for {
-		l.admitFlows()
+		l.updateEligible()
 		if len(l.eligible.list) > 0 {
 			return l.eligible.list[0].items.list[0]
 		}
-		// Everybody who waits is ahead of its share: nothing is gained by
-		// letting the engines stand idle, so virtual time jumps.
-		l.virtual = max(l.virtual, l.later.list[0].tag)
+		// All waiting callers are ahead of their share. Virtual time advances to the
+		// first of them rather than leave the engines idle.
+		l.virtual = max(l.virtual, l.ineligible.list[0].tag)
 	}
 }
 
-// first gives the first item that try takes, of the few that are next. Beyond
-// the very next their order is the heap's, which is nearly that of their due times.
-func (l *level) first(try func(Request) bool) *item {
+// firstAccepted returns the first of the next few items that try accepts, or
+// nil. After the head, the candidates are in heap order, which is nearly that
+// of their due times.
+func (l *level) firstAccepted(try func(Request) bool) *item {
 	if it := l.head(); try(it.request) {
 		return it
 	}
@@ -175,11 +177,11 @@
 	return nil
 }
 
-// admitFlows moves flows that have become eligible, and forgets those that
-// have nothing left and are not ahead of their share.
-func (l *level) admitFlows() {
-	for len(l.later.list) > 0 && l.later.list[0].tag <= l.virtual {
-		f := heap.Pop(&l.later).(*flow)
+// updateEligible moves flows whose tag has been reached to the eligible ones,
+// and deletes those that are empty.
+func (l *level) updateEligible() {
+	for len(l.ineligible.list) > 0 && l.ineligible.list[0].tag <= l.virtual {
+		f := heap.Pop(&l.ineligible).(*flow)
 		if len(f.items.list) == 0 {
 			delete(l.flows, f.caller)
 			continue
@@ -189,27 +191,28 @@
 	}
 }
 
-// served charges a flow for a request that goes on. The request is removed after.
-func (l *level) served(now time.Time, it *item) {
+// charge charges a flow for a request that is dequeued. The caller removes the
+// request afterwards.
+func (l *level) charge(now time.Time, it *item) {
 	f := it.flow
 	work := it.request.Work.Seconds()
-	f.taken.add(now, it.request.Work)
+	f.dequeued.add(now, it.request.Work)
 	l.virtual += work / float64(l.active)
 	f.tag += work
 	if f.urgent > 0 {
 		f.tag = l.virtual
 	}
-	heap.Remove(&l.eligible, f.at)
+	heap.Remove(&l.eligible, f.index)
 	f.eligible = false
-	heap.Push(&l.later, f)
+	heap.Push(&l.ineligible, f)
 }
 
 func (l *level) remove(it *item) {
 	f := it.flow
-	heap.Remove(&f.items, it.flowAt)
+	heap.Remove(&f.items, it.flowIndex)
 	f.work -= it.request.Work
 	l.work -= it.request.Work
-	l.countDue(it, -it.request.Work)
+	l.addDue(it, -it.request.Work)
 	l.count--
 	if it.urgent {
 		f.urgent--
@@ -217,23 +220,23 @@
 	if len(f.items.list) == 0 {
 		l.active--
 		if f.eligible {
-			heap.Remove(&l.eligible, f.at)
+			heap.Remove(&l.eligible, f.index)
 			f.eligible = false
-			heap.Push(&l.later, f)
+			heap.Push(&l.ineligible, f)
 		}
 	} else if f.eligible {
-		heap.Fix(&l.eligible, f.at)
+		heap.Fix(&l.eligible, f.index)
 	}
 	if l.count == 0 {
 		l.reset()
 	}
 }
 
-// reset forgets all shares once nobody waits: there was room for everybody.
+// reset clears all shares once no request waits: there was capacity for all.
 func (l *level) reset() {
 	clear(l.flows)
-	clear(l.later.list)
-	l.later.list = l.later.list[:0]
+	clear(l.ineligible.list)
+	l.ineligible.list = l.ineligible.list[:0]
 	l.virtual = 0
 	l.credit = 0
 }
--- a/internal/decide/hingeadmit/queue_test.go
+++ b/internal/decide/hingeadmit/queue_test.go
@@ -22,7 +22,7 @@
 
 var serial uint64
 
-func quay(caller string) Request {
+func interactive(caller string) Request {
 	serial++
 	return Request{
 		ID: hingeids.RequestID{
@@ -39,8 +39,8 @@
 	}
 }
 
-func dossier(caller string) Request {
-	r := quay(caller)
+func batch(caller string) Request {
+	r := interactive(caller)
 	r.Priority = 1
 	r.CanWait = true
 	r.FirstToken = 30 * time.Second
@@ -49,13 +49,13 @@
 	return r
 }
 
-func anything(Request) bool { return true }
+func acceptAny(Request) bool { return true }
 
-func nothing(Request) bool { return false }
+func acceptNone(Request) bool { return false }
 
-// A request that is neither answered nor refused leaves its caller hanging; one
-// that ends twice is answered twice. Whatever comes in whatever order, each
-// request that was offered must come to exactly one end.
+// In any order of events, each offered request must end exactly once: one that
+// doesn't end leaves its caller waiting, one that ends twice is answered
+// twice.
 func TestEachRequestComesToOneEnd(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{
@@ -64,37 +64,37 @@
 		})
 		now := start
 		serial = 0
-		ends := make(map[hingeids.RequestID]int)
+		outcomes := make(map[hingeids.RequestID]int)
 		waiting := make(map[hingeids.RequestID]bool)
-		end := func(id hingeids.RequestID) {
-			ends[id]++
+		finish := func(id hingeids.RequestID) {
+			outcomes[id]++
 			delete(waiting, id)
 		}
 		for range rapid.IntRange(1, 120).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "pass")) * time.Millisecond)
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1:
-				r := quay(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "caller")))
-				if rapid.Bool().Draw(t, "dossier") {
-					r = dossier(string(r.Caller))
+				r := interactive(fmt.Sprint(rapid.IntRange(0, 4).Draw(t, "caller")))
+				if rapid.Bool().Draw(t, "batch") {
+					r = batch(string(r.Caller))
 				}
 				r.Arrived, r.Deadline = now, now.Add(r.Deadline.Sub(start))
 				waiting[r.ID] = true
 				if q.Offer(now, r, engines) != nil {
-					end(r.ID)
+					finish(r.ID)
 				}
 			case 2:
-				if r, ok := q.Next(now, anything); ok {
-					end(r.ID)
+				if r, ok := q.Next(now, acceptAny); ok {
+					finish(r.ID)
 					if rapid.IntRange(0, 3).Draw(t, "evicted") == 0 {
-						ends[r.ID]--
+						outcomes[r.ID]--
 						waiting[r.ID] = true
 						q.Requeue(now, r, engines)
 					}
 				}
 			case 3:
 				for _, g := range q.GiveUp(now) {
-					end(g.Request.ID)
+					finish(g.Request.ID)
 				}
 			case 4:
 				if len(q.expiring.list) == 0 {
@@ -104,25 +104,25 @@
 				if !q.Cancel(id) {
 					t.Fatalf("%v waits and could not be cancelled", id)
 				}
-				end(id)
+				finish(id)
 			}
 			if q.Len() != len(waiting) {
 				t.Fatalf("the queue holds %d, %d wait", q.Len(), len(waiting))
 			}
 			checkSums(t, q)
 		}
-		for id, n := range ends {
+		for id, n := range outcomes {
 			if waiting[id] {
 				n++
 			}
 			if n != 1 {
-				t.Fatalf("%v came to %d ends", id, n)
+				t.Fatalf("%v ended %d times, want once", id, n)
 			}
 		}
 	})
 }
 
-// checkSums compares what a level keeps as sums with what it holds.
+// checkSums compares the running sums of each level with its items.
 func checkSums(t *rapid.T, q *Queue) {
 	for _, l := range q.levels {
 		var work, byDue time.Duration
@@ -146,21 +146,20 @@
 	}
 }
 
-// One caller out of 7,300 sends ten thousand dossiers in one second. The others
-// send one each now and then, and must not notice: there is room in the queue
-// for them, and theirs go on about as soon as if the greedy caller had sent few.
+// A caller that sends ten thousand requests in one second must neither cause
+// the refusal of other callers' requests nor delay them noticeably.
 func TestOneGreedyCallerCannotPushOutTheOthers(t *testing.T) {
 	q := New(Defaults())
-	taken := make(map[hingeids.CallerID]int)
+	dequeued := make(map[hingeids.CallerID]int)
 	for range 10000 {
-		r := dossier("greedy")
+		r := batch("greedy")
 		r.FirstToken = 0
 		r.Deadline = start.Add(time.Hour)
 		_ = q.Offer(start, r, engines)
 	}
 	refused := 0
 	for i := range 300 {
-		r := dossier(fmt.Sprint(i))
+		r := batch(fmt.Sprint(i))
 		r.FirstToken = 0
 		r.Deadline = start.Add(time.Hour)
 		if q.Offer(start, r, engines) != nil {
@@ -168,91 +167,90 @@
 		}
 	}
 	for range 330 {
-		r, _ := q.Next(start, anything)
-		taken[r.Caller]++
+		r, _ := q.Next(start, acceptAny)
+		dequeued[r.Caller]++
 	}
 	if refused > 0 {
 		t.Errorf("%d of the 300 other callers were refused", refused)
 	}
-	if others := 330 - taken["greedy"]; others < 300 {
-		t.Errorf("of 330 taken only %d are of the 300 others", others)
+	if others := 330 - dequeued["greedy"]; others < 300 {
+		t.Errorf("of 330 dequeued requests only %d are from the 300 other callers", others)
 	}
 }
 
-// Quay queries alone could fill the engines for hours. A dossier that was
-// accepted would then never be answered, and its crate stay unlicensed.
+// A steady load of high-priority requests must not starve accepted ones of a
+// lower priority.
 func TestLowerLevelGetsItsMinimumShare(t *testing.T) {
 	q := New(Defaults())
 	for i := range 20 {
-		_ = q.Offer(start, dossier(fmt.Sprint(i)), engines)
+		_ = q.Offer(start, batch(fmt.Sprint(i)), engines)
 	}
-	var quayWork, dossierWork time.Duration
+	var interactiveWork, batchWork time.Duration
 	for i := range 1000 {
-		_ = q.Offer(start, quay(fmt.Sprint(i)), engines)
-		r, ok := q.Next(start, anything)
+		_ = q.Offer(start, interactive(fmt.Sprint(i)), engines)
+		r, ok := q.Next(start, acceptAny)
 		if !ok {
 			break
 		}
 		if r.Priority == 10 {
-			quayWork += r.Work
+			interactiveWork += r.Work
 		} else {
-			dossierWork += r.Work
+			batchWork += r.Work
 		}
 	}
-	if share := dossierWork.Seconds() / (dossierWork + quayWork).Seconds(); share < 0.07 || share > 0.15 {
-		t.Fatalf("dossiers got %.2f of the work, want about 0.1", share)
+	if share := batchWork.Seconds() / (batchWork + interactiveWork).Seconds(); share < 0.07 || share > 0.15 {
+		t.Fatalf("batch requests got %.2f of the work, want about 0.1", share)
 	}
 }
 
-// A thousand callers are refused in the same moment. If all were told the same
-// time they would come back together and be refused again, for ever.
+// Callers refused at the same moment must get retry times spread by the drain,
+// or they would return together and be refused again.
 func TestRefusedCallersAreToldToComeBackAsThereIsRoom(t *testing.T) {
 	q := New(Defaults())
 	busy := engines
 	busy.FirstToken = time.Second
 	perSecond := make(map[time.Duration]int)
 	for i := range 1000 {
-		r := quay(fmt.Sprint(i))
+		r := interactive(fmt.Sprint(i))
 		err := q.Offer(start, r, busy)
 		if err == nil {
-			t.Fatal("a request was accepted whose first token can't be in time")
+			t.Fatal("a request was accepted that can't meet its first-token target")
 		}
-		if err.RetryAfter < leastAfter || err.RetryAfter > 2*mostAfter {
-			t.Fatalf("told to come back after %v", err.RetryAfter)
+		if err.RetryAfter < minRetryAfter || err.RetryAfter > 2*maxRetryAfter {
+			t.Fatalf("retry time is %v", err.RetryAfter)
 		}
 		perSecond[err.RetryAfter.Truncate(time.Second)]++
 	}
-	// 120 slots drain 160 of these requests a second.
+	// 120 slots drain 160 of these requests per second.
 	for at, n := range perSecond {
 		if n > 200 {
-			t.Errorf("%d were told to come back after %v, 160 a second can be served", n, at)
+			t.Errorf("%d retries are scheduled after %v, the drain is 160 per second", n, at)
 		}
 	}
 }
 
-// A quay query waits behind a burst. When its first token can no longer come in
-// time its caller must hear so at once, with a time to come back, and not be
-// held until its deadline seconds later.
+// A waiting request that can no longer meet its first-token target must be
+// refused then, with a retry time, and not at its deadline seconds later.
 func TestHopelessRequestIsGivenUpAtOnce(t *testing.T) {
 	q := New(Defaults())
-	r := quay("haulier")
+	r := interactive("a")
 	if err := q.Offer(start, r, engines); err != nil {
 		t.Fatal(err)
 	}
-	if _, ok := q.Next(start, nothing); ok {
-		t.Fatal("taken without a place")
+	if _, ok := q.Next(start, acceptNone); ok {
+		t.Fatal("dequeued although try rejected it")
 	}
 	wake := q.Wake()
 	if wait := wake.Sub(start); wait > r.FirstToken {
-		t.Fatalf("looked at again only after %v, its target is %v", wait, r.FirstToken)
+		t.Fatalf("expires only after %v, its target is %v", wait, r.FirstToken)
 	}
-	gaveUp := q.GiveUp(wake)
-	if len(gaveUp) != 1 {
-		t.Fatalf("%d given up", len(gaveUp))
+	expired := q.GiveUp(wake)
+	if len(expired) != 1 {
+		t.Fatalf("%d requests expired, want 1", len(expired))
 	}
-	got := *gaveUp[0].Err
-	if got.RetryAfter < leastAfter {
-		t.Errorf("told to come back after %v", got.RetryAfter)
+	got := *expired[0].Err
+	if got.RetryAfter < minRetryAfter {
+		t.Errorf("retry time is %v", got.RetryAfter)
 	}
 	want := hingeverdict.Error{
 		Verdict:    hingeverdict.NotRun,
@@ -265,39 +263,39 @@
 	}
 }
 
-// A dossier was taken, prefilled, and its KV cache evicted. It must not go to
-// the end of its caller's share a second time: its turn came to nothing.
+// A request whose KV cache was evicted must not be charged to its caller's
+// share a second time.
 func TestEvictedRequestKeepsItsTurn(t *testing.T) {
 	q := New(Defaults())
-	first := dossier("a")
+	first := batch("a")
 	_ = q.Offer(start, first, engines)
 	for i := range 50 {
-		r := dossier(fmt.Sprint(i))
+		r := batch(fmt.Sprint(i))
 		r.Arrived = start.Add(time.Second)
 		_ = q.Offer(start, r, engines)
 	}
-	taken, _ := q.Next(start, anything)
-	q.Requeue(start, taken, engines)
-	again, _ := q.Next(start, anything)
-	if diff := cmp.Diff([]uint64{first.ID.Sequence, first.ID.Sequence}, []uint64{taken.ID.Sequence, again.ID.Sequence}); diff != "" {
+	dequeued, _ := q.Next(start, acceptAny)
+	q.Requeue(start, dequeued, engines)
+	again, _ := q.Next(start, acceptAny)
+	if diff := cmp.Diff([]uint64{first.ID.Sequence, first.ID.Sequence}, []uint64{dequeued.ID.Sequence, again.ID.Sequence}); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Without an engine nothing may wait: nobody knows whether one will come.
+// Without engines a request must be refused at once rather than wait for an
+// engine that may never appear.
 func TestWithoutEnginesAllAreRefusedAtOnce(t *testing.T) {
 	q := New(Defaults())
-	err := q.Offer(start, dossier("a"), Forecast{})
+	err := q.Offer(start, batch("a"), Forecast{})
 	if err == nil || err.Code != hingeverdict.CodeNoServer || err.RetryAfter == 0 {
 		t.Fatalf("got %v", err)
 	}
 }
 
-// A long dossier costs the prefill engines as much as many slots for minutes, but
-// its answer takes seconds. Taken for its duration, that cost had it refused for
-// good on engines with nothing to do, and its crate stood unlicensed at the quay.
+// A long prompt must be accepted on idle engines: its prefill cost in slots is
+// far higher than the duration of its answer, and may exceed the deadline.
 func TestLongPromptIsTakenOnIdleEngines(t *testing.T) {
-	r := dossier("v")
+	r := batch("v")
 	r.Work = 2 * time.Minute
 	r.Takes = 5 * time.Second
 	if err := New(Defaults()).Offer(start, r, engines); err != nil {
--- a/internal/decide/hingeadmit/rate.go
+++ b/internal/decide/hingeadmit/rate.go
@@ -7,105 +7,110 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// memory is how long the measured drain remembers. Shorter and one long
-// dossier moves it by a fifth; longer and it notices a lost engine too late.
-const memory = 4 * time.Second
+// drainTimeConstant is the time constant of the measured drain. A shorter one
+// lets a single long request distort it; a longer one detects a lost engine
+// too late.
+const drainTimeConstant = 4 * time.Second
 
-// prior is how many seconds of the known slots the measured drain starts with.
-const prior = 1.0
+// priorSeconds is the weight of the known slots in the measured drain, as
+// seconds of measurement.
+const priorSeconds = 1.0
 
-// rate measures the drain of the queue: work taken, over the time for which
-// there was something to take.
-type rate struct {
-	last       time.Time
-	backlogged bool
-	since      time.Time
-	work, time float64
+// drainRate measures the drain of the queue: the work dequeued, divided by the
+// time for which requests were waiting.
+type drainRate struct {
+	last            time.Time
+	backlogged      bool
+	backloggedSince time.Time
+	work, time      float64
 }
 
-// advance accounts for the time since the last call. backlogged tells whether
-// something waits now.
-func (r *rate) advance(now time.Time, backlogged bool) {
-	passed := now.Sub(r.last)
-	if passed > 0 && r.backlogged {
-		keep := math.Exp(-passed.Seconds() / memory.Seconds())
-		r.work *= keep
-		r.time = r.time*keep + passed.Seconds()
+// advance accounts for the time since the last call. backlogged states whether
+// requests are waiting now.
+func (r *drainRate) advance(now time.Time, backlogged bool) {
+	elapsed := now.Sub(r.last)
+	if elapsed > 0 && r.backlogged {
+		decay := math.Exp(-elapsed.Seconds() / drainTimeConstant.Seconds())
+		r.work *= decay
+		r.time = r.time*decay + elapsed.Seconds()
 	}
-	if passed > 0 {
+	if elapsed > 0 {
 		r.last = now
 	}
 	if backlogged && !r.backlogged {
-		r.since = now
+		r.backloggedSince = now
 	}
 	r.backlogged = backlogged
 }
 
-// add accounts for work taken. What is taken while nothing waits tells nothing
-// of how fast a backlog would drain.
-func (r *rate) add(now time.Time, work time.Duration) {
-	if r.backlogged && r.since.Before(now) {
+// add accounts for dequeued work. Work dequeued without a backlog says nothing
+// about the rate at which a backlog drains, and is ignored.
+func (r *drainRate) add(now time.Time, work time.Duration) {
+	if r.backlogged && r.backloggedSince.Before(now) {
 		r.work += work.Seconds()
 	}
 }
 
-// slots gives the drain, in slots, starting from how many are known.
-func (r *rate) slots(known float64) float64 {
-	return (r.work + prior*known) / (r.time + prior)
+// slots returns the drain, in slots, with the known number of slots as the
+// prior.
+func (r *drainRate) slots(known float64) float64 {
+	return (r.work + priorSeconds*known) / (r.time + priorSeconds)
 }
 
-// window measures recent work without regard to backlog.
+// window measures recent work with exponential decay, with or without a
+// backlog.
 type window struct {
 	last time.Time
 	work float64
 }
 
 func (w *window) add(now time.Time, work time.Duration) {
-	w.work = w.recent(now)*memory.Seconds() + work.Seconds()
+	w.work = w.recent(now)*drainTimeConstant.Seconds() + work.Seconds()
 	w.last = now
 }
 
-// recent gives the work in the last seconds, in slots.
+// recent returns the recent work per time, in slots.
 func (w *window) recent(now time.Time) float64 {
-	return w.work * math.Exp(-now.Sub(w.last).Seconds()/memory.Seconds()) / memory.Seconds()
+	return w.work * math.Exp(-now.Sub(w.last).Seconds()/drainTimeConstant.Seconds()) / drainTimeConstant.Seconds()
 }
 
-// The times told to refused callers. The header counts whole seconds, so less
-// than one says "at once"; more than a minute says "never" to a person.
+// Bounds of the retry times. The Retry-After header counts whole seconds, so
+// less than one would mean an immediate retry.
 const (
-	leastAfter    = time.Second
-	mostAfter     = time.Minute
-	noServerAfter = 5 * time.Second
+	minRetryAfter      = time.Second
+	maxRetryAfter      = time.Minute
+	noServerRetryAfter = 5 * time.Second
 )
 
-// refuse is rule 7. late is by how much the request would have missed.
+// refuse returns a refusal with its retry time. Rule 7. late is by how much
+// the request would have missed its target.
 //
-// Made for the return of thousands who were refused in the same second: told
-// the same time they come back as the same burst, and are refused again.
+// Thousands of callers refused in the same second would return as the same
+// burst if all had the same retry time.
 func (q *Queue) refuse(
 	now time.Time, l *level, r Request, c hingeverdict.Code, late time.Duration,
 ) *hingeverdict.Error {
-	from := now.Add(max(late, 0))
-	if l.booked.Before(from) {
-		l.booked = from
+	earliest := now.Add(max(late, 0))
+	if l.nextRetry.Before(earliest) {
+		l.nextRetry = earliest
 	}
-	turn := time.Duration(float64(r.Work) / q.share(now, l, r.FirstToken))
-	l.booked = l.booked.Add(turn)
-	after := l.booked.Sub(now)
-	if after > mostAfter {
-		// The book is full: those beyond it are spread over its second half.
-		l.booked = now.Add(mostAfter)
-		after = mostAfter
-		after -= time.Duration(fraction(r.Spread) * float64(mostAfter/2))
+	interval := time.Duration(float64(r.Work) / q.availableDrain(now, l, r.FirstToken))
+	l.nextRetry = l.nextRetry.Add(interval)
+	retryAfter := l.nextRetry.Sub(now)
+	if retryAfter > maxRetryAfter {
+		// The schedule is full: spread further retries over its second half.
+		l.nextRetry = now.Add(maxRetryAfter)
+		retryAfter = maxRetryAfter
+		retryAfter -= time.Duration(unitFraction(r.Spread) * float64(maxRetryAfter/2))
 	} else {
-		// Two entry hosts keep two books: a quarter of the time told is drawn,
-		// so that equal books don't make equal times.
-		after += time.Duration(fraction(r.Spread) * float64(after/4))
+		// Entry hosts schedule independently. Jitter of up to a quarter keeps their
+		// retry times apart.
+		retryAfter += time.Duration(unitFraction(r.Spread) * float64(retryAfter/4))
 	}
-	return refusal(c, max(after, leastAfter+time.Duration(fraction(r.Spread)*float64(leastAfter))))
+	return refusal(c, max(retryAfter, minRetryAfter+time.Duration(unitFraction(r.Spread)*float64(minRetryAfter))))
 }
 
-// reasons say why a request was refused.
+// reasons are the error texts of the refusals.
 var reasons = map[hingeverdict.Code]string{
 	hingeverdict.CodeQueueFull:        "the queue is full",
 	hingeverdict.CodeCallerShare:      "the caller's share of the queue is full",
@@ -114,8 +119,8 @@
 	hingeverdict.CodeNoServer:         "there is no engine",
 }
 
-// fraction maps any number to one from 0 up to 1, evenly.
-func fraction(n uint64) float64 {
+// unitFraction hashes a number to a fraction in [0, 1).
+func unitFraction(n uint64) float64 {
 	n *= 0x9E3779B97F4A7C15
 	return float64(n>>11) / (1 << 53)
 }
--- a/internal/decide/hingeadmit/request.go
+++ b/internal/decide/hingeadmit/request.go
@@ -6,54 +6,55 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Request is what admission knows of a request.
+// Request holds the properties of a request that admission uses.
 type Request struct {
 	ID     hingeids.RequestID
 	Caller hingeids.CallerID
-	// Priority is the class's: the higher goes first.
+	// Priority is that of the request's class; higher goes first.
 	Priority int
-	// CanWait keeps the request to its deadline once it is accepted.
+	// CanWait keeps the request until its deadline once it is accepted, even if
+	// it misses its first-token target.
 	CanWait bool
-	// Arrived is when the request came; the target of its first token counts
-	// from there.
+	// Arrived is when the request arrived; FirstToken counts from there.
 	Arrived time.Time
-	// FirstToken and TokenGap are the targets; zero is none.
+	// FirstToken and TokenGap are the targets; zero is no target.
 	FirstToken time.Duration
 	TokenGap   time.Duration
-	// Deadline is when the caller gives up; it must be set.
+	// Deadline is when the caller stops waiting; it must be set.
 	Deadline time.Time
-	// Work is what the request costs the engines, as a time for which it holds a
-	// decode slot.
+	// Work is the cost of the request as slot time (rule 1).
 	Work time.Duration
-	// Takes is how long its answer takes from the first token.
+	// Takes is the expected duration of the answer after its first token.
 	Takes time.Duration
-	// Spread is any number that differs from request to request, such as a hash
-	// of the id. It spreads the times told to those who are refused.
+	// Spread is a number that differs between requests, such as a hash of the ID.
+	// It seeds the jitter of retry times.
 	Spread uint64
 }
 
-// Forecast is what placing says about a request that would go on at once.
+// Forecast is the prediction for a request that is started now.
 type Forecast struct {
-	// FirstToken is the time from being taken to the first token.
+	// FirstToken is the time from dequeuing to the first token.
 	FirstToken time.Duration
-	// TokenGap is what the best engine would give.
+	// TokenGap is the token gap on the best engine.
 	TokenGap time.Duration
-	// Slots is how many requests the engines hold in all; 0 when there are none.
+	// Slots is the number of such requests that the engines can hold; 0 means
+	// that there are no engines.
 	Slots hingeids.Slots
 }
 
-// Config are the limits of a queue.
+// Config holds the limits of a queue.
 type Config struct {
-	// Limit bounds the requests that wait in one level. It bounds memory: a
-	// waiting request costs about 600 bytes here, and its body elsewhere.
+	// Limit bounds the waiting requests of one level, and with them the memory: a
+	// waiting request needs about 600 bytes here, and its body elsewhere.
 	Limit int
-	// MinShare is the share of drained work owed to each lower level (rule 2).
-	// At 0.1 a dossier flood can't slow quay queries by more than a tenth, and
-	// dossiers move even while quay queries alone could fill the engines.
+	// MinShare is the share of dequeued work credited to each lower level (rule
+	// 2). At 0.1 a flood of low-priority requests slows higher ones by a tenth at
+	// most, and low-priority requests progress even if higher ones could fill the
+	// engines.
 	MinShare float64
 }
 
-// Defaults are the limits for the sizes of the brief.
+// Defaults returns the limits for the reference deployment.
 func Defaults() Config {
 	return Config{
 		Limit:    2000,
