--- a/internal/decide/hingegate/bench_test.go
+++ b/internal/decide/hingegate/bench_test.go
@@ -13,9 +13,10 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// busy makes a gate with so many engines, a third of them for prefill, each
-// decode engine three quarters full, and a clock that moves by the request.
-func busy(engines int) (g *Gate, pass func()) {
+// newLoadedGate returns a gate with the given number of engines, a third of
+// them for prefill, each decode engine three quarters full, and a function
+// that advances its clock by the time between two requests.
+func newLoadedGate(engines int) (g *Gate, advance func()) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	g = New(func() time.Time { return now }, hingeadmit.Defaults(), hingeplace.Defaults())
 	for i := range engines {
@@ -30,16 +31,16 @@
 		}
 		g.Announce(a, 0)
 	}
-	pass = func() { now = now.Add(time.Second / 4 / time.Duration(engines)) }
+	advance = func() { now = now.Add(time.Second / 4 / time.Duration(engines)) }
 	for i := range engines * 2 / 3 * 15 {
-		begin(g, request(i))
-		pass()
+		startRequest(g, newRequestWithPrefix(i))
+		advance()
 	}
-	return g, pass
+	return g, advance
 }
 
-func request(n int) Ask {
-	a := ask(n)
+func newRequestWithPrefix(n int) Ask {
+	a := newRequest(n)
 	a.Caller = hingeids.CallerID(fmt.Sprint(n % 7300))
 	a.Place.Prefix = make([]hingeplace.Block, 8)
 	for i := range a.Place.Prefix {
@@ -51,8 +52,9 @@
 	return a
 }
 
-// begin takes a request up to its stream.
-func begin(g *Gate, a Ask) {
+// startRequest takes a request through the gate until its decode engine is
+// bound.
+func startRequest(g *Gate, a Ask) {
 	a.Arrived = g.now()
 	a.Deadline = a.Arrived.Add(5 * time.Second)
 	d, err := g.Enter(context.Background(), a)
@@ -66,42 +68,43 @@
 	}
 }
 
-// BenchmarkRequest is all decisions of one request: admitted, placed, bound and
-// ended. Its slope over engines is what docs/design/08-capacity-decisions.md uses.
+// BenchmarkRequest measures all decisions for one request: admission,
+// placement, binding and completion. docs/design/08-capacity-decisions.md uses
+// its slope over the number of engines.
 func BenchmarkRequest(b *testing.B) {
 	for _, engines := range []int{9, 30, 90, 270, 540, 1070} {
 		b.Run(fmt.Sprint("engines", engines), func(b *testing.B) {
-			g, pass := busy(engines)
+			g, advance := newLoadedGate(engines)
 			held := engines * 2 / 3 * 15
-			asks := make([]Ask, 4096)
-			for i := range asks {
-				asks[i] = request(i + held)
+			requests := make([]Ask, 4096)
+			for i := range requests {
+				requests[i] = newRequestWithPrefix(i + held)
 			}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				a := asks[i%len(asks)]
+				a := requests[i%len(requests)]
 				a.Place.ID.Sequence = uint64(held + i)
-				begin(g, a)
+				startRequest(g, a)
 				g.Leave(hingeids.RequestID{
 					Sequence: uint64(i),
 				}, 30)
-				pass()
+				advance()
 				i++
 			}
 		})
 	}
 }
 
-// BenchmarkMemory reports the bytes that a view takes for each engine, with what
-// it holds, and a queue for each request that waits, over sizes.
+// BenchmarkMemory reports the memory of a gate per engine, and of a queue per
+// waiting request.
 func BenchmarkMemory(b *testing.B) {
 	for _, engines := range []int{9, 90, 1070} {
 		b.Run(fmt.Sprint("engines", engines), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
-				g, _ := busy(engines)
-				b.ReportMetric(float64(heap()-before)/float64(engines), "B/engine")
+				before := heapBytes()
+				g, _ := newLoadedGate(engines)
+				b.ReportMetric(float64(heapBytes()-before)/float64(engines), "B/engine")
 				runtime.KeepAlive(g)
 			}
 		})
@@ -109,24 +112,24 @@
 	for _, callers := range []int{100, 1000, 7300} {
 		b.Run(fmt.Sprint("callers", callers), func(b *testing.B) {
 			for b.Loop() {
-				before := heap()
+				before := heapBytes()
 				q := hingeadmit.New(hingeadmit.Config{
 					Limit:    1 << 20,
 					MinShare: 0.1,
 				})
 				for i := range callers {
-					_ = q.Offer(time.Now(), waiting(i, callers), hingeadmit.Forecast{
+					_ = q.Offer(time.Now(), waitingRequest(i, callers), hingeadmit.Forecast{
 						Slots: 1 << 20,
 					})
 				}
-				b.ReportMetric(float64(heap()-before)/float64(q.Len()), "B/waiting")
+				b.ReportMetric(float64(heapBytes()-before)/float64(q.Len()), "B/waiting")
 				runtime.KeepAlive(q)
 			}
 		})
 	}
 }
 
-func waiting(n, callers int) hingeadmit.Request {
+func waitingRequest(n, callers int) hingeadmit.Request {
 	return hingeadmit.Request{
 		ID: hingeids.RequestID{
 			Sequence: uint64(n),
@@ -137,15 +140,15 @@
 	}
 }
 
-func heap() int64 {
+func heapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-// BenchmarkBacklog is one request in and one out of a queue in which so many
-// callers wait with one request each.
+// BenchmarkBacklog measures one Offer and one Next on a queue in which each of
+// the given number of callers has one waiting request.
 func BenchmarkBacklog(b *testing.B) {
 	for _, callers := range []int{100, 730, 2400, 7300} {
 		b.Run(fmt.Sprint("callers", callers), func(b *testing.B) {
@@ -158,11 +161,11 @@
 				Slots: 1 << 20,
 			}
 			for i := range callers {
-				_ = q.Offer(now, waiting(i, callers), f)
+				_ = q.Offer(now, waitingRequest(i, callers), f)
 			}
 			requests := make([]hingeadmit.Request, callers)
 			for i := range requests {
-				requests[i] = waiting(i, callers)
+				requests[i] = waitingRequest(i, callers)
 			}
 			b.ReportAllocs()
 			i := callers
@@ -178,21 +181,21 @@
 	}
 }
 
-// Each decision makes garbage, and garbage is collected while quay queries wait.
-// The time of a decision differs from machine to machine; what it allocates
-// doesn't, and must not grow unseen with the engines.
+// Allocations of a decision must not grow with the number of engines, since
+// garbage collection delays requests. Unlike times, they are the same on every
+// machine.
 func TestDecisionsAllocateLittle(t *testing.T) {
 	for _, engines := range []int{9, 270} {
-		g, pass := busy(engines)
+		g, advance := newLoadedGate(engines)
 		held := engines * 2 / 3 * 15
 		n := 0
 		got := testing.AllocsPerRun(500, func() {
-			a := request(held + n)
-			begin(g, a)
+			a := newRequestWithPrefix(held + n)
+			startRequest(g, a)
 			g.Leave(hingeids.RequestID{
 				Sequence: uint64(n),
 			}, 30)
-			pass()
+			advance()
 			n++
 		})
 		t.Logf("%d engines: %v allocations a request", engines, got)
@@ -202,21 +205,20 @@
 	}
 }
 
-// BenchmarkReport is one load report of one of so many engines, with what the
-// gate does after it.
+// BenchmarkReport measures the handling of one engine's load report.
 func BenchmarkReport(b *testing.B) {
 	for _, engines := range []int{9, 90, 1070} {
 		b.Run(fmt.Sprint("engines", engines), func(b *testing.B) {
-			g, pass := busy(engines)
-			names := make([]hingeids.ServerID, engines)
-			for i := range names {
-				names[i] = hingeids.ServerID(fmt.Sprint(i))
+			g, advance := newLoadedGate(engines)
+			servers := make([]hingeids.ServerID, engines)
+			for i := range servers {
+				servers[i] = hingeids.ServerID(fmt.Sprint(i))
 			}
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
 				a := hingeannounce.Announcement{
-					Server:      names[i%engines],
+					Server:      servers[i%engines],
 					Incarnation: 1,
 					Kind:        hingeannounce.Decode,
 					Slots:       20,
@@ -229,7 +231,7 @@
 					a.Load.Running = 0
 				}
 				g.Announce(a, 300*time.Millisecond)
-				pass()
+				advance()
 				i++
 			}
 		})
--- a/internal/decide/hingegate/gate.go
+++ b/internal/decide/hingegate/gate.go
@@ -1,15 +1,16 @@
-// Package hingegate is the thin driver between the goroutines of requests and
-// the decisions about them: admission (hingeadmit) and placing (hingeplace) of
-// one model's engines, under one lock.
+// Package hingegate connects the goroutines of requests to the decisions about
+// them: admission (hingeadmit) and placement (hingeplace) for the engines of one
+// model, under one lock.
 //
-//  1. A request's goroutine enters and waits until it is placed or refused. It
-//     calls Ready when its KV cache is ready, and waits for its decode engine.
-//     It calls Leave at its end, however it ends.
-//  2. Whatever may have made room goes on at once with those who wait, in the
-//     goroutine that made it: slots first to KV caches that are ready, then to
-//     the queue.
-//  3. Run looks again every few milliseconds, as time alone decides some things:
-//     a request whose first token is out of reach is answered then.
+//  1. A request's goroutine calls Enter, which blocks until the request is placed
+//     or refused. It calls Ready when the KV cache is ready and waits for its
+//     decode engine. It calls Leave when it finishes, whatever the outcome.
+//  2. Every change that may have freed capacity is followed at once, in the same
+//     goroutine, by an attempt to serve waiting requests: first slots for KV caches
+//     that are ready, then the queue.
+//  3. Run repeats the attempt every few milliseconds, since some decisions depend
+//     on time alone, such as the refusal of a request that can no longer meet its
+//     first-token target.
 package hingegate
 
 import (
@@ -27,10 +28,11 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// lookEvery is how often Run looks: a small part of the shortest target.
-const lookEvery = 20 * time.Millisecond
+// pollInterval is the period of Run. It is short compared with the shortest
+// first-token target.
+const pollInterval = 20 * time.Millisecond
 
-// Ask is a request that enters.
+// Ask describes a request to Enter.
 type Ask struct {
 	Place hingeplace.Request
 	// Caller, Arrived, FirstToken and Deadline are as in hingeadmit.Request.
@@ -38,25 +40,26 @@
 	Arrived    time.Time
 	FirstToken time.Duration
 	Deadline   time.Time
-	// Again says that the request was accepted before and must be placed again.
+	// Again is set if the request was accepted before and must be placed again.
 	Again bool
 }
 
-// placed is what a waiting Enter gets.
-type placed struct {
+// outcome is the result that a blocked Enter receives.
+type outcome struct {
 	decision hingeplace.Decision
 	err      *hingeverdict.Error
 }
 
 // waiter is a request between Enter and Leave.
 type waiter struct {
-	ask    Ask
-	placed chan placed
-	// bound gets the decode engine; it is nil until Ready asks for one.
+	request Ask
+	outcome chan outcome
+	// bound receives the decode engine; it is nil until Ready sets it.
 	bound chan hingeids.ServerID
 }
 
-// Gate decides for one model. It is safe for use by many goroutines.
+// Gate admits and places the requests for one model. It is safe for concurrent
+// use.
 type Gate struct {
 	mu      sync.Mutex
 	now     func() time.Time
@@ -64,11 +67,11 @@
 	view    *hingeplace.View
 	waiters map[hingeids.RequestID]*waiter
 	done    chan struct{}
-	// Recorder takes events; it is set before first use, and may be nil.
+	// Recorder receives events; it must be set before first use and may be nil.
 	Recorder *hingeevents.Recorder
 }
 
-// New makes a gate without engines.
+// New returns a gate without engines.
 func New(now func() time.Time, a hingeadmit.Config, p hingeplace.Config) *Gate {
 	return &Gate{
 		now:     now,
@@ -79,68 +82,71 @@
 	}
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run returns.
 func (g *Gate) Done() <-chan struct{} {
 	return g.done
 }
 
-// Run looks at those who wait until the context ends. Rule 3.
+// Run re-evaluates waiting requests periodically until the context is done.
+// Rule 3. It returns nil.
 func (g *Gate) Run(ctx context.Context) error {
 	defer close(g.done)
-	ticker := time.NewTicker(lookEvery)
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			g.do(func(time.Time) {})
+			g.update(func(time.Time) {})
 		}
 	}
 }
 
-// do changes something under the lock and goes on with those who wait. Rule 2.
-func (g *Gate) do(change func(now time.Time)) {
+// update applies a change under the lock and then serves waiting requests.
+// Rule 2.
+func (g *Gate) update(change func(now time.Time)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
 	change(now)
-	g.goOn(now)
+	g.advance(now)
 }
 
-// Enter waits until the request is placed. Its error is a *hingeverdict.Error,
-// NotRun, with the time to come back; it is given as soon as it is known. After
-// an error the request is out, and Leave need not be called.
+// Enter blocks until the request is placed or refused. Its error is a
+// *hingeverdict.Error with the verdict NotRun; a refusal also has a retry
+// time. After an error the request has left the gate, and Leave need not be
+// called.
 func (g *Gate) Enter(ctx context.Context, a Ask) (hingeplace.Decision, error) {
 	w := &waiter{
-		ask:    a,
-		placed: make(chan placed, 1),
+		request: a,
+		outcome: make(chan outcome, 1),
 	}
-	g.do(func(now time.Time) { g.offer(now, w) })
+	g.update(func(now time.Time) { g.enqueue(now, w) })
 	select {
-	case p := <-w.placed:
+	case p := <-w.outcome:
 		if p.err != nil {
 			return hingeplace.Decision{}, p.err
 		}
 		return p.decision, nil
 	case <-ctx.Done():
 		g.Leave(a.Place.ID, 0)
-		return hingeplace.Decision{}, gone(ctx)
+		return hingeplace.Decision{}, cancelled(ctx)
 	}
 }
 
-func gone(ctx context.Context) error {
-	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeCancelled, 0, eris.Wrap(ctx.Err(), "while it waited"))
+func cancelled(ctx context.Context) error {
+	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeCancelled, 0, eris.Wrap(ctx.Err(), "waiting for an engine"))
 }
 
-func (g *Gate) offer(now time.Time, w *waiter) {
-	r, f := g.ask(now, &w.ask)
-	if w.ask.Again {
-		g.record(now, hingeevents.RequestPlacedAgain, &w.ask, nil)
+func (g *Gate) enqueue(now time.Time, w *waiter) {
+	r, f := g.request(now, &w.request)
+	if w.request.Again {
+		g.record(now, hingeevents.RequestPlacedAgain, &w.request, nil)
 		g.queue.Requeue(now, r, f)
 	} else if err := g.queue.Offer(now, r, f); err != nil {
-		g.record(now, hingeevents.RequestRefused, &w.ask, err)
-		w.placed <- placed{
+		g.record(now, hingeevents.RequestRefused, &w.request, err)
+		w.outcome <- outcome{
 			err: err,
 		}
 		return
@@ -148,8 +154,8 @@
 	g.waiters[r.ID] = w
 }
 
-// ask is what admission is asked about a request.
-func (g *Gate) ask(now time.Time, a *Ask) (hingeadmit.Request, hingeadmit.Forecast) {
+// request returns the admission request and the forecast for a.
+func (g *Gate) request(now time.Time, a *Ask) (hingeadmit.Request, hingeadmit.Forecast) {
 	p := &a.Place
 	if a.FirstToken > 0 {
 		p.FirstTokenBy = a.Arrived.Add(a.FirstToken)
@@ -160,7 +166,7 @@
 		TokenGap:   tokenGap,
 		Slots:      slots,
 	}
-	request := hingeadmit.Request{
+	admission := hingeadmit.Request{
 		ID:         p.ID,
 		Caller:     a.Caller,
 		Priority:   p.Priority,
@@ -173,19 +179,19 @@
 		Takes:      g.view.Hold(p),
 		Spread:     uint64(p.ID.Incarnation) ^ p.ID.Sequence,
 	}
-	return request, forecast
+	return admission, forecast
 }
 
-// goOn gives up what waits in vain, binds KV caches that are ready, and starts
-// what can be started.
-func (g *Gate) goOn(now time.Time) {
-	for _, up := range g.queue.GiveUp(now) {
-		w := g.waiters[up.Request.ID]
-		g.record(now, hingeevents.WaitGivenUp, &w.ask, up.Err)
-		w.placed <- placed{
-			err: up.Err,
+// advance refuses requests that can no longer meet their targets, binds KV
+// caches that are ready, and starts requests from the queue.
+func (g *Gate) advance(now time.Time) {
+	for _, expired := range g.queue.GiveUp(now) {
+		w := g.waiters[expired.Request.ID]
+		g.record(now, hingeevents.WaitGivenUp, &w.request, expired.Err)
+		w.outcome <- outcome{
+			err: expired.Err,
 		}
-		delete(g.waiters, up.Request.ID)
+		delete(g.waiters, expired.Request.ID)
 	}
 	for _, id := range g.view.Ready() {
 		w := g.waiters[id]
@@ -205,26 +211,27 @@
 func (g *Gate) startNext(now time.Time) bool {
 	var d hingeplace.Decision
 	r, ok := g.queue.Next(now, func(r hingeadmit.Request) bool {
-		d = g.view.Place(now, &g.waiters[r.ID].ask.Place)
+		d = g.view.Place(now, &g.waiters[r.ID].request.Place)
 		return d.Action == hingeplace.Start || d.Action == hingeplace.Local
 	})
 	if !ok {
 		return false
 	}
 	w := g.waiters[r.ID]
-	g.view.Began(now, &w.ask.Place, d)
-	w.placed <- placed{
+	g.view.Began(now, &w.request.Place, d)
+	w.outcome <- outcome{
 		decision: d,
 	}
 	return true
 }
 
-// Ready says that the KV cache is ready, of which the engine had found so many
-// tokens, and waits for the decode engine. Its error, a *hingeverdict.Error, means
-// that the caller is gone or has waited to its end: Leave, or Evicted, follows.
+// Ready reports that the KV cache of a request is ready and blocks until its
+// decode engine is bound. found is the number of prompt tokens that the prefill
+// engine had cached. Its error is a *hingeverdict.Error and means that ctx is
+// done; the request remains in the gate until Leave.
 func (g *Gate) Ready(ctx context.Context, id hingeids.RequestID, found hingeids.Tokens) (hingeids.ServerID, error) {
 	bound := make(chan hingeids.ServerID, 1)
-	g.do(func(now time.Time) {
+	g.update(func(now time.Time) {
 		g.view.PrefillDone(now, id, found)
 		if w := g.waiters[id]; w != nil {
 			w.bound = bound
@@ -233,11 +240,11 @@
 	return waitBound(ctx, bound)
 }
 
-// Full says that the decode engine's granter refused the slot that Ready gave,
-// and waits for another. Its error is as Ready's.
+// Full reports that the allocator of the decode engine refused the slot that
+// Ready returned, and waits for another. Its error is as for Ready.
 func (g *Gate) Full(ctx context.Context, id hingeids.RequestID, s hingeids.ServerID) (hingeids.ServerID, error) {
 	bound := make(chan hingeids.ServerID, 1)
-	g.do(func(now time.Time) {
+	g.update(func(now time.Time) {
 		g.Recorder.Record(now, hingeevents.BoundSlotRefused, hingeevents.Fields{
 			Request: id,
 			Server:  s,
@@ -251,17 +258,17 @@
 	return waitBound(ctx, bound)
 }
 
-// Other names a second engine at which a request that Ready or Full has bound
-// may wait for its slot.
+// Other returns a second engine at which a request bound by Ready or Full may
+// wait for a slot.
 func (g *Gate) Other(id hingeids.RequestID) (hingeids.ServerID, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.view.Other(g.now(), id)
 }
 
-// Rebind says that the slot was granted at another engine.
+// Rebind reports that the slot was granted at another engine.
 func (g *Gate) Rebind(id hingeids.RequestID, s hingeids.ServerID) {
-	g.do(func(now time.Time) { g.view.Rebind(now, id, s) })
+	g.update(func(now time.Time) { g.view.Rebind(now, id, s) })
 }
 
 func waitBound(ctx context.Context, bound chan hingeids.ServerID) (hingeids.ServerID, error) {
@@ -269,24 +276,25 @@
 	case s := <-bound:
 		return s, nil
 	case <-ctx.Done():
-		return "", gone(ctx)
+		return "", cancelled(ctx)
 	}
 }
 
-// Leave says that a request is over, answered with so many tokens, or with 0
-// cancelled, failed or evicted. What it held or waited for is free. To place it
-// again, Enter with Again.
+// Leave reports that a request has finished with the given number of output
+// tokens, or with 0 if it was cancelled, failed or evicted. It releases
+// everything that the request held. To place the request again, call Enter
+// with Again set.
 func (g *Gate) Leave(id hingeids.RequestID, output hingeids.Tokens) {
-	g.do(func(now time.Time) {
+	g.update(func(now time.Time) {
 		g.queue.Cancel(id)
 		g.view.Ended(now, id, output)
 		delete(g.waiters, id)
 	})
 }
 
-// TokenGap takes the token gap that an engine's open streams show.
+// TokenGap reports the token gap measured on an engine's open streams.
 func (g *Gate) TokenGap(s hingeids.ServerID, gap time.Duration) {
-	g.do(func(now time.Time) {
+	g.update(func(now time.Time) {
 		was := g.view.Slow(s)
 		g.view.TokenGap(now, s, gap)
 		if is := g.view.Slow(s); is != was {
@@ -302,7 +310,7 @@
 	})
 }
 
-// record notes what became of a request in the queue.
+// record records an event of a request in the queue.
 func (g *Gate) record(now time.Time, n hingeevents.Number, a *Ask, err *hingeverdict.Error) {
 	f := hingeevents.Fields{
 		Request: a.Place.ID,
@@ -315,27 +323,27 @@
 	g.Recorder.Record(now, n, f)
 }
 
-// Cached takes a cache event.
+// Cached handles a cache event of an engine.
 func (g *Gate) Cached(s hingeids.ServerID, b hingeplace.Block, stored bool) {
-	g.do(func(time.Time) { g.view.Cached(s, b, stored) })
+	g.update(func(time.Time) { g.view.Cached(s, b, stored) })
 }
 
-// Announce takes an announcement, lag after it was made.
+// Announce handles an announcement that was made lag ago.
 func (g *Gate) Announce(a hingeannounce.Announcement, lag time.Duration) {
-	g.do(func(now time.Time) { g.view.Announce(now, now.Add(-lag), a) })
+	g.update(func(now time.Time) { g.view.Announce(now, now.Add(-lag), a) })
 }
 
-// Configure puts other weights, and another size of the KV cache, in force.
+// Configure changes the weights and the size of the KV cache per token.
 func (g *Gate) Configure(w hingeplace.Weights, cacheBytes hingeids.Bytes) {
-	g.do(func(time.Time) { g.view.Configure(w, cacheBytes) })
+	g.update(func(time.Time) { g.view.Configure(w, cacheBytes) })
 }
 
-// Gone takes out an engine that has left or died.
+// Gone removes an engine that has left or failed.
 func (g *Gate) Gone(s hingeids.ServerID) {
-	g.do(func(time.Time) { g.view.Gone(s) })
+	g.update(func(time.Time) { g.view.Gone(s) })
 }
 
-// Waiting counts the requests in the queue.
+// Waiting returns the number of requests in the queue.
 func (g *Gate) Waiting() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/decide/hingegate/gate_test.go
+++ b/internal/decide/hingegate/gate_test.go
@@ -40,14 +40,14 @@
 	return g
 }
 
-func ask(n int) Ask {
+func newRequest(n int) Ask {
 	now := time.Now()
 	return Ask{
 		Place: hingeplace.Request{
 			ID: hingeids.RequestID{
 				Sequence: uint64(n),
 			},
-			Class:    "quay",
+			Class:    "interactive",
 			Priority: 10,
 			Prompt:   200,
 			TokenGap: 40 * time.Millisecond,
@@ -59,8 +59,8 @@
 	}
 }
 
-// carry takes a request through the gate as the request path does.
-func carry(ctx context.Context, g *Gate, a Ask) error {
+// serveRequest calls the gate in the order of the request path.
+func serveRequest(ctx context.Context, g *Gate, a Ask) error {
 	d, err := g.Enter(ctx, a)
 	if err != nil {
 		return err
@@ -76,9 +76,8 @@
 	return nil
 }
 
-// Two hundred requests come at once to engines for four. Each goroutine must
-// come back, placed or refused; none may hang, and a refusal comes before the
-// target has passed, with a time to come back.
+// Under overload every Enter must return, with a placement or with a refusal
+// that has a retry time and comes before the target has passed.
 func TestEveryRequestIsPlacedOrRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -89,7 +88,7 @@
 		for i := range 200 {
 			all.Go(func() {
 				began := time.Now()
-				err := carry(ctx, g, ask(i))
+				err := serveRequest(ctx, g, newRequest(i))
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil {
@@ -108,15 +107,15 @@
 		}
 		all.Wait()
 		if answered < 4 || answered+refused != 200 || g.Waiting() != 0 {
-			t.Errorf("%d answered, %d refused, %d still wait", answered, refused, g.Waiting())
+			t.Errorf("%d answered, %d refused, %d still waiting", answered, refused, g.Waiting())
 		}
 		cancel()
 		<-g.Done()
 	})
 }
 
-// A caller hangs up at some moment: in the queue, during prefill, while it waits
-// for a slot, or in the stream. Its slot must be free for the next one.
+// A caller that disconnects in the queue, during prefill, while it waits for a
+// slot or during decode must not leak its slot.
 func TestCallersThatLeaveFreeWhatTheyHeld(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -124,19 +123,19 @@
 		var all sync.WaitGroup
 		for i := range 60 {
 			all.Go(func() {
-				mine, hangUp := context.WithTimeout(ctx, time.Duration(i)*20*time.Millisecond)
-				defer hangUp()
-				_ = carry(mine, g, ask(i))
+				requestCtx, cancelRequest := context.WithTimeout(ctx, time.Duration(i)*20*time.Millisecond)
+				defer cancelRequest()
+				_ = serveRequest(requestCtx, g, newRequest(i))
 			})
 		}
 		all.Wait()
 		if n := g.Waiting() + len(g.waiters); n > 0 {
-			t.Errorf("%d are still there", n)
+			t.Errorf("%d requests are still in the gate", n)
 		}
 		for i := range 4 {
 			all.Go(func() {
-				if err := carry(ctx, g, ask(100+i)); err != nil {
-					t.Errorf("with all others gone: %v", err)
+				if err := serveRequest(ctx, g, newRequest(100+i)); err != nil {
+					t.Errorf("after all others have left: %v", err)
 				}
 			})
 		}
@@ -146,8 +145,8 @@
 	})
 }
 
-// An operator sees on the time line which engine is slow and since when, each
-// change once and not with each token.
+// A slow engine must be recorded once when it becomes slow and once when it
+// recovers, not with each measurement.
 func TestSlowEngineIsToldOnce(t *testing.T) {
 	g := New(time.Now, hingeadmit.Defaults(), hingeplace.Defaults())
 	g.Recorder = hingeevents.NewRecorder(hingeids.Life{})
@@ -171,13 +170,14 @@
 	}
 }
 
-// The decode engine's granter knows of requests that we don't, and refuses. The
-// request goes on as soon as another slot is free, and not into the full engine.
+// After the decode engine's allocator refused a slot, the request must get
+// another slot as soon as one is free, and not be sent to the full engine at
+// once.
 func TestRefusedSlotIsAskedForAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		g := newGate(ctx)
-		a := ask(1)
+		a := newRequest(1)
 		if _, err := g.Enter(ctx, a); err != nil {
 			t.Fatal(err)
 		}
@@ -191,7 +191,7 @@
 			t.Fatalf("bound to %q: %v", again, err)
 		}
 		if waited := time.Since(began); waited == 0 {
-			t.Error("sent at once to the engine that had just refused it")
+			t.Error("bound at once to the engine that had just refused the slot")
 		}
 		cancel()
 		<-g.Done()
