--- a/internal/decide/hingebalance/balance.go
+++ b/internal/decide/hingebalance/balance.go
@@ -1,26 +1,28 @@
-// Package hingebalance chooses the replica of a plain service for each request.
-// It has no clock, no sockets and no goroutines.
+// Package hingebalance chooses the replica of a plain service for each request. It has no clock, no
+// sockets and no goroutines.
 //
-// The load it is made for: short requests whose callers wait a tenth of a second, on a
-// few replicas of which one may be slow, fail a part of what it is sent, or be
-// dark, while its heartbeats say that it is well.
+// It is meant for short requests with response targets of about a tenth of a second, sent to a few
+// replicas. One of these may be slow, fail some of its requests, or be unreachable although its
+// heartbeats report it healthy.
 //
-//  1. A request goes where it is predicted to be answered first: the pace of
-//     late answers, times the requests that are there for each slot. A replica that turns slow
-//     drains itself of new work within some answers, one that has gone silent before any comes.
-//  2. A replica of the own zone is preferred while it is about as good: the
-//     way to another zone costs two milliseconds.
-//  3. A replica that fails a part of its requests is avoided by as much, as if each failure took
-//     the time that its caller loses by it: it still gets what the others couldn't answer in time. One that
-//     fails most is left alone for a while, and then tried with one request at a time.
-//  4. If all are left alone, the one whose time is over first is taken: a refusal
-//     helps nobody who could have been served. But one that can't be reached is tried only
-//     when its time is over: each try takes as long as callers of the quay wait. Whether a replica can be reached is
-//     known for each zone that asks, since a cut parts it from some only.
-//  5. One request in some is sent to a replica that wasn't used lately, so that one that
-//     has recovered is noticed.
-//  6. A replica has no more requests than it works on at once, and as many beside as keep its slots busy while
-//     the next are on their way (limit.go). More would wait in its queue, where they can't be told from lost.
+//  1. A request goes to the replica with the lowest predicted response time: the moving average of
+//     its latency, times the requests in flight per slot. A replica that becomes slow loses new
+//     work within a few answers; one that stops answering loses it before any request fails.
+//  2. A replica of the sending host's zone is preferred while it is about as good: a round trip to
+//     another zone takes two milliseconds.
+//  3. A failure rate adds to the predicted response time in proportion, as if each failure took as
+//     long as it delays its caller. Such a replica still gets the requests that the others could
+//     not answer in time. A replica that fails most requests is ejected for a while and then probed
+//     with one request at a time.
+//  4. If all replicas are ejected, the one whose ejection ends first is chosen, because a refusal
+//     would certainly fail the request. An unreachable replica, however, is only tried after its
+//     ejection ends, since each attempt lasts for a connect timeout. Reachability is tracked per
+//     zone of the sending host, because a network partition usually affects only some zones.
+//  5. A replica that was not used for some time gets a request now and then, so that its recovery
+//     is noticed.
+//  6. A replica gets no more requests in flight than it has slots, plus as many as keep the slots
+//     busy while the next requests are in transit (limit.go). More would wait in the replica's own
+//     queue, where they are indistinguishable from lost requests.
 package hingebalance
 
 import (
@@ -33,33 +35,35 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Replica is a replica that may be used now.
+// Replica is a replica that currently accepts requests.
 type Replica struct {
 	Server  hingeids.ServerID
 	Address string
 	Zone    hingeids.Zone
-	// Slots is how many requests it works on at once, zero if it isn't known.
+	// Slots is the number of requests that the replica processes concurrently, zero if unknown.
 	Slots hingeids.Slots
-	// Most is how many connections it takes, zero for any number.
+	// Most is the maximum number of connections to the replica, zero for no limit.
 	Most int
 }
 
-// Ask is what a request asks of a replica.
+// Ask holds the constraints of a request on the choice of its replica.
 type Ask struct {
-	// Zone is the availability zone of the host that will send it.
+	// Zone is the availability zone of the host that sends the request.
 	Zone hingeids.Zone
-	// Avoid are replicas that have failed it.
+	// Avoid lists replicas that have already failed the request.
 	Avoid []hingeids.ServerID
-	// Within is the time in which its answer is of full worth: slower replicas aren't taken. Zero takes any.
+	// Within is the time left to answer the request; replicas with a higher expected latency are
+	// not chosen. Zero means no limit.
 	Within time.Duration
 }
 
-// Outcome is how a request at a replica ended.
+// Outcome is the result of a request at a replica.
 type Outcome uint8
 
-// Answered is an answer of the replica, whatever its status; Full a refusal for
-// want of room; Failed no whole answer; Unreached no connection; Gone says that another
-// server has the address; Unknown that nothing is to be learned: the caller left.
+// Answered means that the replica responded, with any status; Full that it refused the request for
+// lack of capacity; Failed that the response was missing or incomplete; Unreached that no
+// connection was established; Gone that another server now has the address; Unknown that the
+// outcome says nothing about the replica, for example because the caller disconnected.
 const (
 	Answered Outcome = iota
 	Full
@@ -69,10 +73,11 @@
 	Unknown
 )
 
-// Found is whether there is a replica for a request.
+// Found is the result of Choose.
 type Found uint8
 
-// Chosen is a replica; Busy says that those that may be used have no room now, None that none may be used.
+// Chosen means that a replica was chosen; Busy that all eligible replicas are at their limit or too
+// slow; None that no replica is eligible.
 const (
 	Chosen Found = iota
 	Busy
@@ -80,119 +85,121 @@
 )
 
 const (
-	// startTook is the time an answer is expected to take before any has come.
-	startTook = 25 * time.Millisecond
-	// tookWeight is the weight of a new answer's time: ten answers move the
-	// expectation by two thirds, which a busy replica gives in an eighth of a second.
-	tookWeight = 0.1
-	// failWeight is the weight of a new outcome in the share of failures.
-	failWeight = 0.1
-	// failFree is the share of failures that is nobody's fault in particular: a single one
-	// moves nothing.
-	failFree = 0.1
-	// failLimit is the share of failures from which a replica is left alone: less is served
-	// there than would be lost by the load on the others.
-	failLimit = 0.6
-	// failCost is what a failure costs its caller: a repeat, or the answer. With 0.3 of
-	// its requests failed, a replica is used once others take 70 ms longer, which is
-	// when they begin to be late.
-	failCost = 350 * time.Millisecond
-	// fadeTime is how long a failure is remembered where nothing more is seen of the replica.
-	fadeTime = time.Second
-	// comingBack is the share of failures that a replica comes back with after it was
-	// left alone: two or three more in a row and it is left again.
-	comingBack = 0.45
-	// nearBy is how much worse a replica of the own zone may be (rule 2).
-	nearBy = 3 * time.Millisecond
-	// crowding is how much longer than an empty replica a full one is taken to need: some slow down when nearly
-	// full. With answers of 30 ms another zone is used once the own replica is some two fifths fuller.
-	crowding = 0.25
-	// firstAway and longestAway bound how long a replica is left alone.
-	firstAway   = 700 * time.Millisecond
-	longestAway = 6 * time.Second
-	// fullAway is the same after a refusal for want of room: its queue is some requests long.
-	fullAway = 60 * time.Millisecond
-	// staleAfter is how long a replica may go unused before it gets a request (rule 5).
-	staleAfter = 3 * time.Second
-	// unreachedLimit is how many connections in a row must fail: single packets are lost too.
-	unreachedLimit = 2
+	// initialLatency is the expected latency of a replica before its first answer.
+	initialLatency = 25 * time.Millisecond
+	// latencyWeight is the weight of a new sample in the moving average of the latency. Ten answers
+	// move the average by two thirds.
+	latencyWeight = 0.1
+	// failureWeight is the weight of a new outcome in the moving average of the failure rate.
+	failureWeight = 0.1
+	// toleratedFailureRate is the failure rate that adds no cost, so that a single failure changes
+	// nothing.
+	toleratedFailureRate = 0.1
+	// ejectionThreshold is the failure rate above which a replica is ejected. Below it, the
+	// requests that the replica still answers outweigh those it fails.
+	ejectionThreshold = 0.6
+	// failureCost is the latency that a failure costs its caller, by a retry or a missing answer. A
+	// replica that fails 0.3 of its requests is used once the others are 70 ms slower.
+	failureCost = 350 * time.Millisecond
+	// decayTime is the time constant with which the failure rate decays while no outcomes arrive.
+	decayTime = time.Second
+	// returnFailureRate is the failure rate assigned to a replica at its ejection: after its
+	// return, two or three consecutive failures eject it again.
+	returnFailureRate = 0.45
+	// otherZoneCost is the latency added to replicas of other zones (rule 2).
+	otherZoneCost = 3 * time.Millisecond
+	// occupancyCost is the relative latency added to a fully occupied replica, since some slow down
+	// when nearly full.
+	occupancyCost = 0.25
+	// minEjection and maxEjection bound the duration of an ejection.
+	minEjection = 700 * time.Millisecond
+	maxEjection = 6 * time.Second
+	// refusalPause is how long a replica is avoided after it refused a request for lack of
+	// capacity.
+	refusalPause = 60 * time.Millisecond
+	// probeAfter is how long a replica may go unused before it gets a probe (rule 5).
+	probeAfter = 3 * time.Second
+	// connectFailureLimit is how many consecutive connection failures make a replica unreachable: a
+	// single one may be a lost packet.
+	connectFailureLimit = 2
 )
 
-// absence is a time for which a replica is left alone.
-type absence struct {
-	lasts time.Duration
-	till  time.Time
+// ejection is a period in which a replica gets no requests.
+type ejection struct {
+	duration time.Duration
+	until    time.Time
 }
 
-// begin leaves a replica alone, for longer each time in a row.
-func (a *absence) begin(now time.Time) bool {
-	if now.Before(a.till) {
+// begin starts an ejection, twice as long as the last one, and reports whether it did so: an
+// ejection in progress is not extended.
+func (e *ejection) begin(now time.Time) bool {
+	if now.Before(e.until) {
 		return false
 	}
-	a.lasts = min(max(2*a.lasts, firstAway), longestAway)
-	a.till = now.Add(a.lasts)
+	e.duration = min(max(2*e.duration, minEjection), maxEjection)
+	e.until = now.Add(e.duration)
 	return true
 }
 
-// end forgets an absence that is over.
-func (a *absence) end(now time.Time) {
-	if now.After(a.till) {
-		a.lasts = 0
+// reset restarts the backoff if the ejection has ended.
+func (e *ejection) reset(now time.Time) {
+	if now.After(e.until) {
+		e.duration = 0
 	}
 }
 
-// reach is how a replica is reached from one zone.
-type reach struct {
-	unreached int
-	away      absence
+// reachability is the state of the connections from one zone to a replica.
+type reachability struct {
+	connectFailures int
+	ejected         ejection
 }
 
-func (r *reach) dark() bool {
-	return r.unreached >= unreachedLimit
+func (r *reachability) unreachable() bool {
+	return r.connectFailures >= connectFailureLimit
 }
 
-// state is what was learned of a replica.
+// state is the observed state of a replica.
 type state struct {
 	open int
-	// waitsSince is since when something was sent there and nothing has come back, zero if nothing is waited for.
-	waitsSince time.Time
-	took       time.Duration
-	// measured says that an answer has come; until then took is a guess.
+	// waitingSince is the time since which requests are outstanding without any response, zero if
+	// there are none.
+	waitingSince time.Time
+	latency      time.Duration
+	// measured is set by the first answer; until then latency is a default.
 	measured bool
-	// cut is how many requests fewer than rule 6 allows it takes, by its own refusals.
-	cut      float64
-	failures float64
-	fadedAt  time.Time
-	away     absence
-	fullTill time.Time
-	zones    map[hingeids.Zone]*reach
-	usedAt   time.Time
-	gone     bool
+	// limitReduction is the number of requests by which refusals have lowered the limit of rule 6.
+	limitReduction float64
+	failureRate    float64
+	decayedAt      time.Time
+	ejected        ejection
+	refusedUntil   time.Time
+	zones          map[hingeids.Zone]*reachability
+	lastUsed       time.Time
+	replaced       bool
 }
 
-// reach gives how the replica is reached from a zone.
-func (s *state) reach(z hingeids.Zone) *reach {
+// reachability returns the reachability of the replica from a zone.
+func (s *state) reachability(z hingeids.Zone) *reachability {
 	r := s.zones[z]
 	if r == nil {
-		r = &reach{}
+		r = &reachability{}
 		s.zones[z] = r
 	}
 	return r
 }
 
-// Balance chooses among the replicas of one service. It is not safe for
-// concurrent use.
+// Balance chooses among the replicas of one service. It is not safe for concurrent use.
 type Balance struct {
 	random *rand.Rand
 	states map[hingeids.ServerID]*state
-	// handOver is what a slot would be idle for between two requests (rule 6).
-	handOver time.Duration
-	// free and away are the choices of one call, kept for the next.
-	free []choice
-	away []choice
+	// turnaround is the idle time of a slot between two requests (rule 6).
+	turnaround time.Duration
+	// available and ejected hold the candidates of one call; they are fields to reuse their memory.
+	available []candidate
+	ejected   []candidate
 }
 
-// New makes a balance that has seen nothing.
+// New returns a Balance without observations.
 func New(seed uint64) *Balance {
 	return &Balance{
 		random: rand.New(rand.NewPCG(seed, seed+1)),
@@ -204,123 +211,125 @@
 	s := b.states[id]
 	if s == nil {
 		s = &state{
-			took:  startTook,
-			zones: make(map[hingeids.Zone]*reach),
+			latency: initialLatency,
+			zones:   make(map[hingeids.Zone]*reachability),
 		}
 		b.states[id] = s
 	}
 	return s
 }
 
-// choice is a replica with what speaks for it.
-type choice struct {
+// candidate is a replica with its cost and the end of its ejection.
+type candidate struct {
 	replica Replica
 	state   *state
 	cost    time.Duration
-	till    time.Time
+	until   time.Time
 }
 
-// Choose takes a replica for a request. Each one that is chosen is followed by one Done or Expire.
+// Choose picks a replica for a request. For each chosen replica, the caller must call either Done
+// or Expire once.
 func (b *Balance) Choose(now time.Time, list []Replica, a Ask) (Replica, Found) {
-	b.free, b.away = b.free[:0], b.away[:0]
+	b.available, b.ejected = b.available[:0], b.ejected[:0]
 	found := None
 	for _, r := range list {
 		s := b.state(r.Server)
-		if s.gone || slices.Contains(a.Avoid, r.Server) {
+		if s.replaced || slices.Contains(a.Avoid, r.Server) {
 			continue
 		}
-		near := s.reach(a.Zone)
-		if near.dark() && now.Before(near.away.till) {
+		fromZone := s.reachability(a.Zone)
+		if fromZone.unreachable() && now.Before(fromZone.ejected.until) {
 			continue
 		}
 		found = Busy
-		if s.open >= s.limit(r, b.handOver) || a.Within > 0 && s.expected(now) > a.Within && !s.stale(now) {
+		if s.open >= s.limit(r, b.turnaround) || a.Within > 0 && s.expectedLatency(now) > a.Within && !s.needsProbe(now) {
 			continue
 		}
-		c := choice{
+		c := candidate{
 			replica: r,
 			state:   s,
 			cost:    s.cost(now, r, a.Zone),
-			till:    hingeclock.Later(s.away.till, s.fullTill),
+			until:   hingeclock.Later(s.ejected.until, s.refusedUntil),
 		}
 		switch {
-		case near.away.lasts > 0 && s.open > 0:
-		case now.Before(c.till) || s.away.lasts > 0 && s.open > 0:
-			b.away = append(b.away, c)
+		case fromZone.ejected.duration > 0 && s.open > 0:
+		case now.Before(c.until) || s.ejected.duration > 0 && s.open > 0:
+			b.ejected = append(b.ejected, c)
 		default:
-			b.free = append(b.free, c)
+			b.available = append(b.available, c)
 		}
 	}
 	best, ok := b.best()
 	if !ok {
 		return Replica{}, found
 	}
-	best.state.begin(now)
+	best.state.recordSend(now)
 	return best.replica, Chosen
 }
 
-// begin notes that a request is sent there.
-func (s *state) begin(now time.Time) {
-	if s.waitsSince.IsZero() {
-		s.waitsSince = now
+// recordSend records that a request is sent to the replica.
+func (s *state) recordSend(now time.Time) {
+	if s.waitingSince.IsZero() {
+		s.waitingSince = now
 	}
 	s.open++
-	s.usedAt = now
+	s.lastUsed = now
 }
 
-// expected is how long an answer is expected to take: as those before, or as long as nothing has come back.
-func (s *state) expected(now time.Time) time.Duration {
-	if s.waitsSince.IsZero() {
-		return s.took
+// expectedLatency returns the average latency, or the time since the last response if that is
+// longer.
+func (s *state) expectedLatency(now time.Time) time.Duration {
+	if s.waitingSince.IsZero() {
+		return s.latency
 	}
-	return max(s.took, now.Sub(s.waitsSince))
+	return max(s.latency, now.Sub(s.waitingSince))
 }
 
-// stale is rule 5. One that has gone silent is tried as soon as one that is left alone.
-func (s *state) stale(now time.Time) bool {
-	unused := now.Sub(s.usedAt)
-	return s.open == 0 && (unused > staleAfter || !s.waitsSince.IsZero() && unused > firstAway)
+// needsProbe implements rule 5. A silent replica is probed as early as an ejected one.
+func (s *state) needsProbe(now time.Time) bool {
+	unused := now.Sub(s.lastUsed)
+	return s.open == 0 && (unused > probeAfter || !s.waitingSince.IsZero() && unused > minEjection)
 }
 
-// fade forgets failures with time: a replica that is used less for them shows
-// no more of how it does.
-func (s *state) fade(now time.Time) {
-	if passed := now.Sub(s.fadedAt); passed > 0 && !s.fadedAt.IsZero() {
-		s.failures *= math.Exp(-passed.Seconds() / fadeTime.Seconds())
+// decay lowers the failure rate with time: a replica that is used less because of its failures
+// yields fewer outcomes that could lower it.
+func (s *state) decay(now time.Time) {
+	if passed := now.Sub(s.decayedAt); passed > 0 && !s.decayedAt.IsZero() {
+		s.failureRate *= math.Exp(-passed.Seconds() / decayTime.Seconds())
 	}
-	s.fadedAt = now
+	s.decayedAt = now
 }
 
-// cost is rule 1, with rules 2, 3 and 5.
+// cost implements rules 1, 2, 3 and 5.
 func (s *state) cost(now time.Time, r Replica, zone hingeids.Zone) time.Duration {
-	s.fade(now)
-	if s.stale(now) {
+	s.decay(now)
+	if s.needsProbe(now) {
 		return 0
 	}
 	slots := float64(max(r.Slots, 1))
-	load := max(float64(s.open+1)/slots, 1) + crowding*float64(s.open)/slots
-	cost := time.Duration(load*float64(s.expected(now))) +
-		time.Duration(max(s.failures-failFree, 0)*float64(failCost))
+	load := max(float64(s.open+1)/slots, 1) + occupancyCost*float64(s.open)/slots
+	cost := time.Duration(load*float64(s.expectedLatency(now))) +
+		time.Duration(max(s.failureRate-toleratedFailureRate, 0)*float64(failureCost))
 	if r.Zone != zone {
-		cost += nearBy
+		cost += otherZoneCost
 	}
 	return cost
 }
 
-func (b *Balance) best() (choice, bool) {
-	if len(b.free) == 0 {
-		if len(b.away) == 0 {
-			return choice{}, false
+func (b *Balance) best() (candidate, bool) {
+	if len(b.available) == 0 {
+		if len(b.ejected) == 0 {
+			return candidate{}, false
 		}
 		// Rule 4.
-		return slices.MinFunc(b.away, func(x, y choice) int {
-			return x.till.Compare(y.till)
+		return slices.MinFunc(b.ejected, func(x, y candidate) int {
+			return x.until.Compare(y.until)
 		}), true
 	}
-	// Equal choices are drawn by lot, or hosts would all take the same one.
-	best := b.free[0]
+	// Ties are broken at random, or else all hosts would choose the same replica.
+	best := b.available[0]
 	equal := 1
-	for _, c := range b.free[1:] {
+	for _, c := range b.available[1:] {
 		switch {
 		case c.cost < best.cost:
 			best = c
@@ -335,76 +344,77 @@
 	return best, true
 }
 
-// Expire notes that nothing has come of a request at a replica, and that it is waited for no more.
+// Expire releases the place of a request at a replica without an outcome.
 func (b *Balance) Expire(id hingeids.ServerID) {
 	s := b.state(id)
 	s.open = max(s.open-1, 0)
 }
 
-// Done takes how a request from a zone ended and how long it took, after Choose.
-func (b *Balance) Done(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, took time.Duration) {
+// Done releases the place of a request and records its outcome, seen from the given zone, and how
+// long it took.
+func (b *Balance) Done(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
 	b.Expire(id)
-	b.Learn(now, id, zone, o, took)
+	b.Learn(now, id, zone, o, elapsed)
 }
 
-// Learn takes how a request ended that this balance hasn't chosen the replica of.
-func (b *Balance) Learn(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, took time.Duration) {
+// Learn records the outcome of a request whose replica was not chosen by this Balance.
+func (b *Balance) Learn(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
 	s := b.state(id)
 	if o != Unreached && o != Unknown {
-		s.heard(now)
-		near := s.reach(zone)
-		near.unreached = 0
-		near.away.lasts = 0
+		s.recordResponse(now)
+		fromZone := s.reachability(zone)
+		fromZone.connectFailures = 0
+		fromZone.ejected.duration = 0
 	}
 	switch o {
 	case Answered:
-		s.answered(now, took)
+		s.recordAnswer(now, elapsed)
 	case Full:
-		s.fullTill = now.Add(fullAway)
-		s.refused()
+		s.refusedUntil = now.Add(refusalPause)
+		s.recordRefusal()
 	case Gone:
-		s.gone = true
+		s.replaced = true
 	case Unreached:
-		near := s.reach(zone)
-		near.unreached++
-		if near.dark() {
-			near.away.begin(now)
+		fromZone := s.reachability(zone)
+		fromZone.connectFailures++
+		if fromZone.unreachable() {
+			fromZone.ejected.begin(now)
 		}
 	case Failed:
-		s.failures += failWeight * (1 - s.failures)
-		if s.failures > failLimit && s.away.begin(now) {
-			s.failures = min(s.failures, comingBack)
+		s.failureRate += failureWeight * (1 - s.failureRate)
+		if s.failureRate > ejectionThreshold && s.ejected.begin(now) {
+			s.failureRate = min(s.failureRate, returnFailureRate)
 		}
 	}
 }
 
-// heard notes that something has come back.
-func (s *state) heard(now time.Time) {
-	s.waitsSince = time.Time{}
+// recordResponse records that the replica has responded.
+func (s *state) recordResponse(now time.Time) {
+	s.waitingSince = time.Time{}
 	if s.open > 0 {
-		s.waitsSince = now
+		s.waitingSince = now
 	}
 }
 
-func (s *state) answered(now time.Time, took time.Duration) {
+func (s *state) recordAnswer(now time.Time, elapsed time.Duration) {
 	if !s.measured {
-		s.took = took
+		s.latency = elapsed
 		s.measured = true
 	}
-	s.took += time.Duration(tookWeight * float64(took-s.took))
-	s.failures -= failWeight * s.failures
-	s.away.end(now)
-	s.grow()
+	s.latency += time.Duration(latencyWeight * float64(elapsed-s.latency))
+	s.failureRate -= failureWeight * s.failureRate
+	s.ejected.reset(now)
+	s.restoreLimit()
 }
 
-// Keep forgets all replicas but those named.
+// Keep discards the state of all replicas that are not in the list.
 func (b *Balance) Keep(list []Replica) {
-	named := make(map[hingeids.ServerID]bool, len(list))
+	retained := make(map[hingeids.ServerID]bool, len(list))
 	for _, r := range list {
-		named[r.Server] = true
+		retained[r.Server] = true
 	}
 	for id := range b.states {
-		if !named[id] {
+		if !retained[id] {
 			delete(b.states, id)
 		}
 	}
--- a/internal/decide/hingebalance/balance_test.go
+++ b/internal/decide/hingebalance/balance_test.go
@@ -14,12 +14,12 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fromCancale is what requests of these tests ask, unless they say otherwise.
+// fromCancale is the default constraint of requests in these tests.
 var fromCancale = Ask{
 	Zone: "cancale",
 }
 
-// replicas gives three replicas, one in each zone.
+// replicas returns three replicas, one in each zone.
 func replicas() []Replica {
 	var out []Replica
 	for i, z := range []hingeids.Zone{"cancale", "roscoff", "quiberon"} {
@@ -31,24 +31,24 @@
 	return out
 }
 
-// pattern is what the replicas do with a request.
-type pattern func(id hingeids.ServerID, random *rand.Rand) (Outcome, time.Duration)
+// behavior returns what a replica does with a request and how long that takes.
+type behavior func(id hingeids.ServerID, random *rand.Rand) (Outcome, time.Duration)
 
-// play sends a request each 20 ms for a while, as one host of six does at its
-// burst, and counts where requests went and how many were answered within 100 ms.
-func play(p pattern, lasts time.Duration) (shares map[hingeids.ServerID]float64, inTime float64) {
+// simulate sends a request every 20 ms for the given duration. It returns the share of requests
+// that each replica got, and the share that was answered within 100 ms.
+func simulate(p behavior, duration time.Duration) (shares map[hingeids.ServerID]float64, inTime float64) {
 	b := New(1)
 	random := rand.New(rand.NewPCG(2, 3))
 	counts := make(map[hingeids.ServerID]int)
-	asked, good := 0, 0
-	type ending struct {
+	sent, answeredInTime := 0, 0
+	type completion struct {
 		at   time.Time
 		id   hingeids.ServerID
 		o    Outcome
 		took time.Duration
 	}
-	var open []ending
-	for now := start; now.Sub(start) < lasts; now = now.Add(20 * time.Millisecond) {
+	var open []completion
+	for now := start; now.Sub(start) < duration; now = now.Add(20 * time.Millisecond) {
 		kept := open[:0]
 		for _, e := range open {
 			if e.at.After(now) {
@@ -62,13 +62,13 @@
 		if found != Chosen {
 			continue
 		}
-		asked++
+		sent++
 		counts[r.Server]++
 		o, took := p(r.Server, random)
 		if o == Answered && took <= 100*time.Millisecond {
-			good++
+			answeredInTime++
 		}
-		open = append(open, ending{
+		open = append(open, completion{
 			at:   now.Add(took),
 			id:   r.Server,
 			o:    o,
@@ -77,70 +77,67 @@
 	}
 	shares = make(map[hingeids.ServerID]float64)
 	for id, n := range counts {
-		shares[id] = float64(n) / float64(asked)
+		shares[id] = float64(n) / float64(sent)
 	}
-	return shares, float64(good) / float64(asked)
+	return shares, float64(answeredInTime) / float64(sent)
 }
 
-func well(hingeids.ServerID, *rand.Rand) (Outcome, time.Duration) {
+func healthy(hingeids.ServerID, *rand.Rand) (Outcome, time.Duration) {
 	return Answered, 15 * time.Millisecond
 }
 
-// All are well: the replica of the own zone is nearest and has room for the host's requests.
+// Requests must stay in the zone of their host while all replicas are healthy.
 func TestOwnZoneIsPreferred(t *testing.T) {
-	shares, inTime := play(well, 10*time.Second)
+	shares, inTime := simulate(healthy, 10*time.Second)
 	if shares["app-1"] < 0.9 || inTime < 0.99 {
-		t.Fatalf("shares %v, in time %.2f", shares, inTime)
+		t.Fatalf("shares %v, answered in time %.2f", shares, inTime)
 	}
 }
 
-// The replica of the own zone turns ten times slower. Quay queries that go there on
-// are late; it must lose them within some answers.
-func TestSlowReplicaLosesItsRequests(t *testing.T) {
-	shares, inTime := play(func(id hingeids.ServerID, r *rand.Rand) (Outcome, time.Duration) {
+// A replica that becomes ten times slower must lose its requests within a few answers.
+func TestSlowReplicaGetsFewRequests(t *testing.T) {
+	shares, inTime := simulate(func(id hingeids.ServerID, r *rand.Rand) (Outcome, time.Duration) {
 		if id == "app-1" {
 			return Answered, 150 * time.Millisecond
 		}
-		return well(id, r)
+		return healthy(id, r)
 	}, 10*time.Second)
 	if shares["app-1"] > 0.1 || inTime < 0.9 {
-		t.Fatalf("shares %v, in time %.2f", shares, inTime)
+		t.Fatalf("shares %v, answered in time %.2f", shares, inTime)
 	}
 }
 
-// The replica of the own zone fails half of its requests while its heartbeats say that
-// it is well.
-func TestFailingReplicaIsLeftAlone(t *testing.T) {
-	shares, _ := play(func(id hingeids.ServerID, r *rand.Rand) (Outcome, time.Duration) {
+// A replica that fails half of its requests must lose most of them.
+func TestFailingReplicaGetsFewRequests(t *testing.T) {
+	shares, _ := simulate(func(id hingeids.ServerID, r *rand.Rand) (Outcome, time.Duration) {
 		if id == "app-1" && r.Float64() < 0.5 {
 			return Failed, 5 * time.Millisecond
 		}
-		return well(id, r)
+		return healthy(id, r)
 	}, 20*time.Second)
 	if shares["app-1"] > 0.25 {
 		t.Fatalf("shares %v", shares)
 	}
 }
 
-// A burst of 240 requests a second is more than one replica with six slots answers at 30 ms
-// each; the other one loses three answers in ten. Left alone, it would turn the whole
-// burst of the first one late; used with care it answers what the first one can't.
+// In a burst beyond the capacity of one replica, a second one that fails three requests in ten must
+// take the excess instead of being ejected.
 func TestPartlyFailingReplicaHelpsInABurst(t *testing.T) {
 	b := New(1)
 	random := rand.New(rand.NewPCG(5, 6))
 	list := replicas()[:2]
-	type ending struct {
+	type completion struct {
 		at   time.Time
 		id   hingeids.ServerID
 		o    Outcome
 		took time.Duration
 	}
-	var open []ending
+	var open []completion
 	freeAt := make([]time.Time, 6)
-	asked, good := 0, 0
+	sent, answeredInTime := 0, 0
 	for i := range 240 * 8 {
 		now := start.Add(time.Duration(i) * time.Second / 240)
-		open = slices.DeleteFunc(open, func(e ending) bool {
+		open = slices.DeleteFunc(open, func(e completion) bool {
 			if e.at.After(now) {
 				return false
 			}
@@ -148,7 +145,7 @@
 			return true
 		})
 		r, _ := b.Choose(now, list, Ask{})
-		e := ending{
+		e := completion{
 			id:   r.Server,
 			took: 30 * time.Millisecond,
 		}
@@ -166,33 +163,33 @@
 		e.at = now.Add(e.took)
 		open = append(open, e)
 		if now.Sub(start) > 2*time.Second {
-			asked++
+			sent++
 			if e.o == Answered && e.took <= 150*time.Millisecond {
-				good++
+				answeredInTime++
 			}
 		}
 	}
-	if share := float64(good) / float64(asked); share < 0.8 {
-		t.Fatalf("%.2f of the burst in time", share)
+	if share := float64(answeredInTime) / float64(sent); share < 0.8 {
+		t.Fatalf("%.2f of the burst answered in time, want at least 0.8", share)
 	}
 }
 
-// A zone is cut off and no replica is on its side. Whoever asks is told so at once, and
-// not after four tries of a fifth of a second; a few tries find out when the cut is over.
-func TestUnreachableReplicasAreNotTriedByEverybody(t *testing.T) {
+// If no replica is reachable, requests must be refused at once instead of each waiting for connect
+// timeouts; a few probes must detect the recovery.
+func TestUnreachableReplicasGetFewAttempts(t *testing.T) {
 	b := New(1)
-	tries := 0
+	attempts := 0
 	now := start
 	for ; now.Sub(start) < 6*time.Second; now = now.Add(20 * time.Millisecond) {
 		r, found := b.Choose(now, replicas(), fromCancale)
 		if found != Chosen {
 			continue
 		}
-		tries++
+		attempts++
 		b.Done(now, r.Server, fromCancale.Zone, Unreached, 200*time.Millisecond)
 	}
-	if tries > 20 {
-		t.Errorf("%d of 300 requests tried replicas that can't be reached", tries)
+	if attempts > 20 {
+		t.Errorf("%d of 300 requests were sent to unreachable replicas, want at most 20", attempts)
 	}
 	for end := now.Add(7 * time.Second); now.Before(end); now = now.Add(20 * time.Millisecond) {
 		if r, found := b.Choose(now, replicas(), fromCancale); found == Chosen {
@@ -200,75 +197,72 @@
 		}
 	}
 	if _, found := b.Choose(now, replicas(), fromCancale); found != Chosen {
-		t.Error("replicas that are back are not used")
+		t.Error("no replica was chosen after the recovery")
 	}
 }
 
-// Each replica loses one answer in thirty. None may be left alone for it: the others
-// would get its load, and lose theirs too.
-func TestSingleFailuresMoveLittle(t *testing.T) {
-	shares, _ := play(func(id hingeids.ServerID, r *rand.Rand) (Outcome, time.Duration) {
+// A failure rate of three in a hundred must not eject a replica, or the others would be overloaded.
+func TestRareFailuresDoNotEject(t *testing.T) {
+	shares, _ := simulate(func(id hingeids.ServerID, r *rand.Rand) (Outcome, time.Duration) {
 		if r.Float64() < 0.03 {
 			return Failed, 15 * time.Millisecond
 		}
-		return well(id, r)
+		return healthy(id, r)
 	}, 20*time.Second)
 	if shares["app-1"] < 0.8 {
 		t.Fatalf("shares %v", shares)
 	}
 }
 
-// The replica of the own zone is dark: each try there costs its callers the time of two
-// dials. It gets a try now and then, and is used again soon after it is back.
-func TestDarkReplicaIsTriedSeldomAndTakenBack(t *testing.T) {
+// An unreachable replica must get few requests, since each costs its caller a connect timeout, and
+// must be used again soon after its recovery.
+func TestUnreachableReplicaIsProbedRarelyAndRestored(t *testing.T) {
 	b := New(1)
-	dark := 0
+	failed := 0
 	now := start
 	for ; now.Sub(start) < 10*time.Second; now = now.Add(20 * time.Millisecond) {
 		r, _ := b.Choose(now, replicas(), fromCancale)
 		if r.Server == "app-1" {
-			dark++
+			failed++
 			b.Done(now, r.Server, fromCancale.Zone, Unreached, 200*time.Millisecond)
 			continue
 		}
 		b.Done(now, r.Server, fromCancale.Zone, Answered, 15*time.Millisecond)
 	}
-	if dark > 12 {
-		t.Errorf("a dark replica got %d of 500 requests", dark)
+	if failed > 12 {
+		t.Errorf("the unreachable replica got %d of 500 requests, want at most 12", failed)
 	}
-	back := 0
+	restored := 0
 	for end := now.Add(15 * time.Second); now.Before(end); now = now.Add(20 * time.Millisecond) {
 		r, _ := b.Choose(now, replicas(), fromCancale)
 		b.Done(now, r.Server, fromCancale.Zone, Answered, 15*time.Millisecond)
 		if r.Server == "app-1" {
-			back++
+			restored++
 		}
 	}
-	if back < 200 {
-		t.Errorf("a replica that is back got %d of 750 requests", back)
+	if restored < 200 {
+		t.Errorf("the recovered replica got %d of 750 requests, want at least 200", restored)
 	}
 }
 
-// Everything fails. Whoever asks is still sent somewhere: a refusal would be certain
-// to help nobody.
-func TestSomebodyIsAlwaysTried(t *testing.T) {
+// A request must be sent to some replica even if all of them fail.
+func TestSomeReplicaIsChosenWhenAllFail(t *testing.T) {
 	b := New(1)
 	now := start
 	for range 50 {
 		r, found := b.Choose(now, replicas(), fromCancale)
 		if found != Chosen {
-			t.Fatal("nobody was tried")
+			t.Fatal("no replica was chosen")
 		}
 		b.Done(now, r.Server, fromCancale.Zone, Failed, time.Millisecond)
 		now = now.Add(10 * time.Millisecond)
 	}
 	if _, found := b.Choose(now, nil, fromCancale); found == Chosen {
-		t.Fatal("a replica was chosen of none")
+		t.Fatal("a replica was chosen from an empty list")
 	}
 }
 
-// Another server has the address now. It refuses what is meant for the old one, so
-// nothing more is sent there.
+// A replica whose address now belongs to another server must get no requests.
 func TestReplacedReplicaGetsNothing(t *testing.T) {
 	b := New(1)
 	b.Choose(start, replicas(), fromCancale)
@@ -287,9 +281,9 @@
 	}
 }
 
-// A replica takes requests and answers none, for seconds. A host that kept sending there would fill it to its
-// last connection, and what other hosts send would be reset.
-func TestSilentReplicaIsNotFilledByOneHost(t *testing.T) {
+// A host must not fill a replica that answers nothing beyond its connection limit, or the
+// connections of other hosts would be reset.
+func TestSilentReplicaKeepsItsConnectionLimit(t *testing.T) {
 	b := New(1)
 	list := replicas()[:1]
 	list[0].Most = 10
@@ -300,16 +294,16 @@
 		}
 	}
 	if got != 10 {
-		t.Fatalf("%d requests are open at a replica that has 10 connections for this host", got)
+		t.Fatalf("%d requests in flight at a replica with 10 connections for this host, want 10", got)
 	}
 	b.Done(start, list[0].Server, fromCancale.Zone, Answered, time.Millisecond)
 	if _, found := b.Choose(start, list, fromCancale); found != Chosen {
-		t.Fatal("a connection that is free again isn't used")
+		t.Fatal("no request was sent after a connection became free")
 	}
 }
 
-// slotted is one replica of six slots.
-func slotted() []Replica {
+// sixSlotReplica returns one replica with six slots.
+func sixSlotReplica() []Replica {
 	return []Replica{
 		{
 			Server: "app-1",
@@ -319,7 +313,7 @@
 	}
 }
 
-// fill chooses until there is no room, and gives how many were chosen.
+// fill chooses until no replica is found, and returns the number of chosen ones.
 func fill(b *Balance, now time.Time, list []Replica) int {
 	for n := 0; ; n++ {
 		if _, found := b.Choose(now, list, fromCancale); found != Chosen {
@@ -328,35 +322,35 @@
 	}
 }
 
-// One balance knows of all requests in a burst. What it sent beyond the slots would wait in the replica's queue, be refused after half of its time,
-// and have new connections reset; what it held back beyond need would leave slots idle while the next request is on its way.
-func TestReplicaHasNoMoreThanItWorksOnAndWhatIsOnTheWay(t *testing.T) {
-	for handOver, want := range map[time.Duration]int{
+// Requests beyond the limit would wait in the replica's own queue; a lower limit would leave slots
+// idle while the next requests are in transit.
+func TestLimitIsSlotsPlusRequestsInTransit(t *testing.T) {
+	for turnaround, want := range map[time.Duration]int{
 		0:                     7,
 		10 * time.Millisecond: 9,
 		time.Second:           12,
 	} {
 		b := New(1)
-		b.SetHandOver(handOver)
-		if got := fill(b, start, slotted()); got != want {
-			t.Errorf("with %v between two requests: %d at once, want %d", handOver, got, want)
+		b.SetHandOver(turnaround)
+		if got := fill(b, start, sixSlotReplica()); got != want {
+			t.Errorf("turnaround %v: %d requests in flight, want %d", turnaround, got, want)
 		}
 	}
 }
 
-// Other callers use the replica too, and it refuses. It gets fewer requests, or each burst would be turned away again; once it has
-// answered for a while it gets as many as before.
-func TestReplicaThatRefusesGetsFewerForAWhile(t *testing.T) {
+// A replica that other callers fill up must get fewer requests after its refusals, and its former
+// limit once it has answered for a while.
+func TestRefusalsReduceTheLimitForAWhile(t *testing.T) {
 	b := New(1)
-	list := slotted()
+	list := sixSlotReplica()
 	now := start
 	full := fill(b, now, list)
 	for range 3 {
 		b.Done(now, "app-1", "cancale", Full, time.Millisecond)
 	}
-	now = now.Add(fullAway + time.Millisecond)
+	now = now.Add(refusalPause + time.Millisecond)
 	if got := full - 3 + fill(b, now, list); got > full-2 {
-		t.Errorf("%d at once after three refusals, %d before", got, full)
+		t.Errorf("%d requests in flight after three refusals, %d before", got, full)
 	}
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
@@ -364,15 +358,15 @@
 		fill(b, now, list)
 	}
 	if got := b.state("app-1").open; got != full {
-		t.Errorf("%d at once after a second without refusals, %d before", got, full)
+		t.Errorf("%d requests in flight after a second without refusals, want %d", got, full)
 	}
 }
 
-// A replica takes requests and answers none, from one moment on, and its connections stay up. Each request sent there is lost
-// after all of its caller's time. It must lose them before the first one has failed, and be tried again now and then.
-func TestSilentReplicaLosesItsRequestsBeforeAnyFails(t *testing.T) {
+// A replica that stops answering while its connections stay up must lose its requests before the
+// first of them fails, and must be probed now and then.
+func TestSilentReplicaIsAvoidedBeforeAnyFailure(t *testing.T) {
 	b := New(1)
-	list := append(slotted(), Replica{
+	list := append(sixSlotReplica(), Replica{
 		Server: "app-2",
 		Zone:   "cancale",
 		Slots:  6,
@@ -389,38 +383,37 @@
 			continue
 		}
 		if r.Server == "app-1" {
-			// Its place is given free after a while, as whoever counts requests does.
+			// The caller releases the place without an outcome.
 			silent++
 			b.Expire("app-1")
 			continue
 		}
 		b.Done(now, "app-2", "cancale", Answered, 25*time.Millisecond)
 	}
-	// Some until it is noticed, and one each 0.7 s in three seconds.
+	// Some requests until the silence is noticed, then one every 0.7 s for three seconds.
 	if silent > 25 || silent < 4 {
-		t.Errorf("the silent replica got %d of 600 requests", silent)
+		t.Errorf("the silent replica got %d of 600 requests, want 4 to 25", silent)
 	}
 }
 
-// A cut parts the hosts of one zone from a replica. Theirs go elsewhere at once; hosts of other zones reach it, and would lose a
-// third of what there is if it were taken for dark.
-func TestReplicaThatOneZoneCannotReachIsLeftToTheOthers(t *testing.T) {
+// A replica that is unreachable from one zone only must still serve the other zones.
+func TestReplicaUnreachableFromOneZoneServesOthers(t *testing.T) {
 	b := New(1)
-	list := slotted()
-	for range unreachedLimit {
+	list := sixSlotReplica()
+	for range connectFailureLimit {
 		b.Choose(start, list, fromCancale)
 		b.Done(start, "app-1", "cancale", Unreached, 100*time.Millisecond)
 	}
 	now := start.Add(time.Millisecond)
 	if _, found := b.Choose(now, list, fromCancale); found != None {
-		t.Error("cancale still tries what it can't reach")
+		t.Error("a replica was chosen that cancale can't reach")
 	}
 	if _, found := b.Choose(now, list, Ask{
 		Zone: "roscoff",
 	}); found != Chosen {
-		t.Error("roscoff doesn't get the replica that it reaches")
+		t.Error("no replica was chosen for roscoff, which can reach it")
 	}
 	if rate := b.Rate(now, list); rate == 0 {
-		t.Error("the replica counts for nothing")
+		t.Error("the replica's rate is 0")
 	}
 }
--- a/internal/decide/hingebalance/limit.go
+++ b/internal/decide/hingebalance/limit.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// dialTime is what a request spends on its way to a replica and back beside its work there: three trips
+	// networkTime is the time that a request spends in transit to and from a replica: three trips
 	// between zones, and a millisecond for a new connection.
-	dialTime = 2500 * time.Microsecond
-	// cutBy is the share of its requests that a replica which refuses one gets fewer of; it then gets one more for
-	// each time that it has answered as many as it takes.
-	cutBy = 0.3
+	networkTime = 2500 * time.Microsecond
+	// refusalReduction is the share of its requests in flight by which a refusal lowers the limit
+	// of a replica. The limit rises again by one for each round of answers.
+	refusalReduction = 0.3
 )
 
-// limit is how many requests a replica may have open (rule 6).
-func (s *state) limit(r Replica, handOver time.Duration) int {
+// limit returns how many requests the replica may have in flight (rule 6).
+func (s *state) limit(r Replica, turnaround time.Duration) int {
 	limit := math.MaxInt
 	if r.Slots > 0 {
 		slots := float64(r.Slots)
-		onTheWay := math.Ceil(slots * min((handOver+dialTime).Seconds()/s.took.Seconds(), 1))
-		limit = int(max(slots+onTheWay-s.cut, 1))
+		inTransit := math.Ceil(slots * min((turnaround+networkTime).Seconds()/s.latency.Seconds(), 1))
+		limit = int(max(slots+inTransit-s.limitReduction, 1))
 	}
 	if r.Most > 0 {
 		limit = min(limit, r.Most)
@@ -30,61 +30,62 @@
 	return limit
 }
 
-// refused takes a refusal for want of room: others use the replica too, or it has fewer slots than it says.
-func (s *state) refused() {
-	s.cut += max(cutBy*float64(s.open), 1)
+// recordRefusal lowers the limit after a refusal for lack of capacity: other callers use the
+// replica too, or it has fewer slots than it reports.
+func (s *state) recordRefusal() {
+	s.limitReduction += max(refusalReduction*float64(s.open), 1)
 }
 
-// grow takes an answer.
-func (s *state) grow() {
-	s.cut = max(s.cut-1/float64(max(s.open, 1)), 0)
+// restoreLimit raises a lowered limit after an answer.
+func (s *state) restoreLimit() {
+	s.limitReduction = max(s.limitReduction-1/float64(max(s.open, 1)), 0)
 }
 
-// Rate is how many requests a second the replicas that may be used answer.
+// Rate returns how many requests a second the eligible replicas can answer.
 func (b *Balance) Rate(now time.Time, list []Replica) float64 {
 	rate := 0.0
 	for _, r := range list {
 		s := b.state(r.Server)
-		if s.gone || now.Before(s.away.till) || s.unreachable(now) {
+		if s.replaced || now.Before(s.ejected.until) || s.unreachable(now) {
 			continue
 		}
-		at := max(s.open, 1)
+		concurrency := max(s.open, 1)
 		if r.Slots > 0 {
-			at = s.limit(r, b.handOver)
+			concurrency = s.limit(r, b.turnaround)
 		}
-		rate += float64(at) / s.expected(now).Seconds()
+		rate += float64(concurrency) / s.expectedLatency(now).Seconds()
 	}
 	return rate
 }
 
-// unreachable reports whether no zone that was heard of reaches the replica.
+// unreachable reports whether every zone that has tried the replica fails to reach it.
 func (s *state) unreachable(now time.Time) bool {
 	for _, r := range s.zones {
-		if !r.dark() || !now.Before(r.away.till) {
+		if !r.unreachable() || !now.Before(r.ejected.until) {
 			return false
 		}
 	}
 	return len(s.zones) > 0
 }
 
-// SetHandOver takes how long the end of a request and the choice of the next are on their way, which a slot would be
-// idle for.
+// SetHandOver sets how long a slot is idle between the completion of a request and the start of the
+// next one.
 func (b *Balance) SetHandOver(d time.Duration) {
-	b.handOver = d
+	b.turnaround = d
 }
 
-// TookAt is how long an answer of a replica is expected to take.
+// TookAt returns the expected latency of a replica.
 func (b *Balance) TookAt(id hingeids.ServerID) time.Duration {
-	return b.state(id).took
+	return b.state(id).latency
 }
 
-// Took is how long an answer is expected to take at the fastest of the replicas.
+// Took returns the lowest expected latency among the replicas.
 func (b *Balance) Took(list []Replica) time.Duration {
-	least := startTook
+	least := initialLatency
 	found := false
 	for _, r := range list {
-		if s := b.state(r.Server); !s.gone && (!found || s.took < least) {
-			least = s.took
+		if s := b.state(r.Server); !s.replaced && (!found || s.latency < least) {
+			least = s.latency
 			found = true
 		}
 	}
