--- a/internal/decide/hingequeue/arrivals.go
+++ b/internal/decide/hingequeue/arrivals.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// arrivalTime is the time over which arrivals are averaged: some callers' patience, shorter than the bursts that
-// last for seconds.
-const arrivalTime = 500 * time.Millisecond
+// averagingTime is the time constant of the arrival rate: a few times the callers' maximum wait,
+// but shorter than bursts that last for seconds.
+const averagingTime = 500 * time.Millisecond
 
-// arrivals is the rate at which requests come.
-type arrivals struct {
-	// mean is the rate a second, as it was at the time.
-	mean float64
-	at   time.Time
+// arrivalRate is an exponentially decaying average of the rate at which requests arrive.
+type arrivalRate struct {
+	// average is the rate per second at updatedAt.
+	average   float64
+	updatedAt time.Time
 }
 
-func (a *arrivals) add(now time.Time) {
-	a.mean = a.perSecond(now) + 1/arrivalTime.Seconds()
-	a.at = now
+func (a *arrivalRate) add(now time.Time) {
+	a.average = a.perSecond(now) + 1/averagingTime.Seconds()
+	a.updatedAt = now
 }
 
-func (a *arrivals) perSecond(now time.Time) float64 {
-	if a.at.IsZero() {
+func (a *arrivalRate) perSecond(now time.Time) float64 {
+	if a.updatedAt.IsZero() {
 		return 0
 	}
-	return a.mean * math.Exp(-now.Sub(a.at).Seconds()/arrivalTime.Seconds())
+	return a.average * math.Exp(-now.Sub(a.updatedAt).Seconds()/averagingTime.Seconds())
 }
--- a/internal/decide/hingequeue/bench_test.go
+++ b/internal/decide/hingequeue/bench_test.go
@@ -9,7 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingebalance"
 )
 
-// BenchmarkPlace is one request from its asking to the end at its replica.
+// BenchmarkPlace measures one request from its arrival to its completion.
 func BenchmarkPlace(b *testing.B) {
 	for _, size := range []int{5, 50, 500, 6400} {
 		b.Run(fmt.Sprintf("%d replicas", size), func(b *testing.B) {
@@ -23,7 +23,7 @@
 				})
 			}
 			q.SetReplicas(list)
-			now := began
+			now := start
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
--- a/internal/decide/hingequeue/patience.go
+++ b/internal/decide/hingequeue/patience.go
@@ -3,69 +3,73 @@
 import "time"
 
 const (
-	// patienceSpan is after how long what was heard of callers' patience counts half: long enough for some hundred
-	// callers where few come, short enough to follow a configuration that changes it.
-	patienceSpan = 5 * time.Second
-	// patienceStep tells targets and patiences apart that differ by more than what a request has been on its way.
-	patienceStep = 50 * time.Millisecond
+	// maxWaitHalfLife is the time after which an observed maximum wait counts half. It is long
+	// enough for some hundred observations at low rates, and short enough to follow a change of the
+	// configuration.
+	maxWaitHalfLife = 5 * time.Second
+	// maxWaitStep is the resolution of targets and maximum waits. Smaller differences may come from
+	// the time that a request was in transit.
+	maxWaitStep = 50 * time.Millisecond
 )
 
-// patiences are how long callers say that they wait. A caller who comes back after a refusal has less time left, by as
-// much as it has waited already; nothing else tells it from others. Most who come for the first time say the same,
-// and those who come back are spread, so the patience that is heard most often is that of a first try.
-type patiences struct {
-	classes map[time.Duration]*patience
+// maxWaits estimates whether a caller has been refused before and how long ago it started. Such a
+// caller announces a shorter maximum wait than on its first attempt, by the time that has passed;
+// nothing else marks it. First attempts mostly announce the same maximum wait, and those of later
+// attempts are spread out, so the most common value is that of a first attempt.
+type maxWaits struct {
+	classes map[time.Duration]*maxWaitCounts
 }
 
-// patience is how often each patience was heard.
-type patience struct {
-	heard map[time.Duration]float64
-	usual time.Duration
-	since time.Time
+// maxWaitCounts counts how often each maximum wait was announced.
+type maxWaitCounts struct {
+	counts     map[time.Duration]float64
+	mostCommon time.Duration
+	decayedAt  time.Time
 }
 
-// used gives how much of its time a request's caller had used before it came here. Requests with the same
-// target are taken to have callers of one kind.
-func (p *patiences) used(now time.Time, target, said time.Duration) time.Duration {
-	if said <= 0 {
+// elapsed returns how long the caller of a request had already waited before the request arrived.
+// Requests with the same target are assumed to have the same maximum wait on their first attempt.
+func (m *maxWaits) elapsed(now time.Time, target, maxWait time.Duration) time.Duration {
+	if maxWait <= 0 {
 		return 0
 	}
-	if p.classes == nil {
-		p.classes = make(map[time.Duration]*patience)
+	if m.classes == nil {
+		m.classes = make(map[time.Duration]*maxWaitCounts)
 	}
-	class := target.Round(patienceStep)
-	c := p.classes[class]
+	class := target.Round(maxWaitStep)
+	c := m.classes[class]
 	if c == nil {
-		c = &patience{
-			heard: make(map[time.Duration]float64),
-			since: now,
+		c = &maxWaitCounts{
+			counts:    make(map[time.Duration]float64),
+			decayedAt: now,
 		}
-		p.classes[class] = c
+		m.classes[class] = c
 	}
-	c.hear(now, said.Round(patienceStep))
-	if used := c.usual - said; used > patienceStep {
-		return used
+	c.observe(now, maxWait.Round(maxWaitStep))
+	if elapsed := c.mostCommon - maxWait; elapsed > maxWaitStep {
+		return elapsed
 	}
 	return 0
 }
 
-func (c *patience) hear(now time.Time, said time.Duration) {
-	if now.Sub(c.since) > patienceSpan {
-		c.since = now
-		c.fade()
+func (c *maxWaitCounts) observe(now time.Time, maxWait time.Duration) {
+	if now.Sub(c.decayedAt) > maxWaitHalfLife {
+		c.decayedAt = now
+		c.decay()
 	}
-	c.heard[said]++
-	if most := c.heard[c.usual]; c.heard[said] > most || c.heard[said] == most && said > c.usual {
-		c.usual = said
+	c.counts[maxWait]++
+	if highest := c.counts[c.mostCommon]; c.counts[maxWait] > highest ||
+		c.counts[maxWait] == highest && maxWait > c.mostCommon {
+		c.mostCommon = maxWait
 	}
 }
 
-// fade halves what was heard, and forgets what was heard once or twice.
-func (c *patience) fade() {
-	for said, n := range c.heard {
-		c.heard[said] = n / 2
+// decay halves the counts and drops values that were seen once or twice.
+func (c *maxWaitCounts) decay() {
+	for maxWait, n := range c.counts {
+		c.counts[maxWait] = n / 2
 		if n < 2 {
-			delete(c.heard, said)
+			delete(c.counts, maxWait)
 		}
 	}
 }
--- a/internal/decide/hingequeue/patience_test.go
+++ b/internal/decide/hingequeue/patience_test.go
@@ -5,50 +5,50 @@
 	"time"
 )
 
-// In a burst every second caller comes back after a refusal, with a second less a few hundred milliseconds left, and a few others wait for
-// longer than all. If the longest patience were taken for the usual one, all callers would be thought to come back, and those
-// who can be answered in time would be refused with the rest.
-func TestUsualPatienceIsThatOfMostFirstTries(t *testing.T) {
-	var p patiences
-	now := began
+// A longer maximum wait of a few callers must not be taken for that of first attempts, or first
+// attempts would be treated as late retries and refused.
+func TestMostCommonMaxWaitIsThatOfFirstAttempts(t *testing.T) {
+	var p maxWaits
+	now := start
 	const target = 150 * time.Millisecond
 	for i := range 400 {
 		now = now.Add(2 * time.Millisecond)
-		p.used(now, target, time.Second)
+		p.elapsed(now, target, time.Second)
 		if i%20 == 0 {
-			p.used(now, target, 2*time.Second)
+			p.elapsed(now, target, 2*time.Second)
 		}
 		if i%2 == 0 {
-			p.used(now, target, time.Second-time.Duration(100+i)*time.Millisecond)
+			p.elapsed(now, target, time.Second-time.Duration(100+i)*time.Millisecond)
 		}
 	}
-	for said, want := range map[time.Duration]time.Duration{
+	for maxWait, want := range map[time.Duration]time.Duration{
 		time.Second:            0,
 		990 * time.Millisecond: 0,
 		2 * time.Second:        0,
 		700 * time.Millisecond: 300 * time.Millisecond,
 		0:                      0,
 	} {
-		if got := p.used(now, target, said); got != want {
-			t.Errorf("a caller who waits for %v has used %v, want %v", said, got, want)
+		if got := p.elapsed(now, target, maxWait); got != want {
+			t.Errorf("elapsed time of a caller with a maximum wait of %v: %v, want %v", maxWait, got, want)
 		}
 	}
 }
 
-// A configuration has callers wait for half as long from now on. Within some seconds they are taken for what they are.
-func TestUsualPatienceFollowsAChange(t *testing.T) {
-	var p patiences
-	now := began
+// After callers change their maximum wait, their first attempts must be recognized as such within
+// seconds.
+func TestMostCommonMaxWaitFollowsAChange(t *testing.T) {
+	var p maxWaits
+	now := start
 	const target = 150 * time.Millisecond
 	for range 2000 {
 		now = now.Add(5 * time.Millisecond)
-		p.used(now, target, time.Second)
+		p.elapsed(now, target, time.Second)
 	}
 	for range 3000 {
 		now = now.Add(5 * time.Millisecond)
-		p.used(now, target, 500*time.Millisecond)
+		p.elapsed(now, target, 500*time.Millisecond)
 	}
-	if got := p.used(now, target, 500*time.Millisecond); got != 0 {
-		t.Errorf("15 s after the change a first try is taken to have used %v", got)
+	if got := p.elapsed(now, target, 500*time.Millisecond); got != 0 {
+		t.Errorf("elapsed time of a first attempt 15 s after the change: %v, want 0", got)
 	}
 }
--- a/internal/decide/hingequeue/queue.go
+++ b/internal/decide/hingequeue/queue.go
@@ -1,20 +1,25 @@
-// Package hingequeue is the one queue of a plain service's requests before its replicas, whatever the number of
-// hosts that take requests from callers. It has no clock, no sockets and no goroutines.
+// Package hingequeue implements the central queue of a plain service's requests in front of its
+// replicas, for any number of entry hosts. It has no clock, no sockets and no goroutines.
 //
-// The load it is made for: hundreds of hosts that each see a request a second, and a few replicas that together answer
-// some hundred. A host that chooses by what it sees itself learns of a slow or full replica seconds too late, and knows
-// nothing of what the others have just sent there. The replicas' own queues run full, and refuse after half of the time
-// that a caller has; what they still answer is late.
+// It is meant for hundreds of hosts that receive about one request a second each, and a few
+// replicas that together answer some hundred requests a second. A host that chooses a replica by
+// its own observations notices a slow or full replica seconds too late, and knows nothing of the
+// requests that other hosts have just sent there. The queues of the replicas then fill up, so that
+// requests are refused after half of their callers' time or answered late.
 //
-//  1. A request is given a replica when that has room for it (hingebalance rule 6). Until then it waits here, and
-//     not in a replica's queue: whichever replica is free first takes the one that is due first.
-//  2. Requests that can still be answered in time go first, in the order of their priorities and then in that in which they are due. A late answer is
-//     worth a part of one in time, so the others have what is left. Callers who were refused and come back are told by the
-//     time that they have left (patience.go): what they wait for has been late since their first try.
-//  3. A request that finds more work before it than can be done in its time is refused at once, and told when the
-//     work will be less. One that can't be in time any more waits only if the replicas answer more than comes.
-//  4. What was sent to a replica counts there until its end is told, or until several times the usual time has passed: the answer may
-//     be lost and its caller still wait, or the host that sent it be gone, while the replica's slot is free.
+//  1. A request gets a replica once one has capacity for it (hingebalance rule 6). Until then it
+//     waits here and not in the queue of a replica: the first replica with capacity gets the most
+//     urgent request.
+//  2. Requests that can still be answered in time go first, by priority and then by due time. Late
+//     answers are worth a fraction of those in time, so late requests only get the remaining
+//     capacity. A retry by a caller that was refused before is recognized by its shorter maximum
+//     wait (patience.go); its due time counts from the caller's first attempt.
+//  3. A request is refused at once if the requests ahead of it take longer than its caller waits,
+//     and the refusal says when to retry. A request that can no longer be answered in time waits
+//     only if the replicas answer more requests than arrive.
+//  4. A request counts against the limit of its replica until its completion is reported, or until
+//     several times the expected latency has passed. The replica may be idle without a report,
+//     because the answer was lost or the host that sent the request has failed.
 package hingequeue
 
 import (
@@ -26,34 +31,35 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingebalance"
 )
 
-// CallID names one attempt of a request at a replica.
+// CallID identifies one attempt of a request at a replica.
 type CallID string
 
-// Want is a request that asks for a replica.
+// Want is a request that needs a replica.
 type Want struct {
 	ID   CallID
 	Zone hingeids.Zone
-	// Due is when its answer is late, zero if it can't be.
+	// Due is the time after which the answer is late. Zero means Deadline.
 	Due      time.Time
 	Deadline time.Time
-	// Patience is how long its caller said that it would wait, zero if it said nothing.
+	// Patience is the maximum wait that the caller announced, zero if it announced none.
 	Patience time.Duration
-	// Avoid are replicas that have failed it.
+	// Avoid lists replicas that have already failed the request.
 	Avoid []hingeids.ServerID
-	// Priority ranks requests that can be answered in time; 0 goes first.
+	// Priority orders requests that can be answered in time; 0 is the highest.
 	Priority int
 }
 
-// Decision is a replica, or a refusal.
+// Decision assigns a replica to a request or refuses it.
 type Decision struct {
 	ID     CallID
 	Server hingeids.ServerID
-	// Refused says that there is no replica; RetryAfter is when the work before it will be less.
+	// Refused means that no replica was assigned; RetryAfter is when the queue is expected to be
+	// shorter.
 	Refused    bool
 	RetryAfter time.Duration
 }
 
-// End is how a request ended at a replica.
+// End reports the completion of a request at a replica.
 type End struct {
 	ID      CallID               `cbor:"1,keyasint"`
 	Server  hingeids.ServerID    `cbor:"2,keyasint"`
@@ -63,63 +69,72 @@
 }
 
 const (
-	// serveTimes is how many times the expected answer's time is kept free before a request is due: of answers whose times are
-	// spread by half of their mean, one in thirty takes longer.
-	serveTimes = 2
-	// sparePart is the part of the replicas' rate that must be left beside what comes before late requests wait for it.
-	sparePart = 0.05
-	// shortestRetry and longestRetry bound what a refused request is told: a host's round trip to its caller, and
-	// more than most bursts of plain requests last.
-	shortestRetry = 100 * time.Millisecond
-	longestRetry  = 2 * time.Second
-	// endTimes is how many times the usual a request counts at its replica whose end isn't told (rule 4): one answer in a hundred takes
-	// longer, and three in a hundred may be lost. Those that count while their slots are free leave the slots idle.
-	endTimes = 4
-	// sweepEvery is how often such requests are looked for.
-	sweepEvery = 20 * time.Millisecond
-	// leastEnd is the least of that time: a host with a fifth of a core may be busy for as long.
-	leastEnd = 100 * time.Millisecond
-	// startHandOver is taken before any end was told: two trips between zones, and a busy moment of a host.
-	startHandOver = 4 * time.Millisecond
-	// handOverWeight is the weight of a new reading of the hand-over: forty move it by two thirds.
-	handOverWeight = 0.025
+	// latencyMargin is the multiple of the expected latency that must remain until the due time of
+	// a request when it starts. Latencies are spread by half of their mean, so one answer in thirty
+	// takes longer.
+	latencyMargin = 2
+	// spareShare is the share of the replicas' answer rate that must exceed the arrival rate for
+	// late requests to wait.
+	spareShare = 0.05
+	// minRetryAfter and maxRetryAfter bound the delay returned with a refusal: a host's round trip
+	// to its caller, and the length of most bursts.
+	minRetryAfter = 100 * time.Millisecond
+	maxRetryAfter = 2 * time.Second
+	// completionTimeoutFactor is the multiple of the expected latency after which a request without
+	// a reported completion no longer counts at its replica (rule 4). One answer in a hundred takes
+	// longer. Counting lost requests for longer would leave their slots idle.
+	completionTimeoutFactor = 4
+	// sweepInterval is the interval between searches for such requests.
+	sweepInterval = 20 * time.Millisecond
+	// minCompletionTimeout is the minimum of that timeout, since a host with a small share of a
+	// core may delay its reports.
+	minCompletionTimeout = 100 * time.Millisecond
+	// initialTurnaround is used until a completion is reported: two trips between zones and a short
+	// delay at a busy host.
+	initialTurnaround = 4 * time.Millisecond
+	// turnaroundWeight is the weight of a new sample in the moving average of the turnaround. Forty
+	// samples move it by two thirds.
+	turnaroundWeight = 0.025
 )
 
 // call is a request at a replica.
 type call struct {
 	server hingeids.ServerID
-	// began is when the replica was chosen, over when the request counts no more.
-	began time.Time
-	over  time.Time
+	// placedAt is when the replica was chosen; from expiresAt on the request no longer counts at
+	// it.
+	placedAt  time.Time
+	expiresAt time.Time
 }
 
 // Queue is the queue of one service. It is not safe for concurrent use.
 type Queue struct {
 	balance  *hingebalance.Balance
 	replicas []hingebalance.Replica
-	// fresh are those that can still be in time, by priority and when they are due; late the others, by when they came.
-	fresh []Want
-	late  []Want
-	calls map[CallID]call
-	rate  arrivals
-	// patiences are how long callers wait who come for the first time.
-	patiences patiences
-	// handOver is how long a choice and an end are on their way.
-	handOver time.Duration
-	// swept is when calls were last looked through.
-	swept time.Time
+	// onTime holds requests that can still be answered in time, by priority and due time; late the
+	// others, in the order in which they became late.
+	onTime   []Want
+	late     []Want
+	calls    map[CallID]call
+	arrivals arrivalRate
+	// maxWaits estimates how long callers had waited before their requests arrived.
+	maxWaits maxWaits
+	// turnaround is the average time that decisions and completion reports are in transit, per
+	// request.
+	turnaround time.Duration
+	// lastSweep is when calls was last searched for expired requests.
+	lastSweep time.Time
 }
 
-// New makes an empty queue.
+// New returns an empty queue.
 func New(seed uint64) *Queue {
 	return &Queue{
-		balance:  hingebalance.New(seed),
-		calls:    make(map[CallID]call),
-		handOver: startHandOver,
+		balance:    hingebalance.New(seed),
+		calls:      make(map[CallID]call),
+		turnaround: initialTurnaround,
 	}
 }
 
-// SetReplicas takes the replicas that may be used now.
+// SetReplicas sets the replicas that may be used. The list must not be modified afterwards.
 func (q *Queue) SetReplicas(list []hingebalance.Replica) {
 	if sameList(list, q.replicas) {
 		return
@@ -128,63 +143,63 @@
 	q.balance.Keep(list)
 }
 
-// sameList reports whether two lists are one. They are made anew at each change of the fleet, and only then.
+// sameList reports whether two lists share their memory. Each change of the fleet makes a new list.
 func sameList(x, y []hingebalance.Replica) bool {
 	return len(x) == len(y) && (len(x) == 0 || &x[0] == &y[0])
 }
 
-// Offer takes a request. Step decides on it.
+// Offer adds a request to the queue. Step decides on it.
 func (q *Queue) Offer(now time.Time, w Want) {
-	q.rate.add(now)
+	q.arrivals.add(now)
 	if w.Due.IsZero() {
 		w.Due = w.Deadline
 	}
-	w.Due = w.Due.Add(-q.patiences.used(now, w.Due.Sub(now), w.Patience))
-	at, _ := slices.BinarySearchFunc(q.fresh, w, func(x, w Want) int {
+	w.Due = w.Due.Add(-q.maxWaits.elapsed(now, w.Due.Sub(now), w.Patience))
+	at, _ := slices.BinarySearchFunc(q.onTime, w, func(x, w Want) int {
 		return cmp.Or(cmp.Compare(x.Priority, w.Priority), x.Due.Compare(w.Due), -1)
 	})
-	q.fresh = slices.Insert(q.fresh, at, w)
+	q.onTime = slices.Insert(q.onTime, at, w)
 }
 
-// Cancel forgets a request that waits.
+// Cancel removes a request from the queue.
 func (q *Queue) Cancel(id CallID) {
-	is := func(w Want) bool {
+	matches := func(w Want) bool {
 		return w.ID == id
 	}
-	q.fresh = slices.DeleteFunc(q.fresh, is)
-	q.late = slices.DeleteFunc(q.late, is)
+	q.onTime = slices.DeleteFunc(q.onTime, matches)
+	q.late = slices.DeleteFunc(q.late, matches)
 }
 
-// Withdraw gives back all that wait.
+// Withdraw empties the queue and returns the ids of the removed requests.
 func (q *Queue) Withdraw() []CallID {
 	var out []CallID
-	for _, w := range slices.Concat(q.fresh, q.late) {
+	for _, w := range slices.Concat(q.onTime, q.late) {
 		out = append(out, w.ID)
 	}
-	q.fresh, q.late = nil, nil
+	q.onTime, q.late = nil, nil
 	return out
 }
 
-// Placed gives the replica that a request has, if it has one.
+// Placed returns the replica of a request, if it has one.
 func (q *Queue) Placed(id CallID) (hingeids.ServerID, bool) {
-	c, there := q.calls[id]
-	return c.server, there
+	c, ok := q.calls[id]
+	return c.server, ok
 }
 
-// Waiting is how many wait.
+// Waiting returns the number of requests in the queue.
 func (q *Queue) Waiting() int {
-	return len(q.fresh) + len(q.late)
+	return len(q.onTime) + len(q.late)
 }
 
-// End takes how a request ended at its replica, wherever that was chosen.
+// End records the completion of a request, also of one whose replica another queue has chosen.
 func (q *Queue) End(now time.Time, e End) {
-	if c, there := q.calls[e.ID]; there {
+	if c, ok := q.calls[e.ID]; ok {
 		delete(q.calls, e.ID)
 		q.balance.Expire(c.server)
 		if e.Outcome == hingebalance.Answered {
-			way := max(now.Sub(c.began)-e.Took, 0)
-			q.handOver += time.Duration(handOverWeight * float64(way-q.handOver))
-			q.balance.SetHandOver(q.handOver)
+			sample := max(now.Sub(c.placedAt)-e.Took, 0)
+			q.turnaround += time.Duration(turnaroundWeight * float64(sample-q.turnaround))
+			q.balance.SetHandOver(q.turnaround)
 		}
 	}
 	if e.Outcome != hingebalance.Unknown {
@@ -192,68 +207,70 @@
 	}
 }
 
-// Step decides on what waits.
+// Step assigns replicas to waiting requests, and refuses those that would wait too long.
 func (q *Queue) Step(now time.Time) []Decision {
 	q.sweep(now)
 	if q.Waiting() == 0 {
 		return nil
 	}
-	took := q.balance.Took(q.replicas)
-	q.age(now, took)
+	latency := q.balance.Took(q.replicas)
+	q.demoteLate(now, latency)
 	var out []Decision
-	q.fresh, out = q.grant(now, q.fresh, true, out)
-	if len(q.fresh) == 0 {
-		q.late, out = q.grant(now, q.late, false, out)
+	q.onTime, out = q.place(now, q.onTime, true, out)
+	if len(q.onTime) == 0 {
+		q.late, out = q.place(now, q.late, false, out)
 	}
 	if q.Waiting() == 0 {
 		return out
 	}
-	return q.refuse(now, took, out)
+	return q.refuse(now, latency, out)
 }
 
-// age moves requests that can't be in time any more behind the others (rule 2).
-func (q *Queue) age(now time.Time, took time.Duration) {
-	kept := q.fresh[:0]
-	for _, w := range q.fresh {
-		if now.Add(took).After(w.Due) {
+// demoteLate moves requests that can no longer be answered in time to the late ones (rule 2).
+func (q *Queue) demoteLate(now time.Time, latency time.Duration) {
+	kept := q.onTime[:0]
+	for _, w := range q.onTime {
+		if now.Add(latency).After(w.Due) {
 			q.late = append(q.late, w)
 			continue
 		}
 		kept = append(kept, w)
 	}
-	q.fresh = kept
+	q.onTime = kept
 }
 
-// grant gives replicas to requests in their order, and returns those that still wait.
-func (q *Queue) grant(now time.Time, list []Want, inTime bool, out []Decision) ([]Want, []Decision) {
+// place assigns replicas to requests in their order, appends the decisions to out, and returns the
+// requests that still wait.
+func (q *Queue) place(now time.Time, list []Want, inTime bool, out []Decision) ([]Want, []Decision) {
 	kept := list[:0]
 	for i, w := range list {
-		ask := hingebalance.Ask{
+		constraints := hingebalance.Ask{
 			Zone:   w.Zone,
 			Avoid:  w.Avoid,
 			Within: w.Deadline.Sub(now),
 		}
 		if inTime {
-			ask.Within = w.Due.Sub(now)
+			constraints.Within = w.Due.Sub(now)
 		}
-		r, found := q.balance.Choose(now, q.replicas, ask)
+		r, found := q.balance.Choose(now, q.replicas, constraints)
 		switch found {
 		case hingebalance.Chosen:
 			q.calls[w.ID] = call{
-				server: r.Server,
-				began:  now,
-				over:   now.Add(max(endTimes*q.balance.TookAt(r.Server), leastEnd)),
+				server:    r.Server,
+				placedAt:  now,
+				expiresAt: now.Add(max(completionTimeoutFactor*q.balance.TookAt(r.Server), minCompletionTimeout)),
 			}
 			out = append(out, Decision{
 				ID:     w.ID,
 				Server: r.Server,
 			})
 		case hingebalance.None:
-			out = append(out, refusal(w, shortestRetry))
+			out = append(out, refusal(w, minRetryAfter))
 		case hingebalance.Busy:
 			kept = append(kept, w)
 			if len(w.Avoid) == 0 {
-				// What is too full for this one is so for the rest, but for those that avoid some.
+				// This request could use any replica, so the rest of the list finds no capacity
+				// either.
 				return append(kept, list[i+1:]...), out
 			}
 		}
@@ -261,23 +278,23 @@
 	return kept, out
 }
 
-// refuse is rule 3.
-func (q *Queue) refuse(now time.Time, took time.Duration, out []Decision) []Decision {
+// refuse implements rule 3.
+func (q *Queue) refuse(now time.Time, latency time.Duration, out []Decision) []Decision {
 	rate := q.balance.Rate(now, q.replicas)
-	spare := rate - q.rate.perSecond(now)
-	kept := q.fresh[:0]
-	for _, w := range q.fresh {
-		if start := now.Add(after(len(kept)+1, rate)); start.Add(serveTimes * took).After(w.Due) {
+	spare := rate - q.arrivals.perSecond(now)
+	kept := q.onTime[:0]
+	for _, w := range q.onTime {
+		if start := now.Add(drainTime(len(kept)+1, rate)); start.Add(latencyMargin * latency).After(w.Due) {
 			q.late = append(q.late, w)
 			continue
 		}
 		kept = append(kept, w)
 	}
-	q.fresh = kept
+	q.onTime = kept
 	late := q.late[:0]
 	for _, w := range q.late {
-		wait := after(len(kept)+len(late)+1, spare)
-		if spare < sparePart*rate || now.Add(wait+serveTimes*took).After(w.Deadline) {
+		wait := drainTime(len(kept)+len(late)+1, spare)
+		if spare < spareShare*rate || now.Add(wait+latencyMargin*latency).After(w.Deadline) {
 			out = append(out, refusal(w, wait))
 			continue
 		}
@@ -287,30 +304,31 @@
 	return out
 }
 
-// after is how long so many requests take at a rate.
-func after(n int, rate float64) time.Duration {
+// drainTime returns how long it takes to answer n requests at a rate per second, at most
+// maxRetryAfter.
+func drainTime(n int, rate float64) time.Duration {
 	if rate <= 0 {
-		return longestRetry
+		return maxRetryAfter
 	}
-	return min(time.Duration(float64(n)/rate*float64(time.Second)), longestRetry)
+	return min(time.Duration(float64(n)/rate*float64(time.Second)), maxRetryAfter)
 }
 
 func refusal(w Want, wait time.Duration) Decision {
 	return Decision{
 		ID:         w.ID,
 		Refused:    true,
-		RetryAfter: max(wait, shortestRetry),
+		RetryAfter: max(wait, minRetryAfter),
 	}
 }
 
-// sweep is rule 4.
+// sweep implements rule 4.
 func (q *Queue) sweep(now time.Time) {
-	if now.Sub(q.swept) < sweepEvery {
+	if now.Sub(q.lastSweep) < sweepInterval {
 		return
 	}
-	q.swept = now
+	q.lastSweep = now
 	for id, c := range q.calls {
-		if now.After(c.over) {
+		if now.After(c.expiresAt) {
 			delete(q.calls, id)
 			q.balance.Expire(c.server)
 		}
--- a/internal/decide/hingequeue/queue_test.go
+++ b/internal/decide/hingequeue/queue_test.go
@@ -16,7 +16,8 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingebalance"
 )
 
-// Each script tells in comments how its case comes about and what callers notice. Its lines begin with milliseconds:
+// Each script is a case with a comment on its cause and effect. Its lines begin with a time in
+// milliseconds:
 //
 //	0 replicas a:2@cancale b:2@roscoff
 //	0 ask 1..4 from cancale due 150 left 1000 [patience 1000] [priority 1] [avoid a,b]
@@ -25,11 +26,11 @@
 //	> 2 a
 //	> 3 refused
 //
-// Lines with > are what the step before them has to decide, in any order.
+// Lines with > are the expected decisions of the preceding step, in any order.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/scripts/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatalf("no scripts: %v", err)
+		t.Fatalf("no scripts found in testdata: %v", err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
@@ -49,16 +50,17 @@
 type script struct {
 	t     *testing.T
 	queue *Queue
-	// decided is what the last step decided, wanted what it had to, since line.
-	decided []string
-	wanted  []string
-	line    int
+	// got holds the decisions of the last step, and want the expected ones, for the step at the
+	// given line.
+	got  []string
+	want []string
+	line int
 }
 
 func (s *script) run(lines []string) {
 	for i, l := range lines {
 		if want, ok := strings.CutPrefix(l, "> "); ok {
-			s.wanted = append(s.wanted, want)
+			s.want = append(s.want, want)
 			continue
 		}
 		s.compare()
@@ -67,19 +69,19 @@
 			continue
 		}
 		words := strings.Fields(l)
-		s.do(began.Add(milliseconds(words[0])), words[1], words[2:])
+		s.do(start.Add(milliseconds(words[0])), words[1], words[2:])
 	}
 	s.compare()
 }
 
 func (s *script) compare() {
 	s.t.Helper()
-	slices.Sort(s.decided)
-	slices.Sort(s.wanted)
-	if diff := cmp.Diff(s.wanted, s.decided); diff != "" {
-		s.t.Errorf("line %d: %s", s.line, diff)
+	slices.Sort(s.got)
+	slices.Sort(s.want)
+	if diff := cmp.Diff(s.want, s.got); diff != "" {
+		s.t.Errorf("line %d: decisions differ (-want +got): %s", s.line, diff)
 	}
-	s.decided, s.wanted = nil, nil
+	s.got, s.want = nil, nil
 }
 
 func milliseconds(word string) time.Duration {
@@ -90,7 +92,7 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// options reads pairs of words.
+// options parses alternating names and values.
 func options(words []string) map[string]string {
 	out := make(map[string]string)
 	for i := 0; i+1 < len(words); i += 2 {
@@ -107,13 +109,13 @@
 	"unknown":   hingebalance.Unknown,
 }
 
-func (s *script) do(now time.Time, verb string, words []string) {
-	switch verb {
+func (s *script) do(now time.Time, command string, words []string) {
+	switch command {
 	case "replicas":
 		s.queue.SetReplicas(replicas(words))
 	case "ask":
-		for _, id := range span(words[0]) {
-			s.queue.Offer(now, asked(now, id, words[1:]))
+		for _, id := range idRange(words[0]) {
+			s.queue.Offer(now, parseRequest(now, id, words[1:]))
 		}
 	case "end":
 		o := options(words[1:])
@@ -127,13 +129,13 @@
 	case "step":
 		for _, d := range s.queue.Step(now) {
 			if d.Refused {
-				s.decided = append(s.decided, fmt.Sprintf("%s refused", d.ID))
+				s.got = append(s.got, fmt.Sprintf("%s refused", d.ID))
 				continue
 			}
-			s.decided = append(s.decided, fmt.Sprintf("%s %s", d.ID, d.Server))
+			s.got = append(s.got, fmt.Sprintf("%s %s", d.ID, d.Server))
 		}
 	default:
-		s.t.Fatalf("line %d: %q", s.line, verb)
+		s.t.Fatalf("line %d: unknown command %q", s.line, command)
 	}
 }
 
@@ -155,8 +157,8 @@
 	return out
 }
 
-// span gives the ids of a word like 1..4, or the word itself.
-func span(word string) []CallID {
+// idRange returns the ids of a range such as 1..4, or the word itself.
+func idRange(word string) []CallID {
 	first, last, ok := strings.Cut(word, "..")
 	if !ok {
 		return []CallID{CallID(word)}
@@ -170,7 +172,7 @@
 	return out
 }
 
-func asked(now time.Time, id CallID, words []string) Want {
+func parseRequest(now time.Time, id CallID, words []string) Want {
 	o := options(words)
 	w := Want{
 		ID:       id,
--- a/internal/decide/hingequeue/sim_test.go
+++ b/internal/decide/hingequeue/sim_test.go
@@ -11,13 +11,14 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingebalance"
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// event is what happens at a time of a simulation; those of one time happen in the order in which they were made.
+// event is a simulated event. Events at the same time run in the order in which they were
+// scheduled.
 type event struct {
-	at     time.Time
-	number int
-	do     func(now time.Time)
+	at       time.Time
+	sequence int
+	run      func(now time.Time)
 }
 
 type events []event
@@ -28,7 +29,7 @@
 	if !e[i].at.Equal(e[j].at) {
 		return e[i].at.Before(e[j].at)
 	}
-	return e[i].number < e[j].number
+	return e[i].sequence < e[j].sequence
 }
 
 func (e events) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
@@ -42,77 +43,82 @@
 	return last
 }
 
-// load is what comes to a service: quay queries of 30 ms, which are late after 150 ms and given up after a second.
+// load describes the requests to a service, which take 30 ms, are late after 150 ms and time out
+// after a second.
 type load struct {
 	hosts    int
 	replicas int
 	slots    int
-	// perSlot is how many requests come for each that the slots can answer, by the time since the beginning.
-	perSlot func(passed time.Duration) float64
-	lasts   time.Duration
-	// slow is how many times as long the first replica takes from a third of the time on; zero for none.
+	// offeredLoad is the arrival rate relative to the capacity of all slots, by the time since the
+	// start.
+	offeredLoad func(passed time.Duration) float64
+	duration    time.Duration
+	// slow is the factor by which the first replica becomes slower after a third of the duration;
+	// zero for none.
 	slow float64
-	// lost are the replicas that stop answering, without a word, at half of the time.
-	lost int
-	seed uint64
+	// silent is the number of replicas that stop answering after half of the duration.
+	silent int
+	seed   uint64
 }
 
 const (
-	work           = 30 * time.Millisecond
-	target         = 150 * time.Millisecond
-	callerPatience = time.Second
-	// ownQueue is how many requests a replica keeps waiting; what it refuses has waited behind them.
-	ownQueue = 24
-	// trip is the way from one host or replica to another.
-	trip = 500 * time.Microsecond
+	work          = 30 * time.Millisecond
+	target        = 150 * time.Millisecond
+	callerMaxWait = time.Second
+	// replicaQueueSize is the length of a replica's own queue. A refusal by a full replica takes as
+	// long as the queue.
+	replicaQueueSize = 24
+	// networkDelay is the time that a message between hosts and replicas is in transit.
+	networkDelay = 500 * time.Microsecond
 )
 
-// backend is a replica of the simulation.
+// backend is a simulated replica.
 type backend struct {
 	busy    int
 	waiting []func(now time.Time)
 	slow    float64
-	lost    bool
+	silent  bool
 }
 
-// tally is what callers got.
-type tally struct {
-	asked, inTime, late, refused, failed int
-	turnedAway                           int
+// counts holds the number of requests by their results.
+type counts struct {
+	total, inTime, late, refused, failed int
+	refusedByReplica                     int
 }
 
-func (t tally) share(n int) float64 {
-	return float64(n) / float64(t.asked)
+func (c counts) share(n int) float64 {
+	return float64(n) / float64(c.total)
 }
 
-// sim plays a load.
+// sim simulates a load.
 type sim struct {
 	load
 	random   *rand.Rand
-	agenda   events
-	made     int
+	pending  events
+	sequence int
 	list     []hingebalance.Replica
 	backends map[hingeids.ServerID]*backend
-	tally    tally
+	counts   counts
 	chooser  chooser
 }
 
-// request is one of a caller.
+// request is a simulated request.
 type request struct {
-	number  int
-	host    int
-	arrived time.Time
-	tries   int
-	avoid   []hingeids.ServerID
+	number   int
+	host     int
+	arrived  time.Time
+	attempts int
+	avoid    []hingeids.ServerID
 }
 
-// chooser is a way to choose replicas. It calls send or refuse, now or later.
+// chooser is a method of choosing replicas. It calls sim.send or counts a refusal, at once or
+// later.
 type chooser interface {
-	ask(now time.Time, s *sim, r *request)
-	ended(now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration)
+	choose(now time.Time, s *sim, r *request)
+	completed(now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration)
 }
 
-func play(l load, c chooser) tally {
+func simulate(l load, c chooser) counts {
 	s := &sim{
 		load:     l,
 		random:   rand.New(rand.NewPCG(l.seed, 7)),
@@ -130,96 +136,96 @@
 		}
 	}
 	if l.slow > 0 {
-		s.after(began, l.lasts/3, func(time.Time) {
+		s.schedule(start, l.duration/3, func(time.Time) {
 			s.backends["app-00"].slow = l.slow
 		})
 	}
-	for i := range l.lost {
-		s.after(began, l.lasts/2, func(time.Time) {
-			s.backends[s.list[len(s.list)-1-i].Server].lost = true
+	for i := range l.silent {
+		s.schedule(start, l.duration/2, func(time.Time) {
+			s.backends[s.list[len(s.list)-1-i].Server].silent = true
 		})
 	}
-	s.after(began, 0, s.arrive)
-	for len(s.agenda) > 0 {
-		e := heap.Pop(&s.agenda).(event)
-		e.do(e.at)
+	s.schedule(start, 0, s.arrive)
+	for len(s.pending) > 0 {
+		e := heap.Pop(&s.pending).(event)
+		e.run(e.at)
 	}
-	return s.tally
+	return s.counts
 }
 
-func (s *sim) after(now time.Time, d time.Duration, do func(now time.Time)) {
-	s.made++
-	heap.Push(&s.agenda, event{
-		at:     now.Add(d),
-		number: s.made,
-		do:     do,
+func (s *sim) schedule(now time.Time, d time.Duration, run func(now time.Time)) {
+	s.sequence++
+	heap.Push(&s.pending, event{
+		at:       now.Add(d),
+		sequence: s.sequence,
+		run:      run,
 	})
 }
 
 func (s *sim) arrive(now time.Time) {
-	if now.Sub(began) > s.lasts {
+	if now.Sub(start) > s.duration {
 		return
 	}
-	s.tally.asked++
-	s.chooser.ask(now, s, &request{
-		number:  s.tally.asked,
+	s.counts.total++
+	s.chooser.choose(now, s, &request{
+		number:  s.counts.total,
 		host:    s.random.IntN(s.hosts),
 		arrived: now,
 	})
 	capacity := float64(s.slots*s.replicas) / work.Seconds()
-	rate := capacity * s.perSlot(now.Sub(began))
-	s.after(now, time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), s.arrive)
+	rate := capacity * s.offeredLoad(now.Sub(start))
+	s.schedule(now, time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), s.arrive)
 }
 
-// send has a replica work on a request.
+// send has a replica process a request.
 func (s *sim) send(now time.Time, r *request, id hingeids.ServerID) {
-	r.tries++
+	r.attempts++
 	b := s.backends[id]
-	over := false
+	done := false
 	sent := now
-	end := func(now time.Time, o hingebalance.Outcome) {
-		if !over {
-			over = true
-			s.end(now, r, id, o, now.Sub(sent))
+	complete := func(now time.Time, o hingebalance.Outcome) {
+		if !done {
+			done = true
+			s.complete(now, r, id, o, now.Sub(sent))
 		}
 	}
-	s.after(now, r.arrived.Add(callerPatience).Sub(now), func(now time.Time) {
-		if !over {
-			over = true
-			s.chooser.ended(now, s, r, id, hingebalance.Failed, now.Sub(sent))
-			s.tally.failed++
+	s.schedule(now, r.arrived.Add(callerMaxWait).Sub(now), func(now time.Time) {
+		if !done {
+			done = true
+			s.chooser.completed(now, s, r, id, hingebalance.Failed, now.Sub(sent))
+			s.counts.failed++
 		}
 	})
-	s.after(now, trip, func(now time.Time) {
-		if b.lost {
+	s.schedule(now, networkDelay, func(now time.Time) {
+		if b.silent {
 			return
 		}
-		if len(b.waiting) >= ownQueue {
-			s.tally.turnedAway++
-			wait := time.Duration(float64(ownQueue) / float64(s.slots) * float64(work) * b.slow)
-			s.after(now, wait+trip, func(now time.Time) {
-				end(now, hingebalance.Full)
+		if len(b.waiting) >= replicaQueueSize {
+			s.counts.refusedByReplica++
+			wait := time.Duration(float64(replicaQueueSize) / float64(s.slots) * float64(work) * b.slow)
+			s.schedule(now, wait+networkDelay, func(now time.Time) {
+				complete(now, hingebalance.Full)
 			})
 			return
 		}
 		b.waiting = append(b.waiting, func(now time.Time) {
 			b.busy++
-			s.after(now, s.serviceTime(b), func(now time.Time) {
+			s.schedule(now, s.serviceTime(b), func(now time.Time) {
 				b.busy--
-				s.begin(now, b)
-				if !b.lost {
-					s.after(now, trip, func(now time.Time) {
-						end(now, hingebalance.Answered)
+				s.startNext(now, b)
+				if !b.silent {
+					s.schedule(now, networkDelay, func(now time.Time) {
+						complete(now, hingebalance.Answered)
 					})
 				}
 			})
 		})
-		s.begin(now, b)
+		s.startNext(now, b)
 	})
 	r.avoid = append(r.avoid, id)
 }
 
-func (s *sim) begin(now time.Time, b *backend) {
+func (s *sim) startNext(now time.Time, b *backend) {
 	for len(b.waiting) > 0 && b.busy < s.slots {
 		next := b.waiting[0]
 		b.waiting = b.waiting[1:]
@@ -227,7 +233,8 @@
 	}
 }
 
-// serviceTime is spread by half of its mean; one in a hundred takes five times as long.
+// serviceTime returns a log-normal time that is spread by half of its mean; one in a hundred is
+// five times as long.
 func (s *sim) serviceTime(b *backend) time.Duration {
 	const spread = 0.5
 	x := math.Exp(spread*s.random.NormFloat64() - spread*spread/2)
@@ -237,30 +244,30 @@
 	return time.Duration(x * b.slow * float64(work) / 1.04)
 }
 
-func (s *sim) end(now time.Time, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration) {
-	s.chooser.ended(now, s, r, id, o, took)
+func (s *sim) complete(now time.Time, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration) {
+	s.chooser.completed(now, s, r, id, o, took)
 	switch {
-	case o == hingebalance.Full && r.tries < 2:
-		s.chooser.ask(now, s, r)
+	case o == hingebalance.Full && r.attempts < 2:
+		s.chooser.choose(now, s, r)
 	case o == hingebalance.Full:
-		s.tally.refused++
+		s.counts.refused++
 	case now.Sub(r.arrived) <= target:
-		s.tally.inTime++
+		s.counts.inTime++
 	default:
-		s.tally.late++
+		s.counts.late++
 	}
 }
 
-// alone has each host choose by what it has seen itself.
-type alone struct {
+// localChooser has each host choose by its own observations.
+type localChooser struct {
 	hosts map[int]*hingebalance.Balance
 }
 
-func (a *alone) ask(now time.Time, s *sim, r *request) {
-	b := a.hosts[r.host]
+func (c *localChooser) choose(now time.Time, s *sim, r *request) {
+	b := c.hosts[r.host]
 	if b == nil {
 		b = hingebalance.New(uint64(r.host))
-		a.hosts[r.host] = b
+		c.hosts[r.host] = b
 	}
 	own := make([]hingebalance.Replica, len(s.list))
 	for i, x := range s.list {
@@ -272,131 +279,134 @@
 		Avoid: r.avoid,
 	})
 	if found != hingebalance.Chosen {
-		s.tally.refused++
+		s.counts.refused++
 		return
 	}
 	s.send(now, r, x.Server)
 }
 
-func (a *alone) ended(
+func (c *localChooser) completed(
 	now time.Time, _ *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration,
 ) {
-	a.hosts[r.host].Done(now, id, "", o, took)
+	c.hosts[r.host].Done(now, id, "", o, took)
 }
 
-// told has each host choose by what all of them have open, as it was told last, and by what it has sent since.
-type told struct {
-	every time.Duration
-	open  map[hingeids.ServerID]int
-	// known is the same as hosts were told it, sent what each has sent since.
-	known  map[hingeids.ServerID]int
-	sent   map[int]map[hingeids.ServerID]int
-	toldAt time.Time
+// reportChooser has each host choose by the last periodic report of all requests in flight, and by
+// what it has sent since.
+type reportChooser struct {
+	interval time.Duration
+	open     map[hingeids.ServerID]int
+	// reported is open as of the last report; sent counts what each host has sent since.
+	reported   map[hingeids.ServerID]int
+	sent       map[int]map[hingeids.ServerID]int
+	reportedAt time.Time
 }
 
-func (t *told) ask(now time.Time, s *sim, r *request) {
-	if now.Sub(t.toldAt) > t.every {
-		t.toldAt = now
-		t.known = make(map[hingeids.ServerID]int)
-		for id, n := range t.open {
-			t.known[id] = n
+func (c *reportChooser) choose(now time.Time, s *sim, r *request) {
+	if now.Sub(c.reportedAt) > c.interval {
+		c.reportedAt = now
+		c.reported = make(map[hingeids.ServerID]int)
+		for id, n := range c.open {
+			c.reported[id] = n
 		}
-		t.sent = make(map[int]map[hingeids.ServerID]int)
+		c.sent = make(map[int]map[hingeids.ServerID]int)
 	}
-	if t.sent[r.host] == nil {
-		t.sent[r.host] = make(map[hingeids.ServerID]int)
+	if c.sent[r.host] == nil {
+		c.sent[r.host] = make(map[hingeids.ServerID]int)
 	}
 	var best hingeids.ServerID
 	least := math.MaxInt
 	for _, at := range s.random.Perm(len(s.list)) {
 		id := s.list[at].Server
-		if n := t.known[id] + t.sent[r.host][id]; n < least {
+		if n := c.reported[id] + c.sent[r.host][id]; n < least {
 			best = id
 			least = n
 		}
 	}
-	// More than three rounds of work before it is late for certain.
+	// Beyond this, a request would certainly be late.
 	if least > 4*s.slots {
-		s.tally.refused++
+		s.counts.refused++
 		return
 	}
-	t.sent[r.host][best]++
-	t.open[best]++
+	c.sent[r.host][best]++
+	c.open[best]++
 	s.send(now, r, best)
 }
 
-func (t *told) ended(_ time.Time, _ *sim, _ *request, id hingeids.ServerID, _ hingebalance.Outcome, _ time.Duration) {
-	t.open[id]--
+func (c *reportChooser) completed(
+	_ time.Time, _ *sim, _ *request, id hingeids.ServerID, _ hingebalance.Outcome, _ time.Duration,
+) {
+	c.open[id]--
 }
 
-// queued has all hosts ask one queue, a trip away.
-type queued struct {
+// queueChooser has all hosts use one central queue, a network delay away.
+type queueChooser struct {
 	queue *Queue
-	trip  time.Duration
+	delay time.Duration
 	open  map[CallID]*request
-	// ticks says that a look at what waits is due.
-	ticks bool
+	// stepScheduled is set while a step is scheduled for waiting requests.
+	stepScheduled bool
 }
 
-func newQueued(trip time.Duration) *queued {
-	return &queued{
+func newQueueChooser(delay time.Duration) *queueChooser {
+	return &queueChooser{
 		queue: New(1),
-		trip:  trip,
+		delay: delay,
 		open:  make(map[CallID]*request),
 	}
 }
 
 func callID(r *request) CallID {
-	return CallID(fmt.Sprint(r.number, "/", r.tries))
+	return CallID(fmt.Sprint(r.number, "/", r.attempts))
 }
 
-func (q *queued) ask(now time.Time, s *sim, r *request) {
-	s.after(now, q.trip, func(now time.Time) {
+func (q *queueChooser) choose(now time.Time, s *sim, r *request) {
+	s.schedule(now, q.delay, func(now time.Time) {
 		id := callID(r)
 		q.open[id] = r
 		q.queue.SetReplicas(s.list)
 		q.queue.Offer(now, Want{
 			ID:       id,
 			Due:      r.arrived.Add(target),
-			Deadline: r.arrived.Add(callerPatience),
+			Deadline: r.arrived.Add(callerMaxWait),
 			Avoid:    r.avoid,
 		})
 		q.step(now, s)
 	})
 }
 
-func (q *queued) step(now time.Time, s *sim) {
+func (q *queueChooser) step(now time.Time, s *sim) {
 	for _, d := range q.queue.Step(now) {
 		r := q.open[d.ID]
 		delete(q.open, d.ID)
 		if d.Refused {
-			s.tally.refused++
+			s.counts.refused++
 			continue
 		}
-		s.after(now, q.trip, func(now time.Time) {
+		s.schedule(now, q.delay, func(now time.Time) {
 			s.send(now, r, d.Server)
 		})
 	}
-	if q.queue.Waiting() == 0 || q.ticks {
+	if q.queue.Waiting() == 0 || q.stepScheduled {
 		return
 	}
-	q.ticks = true
-	s.after(now, 20*time.Millisecond, func(now time.Time) {
-		q.ticks = false
+	q.stepScheduled = true
+	s.schedule(now, 20*time.Millisecond, func(now time.Time) {
+		q.stepScheduled = false
 		q.step(now, s)
 	})
 }
 
-func (q *queued) ended(
+func (q *queueChooser) completed(
 	now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration,
 ) {
 	e := End{
-		ID:      CallID(fmt.Sprint(r.number, "/", r.tries-1)),
+		ID:      CallID(fmt.Sprint(r.number, "/", r.attempts-1)),
 		Server:  id,
 		Outcome: o,
 		Took:    took,
 	}
-	s.after(now, q.trip, func(now time.Time) {
+	s.schedule(now, q.delay, func(now time.Time) {
 		q.queue.End(now, e)
 		q.step(now, s)
 	})
