--- a/internal/decide/hingeretry/budget.go
+++ b/internal/decide/hingeretry/budget.go
@@ -2,77 +2,77 @@
 
 import "time"
 
-// Budget is rule 4: each request that comes adds a share of a repeat. It is not
-// safe for use by several goroutines at once.
+// Budget is the retry budget of rule 4, a token bucket to which each new request adds a fraction of
+// a retry. It is not safe for concurrent use.
 type Budget struct {
-	limits Limits
-	tokens float64
-	last   time.Time
+	limits    Limits
+	tokens    float64
+	updatedAt time.Time
 }
 
-// Limits of a budget.
+// Limits are the parameters of a Budget.
 type Limits struct {
-	// PerRequest is the share of a repeat that each request adds.
+	// PerRequest is the number of retries that each request adds, usually a fraction.
 	PerRequest float64
-	// Burst is the most repeats that are saved up.
+	// Burst is the maximum number of retries saved up.
 	Burst float64
-	// PerSecond trickles in without requests.
+	// PerSecond is the number of retries added per second, independent of requests.
 	PerSecond float64
 }
 
-// The budget. A tenth keeps the load under 1.1 times what came. The burst covers
-// the requests of half an engine that fails; the trickle lets a host with few
-// requests repeat at all.
+// Limits of a single host. The share of retries bounds the load to 1.1 times the requests received.
+// The saved retries cover the requests of half of a failed engine; the rate per second allows hosts
+// with few requests to retry at all.
 const (
-	perRequest = 0.1
-	burst      = 10.0
-	perSecond  = 0.1
+	retriesPerRequest = 0.1
+	maxSavedRetries   = 10.0
+	retriesPerSecond  = 0.1
 )
 
-// NewBudget makes a budget with the limits of a host on its own.
+// NewBudget returns a budget with the limits of a single host.
 func NewBudget(now time.Time) *Budget {
 	return NewBudgetOf(now, Limits{
-		PerRequest: perRequest,
-		Burst:      burst,
-		PerSecond:  perSecond,
+		PerRequest: retriesPerRequest,
+		Burst:      maxSavedRetries,
+		PerSecond:  retriesPerSecond,
 	})
 }
 
-// startShare is the part of its burst that a budget begins with: when half of the fleet's processes are
-// killed they all begin anew, some having spent theirs, and the fleet's budget would be
-// spent one and a half times.
-const startShare = 0.5
+// initialShare is the share of its burst that a budget starts with. With a full one, restarting
+// half of the hosts of a fleet could renew a burst that was already spent.
+const initialShare = 0.5
 
-// NewBudgetOf makes a budget that holds half of its burst.
+// NewBudgetOf returns a budget that holds half of its burst.
 func NewBudgetOf(now time.Time, l Limits) *Budget {
 	return &Budget{
-		limits: l,
-		tokens: startShare * l.Burst,
-		last:   now,
+		limits:    l,
+		tokens:    initialShare * l.Burst,
+		updatedAt: now,
 	}
 }
 
-// SetLimits takes other limits: a host's part of a budget that the fleet shares
-// depends on how many hosts there are.
+// SetLimits changes the limits, for a host whose share of a fleet's budget depends on the number of
+// hosts.
 func (b *Budget) SetLimits(l Limits) {
 	b.limits = l
 	b.tokens = min(b.tokens, l.Burst)
 }
 
-// Request notes that a request came, from its caller and not as a repeat.
+// Request records a new request from a caller. It must not be called for retries.
 func (b *Budget) Request() {
 	b.tokens = min(b.limits.Burst, b.tokens+b.limits.PerRequest)
 }
 
-// Take takes the arrivals at servers that a repeat adds, if there are as many.
-func (b *Budget) Take(now time.Time, arrivals int) bool {
-	if passed := now.Sub(b.last); passed > 0 {
-		b.tokens = min(b.limits.Burst, b.tokens+b.limits.PerSecond*passed.Seconds())
-		b.last = now
+// Take spends the given number of messages to servers, and reports whether the budget had as many
+// left.
+func (b *Budget) Take(now time.Time, messages int) bool {
+	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
+		b.tokens = min(b.limits.Burst, b.tokens+b.limits.PerSecond*elapsed.Seconds())
+		b.updatedAt = now
 	}
-	if b.tokens < float64(arrivals) {
+	if b.tokens < float64(messages) {
 		return false
 	}
-	b.tokens -= float64(arrivals)
+	b.tokens -= float64(messages)
 	return true
 }
--- a/internal/decide/hingeretry/retry.go
+++ b/internal/decide/hingeretry/retry.go
@@ -1,22 +1,20 @@
-// Package hingeretry decides what to do with a request that failed on its way:
-// resume it, send its KV cache elsewhere, repeat it, or answer its caller. It
-// has no clock, no sockets and no goroutines.
+// Package hingeretry decides how to continue a failed request: resume it, transfer its KV cache,
+// retry it, or return the error to its caller. It has no clock, no sockets and no goroutines.
 //
-//  1. What broke may go on. A stream whose engine still lives in the same life is
-//     resumed from the next token: nothing runs again, so this holds for every
-//     request.
-//  2. Whether a request may run again is told by its verdict alone. NotRun may
-//     always be repeated; anything else only if the request is not marked as
-//     never to be repeated. A guess ("it was probably not sent") counts nothing.
-//  3. Prefill is done again only if its KV cache is gone: one that is kept long
-//     enough for its transfer is sent to another decode engine.
-//  4. Repeats have a budget, a tenth of the requests that come, as do hedges. When
-//     an engine fails under load all its requests fail at once, and repeating all
-//     of them would push the next engine over.
-//  5. A request that can't be done before its deadline is answered now. The
-//     answer carries the most that any of its attempts may have done.
-//  6. A hedge is a second attempt while the first is silent. Only a request that
-//     may be repeated is hedged, and only before its first token.
+//  1. A stream is resumed from its next token if its engine is the same instance as before. Nothing
+//     runs twice, so this is allowed for every request.
+//  2. Whether a request may run again depends only on its verdict. NotRun always allows a retry;
+//     any other verdict does so only if the request is not marked NeverRepeat. Assumptions such as
+//     "it was probably not sent" don't count.
+//  3. Prefill is repeated only if the KV cache is lost. A cache that is kept for long enough is
+//     transferred to another decode engine.
+//  4. Retries and hedges share a budget, a tenth of the requests received. When an engine fails
+//     under load, all of its requests fail at once, and retrying all of them would overload the
+//     next engine.
+//  5. If a request can't be completed before its deadline, its error is returned at once. The error
+//     carries the highest verdict of all attempts.
+//  6. A hedge is a second attempt while the first one has not responded. Only requests that may be
+//     retried are hedged, and only before their first token.
 package hingeretry
 
 import (
@@ -28,12 +26,12 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// Action is what to do next.
+// Action is the next step for a failed request.
 type Action uint8
 
-// Answer gives the caller the error; Resume goes on with the same engine;
-// Transfer sends the KV cache, still kept, to another decode engine; Repeat
-// places the request again from its prompt and the tokens already sent.
+// Answer returns the error to the caller; Resume continues the stream at the same engine; Transfer
+// sends the KV cache, which is still held, to another decode engine; Repeat places the request
+// again, with its prompt and the tokens already sent.
 const (
 	Answer Action = iota
 	Resume
@@ -41,62 +39,63 @@
 	Repeat
 )
 
-// String names the action.
+// String returns the name of the action.
 func (a Action) String() string {
 	return [...]string{"answer", "resume", "transfer", "repeat"}[a]
 }
 
-// Failure is what is known of a request when an attempt failed.
+// Failure describes a request after a failed attempt.
 type Failure struct {
-	// Err is the failed attempt's error, with its verdict.
+	// Err is the error of the failed attempt, with its verdict.
 	Err *hingeverdict.Error
-	// Before is the most that earlier attempts may have done.
+	// Before is the highest verdict of the earlier attempts.
 	Before hingeverdict.Verdict
-	// Attempts counts the attempts made, this one included, and Resumes the
-	// times that this attempt was resumed.
+	// Attempts counts the attempts, including the failed one, and Resumes how often this attempt
+	// was resumed.
 	Attempts, Resumes int
-	// Arrivals is how many messages to servers a repeat adds to those that the request is allowed.
+	// Arrivals is the number of messages to servers that a retry adds beyond those every request is
+	// allowed.
 	Arrivals    int
 	NeverRepeat bool
-	// Sent counts the tokens that the caller already has.
+	// Sent counts the tokens that the caller has received.
 	Sent hingeids.Tokens
-	// SameLife says that the engine is there, in the life in which it took the
-	// request, and can resume streams.
+	// SameLife reports whether the engine is available as the instance that accepted the request,
+	// and can resume streams.
 	SameLife bool
-	// CacheUntil is until when the KV cache is kept, zero if it is gone or was
-	// never made; TransferTime is what sending it takes.
+	// CacheUntil is the time until which the KV cache is held, zero if there is none; TransferTime
+	// is the duration of its transfer.
 	CacheUntil   time.Time
 	TransferTime time.Duration
-	// RepeatTime is the time predicted for a repeat, to its last token.
+	// RepeatTime is the predicted duration of a retry until its last token.
 	RepeatTime time.Duration
 	Deadline   time.Time
 }
 
-// Decision is what to do, from which token on, and what to answer.
+// Decision is the next step for a failed request.
 type Decision struct {
 	Action Action
 	// From is the index of the next token that the caller needs.
 	From hingeids.Tokens
-	// Err is set with Answer.
+	// Err is the error for the caller, set only with Answer.
 	Err *hingeverdict.Error
 }
 
-// Bounds of one request. A stream that breaks four times is on a link that does
-// not hold; a third engine that fails a request suggests that the request is why.
+// A stream that breaks four times has an unreliable connection; a request that fails at three
+// engines is probably the cause itself.
 const (
-	mostResumes  = 4
-	mostAttempts = 3
+	maxResumes  = 4
+	maxAttempts = 3
 )
 
-// Decide says what to do next.
+// Decide returns the next step for a failed request. A retry is spent from the budget.
 func Decide(now time.Time, f Failure, b *Budget) Decision {
-	if f.SameLife && f.Resumes < mostResumes && now.Before(f.Deadline) {
+	if f.SameLife && f.Resumes < maxResumes && now.Before(f.Deadline) {
 		return Decision{
 			Action: Resume,
 			From:   f.Sent,
 		}
 	}
-	if !mayRepeat(f) || f.Attempts >= mostAttempts || now.Add(f.RepeatTime).After(f.Deadline) {
+	if !mayRetry(f) || f.Attempts >= maxAttempts || now.Add(f.RepeatTime).After(f.Deadline) {
 		return answer(f)
 	}
 	if !b.Take(now, f.Arrivals) {
@@ -112,13 +111,13 @@
 	}
 }
 
-// mayRepeat is rule 2.
-func mayRepeat(f Failure) bool {
+// mayRetry implements rule 2.
+func mayRetry(f Failure) bool {
 	return !f.NeverRepeat || worst(f.Before, f.Err.Verdict) == hingeverdict.NotRun
 }
 
-// worst is the most that either may have done: a request that ran once and was
-// then refused elsewhere has run.
+// worst returns the verdict of a request with two attempts: one that ran once and was then refused
+// has run.
 func worst(a, b hingeverdict.Verdict) hingeverdict.Verdict {
 	rank := map[hingeverdict.Verdict]int{
 		hingeverdict.NotRun:     0,
@@ -131,7 +130,7 @@
 	return b
 }
 
-// answer is rule 5.
+// answer implements rule 5.
 func answer(f Failure) Decision {
 	e := *f.Err
 	e.Verdict = worst(f.Before, f.Err.Verdict)
@@ -145,27 +144,26 @@
 	}
 }
 
-// Waiting is a request whose first token is not there yet.
+// Waiting describes a request that has not yet returned its first token.
 type Waiting struct {
 	NeverRepeat bool
-	// Since is when it was sent, Expected the predicted time to its first token.
+	// Since is when the request was sent, Expected the predicted time to its first token.
 	Since    time.Time
 	Expected time.Duration
-	// FirstTokenBy is its target, HedgeTime what a second attempt would take.
+	// FirstTokenBy is the target time of the first token, HedgeTime the predicted time to the first
+	// token of a second attempt.
 	FirstTokenBy time.Time
 	HedgeTime    time.Duration
 	Attempts     int
 }
 
-// lateBy is how many times its prediction a first token may take before a hedge.
-// Twice is a choice and not measured; the budget bounds what it can cost.
-const lateBy = 2
+// hedgeFactor is the multiple of its predicted time after which a first token is hedged.
+const hedgeFactor = 2
 
-// Hedge is rule 6. It is for one engine that has gone silent or slow while the
-// others are well: with all of them slow a hedge only adds to what slows them,
-// and the budget ends it.
+// Hedge implements rule 6 and reports whether to start a second attempt. It helps if one engine is
+// slow or silent; if all are slow, the budget bounds the load that hedges add.
 func Hedge(now time.Time, w Waiting, b *Budget) bool {
-	if w.NeverRepeat || w.Attempts > 1 || now.Sub(w.Since) < lateBy*w.Expected {
+	if w.NeverRepeat || w.Attempts > 1 || now.Sub(w.Since) < hedgeFactor*w.Expected {
 		return false
 	}
 	if now.Add(w.HedgeTime).After(w.FirstTokenBy) {
--- a/internal/decide/hingeretry/retry_test.go
+++ b/internal/decide/hingeretry/retry_test.go
@@ -23,8 +23,8 @@
 	actions = []string{"answer", "resume", "transfer", "repeat"}
 )
 
-// Each line of the file is a failure with what its caller must see: a reply
-// doubled, or a "not run" that is not true, ships a lot twice or not at all.
+// Each line of the file is a failure with the expected action and verdict. A wrong action or verdict
+// may cause a request to run twice or not at all.
 func TestDecide(t *testing.T) {
 	data, err := os.ReadFile("testdata/decide.txt")
 	if err != nil {
@@ -35,7 +35,7 @@
 			continue
 		}
 		in, want, _ := strings.Cut(line, " -> ")
-		f, b := parse(t, in)
+		f, b := parseFailure(t, in)
 		d := Decide(start, f, b)
 		got := actions[d.Action]
 		if d.Action == Answer {
@@ -47,7 +47,7 @@
 	}
 }
 
-func parse(t *testing.T, line string) (Failure, *Budget) {
+func parseFailure(t *testing.T, line string) (Failure, *Budget) {
 	words := strings.Fields(line)
 	b := NewBudget(start)
 	f := Failure{
@@ -82,44 +82,43 @@
 		case "noBudget":
 			b.tokens = 0
 		default:
-			t.Fatalf("what is %q?", w)
+			t.Fatalf("unknown word %q in a test case", w)
 		}
 	}
 	return f, b
 }
 
-// Whatever the attempts report, a request marked as never to be repeated is
-// repeated only if none of its attempts can have run, and a caller is told "not
-// run" only then.
-func TestNeverRepeatedUnlessSurelyNotRun(t *testing.T) {
+// A request marked NeverRepeat must be retried only if none of its attempts can have run, and only
+// then may its caller get the verdict NotRun.
+func TestNeverRepeatedUnlessNotRun(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pick := func(name string) hingeverdict.Verdict {
+		drawVerdict := func(name string) hingeverdict.Verdict {
 			return hingeverdict.Verdict(rapid.IntRange(0, 2).Draw(t, name))
 		}
 		f := Failure{
-			Err:         hingeverdict.New(pick("now"), hingeverdict.CodeServerFailed, 0, nil),
-			Before:      pick("before"),
+			Err:         hingeverdict.New(drawVerdict("now"), hingeverdict.CodeServerFailed, 0, nil),
+			Before:      drawVerdict("before"),
 			Attempts:    rapid.IntRange(1, 4).Draw(t, "attempts"),
 			NeverRepeat: true,
 			Deadline:    start.Add(time.Duration(rapid.IntRange(-1, 60).Draw(t, "deadline")) * time.Second),
 			CacheUntil:  start.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "cache")) * time.Second),
 		}
-		clean := f.Before == hingeverdict.NotRun && f.Err.Verdict == hingeverdict.NotRun
+		notRun := f.Before == hingeverdict.NotRun && f.Err.Verdict == hingeverdict.NotRun
 		d := Decide(start, f, NewBudget(start))
-		if d.Action != Answer && !clean {
-			t.Fatalf("%v after %v: %s", f.Err.Verdict, f.Before, actions[d.Action])
+		if d.Action != Answer && !notRun {
+			t.Fatalf("verdict %v after %v: action %s, want answer", f.Err.Verdict, f.Before, actions[d.Action])
 		}
-		if d.Action == Answer && d.Err.Verdict == hingeverdict.NotRun && !clean {
-			t.Fatal("told that it was not run")
+		if d.Action == Answer && d.Err.Verdict == hingeverdict.NotRun && !notRun {
+			t.Fatal("the verdict is NotRun although an attempt may have run")
 		}
 	})
 }
 
-// An engine dies with a thousand requests, and another after it. Repeats must
-// stay a small part of what comes, or they bring down the engines that are left.
-func TestRepeatsStayWithinTheBudget(t *testing.T) {
+// Hedges must remain a small share of the requests when engines fail, or they overload the
+// remaining engines.
+func TestHedgesStayWithinTheBudget(t *testing.T) {
 	b := NewBudget(start)
-	repeats := 0
+	hedges := 0
 	for range 1000 {
 		b.Request()
 		if Hedge(start.Add(time.Second), Waiting{
@@ -127,10 +126,10 @@
 			Expected:     100 * time.Millisecond,
 			FirstTokenBy: start.Add(time.Minute),
 		}, b) {
-			repeats++
+			hedges++
 		}
 	}
-	if repeats < 90 || repeats > 111 {
-		t.Fatalf("%d repeats for 1000 requests, want about a tenth", repeats)
+	if hedges < 90 || hedges > 111 {
+		t.Fatalf("%d hedges for 1000 requests, want 90 to 111", hedges)
 	}
 }
