--- a/internal/decide/hingeshift/shift_test.go
+++ b/internal/decide/hingeshift/shift_test.go
@@ -13,7 +13,7 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func nine(drain time.Duration) []Engine {
+func nineEngines(drain time.Duration) []Engine {
 	var out []Engine
 	for i := range 9 {
 		e := Engine{
@@ -29,11 +29,11 @@
 	return out
 }
 
-// play asks once a second, carries out what is decided, and writes it down.
-func play(engines []Engine, lasts time.Duration, demand func(t time.Duration) Demand) []string {
+// simulate calls Decide once a second, applies the role changes and returns them.
+func simulate(engines []Engine, duration time.Duration, demand func(t time.Duration) Demand) []string {
 	s := New(Defaults())
 	var out []string
-	for t := time.Duration(0); t < lasts; t += time.Second {
+	for t := time.Duration(0); t < duration; t += time.Second {
 		shift, ok := s.Decide(start.Add(t), engines, demand(t))
 		if !ok {
 			continue
@@ -48,11 +48,9 @@
 	return out
 }
 
-// The season of long dossiers begins: prefill is short for good while decode
-// engines idle. Callers are refused until an engine is moved; two are enough,
-// and then nothing moves any more.
-func TestLastingDemandMovesEngines(t *testing.T) {
-	got := play(nine(20*time.Second), 30*time.Minute, func(time.Duration) Demand {
+// A lasting shortage of prefill must change as many engines as it requires, and no more.
+func TestLastingDemandChangesRoles(t *testing.T) {
+	got := simulate(nineEngines(20*time.Second), 30*time.Minute, func(time.Duration) Demand {
 		return Demand{
 			Prefill: 4.8,
 			Decode:  3,
@@ -63,10 +61,10 @@
 	}
 }
 
-// Demand goes back and forth each half minute. Moving an engine each time would
-// lose its drain twice a minute, and always have the wrong role at hand.
-func TestDemandThatSwingsMovesNothing(t *testing.T) {
-	got := play(nine(20*time.Second), 30*time.Minute, func(t time.Duration) Demand {
+// A demand that oscillates within a minute must not change roles, since each drain would cost more
+// than the change gains.
+func TestOscillatingDemandChangesNoRole(t *testing.T) {
+	got := simulate(nineEngines(20*time.Second), 30*time.Minute, func(t time.Duration) Demand {
 		if int(t/(25*time.Second))%2 == 0 {
 			return Demand{
 				Prefill: 4.8,
@@ -83,18 +81,17 @@
 	}
 }
 
-// The engines hold answers that go on for minutes. A small gain is not worth the
-// time in which the engine does neither work.
-func TestLongDrainIsCounted(t *testing.T) {
-	slight := func(time.Duration) Demand {
+// A small gain must not change the role of an engine that takes minutes to drain.
+func TestLongDrainOutweighsASmallGain(t *testing.T) {
+	shortPrefill := func(time.Duration) Demand {
 		return Demand{
 			Prefill: 3.1,
 			Decode:  4,
 		}
 	}
 	got := [][]string{
-		play(nine(10*time.Second), 10*time.Minute, slight),
-		play(nine(5*time.Minute), 10*time.Minute, slight),
+		simulate(nineEngines(10*time.Second), 10*time.Minute, shortPrefill),
+		simulate(nineEngines(5*time.Minute), 10*time.Minute, shortPrefill),
 	}
 	want := [][]string{
 		{"3 to prefill"},
@@ -105,10 +102,10 @@
 	}
 }
 
-// Everything is short. Neither role can spare an engine, and the last one of a
-// role never goes.
-func TestSaturationOfBothMovesNothing(t *testing.T) {
-	got := play(nine(10*time.Second), 10*time.Minute, func(time.Duration) Demand {
+// No engine may change its role if both roles are short, and the last engine of a role must never
+// change.
+func TestSaturationOfBothRolesChangesNone(t *testing.T) {
+	got := simulate(nineEngines(10*time.Second), 10*time.Minute, func(time.Duration) Demand {
 		return Demand{
 			Prefill: 6,
 			Decode:  12,
@@ -117,7 +114,7 @@
 	if diff := cmp.Diff([]string(nil), got); diff != "" {
 		t.Fatal(diff)
 	}
-	got = play(nine(10 * time.Second)[2:4], 10*time.Minute, func(time.Duration) Demand {
+	got = simulate(nineEngines(10 * time.Second)[2:4], 10*time.Minute, func(time.Duration) Demand {
 		return Demand{
 			Prefill: 0,
 			Decode:  12,
@@ -128,12 +125,11 @@
 	}
 }
 
-// Prefill engines are to spare, and four of five stand in two zones. If the only one of the third zone was
-// moved, that zone would have nobody to work its prompts once it is cut off, and its
-// dossiers would be refused in front of idle decode engines.
+// A surplus of prefill engines must not be reduced in a zone that has only one, or that zone
+// couldn't prefill during a partition.
 func TestZoneKeepsItsOnlyPrefillEngine(t *testing.T) {
 	zones := []hingeids.Zone{"quiberon", "cancale", "cancale", "roscoff", "roscoff"}
-	engines := nine(0)
+	engines := nineEngines(0)
 	for i := range engines {
 		engines[i].Drain = 0
 		engines[i].Kind = hingeannounce.Decode
@@ -142,16 +138,16 @@
 			engines[i].Zone = zones[i]
 		}
 	}
-	play(engines, 30*time.Minute, func(time.Duration) Demand {
+	simulate(engines, 30*time.Minute, func(time.Duration) Demand {
 		return Demand{
 			Prefill: 3,
 			Decode:  6,
 		}
 	})
-	left := make(map[hingeids.Zone]int)
+	remaining := make(map[hingeids.Zone]int)
 	for _, e := range engines {
 		if e.Kind == hingeannounce.Prefill {
-			left[e.Zone]++
+			remaining[e.Zone]++
 		}
 	}
 	want := map[hingeids.Zone]int{
@@ -159,16 +155,15 @@
 		"cancale":  1,
 		"roscoff":  1,
 	}
-	if diff := cmp.Diff(want, left); diff != "" {
+	if diff := cmp.Diff(want, remaining); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Four of nine engines prefill where one is asked for, and callers are refused for want of memory at those that decode.
-// Both that nobody misses at present go at once: one after the other, the second would come after the burst that
-// it was needed for.
-func TestEnginesThatNobodyMissesGoAtOnce(t *testing.T) {
-	engines := nine(0)
+// All engines that their role can spare must change at once, or the later ones would change after
+// the burst that needs them.
+func TestSpareEnginesChangeTogether(t *testing.T) {
+	engines := nineEngines(0)
 	for i := range engines {
 		engines[i].Drain = 0
 	}
@@ -188,13 +183,13 @@
 		Rest:     9 * time.Second,
 		MostLast: time.Minute,
 	})
-	moved := 0
+	changed := 0
 	shift, ok := Shift{}, false
 	for t := time.Duration(0); t <= 2*time.Second && !ok; t += 500 * time.Millisecond {
 		shift, ok = s.Decide(start.Add(t), engines, d)
 	}
 	for ok && Spares(engines, shift.To, d) {
-		moved++
+		changed++
 		for i := range engines {
 			if engines[i].Server == shift.Server {
 				engines[i].Kind = shift.To
@@ -202,24 +197,24 @@
 		}
 		shift, ok = s.More(engines, d)
 	}
-	if moved != 2 {
-		t.Fatalf("%d engines went at once, want 2", moved)
+	if changed != 2 {
+		t.Fatalf("%d engines changed at once, want 2", changed)
 	}
 }
 
-// Prefill is a third short, and engines that decode can work the prompts in between. They lose twice the time, and
-// the served share says by how much; without them a third of all would be refused.
-func TestPromptsWorkedBesideDecodeCost(t *testing.T) {
+// The served share must include the prompts that decode engines prefill, at their higher cost.
+func TestPrefillOnDecodeEnginesReducesTheServedShare(t *testing.T) {
 	d := Demand{
 		Prefill: 3,
 		Decode:  6,
 	}
-	if got := served(2, 7, d); got != 2.0/3 {
-		t.Errorf("%v gets through two engines of three", got)
+	if got := servedShare(2, 7, d); got != 2.0/3 {
+		t.Errorf("served share without prefill on decode engines: %v, want 2/3", got)
 	}
 	d.ReadCost = 2
-	// 7 engines: 6 for decode and 1 for half an engine's prompts, of all 1 + 1/12.
-	if got := served(2, 7, d); got < 0.916 || got > 0.918 {
-		t.Errorf("%v gets through with the help of those that decode, want 11/12", got)
+	// Decode needs 6 engines, and the prompts of the missing prefill engine need 2: the share is
+	// (7 + 2 x 2) / (6 + 2 x 3) = 11/12.
+	if got := servedShare(2, 7, d); got < 0.916 || got > 0.918 {
+		t.Errorf("served share with prefill on decode engines: %v, want 11/12", got)
 	}
 }
