--- a/internal/core/hingeids/ids.go
+++ b/internal/core/hingeids/ids.go
@@ -1,6 +1,6 @@
-// Package hingeids holds the identifiers and units that every part of
-// swifthinge shares, each as a type of its own so that the compiler refuses a
-// host where a backend server is meant, or bytes where tokens are meant.
+// Package hingeids defines the identifiers and units that all packages share.
+// Each has its own type, so that the compiler rejects a host in place of a
+// backend server, or bytes in place of tokens.
 package hingeids
 
 import (
@@ -11,60 +11,62 @@
 	"github.com/rotisserie/eris"
 )
 
-// HostID names one entry host, as written in its settings.
+// HostID identifies an entry host by the name in its settings.
 type HostID string
 
-// Zone names an availability zone.
+// Zone identifies an availability zone.
 type Zone string
 
-// ServerID names a backend server: a model engine or a plain service replica.
+// ServerID identifies a backend server: a model engine or a plain service
+// replica. It may carry an incarnation; see InLife.
 type ServerID string
 
-// lifeMark stands between a server's name and its incarnation. No name holds one: names are parts of
-// paths, where it would end the path.
-const lifeMark = "#"
+// incarnationSeparator separates a server's name from its incarnation. It can't
+// occur in a name, because names are URL path segments and "#" ends a path.
+const incarnationSeparator = "#"
 
-// InLife names one life of a server. Whoever uses a server knows it by this name, so that nothing that
-// was learned of an earlier life (its health, its streams, its orders) is believed of a later one. Servers that take
-// a new name at each start have the incarnation 1 and no other name.
+// InLife returns the id of one incarnation of a server. State that is keyed by
+// it (health, streams, orders) isn't applied to a later incarnation. Incarnation
+// 1 has the bare name: servers that take a new name at each start have no other.
 func (s ServerID) InLife(i Incarnation) ServerID {
 	if i <= 1 {
 		return s
 	}
-	return s + lifeMark + ServerID(strconv.FormatUint(uint64(i), 10))
+	return s + incarnationSeparator + ServerID(strconv.FormatUint(uint64(i), 10))
 }
 
-// Name is the server's own name, without the life.
+// Name returns the server's name without the incarnation.
 func (s ServerID) Name() ServerID {
-	name, _, _ := strings.Cut(string(s), lifeMark)
+	name, _, _ := strings.Cut(string(s), incarnationSeparator)
 	return ServerID(name)
 }
 
-// Life is the incarnation that the name speaks of, 1 if it names none.
+// Life returns the incarnation in the id, or 1 if it has none.
 func (s ServerID) Life() Incarnation {
-	_, life, _ := strings.Cut(string(s), lifeMark)
-	i, err := strconv.ParseUint(life, 10, 64)
+	_, text, _ := strings.Cut(string(s), incarnationSeparator)
+	i, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		// Only InLife writes the mark, so what can't be read is a name without a life.
+		// Only InLife writes the separator, so an id that doesn't parse has no incarnation.
 		return 1
 	}
 	return Incarnation(i)
 }
 
-// Model names a model, as written in the inventory.
+// Model identifies a model by its name in the inventory.
 type Model string
 
-// Service names a plain service, as written in the inventory.
+// Service identifies a plain service by its name in the inventory.
 type Service string
 
-// CallerID names the customer on whose behalf a request is made.
+// CallerID identifies the customer on whose behalf a request is made.
 type CallerID string
 
-// Print tells one request from another, over all attempts, hosts and clients: whoever sends the same again sends the
-// same print. Zero is no print.
+// Print is the fingerprint of a request: a digest that all resends of the same
+// request share, over all attempts, hosts and clients. Zero means no fingerprint.
 type Print uint64
 
-// String writes a print as log lines and operators name it.
+// String formats the fingerprint as 16 hexadecimal digits, the form in logs and
+// in operators' commands. It returns "" for zero.
 func (p Print) String() string {
 	if p == 0 {
 		return ""
@@ -72,12 +74,13 @@
 	return fmt.Sprintf("%016x", uint64(p))
 }
 
-// MarshalText writes a print as String does.
+// MarshalText implements encoding.TextMarshaler with the format of String.
 func (p Print) MarshalText() ([]byte, error) {
 	return []byte(p.String()), nil
 }
 
-// UnmarshalText reads what MarshalText wrote.
+// UnmarshalText implements encoding.TextUnmarshaler. It accepts the format of
+// String; an empty text is zero.
 func (p *Print) UnmarshalText(b []byte) error {
 	if len(b) == 0 {
 		*p = 0
@@ -85,65 +88,66 @@
 	}
 	n, err := strconv.ParseUint(string(b), 16, 64)
 	*p = Print(n)
-	return eris.Wrap(err, "print of a request")
+	return eris.Wrap(err, "request fingerprint isn't a 64-bit hexadecimal number")
 }
 
-// IdempotencyKey is the caller's name for one request that must run at most once.
+// IdempotencyKey is the key under which a caller's request runs at most once.
 type IdempotencyKey string
 
-// Incarnation counts the lives of a process or of a disk. It only ever grows:
-// a process takes the wall clock in nanoseconds at its start, so a later life
-// has a higher number even if the earlier one left nothing on disk.
+// Incarnation distinguishes successive starts of a process or successive disks of
+// a host. It only grows: a process uses the wall clock in nanoseconds at its
+// start, so a later start has a higher number even if the disk was lost.
 type Incarnation uint64
 
-// Revision numbers an accepted configuration. Zero is the empty configuration.
+// Revision is the number of an accepted configuration. Zero is the empty
+// configuration.
 type Revision uint64
 
-// Fence is a fencing number: an order with a lower one than an engine has seen
-// comes from an issuer that has been replaced.
+// Fence is a fencing number. An engine rejects an order with a lower number than
+// the highest it has seen, because the issuer has been replaced.
 type Fence uint64
 
-// Tokens counts tokens of a prompt or of an answer.
+// Tokens is a number of tokens of a prompt or of an answer.
 type Tokens int64
 
-// Units counts what a customer's quota is measured in: requests or tokens.
+// Units is an amount of a customer's quota, in requests or in tokens.
 type Units int64
 
-// Bytes counts bytes.
+// Bytes is a size in bytes.
 type Bytes int64
 
-// BytesPerSecond is the rate of a link.
+// BytesPerSecond is the throughput of a link.
 type BytesPerSecond int64
 
-// Slots counts the requests that a decode engine holds at once.
+// Slots is a number of decode slots. A decode engine holds one request in each.
 type Slots int
 
-// Life is one life of an entry host.
+// Life is one instance of an entry host: the host with its incarnation.
 type Life struct {
 	Host        HostID      `cbor:"1,keyasint" json:"host"`
 	Incarnation Incarnation `cbor:"2,keyasint" json:"incarnation"`
 }
 
-// RequestID names a request, and with it the life of the entry host that
-// answers for it, so that whoever finds engine memory held under the id knows
-// whether its owner still lives.
+// RequestID identifies a request. It contains the instance of the entry host that
+// owns the request, so that engine memory that was allocated under the id can be
+// freed once that instance is gone.
 type RequestID struct {
 	Life
 	Sequence uint64 `cbor:"3,keyasint" json:"sequence"`
-	// Attempt counts the times the request was placed at engines. Each has an id
-	// of its own there: else the cancel of an earlier attempt, late on its way,
-	// would drop what a later one holds.
+	// Attempt counts the placements of the request on engines. Each placement has
+	// its own id there, so that a delayed cancel of an earlier attempt doesn't
+	// free the memory of a later one.
 	Attempt uint16 `cbor:"4,keyasint,omitempty" json:"attempt,omitempty"`
 }
 
-// Base is the id that the caller knows, without the attempt.
+// Base returns the id without the attempt, which is the id that the caller sees.
 func (r RequestID) Base() RequestID {
 	r.Attempt = 0
 	return r
 }
 
-// String writes the id as host.incarnation.sequence, with -attempt if there is
-// one. Numbers are in base 36.
+// String formats the id as host.incarnation.sequence, followed by -attempt if the
+// attempt isn't zero. Numbers are in base 36.
 func (r RequestID) String() string {
 	s := string(r.Host) + "." + strconv.FormatUint(uint64(r.Incarnation), 36) +
 		"." + strconv.FormatUint(r.Sequence, 36)
@@ -153,13 +157,13 @@
 	return s + "-" + strconv.FormatUint(uint64(r.Attempt), 36)
 }
 
-// IsZero reports whether the id names no request.
+// IsZero reports whether the id is the zero value, which identifies no request.
 func (r RequestID) IsZero() bool {
 	return r == RequestID{}
 }
 
-// ParseRequestID reads what RequestID.String wrote. A host name may hold dots:
-// the two numbers are the last two parts.
+// ParseRequestID parses the format of RequestID.String. A host name may contain
+// dots: the numbers are the last two dot-separated parts.
 func ParseRequestID(s string) (RequestID, error) {
 	head, sequence, ok := cutLast(s)
 	if !ok {
@@ -192,8 +196,8 @@
 }
 
 func cutAttempt(s string) (sequence string, attempt uint16, err error) {
-	sequence, text, there := strings.Cut(s, "-")
-	if !there {
+	sequence, text, found := strings.Cut(s, "-")
+	if !found {
 		return s, 0, nil
 	}
 	n, err := strconv.ParseUint(text, 36, 16)
--- a/internal/core/hingeids/ids_test.go
+++ b/internal/core/hingeids/ids_test.go
@@ -7,7 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestRequestIDReadsBackWhatItWrote(t *testing.T) {
+// Guards against request ids that change when they are formatted and parsed again.
+func TestRequestIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := RequestID{
 			Life: Life{
@@ -38,7 +39,7 @@
 		}
 		again, err := ParseRequestID(id.String())
 		if err != nil || again != id {
-			t.Fatalf("%q read as %v, then as %v: %v", s, id, again, err)
+			t.Fatalf("%q parsed as %v, which parsed as %v: %v", s, id, again, err)
 		}
 	})
 }
