--- a/internal/core/hingeverdict/codes.go
+++ b/internal/core/hingeverdict/codes.go
@@ -1,7 +1,7 @@
 package hingeverdict
 
-// The codes, one place for all of them. 1xxx is what the caller did, 2xxx is
-// load, 3xxx is a backend server, 4xxx is our own processes.
+// The codes of all refusals and failures, by cause: 1xxx for the request or its
+// caller, 2xxx for load, 3xxx for a backend server and 4xxx for the router itself.
 const (
 	CodeMalformed          Code = 1001
 	CodeTooLarge           Code = 1002
--- a/internal/core/hingeverdict/verdict.go
+++ b/internal/core/hingeverdict/verdict.go
@@ -1,14 +1,13 @@
-// Package hingeverdict says whether a request may have run.
+// Package hingeverdict defines errors that state whether a request may have run.
 //
-// Every error that can reach a caller carries a verdict, and the verdict is
-// drawn from evidence only:
+// Every error that can reach a caller carries a verdict, which is based on
+// evidence only:
 //
-//  1. NotRun is said when no byte of the request can have reached a backend
-//     server, or when the server itself said, under the request's own id, that
-//     it refused to run it.
-//  2. Ran is said when the server said, under the request's own id, that it ran.
-//  3. MayHaveRun is said in every other case. It is the zero value, so code
-//     that forgets to decide claims nothing.
+//  1. NotRun: no byte of the request can have reached a backend server, or the
+//     server answered, with the id of the request, that it refused to run it.
+//  2. Ran: the server answered, with the id of the request, that the request ran.
+//  3. MayHaveRun: every other case. It is the zero value, so that code that
+//     doesn't set a verdict makes no claim.
 package hingeverdict
 
 import (
@@ -17,7 +16,7 @@
 	"time"
 )
 
-// Verdict says whether a request may have run.
+// Verdict states whether a request may have run.
 type Verdict uint8
 
 // The three verdicts.
@@ -27,7 +26,7 @@
 	Ran
 )
 
-// String gives the verdict as it is written in headers and logs.
+// String returns the verdict as written in headers and logs.
 func (v Verdict) String() string {
 	switch v {
 	case NotRun:
@@ -39,22 +38,23 @@
 	}
 }
 
-// Code is the stable number of a refusal or failure that a caller can see.
+// Code is the stable number of a kind of refusal or failure. It is part of the
+// interface to callers.
 type Code uint16
 
 // Error is a failure with its verdict.
 type Error struct {
-	// Verdict says whether the request may have run.
 	Verdict Verdict
-	// Code is the stable number of this kind of failure; docs/INTERFACES.md lists them.
+	// Code is the kind of failure; docs/INTERFACES.md lists the codes.
 	Code Code
-	// RetryAfter tells the caller when to come back; zero means not to.
+	// RetryAfter is the delay that the caller is asked to wait before a retry.
+	// Zero asks the caller not to retry.
 	RetryAfter time.Duration
-	// Cause is what happened.
+	// Cause is the underlying error. It may be nil.
 	Cause error
 }
 
-// New makes an error with a verdict.
+// New returns an error with a verdict. The cause may be nil.
 func New(v Verdict, c Code, retryAfter time.Duration, cause error) *Error {
 	return &Error{
 		Verdict:    v,
@@ -71,12 +71,13 @@
 	return fmt.Sprintf("%v (%d): %v", e.Verdict, e.Code, e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause, for errors.Is and errors.As.
 func (e *Error) Unwrap() error {
 	return e.Cause
 }
 
-// Of gives the verdict of an error. An error without one may have run; nil ran.
+// Of returns the verdict of an error: Ran for nil, and MayHaveRun for an error
+// without a verdict.
 func Of(err error) Verdict {
 	if err == nil {
 		return Ran
