--- a/internal/core/hingeboard/board.go
+++ b/internal/core/hingeboard/board.go
@@ -1,12 +1,12 @@
-// Package hingeboard is the blackboard: the state that controllers write and
-// traffic reads.
+// Package hingeboard implements the blackboard: state that controllers write and
+// traffic goroutines read.
 //
-//  1. One goroutine, the loop, runs all controllers of a process in turn. It
-//     alone changes control state, so control state needs no locks.
-//  2. A controller publishes what traffic needs in a Cell, as a value that
-//     nobody changes afterwards. Traffic goroutines load it without waiting.
-//  3. Whoever else has something for a controller posts a function to the loop.
-//     The present time is handed to it: no controller reads a clock.
+//  1. One goroutine, the loop, runs all controllers of a process in turn. Only it
+//     changes control state, so control state needs no locks.
+//  2. A controller publishes what traffic needs in a Cell, as an immutable value.
+//     Traffic goroutines load it without blocking.
+//  3. Other goroutines post functions to the loop. The loop passes the current
+//     time to functions and controllers, which read no clock themselves.
 package hingeboard
 
 import (
@@ -15,19 +15,21 @@
 	"time"
 )
 
-// Cell holds one published value. The zero Cell holds nil.
+// Cell holds one published value. The zero Cell is ready to use and holds nil.
+// All methods are safe for concurrent use.
 type Cell[T any] struct {
 	value   atomic.Pointer[T]
 	changed atomic.Pointer[chan struct{}]
 }
 
-// Load gives the newest value, or nil before the first Store. The value is
-// shared: the reader must not change it.
+// Load returns the value of the latest Store, or nil before the first. The value
+// is shared, so the caller must not modify it.
 func (c *Cell[T]) Load() *T {
 	return c.value.Load()
 }
 
-// Store publishes a value, and wakes everyone who waits on Changed.
+// Store publishes a value and closes the channel that Changed returned. The value
+// must not be modified afterwards.
 func (c *Cell[T]) Store(v *T) {
 	c.value.Store(v)
 	if ch := c.changed.Swap(nil); ch != nil {
@@ -35,8 +37,8 @@
 	}
 }
 
-// Changed gives a channel that closes at the next Store. Take the channel
-// first and Load after it, or a Store between the two is missed.
+// Changed returns a channel that is closed by the next Store. Call it before
+// Load: a Store between a Load and a later call to Changed is missed.
 func (c *Cell[T]) Changed() <-chan struct{} {
 	for {
 		if ch := c.changed.Load(); ch != nil {
@@ -49,14 +51,15 @@
 	}
 }
 
-// Controller decides on control state.
+// Controller owns a part of the control state. The loop calls it.
 type Controller interface {
-	// Step does what is due at now and says when it wants to be called next.
-	// The zero time means only when something is posted.
+	// Step does the work that is scheduled up to now and returns the time of the
+	// next scheduled work, or the zero time if there is none. The loop may call
+	// it earlier.
 	Step(now time.Time) (next time.Time)
 }
 
-// Loop is the one goroutine that runs controllers.
+// Loop runs controllers and posted functions on one goroutine.
 type Loop struct {
 	posts       chan func(now time.Time)
 	controllers []Controller
@@ -64,25 +67,28 @@
 	done        chan struct{}
 }
 
-// postQueue bounds what waits for the loop. A poster waits when it is full,
-// which holds back the links rather than filling memory while the loop is slow.
-const postQueue = 1024
+// postQueueSize is the capacity of the queue of posted functions. Post blocks
+// while the queue is full, so that a slow loop slows the links down instead of
+// using more memory.
+const postQueueSize = 1024
 
-// longestSleep is how long the loop sleeps when no controller asks for less.
-const longestSleep = time.Second
+// maxSleep is the longest time between two steps of the controllers.
+const maxSleep = time.Second
 
-// NewLoop makes a loop over the controllers, stepped in the order given. The
-// clock is read once for each round.
+// NewLoop returns a loop that steps the controllers in the given order. The clock
+// is read once for each posted function and once for each round of steps.
 func NewLoop(clock func() time.Time, controllers ...Controller) *Loop {
 	return &Loop{
-		posts:       make(chan func(now time.Time), postQueue),
+		posts:       make(chan func(now time.Time), postQueueSize),
 		controllers: controllers,
 		clock:       clock,
 		done:        make(chan struct{}),
 	}
 }
 
-// Post hands a function to the loop. It reports false if the loop has ended.
+// Post queues a function to run on the loop's goroutine and blocks while the queue
+// is full. It reports false if the loop has ended; a queued function isn't run if
+// the loop ends first.
 func (l *Loop) Post(f func(now time.Time)) bool {
 	select {
 	case <-l.done:
@@ -97,12 +103,13 @@
 	}
 }
 
-// Done closes when the loop has ended.
+// Done returns a channel that is closed when Run returns.
 func (l *Loop) Done() <-chan struct{} {
 	return l.done
 }
 
-// Run runs the loop until the context ends.
+// Run runs the loop until the context is done, and then returns nil. It may be
+// called once.
 func (l *Loop) Run(ctx context.Context) error {
 	defer close(l.done)
 	timer := time.NewTimer(0)
@@ -121,9 +128,10 @@
 	}
 }
 
-// drainPosts runs what else waits, so that one step covers a burst of posts.
+// drainPosts runs the functions that are already queued, so that a burst of posts
+// needs one round of steps.
 func (l *Loop) drainPosts() {
-	for range postQueue {
+	for range postQueueSize {
 		select {
 		case f := <-l.posts:
 			f(l.clock())
@@ -133,8 +141,9 @@
 	}
 }
 
+// stepAll steps all controllers and returns the time of the next round.
 func (l *Loop) stepAll(now time.Time) time.Time {
-	wake := now.Add(longestSleep)
+	wake := now.Add(maxSleep)
 	for _, c := range l.controllers {
 		next := c.Step(now)
 		if !next.IsZero() && next.Before(wake) {
--- a/internal/core/hingeboard/board_test.go
+++ b/internal/core/hingeboard/board_test.go
@@ -8,7 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestCellWakesWhoeverTookTheChannelBeforeTheStore(t *testing.T) {
+// Guards against waiters on Changed that miss a Store.
+func TestStoreClosesChangedChannel(t *testing.T) {
 	var c Cell[int]
 	changed := c.Changed()
 	seven := 7
@@ -16,7 +17,7 @@
 	select {
 	case <-changed:
 	default:
-		t.Fatal("the channel is still open after a store")
+		t.Fatal("the channel from Changed is still open after Store")
 	}
 	if diff := cmp.Diff(&seven, c.Load()); diff != "" {
 		t.Fatal(diff)
@@ -35,8 +36,8 @@
 	return time.Time{}
 }
 
-// A poster that waits for a loop that has ended would hang a shutdown for good.
-func TestPostAfterTheEndReturnsAtOnce(t *testing.T) {
+// Guards against a shutdown that hangs because Post blocks on a loop that has ended.
+func TestPostAfterLoopEndReturns(t *testing.T) {
 	s := &stepCounter{
 		steps: make(chan time.Time, 1),
 	}
@@ -49,6 +50,6 @@
 	cancel()
 	<-l.Done()
 	if l.Post(func(time.Time) {}) {
-		t.Fatal("a post to an ended loop was taken")
+		t.Fatal("Post to an ended loop returned true")
 	}
 }
