--- a/internal/core/hingeclock/pause.go
+++ b/internal/core/hingeclock/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits, at most until the context ends.
+// Pause waits for the duration, or until the context is done.
 func Pause(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -15,7 +15,7 @@
 	}
 }
 
-// Later gives the later of two times.
+// Later returns the later of two times.
 func Later(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
