--- a/internal/decide/hingemodel/engines.go
+++ b/internal/decide/hingemodel/engines.go
@@ -8,14 +8,16 @@
 
 // prefillEngine is one prefill engine with its prefix cache and its link.
 type prefillEngine struct {
-	current  *Request
-	waiting  []*Request
-	version  uint64
-	serial   uint64
-	cache    map[int]hingeids.Tokens
-	recent   []int
-	cached   hingeids.Tokens
-	linkFree time.Time
+	current *Request
+	waiting []*Request
+	// version changes with current and invalidates the scheduled end of a prefill.
+	version uint64
+	serial  uint64
+	cache   map[int]hingeids.Tokens
+	// recent lists the cached prefixes, the least recently used first.
+	recent     []int
+	cached     hingeids.Tokens
+	linkFreeAt time.Time
 }
 
 func newPrefillEngine() *prefillEngine {
@@ -26,11 +28,11 @@
 
 func (p *prefillEngine) load() (running, queued int, tokens hingeids.Tokens) {
 	for _, r := range p.waiting {
-		tokens += hingeids.Tokens(r.left)
+		tokens += hingeids.Tokens(r.remaining)
 	}
 	if p.current != nil {
 		running = 1
-		tokens += hingeids.Tokens(p.current.left)
+		tokens += hingeids.Tokens(p.current.remaining)
 	}
 	return running, len(p.waiting), tokens
 }
@@ -52,35 +54,36 @@
 	p := m.prefills[e]
 	r.state, r.engine, r.prefilled = prefilling, e, e
 	r.cached = float64(min(p.cache[r.Prefix], r.PrefixTokens))
-	r.left = float64(r.Prompt) - r.cached
+	r.remaining = float64(r.Prompt) - r.cached
 	p.serial++
-	r.order = p.serial
+	r.queueSequence = p.serial
 	p.waiting = append(p.waiting, r)
-	m.nextPrefill(e)
+	m.schedulePrefill(e)
 }
 
-// settle brings the work done on a running prefill up to now.
-func (m *model) settle(r *Request) {
+// updatePrefillProgress accounts for the work on a running prefill up to now.
+func (m *model) updatePrefillProgress(r *Request) {
 	if r.state != prefilling || r.local || m.prefills[r.engine].current != r {
 		return
 	}
-	done := min(r.left, m.now.Sub(r.started).Seconds()*m.run.Cluster.PrefillRate/m.slow[r.engine])
-	r.left -= done
+	done := min(r.remaining, m.now.Sub(r.started).Seconds()*m.run.Cluster.PrefillRate/m.slow[r.engine])
+	r.remaining -= done
 	r.computed += done
 	r.started = m.now
 }
 
-// nextPrefill is rule 2: it picks what the engine works on and says when that ends.
-func (m *model) nextPrefill(e EngineID) {
+// schedulePrefill selects the request that the engine works on and schedules the
+// end of its prefill. Rule 2.
+func (m *model) schedulePrefill(e EngineID) {
 	p := m.prefills[e]
 	if p.current != nil {
-		m.settle(p.current)
+		m.updatePrefillProgress(p.current)
 		p.waiting = append(p.waiting, p.current)
 		p.current = nil
 	}
 	for _, r := range p.waiting {
 		c := p.current
-		if c == nil || r.priority > c.priority || r.priority == c.priority && r.order < c.order {
+		if c == nil || r.priority > c.priority || r.priority == c.priority && r.queueSequence < c.queueSequence {
 			p.current = r
 		}
 	}
@@ -97,24 +100,24 @@
 	r.started = m.now
 	p.version++
 	version := p.version
-	took := r.left * m.slow[e] / m.run.Cluster.PrefillRate
-	m.at(m.now.Add(seconds(took)), func() {
+	duration := r.remaining * m.slow[e] / m.run.Cluster.PrefillRate
+	m.at(m.now.Add(seconds(duration)), func() {
 		if p.version == version && p.current == r {
-			m.endPrefill(r)
+			m.finishPrefill(r)
 		}
 	})
 }
 
-func (m *model) endPrefill(r *Request) {
+func (m *model) finishPrefill(r *Request) {
 	p := m.prefills[r.engine]
-	r.computed += r.left
-	r.left = 0
+	r.computed += r.remaining
+	r.remaining = 0
 	p.current = nil
 	r.state = ready
-	m.remember(r.engine, r.Prefix, r.PrefixTokens)
-	m.nextPrefill(r.engine)
-	m.keep(r)
-	m.happen(Event{
+	m.cachePrefix(r.engine, r.Prefix, r.PrefixTokens)
+	m.schedulePrefill(r.engine)
+	m.scheduleEviction(r)
+	m.emit(Event{
 		Kind:    PrefillDone,
 		Request: r,
 		Engine:  r.engine,
@@ -122,17 +125,17 @@
 	})
 }
 
-// keep is rule 3.
-func (m *model) keep(r *Request) {
+// scheduleEviction schedules the eviction of a finished KV cache. Rule 3.
+func (m *model) scheduleEviction(r *Request) {
 	version := r.version
 	m.at(m.now.Add(m.run.Cluster.KeepCache), func() {
 		if r.version != version || r.state != ready && r.state != waitingSlot {
 			return
 		}
-		m.lose(r, &m.result.EvictedTokens)
+		m.countWasted(r, &m.result.EvictedTokens)
 		m.release(r)
 		r.state = arrived
-		m.happen(Event{
+		m.emit(Event{
 			Kind:    Evicted,
 			Request: r,
 			Engine:  r.prefilled,
@@ -140,8 +143,9 @@
 	})
 }
 
-// remember puts a prefix into the cache and tells of it, late or not at all.
-func (m *model) remember(e EngineID, prefix int, n hingeids.Tokens) {
+// cachePrefix adds a prefix to the cache as the most recently used, evicts others
+// to make space, and reports the changes.
+func (m *model) cachePrefix(e EngineID, prefix int, n hingeids.Tokens) {
 	p := m.prefills[e]
 	for i, x := range p.recent {
 		if x == prefix {
@@ -153,23 +157,24 @@
 	if p.cache[prefix] == 0 {
 		p.cache[prefix] = n
 		p.cached += n
-		m.tell(PrefixStored, e, prefix, n)
+		m.reportCacheEvent(PrefixStored, e, prefix, n)
 	}
 	for p.cached > m.run.Cluster.PrefixCache {
 		oldest := p.recent[0]
 		p.recent = p.recent[1:]
 		p.cached -= p.cache[oldest]
 		delete(p.cache, oldest)
-		m.tell(PrefixDropped, e, oldest, 0)
+		m.reportCacheEvent(PrefixDropped, e, oldest, 0)
 	}
 }
 
-func (m *model) tell(k EventKind, e EngineID, prefix int, n hingeids.Tokens) {
+// reportCacheEvent schedules the delivery of a cache event or drops it. Rule 6.
+func (m *model) reportCacheEvent(k EventKind, e EngineID, prefix int, n hingeids.Tokens) {
 	if m.noise.IntN(10) == 0 {
 		return
 	}
 	m.at(m.now.Add(m.run.Cluster.ReportLag), func() {
-		m.happen(Event{
+		m.emit(Event{
 			Kind:   k,
 			Engine: e,
 			Prefix: prefix,
@@ -180,29 +185,35 @@
 
 // decodeEngine is one decode engine.
 type decodeEngine struct {
-	held     int
-	running  []*Request
-	waiting  []*Request
-	local    []*Request
-	written  float64
-	advanced time.Time
-	version  uint64
+	// held is the number of slots in use.
+	held          int
+	running       []*Request
+	waiting       []*Request
+	localPrefills []*Request
+	// generated is the number of tokens, as of updatedAt, that the engine would
+	// have generated for a request that decodes since the start of the run.
+	generated float64
+	updatedAt time.Time
+	// version invalidates the scheduled finish of a request.
+	version uint64
 }
 
-// tokenRate is rule 1 and rule 5, in tokens a second for each request.
+// tokenRate returns the decode rate in tokens per second for each request. Rules 1
+// and 5.
 func (m *model) tokenRate(e EngineID, d *decodeEngine) float64 {
-	rate := 1 / (m.run.Cluster.gap(d.held).Seconds() * m.slow[e])
-	if len(d.local) > 0 {
+	rate := 1 / (m.run.Cluster.tokenGap(d.held).Seconds() * m.slow[e])
+	if len(d.localPrefills) > 0 {
 		rate /= 2
 	}
 	return rate
 }
 
-// advance brings what the engine has written up to now.
+// advance updates the number of generated tokens to now. It is called before the
+// decode rate changes.
 func (m *model) advance(d *decodeEngine) {
 	e := m.idOf(d)
-	d.written += m.now.Sub(d.advanced).Seconds() * m.tokenRate(e, d)
-	d.advanced = m.now
+	d.generated += m.now.Sub(d.updatedAt).Seconds() * m.tokenRate(e, d)
+	d.updatedAt = m.now
 }
 
 func (m *model) idOf(d *decodeEngine) EngineID {
@@ -214,8 +225,8 @@
 	return -1
 }
 
-// askSlot is rule 4: the slot is taken at once, or waited for.
-func (m *model) askSlot(r *Request, e EngineID, local bool) {
+// requestSlot acquires a decode slot, or queues the request for one. Rule 4.
+func (m *model) requestSlot(r *Request, e EngineID, local bool) {
 	d := m.decodes[int(e)-len(m.prefills)]
 	r.engine, r.local = e, local
 	if d.held >= m.run.Cluster.Slots {
@@ -224,45 +235,47 @@
 		d.waiting = append(d.waiting, r)
 		return
 	}
-	m.takeSlot(r, d)
+	m.acquireSlot(r, d)
 }
 
-func (m *model) takeSlot(r *Request, d *decodeEngine) {
+func (m *model) acquireSlot(r *Request, d *decodeEngine) {
 	m.advance(d)
 	d.held++
-	r.state = moving
+	r.state = preparing
 	r.version++
 	if r.local {
 		m.prefillLocally(r, d)
 	} else {
 		p := m.prefills[r.prefilled]
 		begin := m.now
-		if p.linkFree.After(begin) {
-			begin = p.linkFree
+		if p.linkFreeAt.After(begin) {
+			begin = p.linkFreeAt
 		}
-		p.linkFree = begin.Add(seconds(float64(r.Prompt) / m.run.Cluster.LinkRate))
-		m.whenStill(r, p.linkFree, func() { m.beginDecode(r, d) })
+		p.linkFreeAt = begin.Add(seconds(float64(r.Prompt) / m.run.Cluster.LinkRate))
+		m.atIfPreparing(r, p.linkFreeAt, func() { m.beginDecode(r, d) })
 	}
-	m.nextDecode(r.engine)
+	m.scheduleNextFinish(r.engine)
 }
 
-// prefillLocally is rule 5.
+// prefillLocally prefills a request at its decode engine. Rule 5.
 func (m *model) prefillLocally(r *Request, d *decodeEngine) {
-	d.local = append(d.local, r)
-	n := float64(len(d.local))
-	took := n * 2 * float64(r.Prompt) * m.slow[r.engine] / m.run.Cluster.PrefillRate
-	m.whenStill(r, m.now.Add(seconds(took)), func() {
+	d.localPrefills = append(d.localPrefills, r)
+	n := float64(len(d.localPrefills))
+	duration := n * 2 * float64(r.Prompt) * m.slow[r.engine] / m.run.Cluster.PrefillRate
+	m.atIfPreparing(r, m.now.Add(seconds(duration)), func() {
 		m.advance(d)
-		d.local = without(d.local, r)
+		d.localPrefills = without(d.localPrefills, r)
 		r.computed += float64(r.Prompt)
 		m.beginDecode(r, d)
 	})
 }
 
-func (m *model) whenStill(r *Request, t time.Time, do func()) {
+// atIfPreparing schedules a call that is skipped if the request is no longer in
+// the same preparing state.
+func (m *model) atIfPreparing(r *Request, t time.Time, do func()) {
 	version := r.version
 	m.at(t, func() {
-		if r.version == version && r.state == moving {
+		if r.version == version && r.state == preparing {
 			do()
 		}
 	})
@@ -272,19 +285,20 @@
 	m.advance(d)
 	r.state = decoding
 	r.started = m.now
-	r.startedAt = d.written
-	r.finishAt = d.written + float64(r.output)
+	r.startTokens = d.generated
+	r.finishTokens = d.generated + float64(r.output)
 	d.running = append(d.running, r)
-	m.nextDecode(r.engine)
-	m.happen(Event{
+	m.scheduleNextFinish(r.engine)
+	m.emit(Event{
 		Kind:    DecodeStarted,
 		Request: r,
 		Engine:  r.engine,
 	})
 }
 
-// nextDecode says when the first of those that the engine decodes is done.
-func (m *model) nextDecode(e EngineID) {
+// scheduleNextFinish schedules the finish of the request that the engine will
+// finish first.
+func (m *model) scheduleNextFinish(e EngineID) {
 	d := m.decodes[int(e)-len(m.prefills)]
 	d.version++
 	if len(d.running) == 0 {
@@ -292,13 +306,13 @@
 	}
 	first := d.running[0]
 	for _, r := range d.running {
-		if r.finishAt < first.finishAt {
+		if r.finishTokens < first.finishTokens {
 			first = r
 		}
 	}
 	version := d.version
-	left := max(0, first.finishAt-d.written) / m.tokenRate(e, d)
-	m.at(m.now.Add(seconds(left)), func() {
+	remaining := max(0, first.finishTokens-d.generated) / m.tokenRate(e, d)
+	m.at(m.now.Add(seconds(remaining)), func() {
 		if d.version == version {
 			m.finish(first)
 		}
@@ -306,24 +320,24 @@
 }
 
 func (m *model) finish(r *Request) {
-	gap := time.Duration(float64(m.now.Sub(r.started)) / float64(r.output))
-	m.leaveSlot(r)
-	r.state = over
+	tokenGap := time.Duration(float64(m.now.Sub(r.started)) / float64(r.output))
+	m.releaseSlot(r)
+	r.state = closed
 	r.version++
 	m.result.PrefillTokens += r.computed
-	m.result.finished(r, gap, m.now)
-	m.happen(Event{
+	m.result.finished(r, tokenGap, m.now)
+	m.emit(Event{
 		Kind:    Finished,
 		Request: r,
 		Engine:  r.engine,
-		Gap:     gap,
+		Gap:     tokenGap,
 		Output:  r.output,
 	})
 }
 
-// leaveSlot frees what a request holds or waits for, and gives a free slot to
-// whoever waits, the highest priority first.
-func (m *model) leaveSlot(r *Request) {
+// releaseSlot frees the slot of a request, or removes the request from the queue
+// for one. A freed slot goes to the waiting request of the highest priority.
+func (m *model) releaseSlot(r *Request) {
 	d := m.decodes[int(r.engine)-len(m.prefills)]
 	m.advance(d)
 	if r.state == waitingSlot {
@@ -332,7 +346,7 @@
 	}
 	d.held--
 	d.running = without(d.running, r)
-	d.local = without(d.local, r)
+	d.localPrefills = without(d.localPrefills, r)
 	if len(d.waiting) > 0 {
 		next := d.waiting[0]
 		for _, w := range d.waiting {
@@ -341,9 +355,9 @@
 			}
 		}
 		d.waiting = without(d.waiting, next)
-		m.takeSlot(next, d)
+		m.acquireSlot(next, d)
 	}
-	m.nextDecode(r.engine)
+	m.scheduleNextFinish(r.engine)
 }
 
 func without(list []*Request, r *Request) []*Request {
--- a/internal/decide/hingemodel/model.go
+++ b/internal/decide/hingemodel/model.go
@@ -1,27 +1,28 @@
-// Package hingemodel is a plain model of model engines, enough to measure
-// decisions on: by event times, without goroutines, the same for the same seed.
-// It knows nothing of sockets or processes.
+// Package hingemodel is a discrete-event simulation of model engines, on which
+// scheduling policies are measured. A run uses one goroutine and simulated time,
+// and is deterministic for a seed.
 //
-//  1. A decode engine holds Slots requests. Its token gap is GapBase plus
-//     GapPerRequest for each one held; all it holds go on at the same rate.
-//  2. A prefill engine works on one request at a time, the highest priority
-//     first and then the oldest, and puts a lower one aside for a higher. Cached
-//     prefix tokens cost nothing; its cache holds PrefixCache tokens, the least
-//     recently used prefix goes first.
-//  3. A finished KV cache stays KeepCache at the prefill engine. If its transfer
-//     has not begun by then it is evicted, and its prefill was for nothing.
-//  4. A transfer needs a free decode slot, which it takes at once, and goes over
-//     the prefill engine's link, one transfer after the other.
-//  5. Prefill at a decode engine takes a slot and halves both its own speed and
-//     the engine's decoding while it lasts.
-//  6. Reports of load arrive ReportLag after they were taken; cache events as
-//     late, and one in ten never. Token gaps are seen as they are, because the
+//  1. A decode engine holds up to Slots requests. Its token gap is GapBase plus
+//     GapPerRequest for each request held; all its requests decode at the same
+//     rate.
+//  2. A prefill engine works on one request at a time, by priority and then in
+//     order of arrival; a request of higher priority preempts a lower one. Cached
+//     prefix tokens cost nothing. The prefix cache holds PrefixCache tokens and
+//     evicts the least recently used prefix.
+//  3. A finished KV cache stays at the prefill engine for KeepCache. If its
+//     transfer hasn't begun by then, it is evicted and its prefill is wasted.
+//  4. A transfer needs a free decode slot, which it holds from its start, and uses
+//     the prefill engine's link. A link carries one transfer at a time.
+//  5. Prefill at a decode engine holds a slot, runs at half speed, and halves the
+//     engine's decode rate while it lasts.
+//  6. Load reports arrive ReportLag after they are measured. So do cache events,
+//     of which one in ten is lost. Token gaps arrive without delay, because the
 //     streams pass through the policy's own process.
-//  7. A request that is refused may come back, when told or at once, as the
-//     caller's kind is. A caller that waited to its deadline is gone.
+//  7. A refused caller may retry, either after the given delay or at once. A
+//     caller whose deadline passes cancels its request.
 //
-// Limits: links have no delay, decode engines don't fail, and one policy sees
-// all arrivals, as though the zone had one entry host.
+// Limits: links have no latency, decode engines don't fail, and one policy sees
+// all arrivals, as in a zone with one entry host.
 package hingemodel
 
 import (
@@ -32,22 +33,28 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Cluster is the size and speed of the engines.
+// Cluster holds the capacities and speeds of the engines.
 type Cluster struct {
-	Slots         int
+	// Slots is the number of slots of each decode engine.
+	Slots int
+	// GapBase and GapPerRequest determine the token gap of a decode engine. Rule 1.
 	GapBase       time.Duration
 	GapPerRequest time.Duration
-	// PrefillRate is in tokens a second, and so is LinkRate.
+	// PrefillRate and LinkRate are in tokens per second.
 	PrefillRate float64
 	LinkRate    float64
-	KeepCache   time.Duration
+	// KeepCache is how long a finished KV cache stays at its prefill engine.
+	KeepCache time.Duration
+	// PrefixCache is the capacity of the prefix cache of each prefill engine.
 	PrefixCache hingeids.Tokens
+	// ReportEvery is the interval of load reports, ReportLag their delay.
 	ReportEvery time.Duration
 	ReportLag   time.Duration
 }
 
-// BriefCluster has the sizes of the brief: twenty slots, a prefill that costs
-// many tens of tokens, eviction in under a second.
+// BriefCluster returns the default cluster: twenty slots per decode engine,
+// prefill that costs as much as many tens of output tokens, and eviction of a KV
+// cache in under a second.
 func BriefCluster() Cluster {
 	return Cluster{
 		Slots:         20,
@@ -62,29 +69,31 @@
 	}
 }
 
-func (c Cluster) gap(held int) time.Duration {
+func (c Cluster) tokenGap(held int) time.Duration {
 	return c.GapBase + time.Duration(held)*c.GapPerRequest
 }
 
-// TickEvery is how often a policy is called when nothing else happens.
+// TickEvery is the interval of calls of Policy.Tick.
 const TickEvery = 20 * time.Millisecond
 
-// Slowdown makes one engine slower for a while.
+// Slowdown makes one engine slower by Factor between two times since the start of
+// the run.
 type Slowdown struct {
 	Engine   EngineID
 	From, To time.Duration
 	Factor   float64
 }
 
-// Clients says how refused callers come back.
+// Clients configures how refused callers retry.
 type Clients struct {
-	// AsTold is the share that waits as told; the others return at once.
+	// AsTold is the share of refused requests that are retried after the given
+	// delay. The others are retried at once.
 	AsTold float64
-	// Attempts bounds the attempts of one caller for one request; 1 is no retry.
+	// Attempts is the maximum number of attempts for one request; 1 means no retry.
 	Attempts int
 }
 
-// Run is one run of the model.
+// Run is the configuration of one simulation run.
 type Run struct {
 	Cluster Cluster
 	Firm    Firm
@@ -92,32 +101,40 @@
 	Slow    []Slowdown
 	Clients Clients
 	Seed    uint64
-	// Measure starts the count of callers' outcomes, so that a run isn't judged
-	// by its empty start.
+	// Measure is the length of the warm-up. Requests that arrive during it aren't
+	// counted in the outcomes.
 	Measure time.Duration
 }
 
-// state is where a request is.
+// state is the stage of a request.
 type state uint8
 
 const (
+	// arrived: the policy has the request, and no engine does.
 	arrived state = iota
+	// prefilling: queued or running at a prefill engine.
 	prefilling
+	// ready: the KV cache is at the prefill engine.
 	ready
+	// waitingSlot: queued for a slot of a decode engine.
 	waitingSlot
-	moving
+	// preparing: holds a decode slot, during the transfer or the local prefill.
+	preparing
+	// decoding: writing the answer.
 	decoding
-	over
+	// closed: answered, refused or cancelled.
+	closed
 )
 
-// atOnce is how soon a caller that doesn't wait as told is back.
-const atOnce = 50 * time.Millisecond
+// immediateRetryDelay is the delay of a retry that ignores the delay given with
+// the refusal.
+const immediateRetryDelay = 50 * time.Millisecond
 
-// afterwards is how long engines and policy go on after the last arrival, so
-// that all who were accepted get their answers.
-const afterwards = time.Minute
+// drainTime is how long engines and policy run after the last phase, so that
+// accepted requests can finish.
+const drainTime = time.Minute
 
-// epoch is the present time at the start of each run.
+// epoch is the simulated time at the start of each run.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // model is the state of a run.
@@ -125,8 +142,8 @@
 	run      Run
 	now      time.Time
 	policy   Policy
-	orders   Orders
-	queue    schedule
+	actions  Orders
+	calls    schedule
 	serial   uint64
 	source   *source
 	noise    *rand.Rand
@@ -136,8 +153,8 @@
 	result   *Result
 }
 
-// Play runs the model and gives the outcome. Engines 0 to Firm.Prefill-1 are
-// for prefill, the others for decode.
+// Play simulates a run with a policy and returns the result. Engines 0 to
+// Firm.Prefill-1 are prefill engines, the others are decode engines.
 func Play(r Run, p Policy) *Result {
 	m := &model{
 		run:    r,
@@ -155,22 +172,22 @@
 			m.decodes = append(m.decodes, &decodeEngine{})
 		}
 	}
-	m.plan()
-	for len(m.queue) > 0 {
-		t := heap.Pop(&m.queue).(timed)
+	m.scheduleInputs()
+	for len(m.calls) > 0 {
+		t := heap.Pop(&m.calls).(timedCall)
 		m.now = epoch.Add(time.Duration(t.at))
 		t.do()
-		m.carryOut()
+		m.executeActions()
 	}
 	return m.result
 }
 
-// plan puts arrivals, ticks, reports and slowdowns into the schedule. Each chain
-// has only its next link there, so that the schedule stays short.
-func (m *model) plan() {
-	end := m.drawArrivals()
-	last := end + afterwards
-	m.every(0, TickEvery, last, func() { m.policy.Tick(m.now, &m.orders) })
+// scheduleInputs schedules arrivals, ticks, load reports and slowdowns. A series
+// has only its next call in the schedule, which keeps the heap small.
+func (m *model) scheduleInputs() {
+	end := m.sampleArrivals()
+	last := end + drainTime
+	m.every(0, TickEvery, last, func() { m.policy.Tick(m.now, &m.actions) })
 	for i := range m.slow {
 		m.every(time.Duration(i)*50*time.Millisecond, m.run.Cluster.ReportEvery, last, func() { m.report(EngineID(i)) })
 	}
@@ -181,9 +198,9 @@
 	m.result.end = epoch.Add(end)
 }
 
-// drawArrivals draws all arrivals beforehand, so that what a policy does can't
-// change them, and gives the time of the end of the last phase.
-func (m *model) drawArrivals() time.Duration {
+// sampleArrivals samples all arrivals before the run, so that the policy's
+// decisions can't change them, and returns the end of the last phase.
+func (m *model) sampleArrivals() time.Duration {
 	var list []*Request
 	at := time.Duration(0)
 	peak := m.run.Firm.PeakRate(m.run.Cluster)
@@ -194,20 +211,21 @@
 			if t >= end {
 				break
 			}
-			list = append(list, m.source.draw(epoch.Add(t)))
+			list = append(list, m.source.sample(epoch.Add(t)))
 		}
 		at = end
 	}
-	m.arriveFrom(list)
+	m.scheduleArrivals(list)
 	return at
 }
 
-func (m *model) arriveFrom(list []*Request) {
+// scheduleArrivals schedules the first request of the list, which schedules the rest.
+func (m *model) scheduleArrivals(list []*Request) {
 	if len(list) == 0 {
 		return
 	}
 	m.at(list[0].Arrived, func() {
-		m.arriveFrom(list[1:])
+		m.scheduleArrivals(list[1:])
 		m.arrive(list[0])
 	})
 }
@@ -224,41 +242,41 @@
 
 func (m *model) arrive(r *Request) {
 	m.result.arrived(r)
-	m.at(r.Deadline(), func() { m.leave(r) })
-	m.policy.Arrive(m.now, r, &m.orders)
+	m.at(r.Deadline(), func() { m.expire(r) })
+	m.policy.Arrive(m.now, r, &m.actions)
 }
 
-// leave is rule 7: a caller that waited to its deadline is gone.
-func (m *model) leave(r *Request) {
-	if r.state == over {
+// expire cancels a request at its caller's deadline. Rule 7.
+func (m *model) expire(r *Request) {
+	if r.state == closed {
 		return
 	}
-	m.lose(r, &m.result.CancelledTokens)
+	m.countWasted(r, &m.result.CancelledTokens)
 	m.release(r)
-	r.state = over
+	r.state = closed
 	m.result.timedOut(r)
 	m.policy.Happen(m.now, Event{
 		Kind:    Cancelled,
 		Request: r,
 		Engine:  r.engine,
-	}, &m.orders)
+	}, &m.actions)
 }
 
-// refuse answers a caller; it may come back.
+// refuse refuses a request and schedules the caller's retry, if there is one. Rule 7.
 func (m *model) refuse(r *Request, after time.Duration) {
-	if r.state == over {
+	if r.state == closed {
 		return
 	}
-	m.lose(r, &m.result.CancelledTokens)
+	m.countWasted(r, &m.result.CancelledTokens)
 	m.release(r)
-	r.state = over
-	again := r.Attempt+1 < m.run.Clients.Attempts
-	m.result.refused(r, m.now, !again)
-	if !again {
+	r.state = closed
+	retry := r.Attempt+1 < m.run.Clients.Attempts
+	m.result.refused(r, m.now, !retry)
+	if !retry {
 		return
 	}
 	if m.noise.Float64() >= m.run.Clients.AsTold {
-		after = atOnce
+		after = immediateRetryDelay
 	}
 	next := &Request{
 		ID:           r.ID,
@@ -276,65 +294,67 @@
 	m.at(next.Arrived, func() { m.arrive(next) })
 }
 
-// lose counts the prefill that a request has cost as wasted.
-func (m *model) lose(r *Request, as *float64) {
-	m.settle(r)
-	*as += r.computed
+// countWasted adds the prefill computed for a request to a counter of wasted tokens.
+func (m *model) countWasted(r *Request, counter *float64) {
+	m.updatePrefillProgress(r)
+	*counter += r.computed
 	m.result.PrefillTokens += r.computed
 	r.computed = 0
 }
 
-// release takes a request out of whatever engine holds it.
+// release removes a request from the engine that holds it and invalidates its
+// scheduled calls.
 func (m *model) release(r *Request) {
 	switch r.state {
 	case prefilling:
 		m.prefills[r.engine].remove(r)
-		m.nextPrefill(r.engine)
-	case waitingSlot, moving, decoding:
-		m.leaveSlot(r)
+		m.schedulePrefill(r.engine)
+	case waitingSlot, preparing, decoding:
+		m.releaseSlot(r)
 	}
 	r.version++
 }
 
-// carryOut does what the policy ordered, until it orders nothing more.
-func (m *model) carryOut() {
-	for i := 0; i < len(m.orders.list); i++ {
-		o := m.orders.list[i]
-		if o.request.state == over {
+// executeActions executes the policy's actions, including those that it adds
+// meanwhile.
+func (m *model) executeActions() {
+	for i := 0; i < len(m.actions.pending); i++ {
+		a := m.actions.pending[i]
+		if a.request.state == closed {
 			continue
 		}
-		o.request.priority = o.priority
-		switch o.kind {
+		a.request.priority = a.priority
+		switch a.kind {
 		case refuse:
-			m.refuse(o.request, o.after)
+			m.refuse(a.request, a.after)
 		case prefill:
-			m.startPrefill(o.request, o.engine)
+			m.startPrefill(a.request, a.engine)
 		case local, transfer:
-			m.askSlot(o.request, o.engine, o.kind == local)
+			m.requestSlot(a.request, a.engine, a.kind == local)
 		}
 	}
-	m.orders.list = m.orders.list[:0]
+	m.actions.pending = m.actions.pending[:0]
 }
 
-func (m *model) happen(e Event) {
-	m.policy.Happen(m.now, e, &m.orders)
+func (m *model) emit(e Event) {
+	m.policy.Happen(m.now, e, &m.actions)
 }
 
 func (m *model) setSpeed(e EngineID, factor float64) {
 	if i := int(e) - len(m.prefills); i >= 0 {
 		m.advance(m.decodes[i])
 		m.slow[e] = factor
-		m.nextDecode(e)
+		m.scheduleNextFinish(e)
 		return
 	}
 	if r := m.prefills[e].current; r != nil {
-		m.settle(r)
+		m.updatePrefillProgress(r)
 	}
 	m.slow[e] = factor
-	m.nextPrefill(e)
+	m.schedulePrefill(e)
 }
 
-// report is rule 6.
+// report measures the load of an engine and schedules its delivery. Rule 6.
 func (m *model) report(e EngineID) {
 	r := Report{
 		Engine: e,
@@ -344,7 +364,7 @@
 		d := m.decodes[i]
 		r.Running, r.Queued = d.held, len(d.waiting)
 		if len(d.running) > 0 {
-			m.happen(Event{
+			m.emit(Event{
 				Kind:   TokenGap,
 				Engine: e,
 				Gap:    time.Duration(float64(time.Second) / m.tokenRate(e, d)),
@@ -353,17 +373,19 @@
 	} else {
 		r.Running, r.Queued, r.QueuedTokens = m.prefills[e].load()
 	}
-	m.at(m.now.Add(m.run.Cluster.ReportLag), func() { m.policy.Report(m.now, r, &m.orders) })
+	m.at(m.now.Add(m.run.Cluster.ReportLag), func() { m.policy.Report(m.now, r, &m.actions) })
 }
 
-// timed is something to do at a time; serial keeps equal times in order.
-type timed struct {
+// timedCall is a scheduled call, at nanoseconds since epoch. Calls at the same
+// time run in the order of serial.
+type timedCall struct {
 	at     int64
 	serial uint64
 	do     func()
 }
 
-type schedule []timed
+// schedule is a heap of calls; it implements heap.Interface.
+type schedule []timedCall
 
 func (s schedule) Len() int { return len(s) }
 
@@ -376,10 +398,10 @@
 
 func (s schedule) Swap(i, j int) { s[i], s[j] = s[j], s[i] }
 
-// Push is for container/heap.
-func (s *schedule) Push(x any) { *s = append(*s, x.(timed)) }
+// Push is called by container/heap.
+func (s *schedule) Push(x any) { *s = append(*s, x.(timedCall)) }
 
-// Pop is for container/heap.
+// Pop is called by container/heap.
 func (s *schedule) Pop() any {
 	old := *s
 	last := old[len(old)-1]
@@ -387,9 +409,10 @@
 	return last
 }
 
+// at schedules a call.
 func (m *model) at(t time.Time, do func()) {
 	m.serial++
-	heap.Push(&m.queue, timed{
+	heap.Push(&m.calls, timedCall{
 		at:     int64(t.Sub(epoch)),
 		serial: m.serial,
 		do:     do,
--- a/internal/decide/hingemodel/policy.go
+++ b/internal/decide/hingemodel/policy.go
@@ -6,81 +6,91 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Policy decides, as the request path of an entry host would. It sees what the
-// path sees: arrivals, the ends of its own orders, and load reports that lag.
+// Policy is the scheduling policy under test. It receives what the request path of
+// an entry host sees: arrivals, events of requests and engines, and delayed load
+// reports. The methods add their actions to o. They aren't called concurrently.
 type Policy interface {
-	// Arrive takes a new request.
+	// Arrive handles a new request.
 	Arrive(now time.Time, r *Request, o *Orders)
-	// Happen takes what became of an order, or of a caller.
+	// Happen handles an event of a request or an engine.
 	Happen(now time.Time, e Event, o *Orders)
-	// Report takes the load report of an engine, as it was some time ago.
+	// Report handles a load report, which was measured ReportLag ago.
 	Report(now time.Time, r Report, o *Orders)
 	// Tick is called every TickEvery.
 	Tick(now time.Time, o *Orders)
 }
 
-// EngineID is the place of an engine in Cluster.Engines.
+// EngineID is the index of an engine: prefill engines come first, then decode
+// engines.
 type EngineID int
 
-// Request is one attempt of a caller.
+// Request is one attempt of a caller. The exported fields are what a policy may use.
 type Request struct {
 	ID      hingeids.RequestID
 	Caller  hingeids.CallerID
 	Class   *Class
 	Arrived time.Time
-	// Prompt counts the prompt's tokens, of which the first PrefixTokens are
+	// Prompt is the number of prompt tokens. The first PrefixTokens of them are
 	// shared by all requests with the same Prefix.
 	Prompt       hingeids.Tokens
 	Prefix       int
 	PrefixTokens hingeids.Tokens
-	// Attempt is 0 for the first, and counts the caller's own retries.
+	// Attempt is the number of earlier attempts of the caller.
 	Attempt int
-	// output is what the engine will write; no policy may know it.
+	// output is the number of output tokens, which no policy knows in advance.
 	output hingeids.Tokens
 
-	state    state
-	engine   EngineID
-	priority int
-	order    uint64
-	// left is the prefill work to do, computed what was done and not yet lost.
-	left, cached, computed float64
-	prefilled              EngineID
-	version                uint64
-	started                time.Time
-	startedAt, finishAt    float64
-	local                  bool
+	state         state
+	engine        EngineID
+	priority      int
+	queueSequence uint64
+	// remaining is the number of tokens still to prefill, cached the number found
+	// in the prefix cache, and computed the number prefilled and not yet counted in
+	// the result.
+	remaining, cached, computed float64
+	// prefilled is the engine of the latest prefill.
+	prefilled EngineID
+	// version invalidates scheduled calls.
+	version uint64
+	// started is the start of the running prefill or of decoding.
+	started time.Time
+	// startTokens and finishTokens are values of decodeEngine.generated.
+	startTokens, finishTokens float64
+	// local says that the request is prefilled at its decode engine.
+	local bool
 }
 
-// Deadline is when the caller gives up.
+// Deadline returns the time at which the caller cancels the request.
 func (r *Request) Deadline() time.Time {
 	return r.Arrived.Add(r.Class.Deadline)
 }
 
-// EventKind says what happened.
+// EventKind is the kind of an event.
 type EventKind uint8
 
-// What can happen to a request or an engine.
+// The kinds of events.
 const (
-	// PrefillDone says that the KV cache is ready at the prefill engine; Cached
-	// tells how many tokens came from the prefix cache.
+	// PrefillDone: the KV cache is ready at the prefill engine. Cached is the
+	// number of tokens found in the prefix cache.
 	PrefillDone EventKind = iota
-	// Evicted says that the KV cache was dropped before its transfer began.
+	// Evicted: the KV cache was evicted before its transfer began.
 	Evicted
-	// DecodeStarted says that the caller got its first token.
+	// DecodeStarted: the caller received the first token.
 	DecodeStarted
-	// Finished says that the caller got its whole answer.
+	// Finished: the caller received the whole answer. Gap is its mean token gap,
+	// Output its number of tokens.
 	Finished
-	// Cancelled says that the caller is gone.
+	// Cancelled: the caller's deadline passed.
 	Cancelled
-	// TokenGap tells the token gap that the open streams of an engine show.
+	// TokenGap: Gap is the current token gap of an engine's open streams.
 	TokenGap
-	// PrefixStored and PrefixDropped are the engine's cache events: late, and
-	// some never come.
+	// PrefixStored and PrefixDropped: the engine's prefix cache changed. They
+	// arrive late, and some are lost.
 	PrefixStored
 	PrefixDropped
 )
 
-// Event is something that happened.
+// Event is an event of a request or, if Request is nil, of an engine.
 type Event struct {
 	Kind    EventKind
 	Request *Request
@@ -94,49 +104,55 @@
 
 // Report is an engine's report of its own load.
 type Report struct {
-	Engine       EngineID
-	Taken        time.Time
-	Running      int
-	Queued       int
+	Engine EngineID
+	// Taken is the time of the measurement.
+	Taken time.Time
+	// Running is the number of occupied slots of a decode engine, or of running
+	// prefills.
+	Running int
+	Queued  int
+	// QueuedTokens is the number of tokens still to prefill, including those of
+	// the running prefill.
 	QueuedTokens hingeids.Tokens
 }
 
-// orderKind says what a policy wants done.
-type orderKind uint8
+// actionKind is the kind of an action.
+type actionKind uint8
 
 const (
-	refuse orderKind = iota
+	refuse actionKind = iota
 	prefill
 	local
 	transfer
 )
 
-type order struct {
-	kind     orderKind
+type action struct {
+	kind     actionKind
 	request  *Request
 	engine   EngineID
 	priority int
 	after    time.Duration
 }
 
-// Orders collects what a policy wants done.
+// Orders collects the actions of a policy, which are executed in order after each
+// call.
 type Orders struct {
-	list []order
+	pending []action
 }
 
-// Refuse answers the caller at once: not run, come back after the time given.
+// Refuse refuses the request and asks the caller to retry after the delay.
 func (o *Orders) Refuse(r *Request, after time.Duration) {
-	o.list = append(o.list, order{
+	o.pending = append(o.pending, action{
 		kind:    refuse,
 		request: r,
 		after:   after,
 	})
 }
 
-// Prefill starts prefill at a prefill engine. The engine works on the highest
+// Prefill sends the request to a prefill engine, which works on the highest
 // priority first.
 func (o *Orders) Prefill(r *Request, e EngineID, priority int) {
-	o.list = append(o.list, order{
+	o.pending = append(o.pending, action{
 		kind:     prefill,
 		request:  r,
 		engine:   e,
@@ -144,19 +160,20 @@
 	})
 }
 
-// Local takes a decode slot at once and prefills where the request decodes.
+// Local sends the request to a decode engine that also prefills it. At a full
+// engine the request waits for a slot.
 func (o *Orders) Local(r *Request, e EngineID) {
-	o.list = append(o.list, order{
+	o.pending = append(o.pending, action{
 		kind:    local,
 		request: r,
 		engine:  e,
 	})
 }
 
-// Transfer sends the KV cache to a decode engine. At a full engine it waits for
-// a slot, and its cache may be evicted meanwhile.
+// Transfer sends the request's KV cache to a decode engine. At a full engine the
+// request waits for a slot, and its KV cache may be evicted meanwhile.
 func (o *Orders) Transfer(r *Request, e EngineID, priority int) {
-	o.list = append(o.list, order{
+	o.pending = append(o.pending, action{
 		kind:     transfer,
 		request:  r,
 		engine:   e,
--- a/internal/decide/hingemodel/result.go
+++ b/internal/decide/hingemodel/result.go
@@ -6,46 +6,51 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Outcome counts what became of the callers of one class.
+// Outcome counts the requests of one class by outcome.
 type Outcome struct {
-	// Arrived counts requests, each once however often its caller came back.
+	// Arrived counts requests without their retries.
 	Arrived int
-	// InTarget were answered within both targets, Late were answered outside one.
+	// InTarget counts requests answered within both latency targets, Late those
+	// answered outside one of them.
 	InTarget, Late int
-	// TimedOut waited to their deadline, Refused were told no and didn't come
-	// back, Refusals counts each no.
+	// TimedOut counts requests whose deadline passed, Refused those whose last
+	// attempt was refused, and Refusals all refused attempts.
 	TimedOut, Refused, Refusals int
-	// Held is the longest time from arrival to a refusal.
+	// Held is the longest time from an arrival to its refusal.
 	Held time.Duration
 }
 
-// Result is the outcome of a run.
+// Result is the result of a run.
 type Result struct {
+	// Classes holds the outcome of each class by name.
 	Classes map[string]*Outcome
-	// Tokens is the output of the requests in target.
+	// Tokens is the number of output tokens of the requests in target.
 	Tokens hingeids.Tokens
-	// PrefillTokens were computed, of which the others were lost.
+	// PrefillTokens is the number of tokens prefilled. EvictedTokens and
+	// CancelledTokens are the parts of it that were wasted by evictions, and by
+	// deadlines and refusals.
 	PrefillTokens, EvictedTokens, CancelledTokens float64
-	// FullSlots counts transfers sent to an engine without a free slot.
+	// FullSlots counts requests sent to a decode engine without a free slot.
 	FullSlots int
-	// Retries counts callers that came back.
+	// Retries counts attempts after the first.
 	Retries int
-	// ByCaller counts the callers' requests in target.
+	// ByCaller counts the requests in target of each caller.
 	ByCaller map[hingeids.CallerID]int
-	// PerSecond counts requests in target by the second in which they arrived.
-	PerSecond []int
-	from, end time.Time
+	// PerSecond counts the requests in target by the second of their arrival,
+	// including the warm-up.
+	PerSecond        []int
+	measureFrom, end time.Time
 }
 
 func newResult(r Run) *Result {
 	return &Result{
-		Classes:  make(map[string]*Outcome),
-		ByCaller: make(map[hingeids.CallerID]int),
-		from:     epoch.Add(r.Measure),
+		Classes:     make(map[string]*Outcome),
+		ByCaller:    make(map[hingeids.CallerID]int),
+		measureFrom: epoch.Add(r.Measure),
 	}
 }
 
-// Class gives the outcome of a class.
+// Class returns the outcome of a class. It adds an empty one if there is none.
 func (r *Result) Class(name string) *Outcome {
 	o := r.Classes[name]
 	if o == nil {
@@ -55,22 +60,23 @@
 	return o
 }
 
-// Goodput is the rate of requests answered within both targets, a second.
+// Goodput returns the number of requests per second answered within both targets.
 func (r *Result) Goodput() float64 {
 	n := 0
 	for _, o := range r.Classes {
 		n += o.InTarget
 	}
-	return float64(n) / r.end.Sub(r.from).Seconds()
+	return float64(n) / r.end.Sub(r.measureFrom).Seconds()
 }
 
-// TokenGoodput is the rate of output tokens of such requests, a second. Unlike
-// Goodput it doesn't rise when short work pushes out long work.
+// TokenGoodput returns the number of output tokens per second of requests answered
+// within both targets. Unlike Goodput, it doesn't rise when short requests
+// displace long ones.
 func (r *Result) TokenGoodput() float64 {
-	return float64(r.Tokens) / r.end.Sub(r.from).Seconds()
+	return float64(r.Tokens) / r.end.Sub(r.measureFrom).Seconds()
 }
 
-// Wasted is the share of the prefill tokens computed that were for nothing.
+// Wasted returns the share of prefilled tokens that were wasted.
 func (r *Result) Wasted() float64 {
 	if r.PrefillTokens == 0 {
 		return 0
@@ -78,21 +84,22 @@
 	return (r.EvictedTokens + r.CancelledTokens) / r.PrefillTokens
 }
 
-func (r *Result) counts(q *Request) bool {
-	return !q.Arrived.Before(r.from)
+// measured reports whether a request arrived after the warm-up.
+func (r *Result) measured(q *Request) bool {
+	return !q.Arrived.Before(r.measureFrom)
 }
 
 func (r *Result) arrived(q *Request) {
 	if q.Attempt > 0 {
 		r.Retries++
 	}
-	if r.counts(q) && q.Attempt == 0 {
+	if r.measured(q) && q.Attempt == 0 {
 		r.Class(q.Class.Name).Arrived++
 	}
 }
 
 func (r *Result) refused(q *Request, now time.Time, last bool) {
-	if !r.counts(q) {
+	if !r.measured(q) {
 		return
 	}
 	o := r.Class(q.Class.Name)
@@ -104,20 +111,20 @@
 }
 
 func (r *Result) timedOut(q *Request) {
-	if r.counts(q) {
+	if r.measured(q) {
 		r.Class(q.Class.Name).TimedOut++
 	}
 }
 
-func (r *Result) finished(q *Request, gap time.Duration, _ time.Time) {
-	inTarget := q.started.Sub(q.Arrived) <= q.Class.FirstToken && gap <= q.Class.TokenGap
+func (r *Result) finished(q *Request, tokenGap time.Duration, _ time.Time) {
+	inTarget := q.started.Sub(q.Arrived) <= q.Class.FirstToken && tokenGap <= q.Class.TokenGap
 	if second := int(q.Arrived.Sub(epoch) / time.Second); inTarget {
 		for len(r.PerSecond) <= second {
 			r.PerSecond = append(r.PerSecond, 0)
 		}
 		r.PerSecond[second]++
 	}
-	if !r.counts(q) {
+	if !r.measured(q) {
 		return
 	}
 	o := r.Class(q.Class.Name)
--- a/internal/decide/hingemodel/workload.go
+++ b/internal/decide/hingemodel/workload.go
@@ -9,34 +9,42 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Class is a kind of work.
+// Class is a class of requests in a workload.
 type Class struct {
-	Name       string
-	Share      float64
-	Priority   int
-	CanWait    bool
+	Name string
+	// Share is the share of all requests, from 0 to 1.
+	Share    float64
+	Priority int
+	CanWait  bool
+	// FirstToken and TokenGap are the latency targets.
 	FirstToken time.Duration
 	TokenGap   time.Duration
-	Deadline   time.Duration
-	// Prompt and Output are means; a request's own are spread around them.
+	// Deadline is the time from arrival to the caller's cancellation.
+	Deadline time.Duration
+	// Prompt and Output are mean numbers of tokens. PrefixTokens is the length of
+	// the shared prefix, which is a part of the prompt.
 	Prompt, PrefixTokens, Output hingeids.Tokens
-	// Prefixes is how many different prefixes there are, Skew how unevenly
-	// they are asked for (Zipf exponent; 0 is even).
+	// Prefixes is the number of different prefixes, Skew the Zipf exponent of
+	// their popularity; 0 is uniform.
 	Prefixes int
 	Skew     float64
 }
 
-// Firm is one firm's mix of work on its engines.
+// Firm is a workload: the request classes of one installation, with the number of
+// its engines and callers.
 type Firm struct {
-	Name            string
-	Classes         []Class
+	Name    string
+	Classes []Class
+	// Prefill and Decode are numbers of engines.
 	Prefill, Decode int
 	Callers         int
-	// GreedyShare of all requests comes from one caller.
+	// GreedyShare is the share of requests that the first caller sends in addition
+	// to its even share of the rest.
 	GreedyShare float64
 }
 
-// Shellfish is the firm of the quay queries and the dossiers: nine engines.
+// Shellfish returns the workload of short quay queries and long dossiers, on nine
+// engines.
 func Shellfish() Firm {
 	return Firm{
 		Name:    "shellfish",
@@ -74,7 +82,8 @@
 	}
 }
 
-// Streaming is the firm of the eulogies and the captions: nine engines.
+// Streaming returns the workload of long eulogies and short captions, on nine
+// engines.
 func Streaming() Firm {
 	return Firm{
 		Name:    "streaming",
@@ -112,8 +121,8 @@
 	}
 }
 
-// Skewed makes prefixes longer and their demand more uneven, so that caching
-// them in the right place decides how much prefill there is to do.
+// Skewed returns a copy in which classes with many prefixes have longer and less
+// evenly popular ones, so that the amount of prefill depends on cache hits.
 func (f Firm) Skewed() Firm {
 	f.Name += "-skewed"
 	f.Classes = append([]Class(nil), f.Classes...)
@@ -128,42 +137,43 @@
 	return f
 }
 
-// PeakRate is the number of requests a second at which either the decode slots
-// or the prefill engines are fully taken, with prefixes cached nine times in ten.
+// PeakRate returns the number of requests per second that saturates either the
+// decode slots or the prefill engines, at a prefix cache hit rate of 0.9.
 func (f Firm) PeakRate(c Cluster) float64 {
 	var slotSeconds, prefillTokens float64
 	for _, k := range f.Classes {
-		slotSeconds += k.Share * float64(k.Output) * c.gap(c.Slots).Seconds()
+		slotSeconds += k.Share * float64(k.Output) * c.tokenGap(c.Slots).Seconds()
 		prefillTokens += k.Share * (float64(k.Prompt) - 0.9*float64(k.PrefixTokens))
 	}
 	decode := float64(f.Decode*c.Slots) / slotSeconds
 	return min(decode, float64(f.Prefill)*c.PrefillRate/prefillTokens)
 }
 
-// Phase is a stretch of time with its share of the peak rate.
+// Phase is a part of a run with a constant arrival rate.
 type Phase struct {
 	Lasts time.Duration
-	Load  float64
+	// Load is the arrival rate as a multiple of the peak rate.
+	Load float64
 }
 
-// source draws arrivals. All draws come from one generator, so that every
-// policy with the same seed meets the same requests.
+// source samples requests. It has its own random number generator, so that all
+// policies get the same requests for the same seed.
 type source struct {
-	rng    *rand.Rand
-	firm   Firm
-	zipf   [][]float64
-	serial uint64
-	caller []hingeids.CallerID
+	rng      *rand.Rand
+	workload Firm
+	zipf     [][]float64
+	serial   uint64
+	callers  []hingeids.CallerID
 }
 
 func newSource(seed uint64, f Firm) *source {
 	s := &source{
-		rng:    rand.New(rand.NewPCG(seed, 1)),
-		firm:   f,
-		caller: make([]hingeids.CallerID, f.Callers),
+		rng:      rand.New(rand.NewPCG(seed, 1)),
+		workload: f,
+		callers:  make([]hingeids.CallerID, f.Callers),
 	}
-	for i := range s.caller {
-		s.caller[i] = hingeids.CallerID(fmt.Sprintf("caller-%d", i))
+	for i := range s.callers {
+		s.callers[i] = hingeids.CallerID(fmt.Sprintf("caller-%d", i))
 	}
 	for _, c := range f.Classes {
 		s.zipf = append(s.zipf, zipfTable(c.Prefixes, c.Skew))
@@ -171,7 +181,7 @@
 	return s
 }
 
-// zipfTable gives the running sums of a Zipf distribution over n items.
+// zipfTable returns the cumulative distribution of a Zipf distribution over n items.
 func zipfTable(n int, skew float64) []float64 {
 	sums := make([]float64, n)
 	var total float64
@@ -185,15 +195,15 @@
 	return sums
 }
 
-func (s *source) draw(now time.Time) *Request {
+func (s *source) sample(now time.Time) *Request {
 	s.serial++
-	k := s.pickClass()
-	c := &s.firm.Classes[k]
-	who := 0
-	if s.rng.Float64() >= s.firm.GreedyShare {
-		who = s.rng.IntN(len(s.caller))
+	k := s.sampleClass()
+	c := &s.workload.Classes[k]
+	caller := 0
+	if s.rng.Float64() >= s.workload.GreedyShare {
+		caller = s.rng.IntN(len(s.callers))
 	}
-	own := float64(c.Prompt-c.PrefixTokens) * (0.5 + s.rng.Float64())
+	unshared := float64(c.Prompt-c.PrefixTokens) * (0.5 + s.rng.Float64())
 	return &Request{
 		ID: hingeids.RequestID{
 			Life: hingeids.Life{
@@ -202,27 +212,28 @@
 			},
 			Sequence: s.serial,
 		},
-		Caller:       s.caller[who],
+		Caller:       s.callers[caller],
 		Class:        c,
 		Arrived:      now,
-		Prompt:       c.PrefixTokens + hingeids.Tokens(own),
+		Prompt:       c.PrefixTokens + hingeids.Tokens(unshared),
 		Prefix:       k*1000 + pick(s.zipf[k], s.rng.Float64()),
 		PrefixTokens: c.PrefixTokens,
 		output:       hingeids.Tokens(float64(c.Output)*(0.5+s.rng.Float64())) + 1,
 	}
 }
 
-func (s *source) pickClass() int {
+func (s *source) sampleClass() int {
 	x := s.rng.Float64()
-	for i, c := range s.firm.Classes {
+	for i, c := range s.workload.Classes {
 		if x < c.Share {
 			return i
 		}
 		x -= c.Share
 	}
-	return len(s.firm.Classes) - 1
+	return len(s.workload.Classes) - 1
 }
 
+// pick returns the item of a cumulative distribution for x in [0, 1).
 func pick(sums []float64, x float64) int {
 	for i, s := range sums {
 		if x < s {
