--- a/internal/decide/hingebaseline/baseline.go
+++ b/internal/decide/hingebaseline/baseline.go
@@ -1,18 +1,18 @@
-// Package hingebaseline holds the plainer ways to decide that ours are measured
-// against. None is used in the product.
+// Package hingebaseline implements simple scheduling policies with which package
+// hingepolicy is compared. The router doesn't use them.
 //
-//  1. All share one router: a queue in order of arrival, bounded, from which a
-//     request is taken while fewer are under way than there are decode slots.
-//  2. A request that has already missed its first token when its turn comes is
-//     refused, and so is one that meets a full queue. Without this any of them
-//     answers nobody in time above its peak, which would flatter ours.
-//  3. What differs is the choice of the two engines: in turn, by the least load
-//     reported, by the lesser of two drawn, or by the prefix's hash.
-//  4. All but the first pass the priority of a request on to the engines.
+//  1. All baselines share one router with a bounded FIFO queue. A request is
+//     dequeued while fewer requests are in flight than there are decode slots.
+//  2. A request that finds the queue full is refused, and so is one whose
+//     first-token target has passed when it is dequeued. Without these refusals a
+//     baseline would miss all targets above its peak load, and the comparison
+//     would be unfair.
+//  3. The baselines differ in the choice of the two engines: round robin, least
+//     reported load, two random choices, or hash of the prefix.
+//  4. All but round robin pass the priority of a request on to the engines.
 //  5. A request whose KV cache was evicted is prefilled again.
-//  6. A fifth, stronger one takes the queue by priority beside prefix affinity.
-//     The issue doesn't ask for it; it shows how much of a difference is due to
-//     priorities alone.
+//  6. A fifth, stronger baseline adds a priority queue to prefix affinity. It
+//     shows how much of a difference is due to priorities alone.
 package hingebaseline
 
 import (
@@ -23,61 +23,65 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingemodel"
 )
 
-// queueLimit bounds the queue: about three seconds of the brief's nine engines.
+// queueLimit is the capacity of the queue, about three seconds of work for nine
+// engines.
 const queueLimit = 100
 
-// retryAfter is what a refused caller is told, always the same.
+// retryAfter is the retry delay of every refusal.
 const retryAfter = time.Second
 
-// Router is rule 1 with a choice of engines.
+// Router is a baseline policy: the queue of rule 1 with a choice of engines. It
+// implements hingemodel.Policy and isn't safe for concurrent use.
 type Router struct {
 	prefills, decodes int
 	slots             int
 	choose            chooser
-	priorities        bool
-	byPriority        bool
+	passPriority      bool
+	queueByPriority   bool
 	queue             []*hingemodel.Request
-	under             map[*hingemodel.Request]bool
-	load              []hingemodel.Report
-	turn              int
+	inFlight          map[*hingemodel.Request]bool
+	reports           []hingemodel.Report
+	lastTurn          int
 	rng               *rand.Rand
 }
 
-// chooser picks among n engines starting at first.
+// chooser selects one of the n engines that start at first.
 type chooser func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID
 
 func newRouter(f hingemodel.Firm, c hingemodel.Cluster, seed uint64, choose chooser) *Router {
 	return &Router{
-		prefills:   f.Prefill,
-		decodes:    f.Decode,
-		slots:      f.Decode * c.Slots,
-		choose:     choose,
-		priorities: true,
-		under:      make(map[*hingemodel.Request]bool),
-		load:       make([]hingemodel.Report, f.Prefill+f.Decode),
-		rng:        rand.New(rand.NewPCG(seed, 3)),
+		prefills:     f.Prefill,
+		decodes:      f.Decode,
+		slots:        f.Decode * c.Slots,
+		choose:       choose,
+		passPriority: true,
+		inFlight:     make(map[*hingemodel.Request]bool),
+		reports:      make([]hingemodel.Report, f.Prefill+f.Decode),
+		rng:          rand.New(rand.NewPCG(seed, 3)),
 	}
 }
 
-// RoundRobin takes engines in turn, first come first served.
+// RoundRobin returns a baseline that uses engines in turn and ignores priorities.
 func RoundRobin(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
-	r := newRouter(f, c, seed, inTurn)
-	r.priorities = false
+	r := newRouter(f, c, seed, roundRobin)
+	r.passPriority = false
 	return r
 }
 
-// LeastLoad takes the engine with the least load in its latest report.
+// LeastLoad returns a baseline that uses the engine with the least load in its
+// latest report.
 func LeastLoad(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
 	return newRouter(f, c, seed, leastLoad)
 }
 
-// TwoChoices takes the less loaded, as reported, of two engines drawn.
+// TwoChoices returns a baseline that samples two engines and uses the one with
+// the lower reported load.
 func TwoChoices(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
 	return newRouter(f, c, seed, twoChoices)
 }
 
-// PrefixAffinity takes the prefill engine by the prefix's hash, and decode
-// engines by the lesser of two drawn.
+// PrefixAffinity returns a baseline that selects the prefill engine by the hash of
+// the prefix, and the decode engine as TwoChoices does.
 func PrefixAffinity(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
 	return newRouter(f, c, seed, func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID {
 		if first > 0 {
@@ -87,16 +91,16 @@
 	})
 }
 
-// PriorityAffinity is PrefixAffinity with the queue in order of priority. Rule 6.
+// PriorityAffinity returns a PrefixAffinity baseline with a priority queue. Rule 6.
 func PriorityAffinity(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
 	r := PrefixAffinity(f, c, seed)
-	r.byPriority = true
+	r.queueByPriority = true
 	return r
 }
 
-func inTurn(r *Router, _ *hingemodel.Request, first, n int) hingemodel.EngineID {
-	r.turn++
-	return hingemodel.EngineID(first + r.turn%n)
+func roundRobin(r *Router, _ *hingemodel.Request, first, n int) hingemodel.EngineID {
+	r.lastTurn++
+	return hingemodel.EngineID(first + r.lastTurn%n)
 }
 
 func leastLoad(r *Router, _ *hingemodel.Request, first, n int) hingemodel.EngineID {
@@ -118,22 +122,23 @@
 	return a
 }
 
+// loadOf returns the reported load of an engine: requests plus queued tokens.
 func (r *Router) loadOf(e hingemodel.EngineID) int {
-	l := r.load[e]
+	l := r.reports[e]
 	return l.Running + l.Queued + int(l.QueuedTokens)
 }
 
-// Arrive puts the request into the queue, or refuses it. Rule 2.
+// Arrive queues the request, or refuses it if the queue is full. Rule 2.
 func (r *Router) Arrive(now time.Time, q *hingemodel.Request, o *hingemodel.Orders) {
 	if len(r.queue) >= queueLimit {
 		o.Refuse(q, retryAfter)
 		return
 	}
 	r.enqueue(q)
-	r.pump(now, o)
+	r.dispatch(now, o)
 }
 
-// Happen goes on with a request.
+// Happen continues, requeues or removes a request. Rule 5.
 func (r *Router) Happen(now time.Time, e hingemodel.Event, o *hingemodel.Orders) {
 	q := e.Request
 	switch e.Kind {
@@ -142,45 +147,47 @@
 	case hingemodel.Evicted:
 		o.Prefill(q, r.choose(r, q, 0, r.prefills), r.priority(q))
 	case hingemodel.Finished, hingemodel.Cancelled:
-		delete(r.under, q)
-		r.drop(q)
-		r.pump(now, o)
+		delete(r.inFlight, q)
+		r.dequeue(q)
+		r.dispatch(now, o)
 	}
 }
 
-// Report keeps the latest report.
+// Report stores the latest report of an engine.
 func (r *Router) Report(now time.Time, l hingemodel.Report, o *hingemodel.Orders) {
-	r.load[l.Engine] = l
-	r.pump(now, o)
+	r.reports[l.Engine] = l
+	r.dispatch(now, o)
 }
 
-// Tick looks at the queue.
+// Tick dispatches queued requests.
 func (r *Router) Tick(now time.Time, o *hingemodel.Orders) {
-	r.pump(now, o)
+	r.dispatch(now, o)
 }
 
-func (r *Router) pump(now time.Time, o *hingemodel.Orders) {
-	for len(r.queue) > 0 && len(r.under) < r.slots {
+// dispatch starts queued requests while there are decode slots for them. Rules 1
+// and 2.
+func (r *Router) dispatch(now time.Time, o *hingemodel.Orders) {
+	for len(r.queue) > 0 && len(r.inFlight) < r.slots {
 		q := r.queue[0]
 		r.queue = r.queue[1:]
 		if now.Sub(q.Arrived) > q.Class.FirstToken {
 			o.Refuse(q, retryAfter)
 			continue
 		}
-		r.under[q] = true
+		r.inFlight[q] = true
 		o.Prefill(q, r.choose(r, q, 0, r.prefills), r.priority(q))
 	}
 }
 
 func (r *Router) enqueue(q *hingemodel.Request) {
 	i := len(r.queue)
-	for r.byPriority && i > 0 && r.queue[i-1].Class.Priority < q.Class.Priority {
+	for r.queueByPriority && i > 0 && r.queue[i-1].Class.Priority < q.Class.Priority {
 		i--
 	}
 	r.queue = slices.Insert(r.queue, i, q)
 }
 
-func (r *Router) drop(q *hingemodel.Request) {
+func (r *Router) dequeue(q *hingemodel.Request) {
 	for i, x := range r.queue {
 		if x == q {
 			r.queue = append(r.queue[:i], r.queue[i+1:]...)
@@ -190,7 +197,7 @@
 }
 
 func (r *Router) priority(q *hingemodel.Request) int {
-	if !r.priorities {
+	if !r.passPriority {
 		return 0
 	}
 	return q.Class.Priority
--- a/internal/decide/hingebaseline/baseline_test.go
+++ b/internal/decide/hingebaseline/baseline_test.go
@@ -10,7 +10,7 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingemodel"
 )
 
-var all = map[string]func(hingemodel.Firm, hingemodel.Cluster, uint64) *Router{
+var baselines = map[string]func(hingemodel.Firm, hingemodel.Cluster, uint64) *Router{
 	"roundRobin":       RoundRobin,
 	"leastLoad":        LeastLoad,
 	"twoChoices":       TwoChoices,
@@ -18,7 +18,7 @@
 	"priorityAffinity": PriorityAffinity,
 }
 
-func draw(t *rapid.T) hingemodel.Run {
+func sampleRun(t *rapid.T) hingemodel.Run {
 	return hingemodel.Run{
 		Cluster: hingemodel.BriefCluster(),
 		Firm:    rapid.SampledFrom([]hingemodel.Firm{hingemodel.Shellfish(), hingemodel.Streaming()}).Draw(t, "firm"),
@@ -36,25 +36,25 @@
 	}
 }
 
-// A model that loses a request, answers one twice or draws by the clock would
-// make every figure that is measured on it worthless.
-func TestTheModelAnswersEachCallerOnceAndTheSameAgain(t *testing.T) {
-	for name, make := range all {
+// Guards against a simulation that loses a request, answers one twice, or differs
+// between runs with the same seed.
+func TestModelAnswersEachCallerOnceAndIsDeterministic(t *testing.T) {
+	for name, newBaseline := range baselines {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				run := draw(t)
-				first := hingemodel.Play(run, make(run.Firm, run.Cluster, run.Seed))
-				again := hingemodel.Play(run, make(run.Firm, run.Cluster, run.Seed))
+				run := sampleRun(t)
+				first := hingemodel.Play(run, newBaseline(run.Firm, run.Cluster, run.Seed))
+				again := hingemodel.Play(run, newBaseline(run.Firm, run.Cluster, run.Seed))
 				if diff := cmp.Diff(first.Classes, again.Classes); diff != "" {
 					t.Fatal(diff)
 				}
 				for class, o := range first.Classes {
 					if got := o.InTarget + o.Late + o.TimedOut + o.Refused; got != o.Arrived {
-						t.Fatalf("%s: %d arrived, %d came to an end", class, o.Arrived, got)
+						t.Fatalf("%s: %d requests arrived, %d have an outcome", class, o.Arrived, got)
 					}
 				}
 				if w := first.Wasted(); w < 0 || w > 1 {
-					t.Fatalf("wasted share of prefill is %v", w)
+					t.Fatalf("wasted share of prefill is %v, want a value from 0 to 1", w)
 				}
 			})
 		})
