--- a/internal/decide/hingepolicy/curve_test.go
+++ b/internal/decide/hingepolicy/curve_test.go
@@ -15,11 +15,10 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingeplace"
 )
 
-var drawTo = flag.String("draw", "", "write the trade-off curve to this file")
+var plotFile = flag.String("draw", "", "write the trade-off curve to this file")
 
-// One rule of weights serves both firms. Along it, from the end that weighs only
-// goodput to the end that weighs only wasted prefill, waste must fall, or the
-// firm that pays for it has no say. With -draw the curve becomes a figure.
+// Guards against weights without effect: wasted prefill must fall from the weights
+// that count only goodput to those that count only waste. -draw plots the curve.
 func TestTradeOffCurve(t *testing.T) {
 	t.Parallel()
 	f := hingemodel.Shellfish().Skewed()
@@ -28,7 +27,7 @@
 	var all sync.WaitGroup
 	for i, w := range weights {
 		all.Go(func() {
-			got[i] = ours(f, hingeplace.Weights{
+			got[i] = playPolicy(f, hingeplace.Weights{
 				Goodput:       1 - w,
 				WastedPrefill: w,
 			}, 1.3)
@@ -49,13 +48,13 @@
 	first, last := points[0], points[len(points)-1]
 	for i := range points[1:] {
 		if points[i+1].X > 1.05*points[i].X {
-			t.Errorf("more is wasted at weight %v than at %v", weights[i+1], weights[i])
+			t.Errorf("more prefill is wasted at weight %v than at %v", weights[i+1], weights[i])
 		}
 	}
 	if last.X > 0.3*first.X {
-		t.Errorf("wasted %.2f%% at one end of the rule, %.2f%% at the other", first.X, last.X)
+		t.Errorf("wasted %.2f%% of the prefill at weight 0 and %.2f%% at weight 1, want less than 0.3 times as much", first.X, last.X)
 	}
-	if *drawTo != "" {
+	if *plotFile != "" {
 		if err := drawCurve(points, labels); err != nil {
 			t.Fatal(err)
 		}
@@ -66,7 +65,7 @@
 	p := plot.New()
 	p.Title.Text = "Skewed dossiers at 1.3 times the peak, by the weight w of wasted prefill"
 	p.X.Label.Text = "wasted prefill, % of prefill tokens"
-	p.Y.Label.Text = "tokens in target, a second"
+	p.Y.Label.Text = "tokens in target per second"
 	p.Y.Min = 0
 	line, dots, err := plotter.NewLinePoints(points)
 	if err != nil {
@@ -81,5 +80,5 @@
 		return err
 	}
 	p.Add(plotter.NewGrid(), line, dots, names)
-	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, *drawTo)
+	return p.Save(16*vg.Centimeter, 10*vg.Centimeter, *plotFile)
 }
--- a/internal/decide/hingepolicy/loads_test.go
+++ b/internal/decide/hingepolicy/loads_test.go
@@ -9,7 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingeplace"
 )
 
-// mix is a firm with its weights.
+// mix is a workload with its weights.
 type mix struct {
 	firm    hingemodel.Firm
 	weights hingeplace.Weights
@@ -30,8 +30,10 @@
 	},
 }
 
+// seeds is the number of seeds over which figures are averaged.
 const seeds = 2
 
+// steady returns a run with a constant load and a warm-up.
 func steady(f hingemodel.Firm, load float64, seed uint64) hingemodel.Run {
 	return hingemodel.Run{
 		Cluster: hingemodel.BriefCluster(),
@@ -50,7 +52,8 @@
 	}
 }
 
-func ours(f hingemodel.Firm, w hingeplace.Weights, load float64) sums {
+// playPolicy returns the figures of the policy under a constant load.
+func playPolicy(f hingemodel.Firm, w hingeplace.Weights, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
 		r := steady(f, load, uint64(seed+1))
@@ -59,7 +62,8 @@
 	return out
 }
 
-func theirs(f hingemodel.Firm, baseline maker, load float64) sums {
+// playBaseline returns the figures of a baseline under a constant load.
+func playBaseline(f hingemodel.Firm, baseline newBaselineFunc, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
 		r := steady(f, load, uint64(seed+1))
@@ -68,9 +72,8 @@
 	return out
 }
 
-// Above the peak there is more work than the engines can do. What they do must
-// still be worth something: goodput stays, and is nowhere below what a plainer
-// way gives with the same arrivals.
+// Guards against goodput that collapses under overload, or that is lower than a
+// baseline's with the same arrivals.
 func TestGoodputOverLoads(t *testing.T) {
 	t.Parallel()
 	for _, m := range mixes {
@@ -78,36 +81,35 @@
 			t.Parallel()
 			peak, tokenPeak := 0.0, 0.0
 			for _, load := range []float64{0.7, 1, 1.3, 2} {
-				got := ours(m.firm, m.weights, load)
+				got := playPolicy(m.firm, m.weights, load)
 				best, all := 0.0, 0.0
 				line := fmt.Sprintf("load %.1f: ours %.1f (%.0f tokens, wasted %.2f%%)",
 					load, got["goodput"], got["tokenGoodput"], 100*got["wasted"])
 				for _, b := range baselines {
-					other := theirs(m.firm, b.make, load)
+					other := playBaseline(m.firm, b.make, load)
 					line += fmt.Sprintf(", %s %.1f (%.0f, %.2f%%)",
 						b.name, other["goodput"], other["tokenGoodput"], 100*other["wasted"])
 					all = max(all, other["goodput"])
-					if b.named {
+					if b.standard {
 						best = max(best, other["goodput"])
 					}
 				}
 				t.Log(line)
 				if got["goodput"] < best {
-					t.Errorf("load %v: below a baseline", load)
+					t.Errorf("load %v: goodput is below a standard baseline's", load)
 				}
 				if got["goodput"] < 0.99*all {
-					t.Errorf("load %v: below the baseline with priorities", load)
+					t.Errorf("load %v: goodput is below 0.99 of the best baseline's", load)
 				}
 				if load == 1.3 && m.firm.Name == "shellfish-skewed" && got["goodput"] < 1.5*best {
-					t.Errorf("at 1.3 with skewed prefixes not 1.5 times the best baseline")
+					t.Errorf("load 1.3 with skewed prefixes: goodput is below 1.5 times the best standard baseline's")
 				}
 				peak, tokenPeak = max(peak, got["goodput"]), max(tokenPeak, got["tokenGoodput"])
 				if load > 1 && got["goodput"] < 0.95*peak {
 					t.Errorf("load %v: goodput fell to %.2f of its peak", load, got["goodput"]/peak)
 				}
-				// Short work crowds out long work above the peak, so tokens in
-				// target fall where requests in target rise. Not a promise, but
-				// a bound that a change must not break unseen.
+				// Short requests displace long ones above the peak load, so fewer
+				// tokens are in target although more requests are. This bounds the loss.
 				if got["tokenGoodput"] < 0.9*tokenPeak {
 					t.Errorf("load %v: tokens in target fell to %.2f of their peak", load, got["tokenGoodput"]/tokenPeak)
 				}
@@ -116,16 +118,16 @@
 	}
 }
 
-// A prefill whose KV cache is dropped has to be done again, on hardware that has
-// none to spare. Under the streaming firm's weights hardly any may be.
+// Guards against prefill that is wasted by evictions and cancellations, with the
+// weights of the streaming workload.
 func TestWastedPrefillUnderTheStreamingWeights(t *testing.T) {
 	t.Parallel()
 	for _, m := range mixes {
 		t.Run(m.firm.Name, func(t *testing.T) {
 			t.Parallel()
 			for load, bound := range map[float64]float64{0.9: 0.01, 2: 0.03} {
-				got := ours(m.firm, wastedFirst, load)
-				t.Logf("load %v: wasted %.4f, evicted and cancelled", load, got["wasted"])
+				got := playPolicy(m.firm, wastedFirst, load)
+				t.Logf("load %v: wasted %.4f of the prefill by evictions and cancellations", load, got["wasted"])
 				if got["wasted"] >= bound {
 					t.Errorf("load %v: wasted %.4f of the prefill, want less than %v", load, got["wasted"], bound)
 				}
@@ -134,17 +136,16 @@
 	}
 }
 
-// For ten seconds ten times as many requests come as at the peak. Five seconds
-// later the engines must work for callers again as before, whether those who
-// were refused waited as told or came back at once.
+// Guards against goodput that hasn't recovered five seconds after a burst of ten
+// times the peak load, with callers that honor the retry delay or ignore it.
 func TestRecoveryAfterABurst(t *testing.T) {
 	t.Parallel()
-	const many = 2
+	const runs = 2
 	for asTold, attempts := range map[float64]int{0: 20, 1: 4} {
 		t.Run(fmt.Sprint("asTold", asTold), func(t *testing.T) {
 			t.Parallel()
 			var before, after float64
-			for seed := range many {
+			for seed := range runs {
 				r := steady(hingemodel.Shellfish(), 1, uint64(seed+1))
 				r.Clients.AsTold, r.Clients.Attempts = asTold, attempts
 				r.Phases = []hingemodel.Phase{
@@ -166,7 +167,7 @@
 				after += mean(got[45:70])
 				t.Log(got[:70])
 			}
-			t.Logf("requests in target a second: %.1f before the burst, %.1f from 5 s after it", before/many, after/many)
+			t.Logf("requests in target per second: %.1f before the burst, %.1f from 5 s after it", before/runs, after/runs)
 			if after < 0.95*before {
 				t.Errorf("from 5 s after the burst goodput is %.2f of what it was before", after/before)
 			}
@@ -182,16 +183,15 @@
 	return float64(sum) / float64(len(list))
 }
 
-// Three entry hosts of a zone stand before the same engines, and each learns of
-// the others' requests only from late reports. That costs something, as these
-// bounds of what was measured say, but no slot is given twice.
+// Guards against larger losses than these bounds when three entry hosts share the
+// engines, and against a slot that is assigned twice.
 func TestSeveralHostsAgainstOne(t *testing.T) {
 	t.Parallel()
 	for _, m := range mixes {
 		t.Run(m.firm.Name, func(t *testing.T) {
 			t.Parallel()
 			for _, load := range []float64{1.3, 2} {
-				one := ours(m.firm, m.weights, load)
+				one := playPolicy(m.firm, m.weights, load)
 				three := make(sums)
 				for seed := range seeds {
 					r := steady(m.firm, load, uint64(seed+1))
@@ -209,13 +209,13 @@
 				if q, ok := three["quay.inTarget"]; ok && q < 0.985 {
 					t.Errorf("load %v: %.4f of the quay queries in target", load, q)
 				}
-				// Not as it should be: no accepted dossier may go unanswered, and 99
-				// of 100 quay queries should be in target. It is what is reached.
+				// The aim is that every accepted dossier is answered and that 99% of
+				// the quay queries are in target. These bounds are weaker.
 				if n := three["dossier.unanswered"] + three["eulogy.unanswered"]; n > 2 {
-					t.Errorf("load %v: %v that were accepted weren't answered", load, n)
+					t.Errorf("load %v: %v accepted requests weren't answered", load, n)
 				}
 				if three["fullSlots"] > 0 {
-					t.Errorf("load %v: %v slots were given twice", load, three["fullSlots"])
+					t.Errorf("load %v: %v requests were sent to engines without a free slot", load, three["fullSlots"])
 				}
 			}
 		})
--- a/internal/decide/hingepolicy/policy.go
+++ b/internal/decide/hingepolicy/policy.go
@@ -1,13 +1,13 @@
-// Package hingepolicy joins admission, placing and retry into one policy for
-// the model of engines, the way the request path joins them for real ones.
+// Package hingepolicy combines admission, placement and retry into one policy for
+// the engine simulation, as the request path does for real engines.
 //
-//  1. A request that arrives is offered to the queue with placing's forecast.
-//  2. Whatever may have made room lets the queue go on: requests are taken in its
-//     order as long as placing starts them.
-//  3. A slot that comes free goes to the KV caches that are ready, then to the
-//     queue.
-//  4. A request whose KV cache was evicted is prefilled again within the retry
-//     budget, as it holds its place; beyond it, it is refused.
+//  1. A new request is offered to the admission queue with the placement's
+//     latency forecast.
+//  2. After each event that may have freed capacity, requests are dequeued in the
+//     order of the queue for as long as the placement can start them.
+//  3. Free decode slots go to requests whose KV cache is ready, then to the queue.
+//  4. A request whose KV cache was evicted is requeued and prefilled again within
+//     the retry budget. Beyond the budget it is refused.
 package hingepolicy
 
 import (
@@ -21,18 +21,19 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Policy is ours.
+// Policy is the policy of one entry host. It implements hingemodel.Policy and
+// isn't safe for concurrent use.
 type Policy struct {
-	firm    hingemodel.Firm
-	cluster hingemodel.Cluster
-	queue   *hingeadmit.Queue
-	view    *hingeplace.View
-	live    map[hingeids.RequestID]*hingemodel.Request
-	placing map[hingeids.RequestID]*hingeplace.Request
-	granter *granter
+	firm              hingemodel.Firm
+	cluster           hingemodel.Cluster
+	queue             *hingeadmit.Queue
+	view              *hingeplace.View
+	requests          map[hingeids.RequestID]*hingemodel.Request
+	placementRequests map[hingeids.RequestID]*hingeplace.Request
+	allocator         *allocator
 }
 
-// New makes the policy with the weights of a firm.
+// New returns a policy of one entry host with the given weights.
 func New(f hingemodel.Firm, c hingemodel.Cluster, w hingeplace.Weights) *Policy {
 	p := hingeplace.Defaults()
 	p.Weights = w
@@ -41,13 +42,13 @@
 		return hingeids.BytesPerSecond(c.LinkRate)
 	}
 	policy := &Policy{
-		firm:    f,
-		cluster: c,
-		queue:   hingeadmit.New(hingeadmit.Defaults()),
-		view:    hingeplace.NewView(p),
-		live:    make(map[hingeids.RequestID]*hingemodel.Request),
-		placing: make(map[hingeids.RequestID]*hingeplace.Request),
-		granter: newGranter(c.Slots),
+		firm:              f,
+		cluster:           c,
+		queue:             hingeadmit.New(hingeadmit.Defaults()),
+		view:              hingeplace.NewView(p),
+		requests:          make(map[hingeids.RequestID]*hingemodel.Request),
+		placementRequests: make(map[hingeids.RequestID]*hingeplace.Request),
+		allocator:         newAllocator(c.Slots),
 	}
 	return policy
 }
@@ -61,7 +62,7 @@
 	return hingemodel.EngineID(n)
 }
 
-// Arrive is rule 1.
+// Arrive offers a new request to the queue. Rule 1.
 func (p *Policy) Arrive(now time.Time, q *hingemodel.Request, o *hingemodel.Orders) {
 	r := &hingeplace.Request{
 		ID:           q.ID,
@@ -78,18 +79,18 @@
 			},
 		},
 	}
-	admit, forecast := p.ask(now, q, r)
+	admit, forecast := p.admissionRequest(now, q, r)
 	if refused := p.queue.Offer(now, admit, forecast); refused != nil {
 		o.Refuse(q, refused.RetryAfter)
 		return
 	}
-	p.live[q.ID] = q
-	p.placing[q.ID] = r
-	p.goOn(now, o)
+	p.requests[q.ID] = q
+	p.placementRequests[q.ID] = r
+	p.dispatch(now, o)
 }
 
-// ask is what admission is asked about a request.
-func (p *Policy) ask(
+// admissionRequest returns the arguments of the admission queue for a request.
+func (p *Policy) admissionRequest(
 	now time.Time, q *hingemodel.Request, r *hingeplace.Request,
 ) (hingeadmit.Request, hingeadmit.Forecast) {
 	firstToken, tokenGap, slots := p.view.Forecast(now, r)
@@ -114,22 +115,22 @@
 	return request, forecast
 }
 
-// Happen takes what became of a request.
+// Happen updates the state of the request or the engine and dispatches.
 func (p *Policy) Happen(now time.Time, e hingemodel.Event, o *hingemodel.Orders) {
 	switch e.Kind {
 	case hingemodel.PrefillDone:
 		p.view.PrefillDone(now, e.Request.ID, e.Cached)
 	case hingemodel.Evicted:
-		p.evicted(now, e)
+		p.requeueEvicted(now, e)
 	case hingemodel.Finished:
-		p.granter.release(e.Request)
+		p.allocator.release(e.Request)
 		p.view.Ended(now, e.Request.ID, e.Output)
-		p.forget(e.Request.ID)
+		p.remove(e.Request.ID)
 	case hingemodel.Cancelled:
-		p.granter.release(e.Request)
+		p.allocator.release(e.Request)
 		p.queue.Cancel(e.Request.ID)
 		p.view.Ended(now, e.Request.ID, 0)
-		p.forget(e.Request.ID)
+		p.remove(e.Request.ID)
 	case hingemodel.TokenGap:
 		p.view.TokenGap(now, serverOf(e.Engine), e.Gap)
 	case hingemodel.PrefixStored, hingemodel.PrefixDropped:
@@ -138,22 +139,22 @@
 			Tokens: e.Tokens,
 		}, e.Kind == hingemodel.PrefixStored)
 	}
-	p.goOn(now, o)
+	p.dispatch(now, o)
 }
 
-// evicted is rule 4.
-func (p *Policy) evicted(now time.Time, e hingemodel.Event) {
+// requeueEvicted requeues a request whose KV cache was evicted. Rule 4.
+func (p *Policy) requeueEvicted(now time.Time, e hingemodel.Event) {
 	p.view.Evicted(now, e.Request.ID)
-	admit, forecast := p.ask(now, e.Request, p.placing[e.Request.ID])
+	admit, forecast := p.admissionRequest(now, e.Request, p.placementRequests[e.Request.ID])
 	p.queue.Requeue(now, admit, forecast)
 }
 
-func (p *Policy) forget(id hingeids.RequestID) {
-	delete(p.live, id)
-	delete(p.placing, id)
+func (p *Policy) remove(id hingeids.RequestID) {
+	delete(p.requests, id)
+	delete(p.placementRequests, id)
 }
 
-// Report passes a report on as an announcement.
+// Report passes a load report to the placement as an announcement.
 func (p *Policy) Report(now time.Time, r hingemodel.Report, o *hingemodel.Orders) {
 	a := hingeannounce.Announcement{
 		Server:      serverOf(r.Engine),
@@ -170,54 +171,58 @@
 		a.Kind = hingeannounce.Prefill
 	}
 	p.view.Announce(now, r.Taken, a)
-	p.goOn(now, o)
+	p.dispatch(now, o)
 }
 
-// Tick gives up what waits in vain.
+// Tick refuses requests that have waited too long, and dispatches.
 func (p *Policy) Tick(now time.Time, o *hingemodel.Orders) {
-	p.goOn(now, o)
+	p.dispatch(now, o)
 }
 
-// goOn is rules 2 and 3.
-func (p *Policy) goOn(now time.Time, o *hingemodel.Orders) {
+// dispatch refuses requests that have waited too long, then assigns free capacity.
+// Rules 2 and 3.
+func (p *Policy) dispatch(now time.Time, o *hingemodel.Orders) {
 	for _, g := range p.queue.GiveUp(now) {
-		o.Refuse(p.live[g.Request.ID], g.Err.RetryAfter)
-		p.forget(g.Request.ID)
+		o.Refuse(p.requests[g.Request.ID], g.Err.RetryAfter)
+		p.remove(g.Request.ID)
 	}
 	for _, id := range p.view.Ready() {
-		p.bind(now, id, o)
+		p.bindSlot(now, id, o)
 	}
 	for {
 		var d hingeplace.Decision
-		taken, ok := p.queue.Next(now, func(r hingeadmit.Request) bool {
-			d = p.view.Place(now, p.placing[r.ID])
-			return d.Action == hingeplace.Start || d.Action == hingeplace.Local && p.granted(now, r.ID, d.Decode)
+		next, ok := p.queue.Next(now, func(r hingeadmit.Request) bool {
+			d = p.view.Place(now, p.placementRequests[r.ID])
+			return d.Action == hingeplace.Start || d.Action == hingeplace.Local && p.acquireSlot(now, r.ID, d.Decode)
 		})
 		if !ok {
 			return
 		}
-		p.start(now, p.placing[taken.ID], d, o)
+		p.start(now, p.placementRequests[next.ID], d, o)
 	}
 }
 
-// bind is rule 3 for a KV cache that is ready. A slot that another host took is
-// refused by its granter, and another engine is asked for.
-func (p *Policy) bind(now time.Time, id hingeids.RequestID, o *hingemodel.Orders) {
+// bindSlot transfers a ready KV cache to an engine with a free slot. If another
+// host has taken the slot, the allocator refuses it and another engine is tried.
+// Rule 3.
+func (p *Policy) bindSlot(now time.Time, id hingeids.RequestID, o *hingemodel.Orders) {
 	for {
 		s, ok := p.view.Bind(now, id)
 		if !ok {
 			return
 		}
-		if p.granted(now, id, s) {
-			o.Transfer(p.live[id], engineOf(s), p.live[id].Class.Priority)
+		if p.acquireSlot(now, id, s) {
+			o.Transfer(p.requests[id], engineOf(s), p.requests[id].Class.Priority)
 			return
 		}
 		p.view.Unbind(now, id)
 	}
 }
 
-func (p *Policy) granted(now time.Time, id hingeids.RequestID, s hingeids.ServerID) bool {
-	if p.granter.grant(p.live[id], engineOf(s)) {
+// acquireSlot requests a slot from the allocator. If the engine has none, it is
+// marked as full in the view.
+func (p *Policy) acquireSlot(now time.Time, id hingeids.RequestID, s hingeids.ServerID) bool {
+	if p.allocator.grant(p.requests[id], engineOf(s)) {
 		return true
 	}
 	p.view.Full(now, s)
@@ -227,8 +232,8 @@
 func (p *Policy) start(now time.Time, r *hingeplace.Request, d hingeplace.Decision, o *hingemodel.Orders) {
 	p.view.Began(now, r, d)
 	if d.Action == hingeplace.Local {
-		o.Local(p.live[r.ID], engineOf(d.Decode))
+		o.Local(p.requests[r.ID], engineOf(d.Decode))
 		return
 	}
-	o.Prefill(p.live[r.ID], engineOf(d.Prefill), r.Priority)
+	o.Prefill(p.requests[r.ID], engineOf(d.Prefill), r.Priority)
 }
--- a/internal/decide/hingepolicy/script_test.go
+++ b/internal/decide/hingepolicy/script_test.go
@@ -16,7 +16,7 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingeplace"
 )
 
-// The two firms' weights.
+// The weights of the two workloads.
 var (
 	goodputFirst = hingeplace.Weights{
 		Goodput:       1,
@@ -28,12 +28,12 @@
 	}
 )
 
-// script is the file run.toml of a script; times are in seconds.
+// script is the content of the file run.toml of a script. Times are in seconds.
 type script struct {
 	Firm   string
 	Skewed bool
-	// Greedy is the share of all requests that one caller sends, Long the share
-	// that is dossiers or eulogies, if other than usual.
+	// Greedy is the share of requests that one caller sends. Long is the share of
+	// dossiers or eulogies; zero means that of the workload.
 	Greedy, Long float64
 	Seeds        int
 	Measure      float64
@@ -101,34 +101,34 @@
 	return r, w
 }
 
-type maker func(hingemodel.Firm, hingemodel.Cluster, uint64) *hingebaseline.Router
+type newBaselineFunc func(hingemodel.Firm, hingemodel.Cluster, uint64) *hingebaseline.Router
 
-// baselines are what issue 5 names, and the stronger fifth.
+// baselines are the four standard baselines and the one with a priority queue.
 var baselines = []struct {
 	name string
-	make maker
-	// named says that the issue names it.
-	named bool
+	make newBaselineFunc
+	// standard is set for the standard baselines.
+	standard bool
 }{
 	{
-		name:  "roundRobin",
-		make:  hingebaseline.RoundRobin,
-		named: true,
+		name:     "roundRobin",
+		make:     hingebaseline.RoundRobin,
+		standard: true,
 	},
 	{
-		name:  "leastLoad",
-		make:  hingebaseline.LeastLoad,
-		named: true,
+		name:     "leastLoad",
+		make:     hingebaseline.LeastLoad,
+		standard: true,
 	},
 	{
-		name:  "twoChoices",
-		make:  hingebaseline.TwoChoices,
-		named: true,
+		name:     "twoChoices",
+		make:     hingebaseline.TwoChoices,
+		standard: true,
 	},
 	{
-		name:  "prefixAffinity",
-		make:  hingebaseline.PrefixAffinity,
-		named: true,
+		name:     "prefixAffinity",
+		make:     hingebaseline.PrefixAffinity,
+		standard: true,
 	},
 	{
 		name: "priorityAffinity",
@@ -136,7 +136,7 @@
 	},
 }
 
-// sums are the figures of one script, summed or averaged over its seeds.
+// sums holds figures by name, summed or averaged over the seeds.
 type sums map[string]float64
 
 func (s sums) add(r *hingemodel.Result, seeds float64) {
@@ -161,7 +161,7 @@
 		run, w := s.run(uint64(seed + 1))
 		r := hingemodel.Play(run, New(run.Firm, run.Cluster, w))
 		out.add(r, float64(n))
-		// The first caller is the greedy one, if there is one.
+		// caller-0 is the caller to which GreedyShare applies.
 		for caller, k := range r.ByCaller {
 			if caller != "caller-0" {
 				out["others.inTarget"] += float64(k) / float64(n)
@@ -176,22 +176,22 @@
 			got.add(hingemodel.Play(run, b.make(run.Firm, run.Cluster, run.Seed)), float64(n))
 		}
 		best["any"] = max(best["any"], got["goodput"])
-		if b.named {
-			best["named"] = max(best["named"], got["goodput"])
+		if b.standard {
+			best["standard"] = max(best["standard"], got["goodput"])
 		}
 	}
-	out["overBaselines"] = out["goodput"] / best["named"]
+	out["overBaselines"] = out["goodput"] / best["standard"]
 	out["overAll"] = out["goodput"] / best["any"]
 	return out
 }
 
-// Each script says in its own words how the load comes about and what a user
-// notices, and gives the bounds of the outcome as lines "figure >= bound".
+// Guards against regressions in the scenarios under testdata. A script holds a run
+// and bounds of its figures, as lines "figure >= bound" or "figure <= bound".
 func TestScripts(t *testing.T) {
 	t.Parallel()
 	files, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatal("no scripts match testdata/*.txtar", err)
 	}
 	for _, file := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(file), ".txtar"), func(t *testing.T) {
@@ -216,11 +216,11 @@
 		var figure, op string
 		var bound float64
 		if _, err := fmt.Sscan(lines.Text(), &figure, &op, &bound); err != nil {
-			t.Fatalf("%q: %v", lines.Text(), err)
+			t.Fatalf("bound %q: %v", lines.Text(), err)
 		}
 		v, ok := got[figure]
 		if !ok {
-			t.Fatalf("no figure %q", figure)
+			t.Fatalf("the results have no figure %q", figure)
 		}
 		t.Logf("%s %s %v: %.4f", figure, op, bound, v)
 		if op == ">=" && v < bound || op == "<=" && v > bound {
