--- a/internal/decide/hingefleet/fleet.go
+++ b/internal/decide/hingefleet/fleet.go
@@ -1,47 +1,45 @@
-// Package hingefleet decides which engines a stream gets, and when, where the
-// memory of decode engines binds. It has no clock, no sockets and no goroutines.
+// Package hingefleet assigns streams to prefill and decode engines in services where the memory of
+// the decode engines is the bottleneck. It has no clock, no sockets and no goroutines; a Fleet isn't
+// safe for concurrent use.
 //
-// The load it is made for: streams whose KV cache grows with every token until they end,
-// an answer length known by a hint that is often far off, bursts of twice the mean
-// rate for some seconds, engines that die or turn slow. The harm: a decode
-// engine that runs out of memory preempts a stream, which is prefilled again (a
-// prefill costs as much as the stream earns) and pauses in front of its caller;
-// and a prefill whose KV cache finds no room lapses within half a second.
+// It is designed for streams whose KV cache grows with every token until they finish, answer lengths
+// that are only known from inaccurate hints, bursts of twice the mean rate for several seconds, and
+// engines that crash or become slow. A decode engine that runs out of memory preempts a stream, which
+// has to be prefilled again and pauses meanwhile. A prefilled KV cache that no decode engine accepts
+// expires within half a second.
 //
-//  1. A stream starts prefill only with decode memory reserved for its whole
-//     life. An engine has room if the memory predicted for it, at the moment where that is
-//     highest, stays under its limit. Streams end at different times, so that
-//     twice as many fit as if each was counted with its longest.
-//  2. Among the engines with room the one with the lowest such peak is
-//     taken: the room that is left is what absorbs hints that were too low. An engine of the
-//     availability zone that the stream comes from is preferred while it isn't much fuller: when
-//     a zone is cut off, streams that cross its border fall silent, others go on.
-//  3. What can still be on time goes first, in the order of priority and then of arrival. What is late
-//     goes only where more room is left, since a late answer is worth a fraction of a timely
-//     one and must not make the next one late.
-//  4. A stream that moves from a broken engine goes before all others: its caller
-//     has part of the answer, and its prefill has been paid once.
-//  5. What can't be served in time, nor later before its caller loses patience, is refused
-//     at once, with the time after which the work ahead of it will have drained. While as
-//     much arrives as drains, late wants get a turn before new ones only where a burst is short; once
-//     most of them have waited in vain, to let others
-//     wait would only use up the time that their callers have to come back.
-//  6. An engine that can't be reached, or fails a good part of what it is sent, is
-//     left alone for a while, doubled each time in a row, and then tried with one stream
-//     until it has begun to answer: to all that waits it looks like the emptiest of all. One that
-//     can't be reached casts doubt on its whole zone, of which each engine is
-//     tried so. Single failures come from
-//     good engines too, and to leave those alone would take a sixth of the memory
-//     away for one lost answer. One that is far slower than the others gets work
-//     only if no other has room.
-//  7. Where no engine that prefills can be reached, or none in time, a decode engine works
-//     the prompt itself, at half the pace: a zone that is cut off has engines of one role only, as
-//     often as not. Its streams pause meanwhile, so that a prompt whose reading would make them late
-//     goes only where there are none.
-//  8. What is believed of streams comes from the hosts that own them; between two
-//     reports a stream is taken to go on at its engine's pace.
-//  9. How fast engines make and read tokens, and how long prompts are, is learned from what they do:
-//     engines differ by a factor of a hundred, and no figure of one deployment stands for another.
+//  1. A stream starts prefill only when decode memory is reserved for its whole duration. An engine
+//     has capacity if its predicted peak memory stays below its limit. The prediction accounts for
+//     streams finishing at different times; reserving the maximum for each stream would admit about
+//     half as many.
+//  2. Of the engines with capacity, the one with the lowest predicted peak is chosen, since its free
+//     memory absorbs answers that are longer than their hints. An engine in the availability zone of
+//     the request is preferred unless it is much fuller: when a zone is cut off, streams that cross
+//     its border break.
+//  3. Requests that can still be on time go first, ordered by priority and then by arrival. Late
+//     requests are assigned only to engines with more free memory, since a late answer is worth a
+//     fraction of a timely one and must not delay the next request.
+//  4. A stream that moves from a failed engine goes before all others: its caller already has part of
+//     the answer, and its prefill has been paid for once.
+//  5. A request that can't be served on time, nor later within its caller's maximum wait, is refused
+//     at once, with the time after which the work ahead of it is expected to be finished. While
+//     requests arrive as fast as streams finish, late requests may wait only in short bursts: once
+//     most of them have waited without being assigned, further ones are refused, so that their callers
+//     have time to retry.
+//  6. An engine that can't be reached or fails a large share of its requests is ejected for a time
+//     that doubles with each consecutive ejection, and then probed with one stream until an answer
+//     begins; otherwise all queued requests would go to it, as the emptiest engine. An unreachable
+//     engine makes its whole zone suspect, and each engine of the zone is probed. Single failures
+//     don't eject an engine, since healthy engines have them too. An engine far slower than the others
+//     gets streams only if no other has capacity.
+//  7. If no prefill engine can be reached, or none is free in time, a decode engine prefills the
+//     prompt itself, at half the speed: a zone that is cut off may have engines of one role only. The
+//     engine's other streams pause meanwhile, so a prompt whose prefill would make them late goes only
+//     to an engine without streams.
+//  8. The state of streams comes from reports of the hosts that own them. Between two reports a
+//     stream is assumed to progress at its engine's rate.
+//  9. Decode rates, prefill rates and prompt lengths are learned at run time. Engines differ by a
+//     factor of a hundred, so figures from one deployment don't apply to another.
 package hingefleet
 
 import (
@@ -50,10 +48,10 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// StreamID names a stream over all hosts.
+// StreamID identifies a stream across all hosts.
 type StreamID string
 
-// Role is the part that an engine plays.
+// Role is the role of an engine.
 type Role uint8
 
 // The roles.
@@ -62,70 +60,74 @@
 	Decode
 )
 
-// Engine is what is known of an engine from the directory and the configuration.
+// Engine describes an engine as the directory and the configuration do.
 type Engine struct {
 	Server hingeids.ServerID
 	Zone   hingeids.Zone
 	Role   Role
 	Slots  hingeids.Slots
 	Memory hingeids.Tokens
-	// Event is the tokens that one event of a stream carries.
+	// Event is the number of tokens in one event of a stream.
 	Event hingeids.Tokens
 }
 
-// Want is a stream that asks for engines.
+// Want is a stream that requests engines.
 type Want struct {
 	ID    StreamID
 	Owner hingeids.HostID
-	// Zone is the availability zone that the stream comes from.
+	// Zone is the availability zone of the host that received the request.
 	Zone hingeids.Zone
-	// Prompt is the tokens to be prefilled, those of an answer that broke off included.
+	// Prompt is the number of tokens to prefill, including those of an interrupted answer.
 	Prompt hingeids.Tokens
-	// Expected is the tokens that the answer will still have, as far as anybody knows.
+	// Expected is the estimated number of tokens still to be generated.
 	Expected hingeids.Tokens
-	// Arrived is when the caller's request came, Target the time to its first event.
+	// Arrived is when the caller's request arrived, Target the permitted time until its first
+	// event.
 	Arrived time.Time
 	Target  time.Duration
-	// Gap is the longest pause between two events that counts as on time; zero if any does.
+	// Gap is the longest time between two events that counts as on time; zero means no limit.
 	Gap time.Duration
-	// Patience is how long after Arrived the caller waits for a first event.
+	// Patience is how long after Arrived the caller waits for the first event.
 	Patience time.Duration
 	Deadline time.Time
-	// Moved says that an engine broke off in the middle of the answer.
+	// Moved reports that an engine failed in the middle of the answer.
 	Moved bool
-	// Cached says that the prompt's KV cache is there, for a moment: a decode
-	// engine is all that is wanted, and at once.
+	// Cached reports that the prompt's KV cache exists, but expires shortly: only a decode engine
+	// is needed, and the decision can't be deferred.
 	Cached bool
-	// Avoid are engines that have failed this request.
+	// Avoid lists engines that have failed this request.
 	Avoid []hingeids.ServerID
-	// Priority ranks wants that can be on time, or that can't, among each other; 0 goes first.
+	// Priority orders requests among those that can be on time, and among those that can't; 0 goes
+	// first.
 	Priority int
 }
 
-// Grant names the engines of a stream.
+// Grant names the engines assigned to a stream.
 type Grant struct {
-	// Prefill is empty where the decode engine works the prompt itself (rule 7), or has it.
+	// Prefill is empty if the decode engine prefills the prompt itself (rule 7) or the KV cache
+	// already exists.
 	Prefill hingeids.ServerID
 	Decode  hingeids.ServerID
 }
 
-// Decision is the answer to a Want.
+// Decision is the outcome of a Want: either an assignment or a refusal.
 type Decision struct {
 	ID    StreamID
 	Owner hingeids.HostID
 	Grant Grant
-	// Refused says that nothing was granted, RetryAfter when to come back.
+	// Refused reports that no engines were assigned; RetryAfter is then the recommended delay
+	// before the caller retries.
 	Refused    bool
 	RetryAfter time.Duration
-	// Short is what there was too little of, where it is refused.
+	// Short is the resource that was missing, if the request is refused.
 	Short Shortage
-	// Waited is how long the decision took, Peak the predicted peak of the
-	// decode engine in hundredths of its memory; for the log.
+	// Waited is the time from the request's arrival to the decision, Peak the predicted peak
+	// memory of the decode engine in percent. Both are for logs.
 	Waited time.Duration
 	Peak   int
 }
 
-// Shortage is what a fleet has too little of.
+// Shortage names a resource that a fleet lacks.
 type Shortage string
 
 // The shortages.
@@ -135,93 +137,93 @@
 	ShortOfPrefill Shortage = "prefill"
 )
 
-// Progress is what the owner of a stream reports of it.
+// Progress is an owner's report on one of its streams.
 type Progress struct {
 	ID       StreamID          `cbor:"1,keyasint"`
 	Decode   hingeids.ServerID `cbor:"2,keyasint"`
 	Prompt   hingeids.Tokens   `cbor:"3,keyasint"`
 	Expected hingeids.Tokens   `cbor:"4,keyasint"`
-	// Made is the tokens that have come; zero before the first.
+	// Made is the number of tokens generated so far; zero before the first.
 	Made hingeids.Tokens `cbor:"5,keyasint,omitempty"`
 }
 
-// engine is an engine with what was learned of it.
+// engine is an engine with what was learned about it.
 type engine struct {
 	Engine
-	// pace is the tokens that it makes a second for one stream.
-	pace    estimate
-	prompts prompts
-	health  health
-	// readAt is when a decode engine was given a prompt to work last.
-	readAt time.Time
-	*book
+	// measuredRate is its decode rate, in tokens per second and stream.
+	measuredRate estimate
+	prefillQueue prefillQueue
+	health       health
+	// lastPrefill is when a decode engine was last assigned a prompt to prefill itself.
+	lastPrefill time.Time
+	*engineStreams
 }
 
 const (
-	// prefillStart is the time from a grant to the first token beside the reading:
-	// two round trips, the transfer and the first step.
-	prefillStart = 30 * time.Millisecond
-	// unreported is how long a grant stands without a word from its owner,
-	// which reports within 20 ms when all is well.
-	unreported = 1500 * time.Millisecond
-	// ownerSilence is how long the streams of an owner are believed without a
-	// report. A live one reports twice a second; a dead one's connections to its engines
-	// are closed by then.
-	ownerSilence = 2500 * time.Millisecond
-	// expireEvery is how often what is over is looked for: both times above are far longer, and with
-	// thousands of streams it would be most of a decision.
-	expireEvery = 100 * time.Millisecond
+	// prefillOverhead is the time from an assignment to the first token without the prefill
+	// itself: two round trips, the KV cache transfer and the first decode step.
+	prefillOverhead = 30 * time.Millisecond
+	// assignmentTimeout is how long an assignment is kept without a report from its owner, which
+	// normally arrives within 20 ms.
+	assignmentTimeout = 1500 * time.Millisecond
+	// ownerTimeout is how long an owner's streams are kept without a report. A running owner
+	// reports twice a second, and the connections of a crashed one are closed within this time.
+	ownerTimeout = 2500 * time.Millisecond
+	// expireInterval limits how often expired streams are searched for. It is far shorter than
+	// both timeouts; a search in every step would dominate the cost of a decision.
+	expireInterval = 100 * time.Millisecond
 )
 
-// Fleet is the engines of one service and the streams on them.
+// Fleet holds the engines of one service and the streams assigned to them. It isn't safe for
+// concurrent use.
 type Fleet struct {
 	engines map[hingeids.ServerID]*engine
-	// decoders and prefillers are the engines of each role, by name.
-	decoders   []*engine
-	prefillers []*engine
-	paces      paces
-	streams    map[StreamID]*stream
-	books      map[hingeids.ServerID]*book
-	owners     map[hingeids.HostID]*owner
-	// reports counts the reports, so that each stream knows in which it was named last.
-	reports   uint64
-	expiredAt time.Time
-	queue     []*Want
-	// arrivals are the newest wants, for rule 5.
-	arrivals []time.Time
-	known    rates
-	knownAt  time.Time
-	turns    turns
-	// tried are the wants that found no room in the present step; unreadable says that all engines that
-	// prefill have enough to read.
-	tried      []attempt
-	unreadable bool
-	scratch    []load
-	demand     demand
-	// begun is when the first engine was known.
-	begun time.Time
-	// heard is when an engine of each zone was last known to answer.
-	heard map[hingeids.Zone]time.Time
-	// silent are the zones of which nothing was heard since an engine there couldn't be reached.
-	silent map[hingeids.Zone]bool
+	// decoders and prefillers are the engines of each role, in the order of SetEngines.
+	decoders        []*engine
+	prefillers      []*engine
+	estimates       estimates
+	streams         map[StreamID]*stream
+	streamsByEngine map[hingeids.ServerID]*engineStreams
+	owners          map[hingeids.HostID]*owner
+	// reportCount numbers the reports, so that each stream records the last one that listed it.
+	reportCount uint64
+	lastExpiry  time.Time
+	queue       []*Want
+	// arrivals are the times of the requests within arrivalWindow, for rule 5.
+	arrivals      []time.Time
+	cachedRates   rates
+	cachedRatesAt time.Time
+	lateOutcomes  lateOutcomes
+	// failedAttempts are the requests for which the current step found no capacity.
+	// prefillSaturated reports that all prefill engines have their maximum backlog.
+	failedAttempts   []failedAttempt
+	prefillSaturated bool
+	scratch          []load
+	demand           demand
+	// startedAt is when the first engine was known.
+	startedAt time.Time
+	// zoneLastSeen is when an engine of each zone last answered.
+	zoneLastSeen map[hingeids.Zone]time.Time
+	// silentZones are the zones in which no engine has answered since one was unreachable.
+	silentZones map[hingeids.Zone]bool
 }
 
-// New makes an empty fleet.
+// New returns an empty fleet.
 func New() *Fleet {
 	return &Fleet{
-		engines: make(map[hingeids.ServerID]*engine),
-		streams: make(map[StreamID]*stream),
-		books:   make(map[hingeids.ServerID]*book),
-		owners:  make(map[hingeids.HostID]*owner),
-		heard:   make(map[hingeids.Zone]time.Time),
-		silent:  make(map[hingeids.Zone]bool),
+		engines:         make(map[hingeids.ServerID]*engine),
+		streams:         make(map[StreamID]*stream),
+		streamsByEngine: make(map[hingeids.ServerID]*engineStreams),
+		owners:          make(map[hingeids.HostID]*owner),
+		zoneLastSeen:    make(map[hingeids.Zone]time.Time),
+		silentZones:     make(map[hingeids.Zone]bool),
 	}
 }
 
-// SetEngines takes the engines that may be used now; what was learned of those
-// that stay is kept.
+// SetEngines replaces the list of available engines. What was learned about engines that remain is
+// kept.
 func (f *Fleet) SetEngines(list []Engine) {
-	if f.same(list) {
+	if f.unchanged(list) {
 		return
 	}
 	old := f.engines
@@ -231,11 +233,11 @@
 		k := old[e.Server]
 		if k == nil {
 			k = &engine{
-				prompts: newPrompts(&f.paces),
+				prefillQueue: newPrefillQueue(&f.estimates),
 			}
 		}
 		k.Engine = e
-		k.book = f.book(e.Server)
+		k.engineStreams = f.engineStreams(e.Server)
 		f.engines[e.Server] = k
 		switch e.Role {
 		case Decode:
@@ -244,11 +246,11 @@
 			f.prefillers = append(f.prefillers, k)
 		}
 	}
-	f.dropBooks()
+	f.dropUnusedStreams()
 }
 
-// same reports whether the engines are those that are known, which they are at most steps.
-func (f *Fleet) same(list []Engine) bool {
+// unchanged reports whether list equals the current engines, which is so in most steps.
+func (f *Fleet) unchanged(list []Engine) bool {
 	if len(list) != len(f.engines) {
 		return false
 	}
@@ -260,17 +262,17 @@
 	return true
 }
 
-// paceOf is the tokens that an engine makes a second for one stream.
-func (f *Fleet) paceOf(e *engine) float64 {
-	return e.pace.or(f.paces.made())
+// decodeRateOf returns an engine's decode rate, in tokens per second and stream.
+func (f *Fleet) decodeRateOf(e *engine) float64 {
+	return e.measuredRate.valueOr(f.estimates.usualDecodeRate())
 }
 
-// Streams counts the streams believed to be in flight, Waiting the wants.
+// Streams returns the number of streams in flight, according to assignments and reports.
 func (f *Fleet) Streams() int {
 	return len(f.streams)
 }
 
-// Waiting counts the wants that wait.
+// Waiting returns the number of queued requests.
 func (f *Fleet) Waiting() int {
 	return len(f.queue)
 }
--- a/internal/decide/hingefleet/fleet_test.go
+++ b/internal/decide/hingefleet/fleet_test.go
@@ -8,12 +8,12 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// steady is the mean demand of today's deployments, 10.4 streams a second.
+// steady is the mean request rate of the reference deployment.
 func steady(time.Duration) float64 {
 	return 10.4
 }
 
-// bursts doubles the mean for four seconds in each ten, as callers do when a boat comes in.
+// bursts doubles the mean rate for four seconds of every ten.
 func bursts(t time.Duration) float64 {
 	if t%(10*time.Second) >= 6*time.Second {
 		return 20.8
@@ -21,138 +21,132 @@
 	return 10.4
 }
 
-// mean plays a pattern with ten seeds and gives the sums.
-func mean(p loadPattern, way func([]Engine) placing) outcome {
+// runSeeds runs a pattern with ten seeds and returns the sums.
+func runSeeds(p loadPattern, newPlacer func([]Engine) placer) outcome {
 	if p.spread == 0 {
 		p.spread = simSpread
 	}
 	var sum outcome
 	for seed := range uint64(10) {
-		o := newSim(p, seed, way).play()
-		sum.Asked += o.Asked
+		o := newSim(p, seed, newPlacer).run()
+		sum.Requested += o.Requested
 		sum.OnTime += o.OnTime
 		sum.Late += o.Late
 		sum.Refused += o.Refused
 		sum.Failed += o.Failed
 		sum.Preempted += o.Preempted
 		sum.RefusedLate += o.RefusedLate
-		sum.OwnRead += o.OwnRead
+		sum.DecodePrefilled += o.DecodePrefilled
 	}
 	return sum
 }
 
-// want checks that shares of what was asked lie within bounds.
-func want(t *testing.T, o outcome, name string, n int, least, most float64) {
+// checkShare checks that count is within bounds, as a share of all requests.
+func checkShare(t *testing.T, o outcome, name string, count int, least, most float64) {
 	t.Helper()
-	if share := float64(n) / float64(o.Asked); share < least || share > most {
-		t.Errorf("%s: %.3f of %d asked, want %.3f to %.3f: %+v", name, share, o.Asked, least, most, o)
+	if share := float64(count) / float64(o.Requested); share < least || share > most {
+		t.Errorf("%s: %.3f of %d requests, want %.3f to %.3f: %+v", name, share, o.Requested, least, most, o)
 	}
 }
 
-// The mean demand fits the engines with room to spare. Every caller is to have a first
-// event in time, and nothing is to be prefilled twice.
+// Guards against late answers and preemptions while the engines have spare capacity.
 func TestOrdinaryDemandIsAllOnTime(t *testing.T) {
-	o := mean(loadPattern{
-		lasts:    30 * time.Second,
-		perSec:   steady,
-		prefills: 3,
-		decodes:  6,
-	}, fleetOf)
-	want(t, o, "on time", o.OnTime, 0.99, 1)
-	want(t, o, "preempted", o.Preempted, 0, 0.002)
+	o := runSeeds(loadPattern{
+		duration:          30 * time.Second,
+		requestsPerSecond: steady,
+		prefillers:        3,
+		decoders:          6,
+	}, newFleetPlacer)
+	checkShare(t, o, "on time", o.OnTime, 0.99, 1)
+	checkShare(t, o, "preempted", o.Preempted, 0, 0.002)
 }
 
-// Bursts of twice the mean come again and again, and hints are off by half. Counting slots lets
-// 48 streams onto an engine whose memory holds 14: it throws the newest out,
-// and its callers see the stream pause while their prompt is worked again.
-func TestBurstsOverfillNoEngine(t *testing.T) {
+// Guards against overfilled engines in repeated bursts with inaccurate hints. A placer that only
+// counts streams exceeds the memory of the engines and causes preemptions.
+func TestBurstsDoNotOverfillEngines(t *testing.T) {
 	p := loadPattern{
-		lasts:    40 * time.Second,
-		perSec:   bursts,
-		prefills: 3,
-		decodes:  5,
+		duration:          40 * time.Second,
+		requestsPerSecond: bursts,
+		prefillers:        3,
+		decoders:          5,
 	}
-	o, other := mean(p, fleetOf), mean(p, leastOf)
-	t.Logf("ours %+v", o)
-	t.Logf("by the number of streams %+v", other)
-	want(t, o, "on time", o.OnTime, 0.93, 1)
-	want(t, o, "preempted", o.Preempted, 0, 0.02)
-	if other.Preempted < 5*o.Preempted || other.OnTime > o.OnTime+o.Asked/20 {
-		t.Errorf("counting streams is as good: %+v, ours %+v", other, o)
+	o, other := runSeeds(p, newFleetPlacer), runSeeds(p, newLeastStreams)
+	t.Logf("fleet: %+v", o)
+	t.Logf("least streams: %+v", other)
+	checkShare(t, o, "on time", o.OnTime, 0.93, 1)
+	checkShare(t, o, "preempted", o.Preempted, 0, 0.02)
+	if other.Preempted < 5*o.Preempted || other.OnTime > o.OnTime+o.Requested/20 {
+		t.Errorf("least streams is as good: %+v, fleet: %+v", other, o)
 	}
 }
 
-// Demand is twice what the engines can serve, for a minute. What is served must
-// stay near what they can serve, and whoever can't be served is to be told before
-// a silent wait has used up his time.
+// Demand is twice the capacity for a minute. Guards against collapsing throughput and against late
+// refusals.
 func TestSaturationServesWhatFits(t *testing.T) {
 	p := loadPattern{
-		lasts: time.Minute,
-		perSec: func(time.Duration) float64 {
+		duration: time.Minute,
+		requestsPerSecond: func(time.Duration) float64 {
 			return 34
 		},
-		prefills: 3,
-		decodes:  4,
+		prefillers: 3,
+		decoders:   4,
 	}
-	o := mean(p, fleetOf)
+	o := runSeeds(p, newFleetPlacer)
 	t.Logf("%+v", o)
 	// Four engines serve some 15 streams a second, 0.44 of 34.
-	want(t, o, "served", o.OnTime+o.Late, 0.42, 0.60)
-	want(t, o, "failed", o.Failed, 0, 0.02)
-	want(t, o, "preempted", o.Preempted, 0, 0.03)
-	want(t, o, "refused", o.Refused, 0.38, 0.58)
-	want(t, o, "refused after an eighth of the target", o.RefusedLate, 0, 0.35)
+	checkShare(t, o, "served", o.OnTime+o.Late, 0.42, 0.60)
+	checkShare(t, o, "failed", o.Failed, 0, 0.02)
+	checkShare(t, o, "preempted", o.Preempted, 0, 0.03)
+	checkShare(t, o, "refused", o.Refused, 0.38, 0.58)
+	checkShare(t, o, "refused after an eighth of the target", o.RefusedLate, 0, 0.35)
 }
 
-// One engine of six turns slow, five times. Streams on it hold memory five times as
-// long and come to their end after their callers' time; work has to go elsewhere as soon as
-// its pace is known.
+// One of six engines is five times slower. Guards against streams that are assigned to it and miss
+// their deadlines.
 func TestSlowEngineGetsLittle(t *testing.T) {
-	o := mean(loadPattern{
-		lasts:    30 * time.Second,
-		perSec:   steady,
-		prefills: 3,
-		decodes:  6,
-		slow:     1,
-	}, fleetOf)
+	o := runSeeds(loadPattern{
+		duration:          30 * time.Second,
+		requestsPerSecond: steady,
+		prefillers:        3,
+		decoders:          6,
+		slow:              1,
+	}, newFleetPlacer)
 	t.Logf("%+v", o)
-	want(t, o, "on time", o.OnTime, 0.93, 1)
-	want(t, o, "failed", o.Failed, 0, 0.05)
+	checkShare(t, o, "on time", o.OnTime, 0.93, 1)
+	checkShare(t, o, "failed", o.Failed, 0, 0.05)
 }
 
-// One of three engines that prefill turns slow, five times, while its heartbeats say that it is
-// well. Prompts handed out in turn would have every third caller wait half a second and more
-// for his first event, and those behind it longer.
+// One of three prefill engines is five times slower, although its heartbeats are normal. Guards
+// against late first events of the prompts assigned to it.
 func TestSlowPrefillEngineGetsLittle(t *testing.T) {
-	o := mean(loadPattern{
-		lasts:        30 * time.Second,
-		perSec:       steady,
-		prefills:     3,
-		decodes:      6,
-		slowPrefills: 1,
-	}, fleetOf)
+	o := runSeeds(loadPattern{
+		duration:          30 * time.Second,
+		requestsPerSecond: steady,
+		prefillers:        3,
+		decoders:          6,
+		slowPrefillers:    1,
+	}, newFleetPlacer)
 	t.Logf("%+v", o)
-	want(t, o, "on time", o.OnTime, 0.97, 1)
+	checkShare(t, o, "on time", o.OnTime, 0.97, 1)
 }
 
-// Every engine loses one answer in twenty. If each loss took its engine away for a
-// second or more, six engines would serve like two, and callers would be refused by a
-// fleet that idles.
-func TestSingleFailuresTakeNoEngineAway(t *testing.T) {
-	o := mean(loadPattern{
-		lasts:    30 * time.Second,
-		perSec:   steady,
-		prefills: 3,
-		decodes:  6,
-		failing:  0.05,
-	}, fleetOf)
+// Every engine fails one answer in twenty. Guards against ejections for single failures, which
+// would cause refusals while the engines have capacity.
+func TestSingleFailuresDoNotEjectEngines(t *testing.T) {
+	o := runSeeds(loadPattern{
+		duration:          30 * time.Second,
+		requestsPerSecond: steady,
+		prefillers:        3,
+		decoders:          6,
+		failing:           0.05,
+	}, newFleetPlacer)
 	t.Logf("%+v", o)
-	want(t, o, "failed", o.Failed, 0.03, 0.07)
-	want(t, o, "on time", o.OnTime, 0.90, 1)
-	want(t, o, "refused", o.Refused, 0, 0.01)
+	checkShare(t, o, "failed", o.Failed, 0.03, 0.07)
+	checkShare(t, o, "on time", o.OnTime, 0.90, 1)
+	checkShare(t, o, "refused", o.Refused, 0, 0.01)
 }
 
-// engines gives two decode engines and one that prefills, in one zone.
+// engines returns one prefill engine and two decode engines in one zone.
 func engines() []Engine {
 	return []Engine{
 		{
@@ -176,18 +170,18 @@
 	}
 }
 
-// taught gives a fleet that knows how fast engines are, as it does after the first streams of a day.
-func taught() *Fleet {
+// trainedFleet returns a fleet that has learned decode rates, prefill rates and prompt lengths.
+func trainedFleet() *Fleet {
 	f := New()
-	for range boundAfter {
-		f.paces.decode.take(simPace, fleetWeight)
-		f.paces.read.take(simReads*simPace, fleetWeight)
-		f.paces.prompt.take(simPrompt, fleetWeight)
+	for range minBoundSamples {
+		f.estimates.decodeRate.add(simDecodeRate, fleetWeight)
+		f.estimates.prefillRate.add(simPrefillFactor*simDecodeRate, fleetWeight)
+		f.estimates.promptTokens.add(simPrompt, fleetWeight)
 	}
 	return f
 }
 
-func wantOf(id StreamID, now time.Time) Want {
+func requestOf(id StreamID, now time.Time) Want {
 	return Want{
 		ID:       id,
 		Owner:    "entry-1",
@@ -200,10 +194,10 @@
 	}
 }
 
-// An entry host is killed. What its streams held is free again once it has been silent
-// for a while, and not before: its engines may still be at work.
-func TestStreamsOfASilentOwnerAreForgotten(t *testing.T) {
-	f := taught()
+// Guards against memory that stays reserved for a crashed owner, and against releasing it while
+// the owner may still be running.
+func TestStreamsOfASilentOwnerAreRemoved(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
 	f.Report(now, "entry-1", []Progress{
@@ -216,41 +210,40 @@
 	})
 	f.Step(now.Add(2 * time.Second))
 	if f.Streams() != 1 {
-		t.Fatal("the streams of an owner that may live were forgotten")
+		t.Fatal("streams were removed before their owner timed out")
 	}
 	f.Step(now.Add(3 * time.Second))
 	if f.Streams() != 0 {
-		t.Fatal("the streams of an owner that is gone still count")
+		t.Fatal("streams remain after their owner timed out")
 	}
 }
 
-// A grant is on its way when the next report of its owner leaves, which doesn't name it
-// yet. If that ended it, the same memory would be granted twice.
-func TestReportThatCrossesAGrantDoesNotEndIt(t *testing.T) {
-	f := taught()
+// A report sent before its owner received an assignment doesn't list the stream. Guards against
+// removing it, which would assign the same memory twice.
+func TestReportSentBeforeAnAssignmentDoesNotRemoveIt(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
-	f.Offer(now, wantOf("a", now))
+	f.Offer(now, requestOf("a", now))
 	if d := f.Step(now); len(d) != 1 || d[0].Refused {
-		t.Fatalf("not granted: %+v", d)
+		t.Fatalf("stream isn't assigned: %+v", d)
 	}
 	f.Report(now, "entry-1", nil)
 	if f.Streams() != 1 {
-		t.Fatal("a grant that its owner hasn't heard of was ended")
+		t.Fatal("an assignment that its owner hasn't received was removed")
 	}
 	f.Step(now.Add(2 * time.Second))
 	if f.Streams() != 0 {
-		t.Fatal("a grant that nobody speaks of still counts")
+		t.Fatal("an unreported assignment remains after its timeout")
 	}
 }
 
-// Half of the mean demand is asked for twice as long, and a want that waits is
-// offered again and again. Demand counts it once, in engines.
-func TestDemandIsWhatIsAskedFor(t *testing.T) {
-	f := taught()
+// Guards against demand that counts a queued request again each time it is offered.
+func TestDemandCountsEachRequestOnce(t *testing.T) {
+	f := trainedFleet()
 	f.SetEngines(engineList(loadPattern{
-		prefills: 3,
-		decodes:  6,
+		prefillers: 3,
+		decoders:   6,
 	}))
 	now := simStart
 	for range 200 {
@@ -262,18 +255,18 @@
 			Arrived:  now,
 		}
 		f.Offer(now, w)
-		f.Offer(now.Add(firstOffer), w)
+		f.Offer(now.Add(newRequestAge), w)
 		f.queue = nil
 	}
-	// Ten a second: 55,000 prompt tokens, and 7,000 tokens held for two seconds each.
+	// Ten requests a second: 55,000 prompt tokens, and 7,000 tokens held for two seconds each.
 	d := f.Demand(now)
 	if d.Prefill < 0.9 || d.Prefill > 1.1 || d.Decode < 1.28 || d.Decode > 1.56 {
 		t.Fatalf("want 1 and 1.42 engines: %+v", d)
 	}
 }
 
-// BenchmarkPlace places one stream on fleets of several sizes whose engines have six streams each, with no other that
-// waits, and with two hundred that wait for memory.
+// BenchmarkPlace places one stream on fleets of several sizes with six streams per engine, with an
+// empty queue and with two hundred requests that wait for memory.
 func BenchmarkPlace(b *testing.B) {
 	for _, engines := range []int{9, 45, 90, 360, 1440, 6400} {
 		for _, waiting := range []int{0, 200} {
@@ -285,11 +278,11 @@
 }
 
 func benchmarkPlace(b *testing.B, engines, waiting int) {
-	f := taught()
+	f := trainedFleet()
 	now := simStart
 	list := engineList(loadPattern{
-		prefills: engines / 3,
-		decodes:  engines - engines/3,
+		prefillers: engines / 3,
+		decoders:   engines - engines/3,
 	})
 	f.SetEngines(list)
 	var running []Progress
@@ -309,14 +302,14 @@
 	}
 	f.Report(now, "entry-1", running)
 	for i := range waiting {
-		w := wantOf(StreamID(fmt.Sprint("waits", i)), now)
+		w := requestOf(StreamID(fmt.Sprint("waits", i)), now)
 		w.Prompt = simMemory
 		w.Moved = true
 		f.Offer(now, w)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Offer(now, wantOf("next", now))
+		f.Offer(now, requestOf("next", now))
 		f.Step(now)
 		f.Cancel("next")
 	}
--- a/internal/decide/hingefleet/fuzz_test.go
+++ b/internal/decide/hingefleet/fuzz_test.go
@@ -9,14 +9,14 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// A caller writes figures into its headers that no request has. Every control host that places it would end in turn, as each next
-// leader gets the same request.
-func FuzzWantsOfAnySize(f *testing.F) {
+// Guards against panics on extreme values in request headers. Since each new leader gets the same
+// request, one request could crash every control host.
+func FuzzRequestsOfAnySize(f *testing.F) {
 	for _, n := range []int64{0, 1, -1, 5000, math.MaxInt64, math.MinInt64, math.MaxInt64 / 2} {
 		f.Add(n, n, n, n, n, n, false, false)
 		f.Add(n, int64(3000), int64(time.Second), n, int64(14*time.Second), n, true, true)
 	}
-	f.Fuzz(func(t *testing.T, prompt, expected, target, patience, left, gap int64, moved, cached bool) {
+	f.Fuzz(func(t *testing.T, prompt, expected, target, maxWait, remaining, gap int64, moved, cached bool) {
 		x := New()
 		x.SetEngines([]Engine{
 			{
@@ -50,8 +50,8 @@
 				w.Prompt = hingeids.Tokens(prompt)
 				w.Expected = hingeids.Tokens(expected)
 				w.Target = time.Duration(target)
-				w.Patience = time.Duration(patience)
-				w.Deadline = now.Add(time.Duration(left))
+				w.Patience = time.Duration(maxWait)
+				w.Deadline = now.Add(time.Duration(remaining))
 				w.Gap = time.Duration(gap)
 				w.Moved = moved
 				w.Cached = cached
--- a/internal/decide/hingefleet/grant.go
+++ b/internal/decide/hingefleet/grant.go
@@ -6,17 +6,18 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-func (f *Fleet) grant(now time.Time, w *Want) (Decision, bool) {
-	limit := fullShare
+// assign assigns engines to a request, or returns false if none have capacity.
+func (f *Fleet) assign(now time.Time, w *Want) (Decision, bool) {
+	limit := onTimeShare
 	if !w.Moved && !w.Cached && !f.onTime(now, w) {
 		limit = lateShare
 	}
-	if f.hopeless(now, w, limit) {
+	if f.ruledOut(now, w, limit) {
 		return Decision{}, false
 	}
-	r, found := f.room(now, w, limit, nil)
+	r, found := f.candidate(now, w, limit, nil)
 	if !found {
-		f.tried = append(f.tried, attempt{
+		f.failedAttempts = append(f.failedAttempts, failedAttempt{
 			prompt:   w.Prompt,
 			expected: w.Expected,
 			limit:    limit,
@@ -24,20 +25,20 @@
 		})
 		return Decision{}, false
 	}
-	g, begins, ok := f.prepare(now, w, r.engine)
+	g, firstToken, ok := f.planPrefill(now, w, r.engine)
 	if !ok {
-		if r, ok = f.reader(now, w, limit); !ok {
+		if r, ok = f.decoderForPrompt(now, w, limit); !ok {
 			return Decision{}, false
 		}
 		g = Grant{
 			Decode: r.engine.Server,
 		}
-		begins = now.Add(ownReading*f.paces.reading(w.Prompt) + prefillStart)
+		firstToken = now.Add(decodePrefillFactor*f.estimates.prefillTime(w.Prompt) + prefillOverhead)
 	}
 	if limit == lateShare {
-		f.turns.take(now, true)
+		f.lateOutcomes.record(now, true)
 	}
-	f.take(now, w, r.engine, g, begins)
+	f.record(now, w, r.engine, g, firstToken)
 	return Decision{
 		ID:     w.ID,
 		Owner:  w.Owner,
@@ -47,22 +48,22 @@
 	}, true
 }
 
-// attempt is a want that found no room in this step.
-type attempt struct {
+// failedAttempt is a request for which the current step found no capacity.
+type failedAttempt struct {
 	prompt   hingeids.Tokens
 	expected hingeids.Tokens
 	limit    float64
 	avoids   bool
 }
 
-// hopeless reports whether a smaller want has found no room in this step, or another no engine that
-// could read its prompt. At saturation hundreds wait, and to look at each engine for each of them would take a small
-// host's whole time.
-func (f *Fleet) hopeless(now time.Time, w *Want, limit float64) bool {
-	if f.unreadable && !w.Cached && len(w.Avoid) == 0 && !f.lastCall(now, w) {
+// ruledOut reports whether the current step already failed to find capacity for a smaller request,
+// or a prefill engine for another one. When the fleet is saturated, hundreds of requests are
+// queued, and evaluating every engine for each of them would be too expensive.
+func (f *Fleet) ruledOut(now time.Time, w *Want, limit float64) bool {
+	if f.prefillSaturated && !w.Cached && len(w.Avoid) == 0 && !f.nearDeadline(now, w) {
 		return true
 	}
-	for _, a := range f.tried {
+	for _, a := range f.failedAttempts {
 		if !a.avoids && w.Prompt >= a.prompt && w.Expected >= a.expected && limit <= a.limit {
 			return true
 		}
@@ -70,94 +71,98 @@
 	return false
 }
 
-// take notes a grant in the engines' books.
-func (f *Fleet) take(now time.Time, w *Want, decode *engine, g Grant, begins time.Time) {
-	f.forget(w.ID)
-	f.enter(&stream{
-		id:       w.ID,
-		owner:    w.Owner,
-		prefill:  g.Prefill,
-		decode:   decode.Server,
-		prompt:   w.Prompt,
-		expected: w.Expected,
-		madeAt:   begins,
-		granted:  now,
-		placed:   placedAt(now, w, g),
+// record enters an assignment into the state of its engines.
+func (f *Fleet) record(now time.Time, w *Want, decode *engine, g Grant, firstToken time.Time) {
+	f.removeStream(w.ID)
+	f.addStream(&stream{
+		id:           w.ID,
+		owner:        w.Owner,
+		prefill:      g.Prefill,
+		decode:       decode.Server,
+		prompt:       w.Prompt,
+		expected:     w.Expected,
+		generatedAt:  firstToken,
+		assignedAt:   now,
+		prefillSince: prefillSinceOf(now, w, g),
 	})
-	decode.health.triedAt = now
+	decode.health.lastAssigned = now
 	if g.Prefill == "" && !w.Cached {
-		decode.readAt = now
+		decode.lastPrefill = now
 	}
 	if p := f.engines[g.Prefill]; p != nil {
-		p.health.triedAt = now
-		p.prompts.add(now, w.ID, w.Prompt)
+		p.health.lastAssigned = now
+		p.prefillQueue.add(now, w.ID, w.Prompt)
 	}
 }
 
-// placedAt is when a stream's way to its first token begins, if that is the usual one.
-func placedAt(now time.Time, w *Want, g Grant) time.Time {
+// prefillSinceOf returns the time from which the start of a stream is measured, or zero if it
+// doesn't start with a prefill on a prefill engine.
+func prefillSinceOf(now time.Time, w *Want, g Grant) time.Time {
 	if w.Cached || w.Moved || g.Prefill == "" {
 		return time.Time{}
 	}
 	return now
 }
 
-// prepare chooses the prefill engine for a decode engine, and predicts the first token.
-func (f *Fleet) prepare(now time.Time, w *Want, decode *engine) (Grant, time.Time, bool) {
+// planPrefill chooses the prefill engine for a decode engine and predicts when the first token is
+// generated. It returns false if no prefill engine is available in time.
+func (f *Fleet) planPrefill(now time.Time, w *Want, decode *engine) (Grant, time.Time, bool) {
 	g := Grant{
 		Decode: decode.Server,
 	}
 	if w.Cached {
-		return g, now.Add(prefillStart), true
+		return g, now.Add(prefillOverhead), true
 	}
-	p, read := f.prefillFor(now, w, decode.Zone)
+	p, prefilledAt := f.fastestPrefill(now, w, decode.Zone)
 	if p == nil {
 		return Grant{}, time.Time{}, false
 	}
 	g.Prefill = p.Server
-	return g, read.Add(prefillStart), true
+	return g, prefilledAt.Add(prefillOverhead), true
 }
 
-// reader gives a decode engine that works the prompt itself, where no engine that prefills can in time
-// (rule 7). While the caller's first event isn't about to be late, only one with room for another stream like it
-// does: reading stops an engine's streams, so that they hold their memory longer.
-func (f *Fleet) reader(now time.Time, w *Want, limit float64) (room, bool) {
-	hurry := f.lastCall(now, w) || !f.prefills(now, w)
-	r, found := f.room(now, w, limit, func(e *engine, share float64) bool {
-		return f.mayRead(now, w, e) && (hurry || f.paces.read.readings > 0 && share+size(w, e) <= limit)
+// decoderForPrompt returns a decode engine that prefills the prompt itself, if no prefill engine
+// can do so in time (rule 7). Unless the request is about to miss its target, the engine must have
+// capacity for a second stream of this size: prefilling pauses the engine's streams, so that they
+// hold their memory longer.
+func (f *Fleet) decoderForPrompt(now time.Time, w *Want, limit float64) (candidate, bool) {
+	urgent := f.nearDeadline(now, w) || !f.canPrefill(now, w)
+	r, found := f.candidate(now, w, limit, func(e *engine, share float64) bool {
+		return f.mayPrefill(now, w, e) && (urgent || f.estimates.prefillRate.samples > 0 && share+finalShare(w, e) <= limit)
 	})
-	f.unreadable = f.unreadable || !found && !hurry && len(w.Avoid) == 0
+	f.prefillSaturated = f.prefillSaturated || !found && !urgent && len(w.Avoid) == 0
 	return r, found
 }
 
-// size is the share of an engine's memory that a stream takes in the end.
-func size(w *Want, e *engine) float64 {
+// finalShare returns the share of an engine's memory that a stream holds when it finishes.
+func finalShare(w *Want, e *engine) float64 {
 	return share(w.Prompt+w.Expected, e)
 }
 
-// mayRead reports whether a decode engine may work a prompt between the tokens of its
-// streams (rule 7).
-func (f *Fleet) mayRead(now time.Time, w *Want, decode *engine) bool {
-	if now.Sub(decode.readAt) < readRest*f.paces.usualReading() {
+// mayPrefill reports whether a decode engine may prefill a prompt beside its streams (rule 7).
+func (f *Fleet) mayPrefill(now time.Time, w *Want, decode *engine) bool {
+	if now.Sub(decode.lastPrefill) < decodePrefillRest*f.estimates.meanPrefillTime() {
 		return false
 	}
-	return w.Gap == 0 || f.pause(decode, f.paces.reading(w.Prompt)) < w.Gap || len(decode.streams) == 0
+	return w.Gap == 0 || f.pause(decode, f.estimates.prefillTime(w.Prompt)) < w.Gap || len(decode.streams) == 0
 }
 
-// pause is how long an engine's streams pause at most while it works a prompt that one which prefills reads in a time.
-func (f *Fleet) pause(e *engine, reading time.Duration) time.Duration {
-	return time.Duration(pauseMargin*ownReading*float64(reading)) + f.eventTime(e)
+// pause returns the longest time between two events of an engine's streams while the engine
+// prefills a prompt that takes a prefill engine prefillTime.
+func (f *Fleet) pause(e *engine, prefillTime time.Duration) time.Duration {
+	return time.Duration(pauseMargin*decodePrefillFactor*float64(prefillTime)) + f.eventInterval(e)
 }
 
-// eventTime is the time between two events at an engine that works no prompt, and their way.
-func (f *Fleet) eventTime(e *engine) time.Duration {
-	return spanOf(float64(e.Event)/f.paceOf(e)) + eventWay
+// eventInterval returns the time between two events of an engine that isn't prefilling, including
+// their latency.
+func (f *Fleet) eventInterval(e *engine) time.Duration {
+	return durationOf(float64(e.Event)/f.decodeRateOf(e)) + eventLatency
 }
 
-// lastCall reports whether a want can still be on time if a decode engine works its prompt, but
-// not for much longer.
-func (f *Fleet) lastCall(now time.Time, w *Want) bool {
-	takes := ownReading*f.paces.reading(w.Prompt) + prefillStart
-	left := w.Arrived.Add(w.Target).Sub(now.Add(takes))
-	return !w.Moved && left > 0 && left < lastCallTime
+// nearDeadline reports whether a request can still meet its target if a decode engine prefills its
+// prompt, but only within nearDeadlineWindow.
+func (f *Fleet) nearDeadline(now time.Time, w *Want) bool {
+	needed := decodePrefillFactor*f.estimates.prefillTime(w.Prompt) + prefillOverhead
+	remaining := w.Arrived.Add(w.Target).Sub(now.Add(needed))
+	return !w.Moved && remaining > 0 && remaining < nearDeadlineWindow
 }
--- a/internal/decide/hingefleet/grant_test.go
+++ b/internal/decide/hingefleet/grant_test.go
@@ -11,14 +11,13 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// An engine dies in the middle of answers. Their callers have read half of them, so they
-// go before those who have read nothing.
+// Guards against new requests going before streams that moved from a crashed engine.
 func TestMovedStreamGoesFirst(t *testing.T) {
-	f := taught()
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines()[:2])
-	first := wantOf("first", now)
-	moved := wantOf("moved", now)
+	first := requestOf("first", now)
+	moved := requestOf("moved", now)
 	moved.Moved = true
 	f.Offer(now, first)
 	f.Offer(now, moved)
@@ -33,15 +32,14 @@
 	}
 }
 
-// Dossiers of two customers wait for the one engine, and one of them goes first by its rank. It came a moment later, and would
-// otherwise be behind the other's.
+// Guards against an earlier request of lower priority going first.
 func TestHigherPriorityGoesFirst(t *testing.T) {
-	f := taught()
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines()[:2])
-	first := wantOf("first", now)
+	first := requestOf("first", now)
 	first.Priority = 1
-	urgent := wantOf("urgent", now.Add(time.Millisecond))
+	urgent := requestOf("urgent", now.Add(time.Millisecond))
 	f.Offer(now, first)
 	f.Offer(now, urgent)
 	var got []StreamID
@@ -55,72 +53,70 @@
 	}
 }
 
-// All hosts were without power, and of the engines only the first has announced itself again. It is full
-// at once. Callers that were sent away for some seconds then would come back late, to engines that
-// had been there a moment after.
-func TestFleetThatHasJustBegunWaitsForItsEngines(t *testing.T) {
-	f := taught()
+// After an outage of all hosts, only the first engine is known, and it is full. Guards against
+// refusals just before further engines are announced.
+func TestNewFleetWaitsForItsEngines(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	list := engines()
 	f.SetEngines(list[:2])
 	for i := range 6 {
-		f.Offer(now, wantOf(StreamID(fmt.Sprint(i)), now))
+		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
 	}
 	for _, d := range f.Step(now) {
 		if d.Refused {
-			t.Fatalf("refused before its engines were heard of: %+v", d)
+			t.Fatalf("request refused during discovery: %+v", d)
 		}
 	}
 	now = now.Add(300 * time.Millisecond)
 	list[2].Memory = 1_000_000
 	list[2].Slots = 100
 	f.SetEngines(list)
-	granted := 0
+	assigned := 0
 	for range 20 {
 		for _, d := range f.Step(now) {
 			f.Note(now, Note{
 				Server: d.Grant.Prefill,
 				Stream: d.ID,
 			})
-			granted++
+			assigned++
 		}
 		now = now.Add(20 * time.Millisecond)
 	}
-	if granted != 5 {
-		t.Fatalf("%d of the 5 that waited were granted", granted)
+	if assigned != 5 {
+		t.Fatalf("%d of 5 queued requests were assigned", assigned)
 	}
 }
 
-// A prompt's KV cache is there for half a second. The engine it was meant for can't
-// be reached; another takes it, or the caller hears at once that none can.
-func TestCachedWantIsDecidedAtOnce(t *testing.T) {
-	f := taught()
+// A prompt's KV cache expires within half a second. Guards against queueing a cached request
+// instead of assigning or refusing it at once.
+func TestCachedRequestIsDecidedAtOnce(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
-	w := wantOf("a", now)
+	w := requestOf("a", now)
 	w.Cached = true
 	w.Avoid = []hingeids.ServerID{"decode-1"}
 	f.Offer(now, w)
 	d := f.Step(now)
 	if len(d) != 1 || d[0].Grant.Decode != "decode-2" || d[0].Grant.Prefill != "" {
-		t.Fatalf("want decode-2 and no prefill: %+v", d)
+		t.Fatalf("want decode-2 and no prefill engine: %+v", d)
 	}
 	w.ID = "b"
 	w.Avoid = []hingeids.ServerID{"decode-1", "decode-2"}
 	f.Offer(now, w)
 	if d := f.Step(now); len(d) != 1 || !d[0].Refused {
-		t.Fatalf("want a refusal at once: %+v", d)
+		t.Fatalf("want an immediate refusal: %+v", d)
 	}
 }
 
-// A zone is cut off. Every stream between a caller's zone and an engine of another falls silent in
-// front of its caller, and its prefill is lost. At the mean demand four in five streams
-// are to be in their own zone, though callers of the zones come in clumps.
+// A stream that crosses a zone border breaks when a zone is cut off. Guards against assigning more
+// than a fifth of the streams to other zones at the mean demand.
 func TestStreamsStayInTheirZone(t *testing.T) {
-	f := taught()
+	f := trainedFleet()
 	list := engineList(loadPattern{
-		prefills: 3,
-		decodes:  6,
+		prefillers: 3,
+		decoders:   6,
 	})
 	f.SetEngines(list)
 	zones := make(map[hingeids.ServerID]hingeids.Zone)
@@ -130,15 +126,15 @@
 	now := simStart
 	inZone := 0
 	random := rand.New(rand.NewPCG(1, 1))
-	const asked = 45 // Streams in flight at the mean demand of ten a second.
-	for i := range asked {
+	const requests = 45 // Streams in flight at the mean demand of ten a second.
+	for i := range requests {
 		now = now.Add(100 * time.Millisecond)
-		w := wantOf(StreamID(fmt.Sprint(i)), now)
+		w := requestOf(StreamID(fmt.Sprint(i)), now)
 		w.Zone = hingeids.Zone(fmt.Sprint(random.IntN(3)))
 		f.Offer(now, w)
 		d := f.Step(now)
 		if len(d) != 1 || d[0].Refused {
-			t.Fatalf("stream %d isn't granted: %+v", i, d)
+			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
 		if zones[d[0].Grant.Decode] == w.Zone {
 			inZone++
@@ -148,28 +144,27 @@
 			Stream: w.ID,
 		})
 	}
-	if inZone < asked*4/5 {
-		t.Fatalf("%d of %d streams are in their zone", inZone, asked)
+	if inZone < requests*4/5 {
+		t.Fatalf("%d of %d streams are in their zone", inZone, requests)
 	}
 }
 
-// All callers come from one zone, whose engines are a third. They are to use the others' memory
-// too, and not to wait in front of their own full ones.
+// All requests come from one zone. Guards against leaving the memory of the other zones unused.
 func TestCrowdedZoneUsesTheOthersEngines(t *testing.T) {
-	f := taught()
+	f := trainedFleet()
 	f.SetEngines(engineList(loadPattern{
-		prefills: 3,
-		decodes:  6,
+		prefillers: 3,
+		decoders:   6,
 	}))
 	now := simStart
 	for i := range 45 {
 		now = now.Add(100 * time.Millisecond)
-		w := wantOf(StreamID(fmt.Sprint(i)), now)
+		w := requestOf(StreamID(fmt.Sprint(i)), now)
 		w.Zone = "0"
 		f.Offer(now, w)
 		d := f.Step(now)
 		if len(d) != 1 || d[0].Refused {
-			t.Fatalf("stream %d isn't granted: %+v", i, d)
+			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
 		f.Note(now.Add(90*time.Millisecond), Note{
 			Server: d[0].Grant.Prefill,
@@ -178,52 +173,50 @@
 	}
 }
 
-// An engine that prefills has become slow, or others use it too, and what it was handed isn't
-// read when it should be. If that was taken for read, more and more would be handed to it: a queue of
-// a dozen prompts, each first event late by a second, while wants wait that could go first.
-func TestPromptsThatAreNotReadCountAsWork(t *testing.T) {
-	f := taught()
+// A prefill engine completes no prompt. Guards against counting prompts as done after their
+// predicted time, which would build up a queue at the engine.
+func TestUnfinishedPromptsCountAsBacklog(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	list := engines()
 	list[1].Memory = 1_000_000
 	list[1].Slots = 100
 	f.SetEngines(list)
-	granted := 0
+	assigned := 0
 	for i := range 12 {
-		f.Offer(now, wantOf(StreamID(fmt.Sprint(i)), now))
+		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
 		for _, d := range f.Step(now) {
 			if d.Grant.Prefill != "" {
-				granted++
+				assigned++
 			}
 		}
 		now = now.Add(50 * time.Millisecond)
 	}
-	// The backlog of 200 ms that an engine may have, and one prompt that is taken to be read by now.
-	if most := 4; granted > most {
-		t.Fatalf("%d prompts were handed to an engine that has ended none, want %d at most", granted, most)
+	// This is the maximum backlog of 200 ms and one prompt whose predicted time has passed.
+	if most := 4; assigned > most {
+		t.Fatalf("%d prompts were assigned to an engine that has completed none, want %d at most", assigned, most)
 	}
 }
 
-// A zone is cut off together with decode engines alone, or all engines that prefill die.
-// Callers there would be refused for as long as it lasts, in front of engines that can
-// work a prompt themselves.
-func TestDecodeEngineWorksThePromptWhereNoneElseCan(t *testing.T) {
-	f := taught()
+// Guards against refusals while only decode engines can be reached: they can prefill prompts
+// themselves.
+func TestDecodeEnginePrefillsWithoutPrefillEngines(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
 	f.Note(now, Note{
 		Server:  "prefill",
 		Outcome: Unreached,
 	})
-	f.Offer(now, wantOf("a", now))
+	f.Offer(now, requestOf("a", now))
 	d := f.Step(now)
 	if len(d) != 1 || d[0].Refused || d[0].Grant.Prefill != "" {
-		t.Fatalf("want a decode engine alone: %+v", d)
+		t.Fatalf("want a decode engine and no prefill engine: %+v", d)
 	}
-	// Once one can be reached again it has the prompts.
-	now = now.Add(firstAway)
-	f.Offer(now, wantOf("b", now))
+	// A prefill engine that is usable again gets the prompts.
+	now = now.Add(minEjection)
+	f.Offer(now, requestOf("b", now))
 	if d := f.Step(now); len(d) != 1 || d[0].Grant.Prefill != "prefill" {
-		t.Fatalf("want the engine that prefills: %+v", d)
+		t.Fatalf("want the prefill engine: %+v", d)
 	}
 }
--- a/internal/decide/hingefleet/health.go
+++ b/internal/decide/hingefleet/health.go
@@ -8,30 +8,30 @@
 )
 
 const (
-	// firstAway is how long an engine is left alone at first, longestAway after
-	// many times: one that restarts is back within seconds.
-	firstAway   = time.Second
-	longestAway = 8 * time.Second
-	// fullAway is the same for one that refused for want of room: streams end every
-	// few hundred milliseconds. It doubles with each refusal in a row, up to longestFull:
-	// an engine whose transfers have turned slow refuses for as long as that lasts.
-	fullAway    = 300 * time.Millisecond
-	longestFull = 2400 * time.Millisecond
-	// failWeight is the weight of a new outcome in the share of failures, failLimit the
-	// share from which an engine is left alone: two failures in a row, or four of ten.
-	failWeight = 0.25
-	failLimit  = 0.4
-	// trialTime is how long the one stream that tries an engine may take to show whether it
-	// answers, before another may: its prompt is read and its first event is there in half of it.
-	trialTime = time.Second
+	// minEjection is the time for which an engine is ejected at first, maxEjection the longest
+	// such time. An engine that restarts is back within seconds.
+	minEjection = time.Second
+	maxEjection = 8 * time.Second
+	// minFullBackoff is the backoff for an engine that refused a stream for lack of capacity. It
+	// doubles with each consecutive refusal, up to maxFullBackoff: streams finish every few
+	// hundred milliseconds, but an engine with slow KV cache transfers keeps refusing.
+	minFullBackoff = 300 * time.Millisecond
+	maxFullBackoff = 2400 * time.Millisecond
+	// failureWeight is the weight of a new outcome in the share of failures. An engine whose share
+	// exceeds ejectionThreshold is ejected: two consecutive failures, or four of ten.
+	failureWeight     = 0.25
+	ejectionThreshold = 0.4
+	// probeTimeout is the time after which another probe is sent to an engine if the previous one
+	// has had no result.
+	probeTimeout = time.Second
 )
 
-// Outcome is how an engine did what it was asked.
+// Outcome is the result of a request to an engine.
 type Outcome uint8
 
-// Worked is what was asked; Failed is none or a broken answer; Full is a refusal
-// for want of room; Unreached is no connection, or another server at the address; Begun
-// says that an answer has begun, whatever becomes of it.
+// Worked means that the request succeeded, Failed that the answer was missing or broken, and Full
+// that the engine refused for lack of capacity. Unreached means that the connection failed or
+// another server runs at the address, and Begun that an answer has started, whatever its result.
 const (
 	Worked Outcome = iota
 	Failed
@@ -40,135 +40,135 @@
 	Begun
 )
 
-// health is what is believed of how an engine does (rule 6).
+// health is the health of an engine according to its recent outcomes (rule 6).
 type health struct {
-	// failing is the share of failures of late.
-	failing float64
-	// leaves counts how often in a row it was left alone, awayTill until when.
-	leaves   int
-	awayTill time.Time
-	// fulls counts the refusals for want of room in a row.
-	fulls int
-	// doubted says that nothing has shown since that it can be reached; triedAt is
-	// when a stream was last sent to show it.
-	doubted bool
-	triedAt time.Time
-	// dark says that it couldn't be reached when it was tried last.
-	dark bool
+	// failureShare is the moving average of failures.
+	failureShare float64
+	// ejections is the number of consecutive ejections. The engine gets no streams before
+	// unusableUntil.
+	ejections     int
+	unusableUntil time.Time
+	// fullsInRow is the number of consecutive refusals for lack of capacity.
+	fullsInRow int
+	// suspect reports that the engine has not been reached since it or its zone failed; such an
+	// engine is only probed. lastAssigned is when it was last assigned a stream.
+	suspect      bool
+	lastAssigned time.Time
+	// unreachable reports that the last connection to the engine failed.
+	unreachable bool
 }
 
-// usable reports whether an engine may get a stream.
+// usable reports whether the engine may be assigned a stream.
 func (h *health) usable(now time.Time) bool {
-	return !now.Before(h.awayTill) && (!h.doubted || now.Sub(h.triedAt) > trialTime)
+	return !now.Before(h.unusableUntil) && (!h.suspect || now.Sub(h.lastAssigned) > probeTimeout)
 }
 
-// Note is how an engine did with a stream.
+// Note reports the outcome of a stream at an engine.
 type Note struct {
 	Server  hingeids.ServerID `cbor:"1,keyasint"`
 	Outcome Outcome           `cbor:"2,keyasint,omitempty"`
 	Stream  StreamID          `cbor:"3,keyasint,omitempty"`
-	// Made is the tokens of an answer that is whole.
+	// Made is the number of tokens of a complete answer.
 	Made hingeids.Tokens `cbor:"4,keyasint,omitempty"`
 }
 
-// Note takes how an engine did.
+// Note records the outcome of a stream at an engine. It ignores unknown engines.
 func (f *Fleet) Note(now time.Time, n Note) {
 	e := f.engines[n.Server]
 	if e == nil {
 		return
 	}
 	if e.Role == Prefill {
-		e.prompts.done(now, n.Stream, n.Outcome == Worked)
+		e.prefillQueue.done(now, n.Stream, n.Outcome == Worked)
 	}
 	if s := f.streams[n.Stream]; s != nil && e.Role == Decode && n.Outcome == Worked && n.Made > 0 {
-		f.paces.learnLength(s.expected, n.Made)
-		// Its owner's next report leaves it out; on engines that answer in a tenth of a second its place would be free by half of
-		// its time later.
-		f.forget(n.Stream)
+		f.estimates.observeLength(s.expected, n.Made)
+		// The owner's next report would remove the stream too, but only later: on engines that
+		// answer within 100 ms, its slot would stay blocked half as long again.
+		f.removeStream(n.Stream)
 	}
-	e.health.note(now, n.Outcome)
+	e.health.record(now, n.Outcome)
 	switch n.Outcome {
 	case Worked, Begun:
-		f.hear(now, e.Zone)
+		f.zoneAnswered(now, e.Zone)
 	case Unreached:
-		f.doubt(now, e.Zone)
+		f.suspectZone(now, e.Zone)
 	}
 }
 
-// doubtless is how long an answer from a zone speaks for the whole of it: what is heard since a connection
-// was begun that then timed out, two tries of 100 ms, shows that the zone isn't cut off.
-const doubtless = 200 * time.Millisecond
+// zoneAnswerTTL is how long an answer from a zone proves that the zone isn't cut off. It covers a
+// connection attempt that times out: two tries of 100 ms.
+const zoneAnswerTTL = 200 * time.Millisecond
 
-// doubt has each engine of a zone tried before it gets more than one stream, unless the zone was just heard. When a zone is
-// cut off, a dozen streams would otherwise find out for each of its engines, again and again, and
-// each waits a fifth of a second for a connection. Where the zone is well after all, it costs
-// each engine the streams of a tenth of a second; but when ten engines of a large zone crash, that
-// would go on for as long as they are down.
-func (f *Fleet) doubt(now time.Time, zone hingeids.Zone) {
-	if now.Sub(f.heard[zone]) < doubtless {
+// suspectZone marks each engine of a zone for probing, unless the zone has answered recently. When
+// a zone is cut off, this avoids that many streams wait for connection timeouts at each of its
+// engines. The check for recent answers prevents that single crashed engines keep a large zone
+// suspect.
+func (f *Fleet) suspectZone(now time.Time, zone hingeids.Zone) {
+	if now.Sub(f.zoneLastSeen[zone]) < zoneAnswerTTL {
 		return
 	}
-	f.silent[zone] = true
+	f.silentZones[zone] = true
 	for _, e := range f.engines {
 		if e.Zone == zone {
-			e.health.doubted = true
+			e.health.suspect = true
 		}
 	}
 }
 
-// hear notes that an engine of a zone answers. If the whole zone was silent before, it is back, and all its
-// engines that couldn't be reached are tried at once: by then they have been left alone
-// for longer each time, and would stay unused for as long as the cut has lasted.
-func (f *Fleet) hear(now time.Time, zone hingeids.Zone) {
-	f.heard[zone] = now
-	if !f.silent[zone] {
+// zoneAnswered records that an engine of a zone answered. If the zone was silent, its unreachable
+// engines become usable for probes at once, since their ejection times have grown with the length
+// of the outage.
+func (f *Fleet) zoneAnswered(now time.Time, zone hingeids.Zone) {
+	f.zoneLastSeen[zone] = now
+	if !f.silentZones[zone] {
 		return
 	}
-	delete(f.silent, zone)
+	delete(f.silentZones, zone)
 	for _, e := range f.engines {
-		if e.Zone == zone && e.health.dark && e.health.awayTill.After(now) {
-			e.health.awayTill = now
+		if e.Zone == zone && e.health.unreachable && e.health.unusableUntil.After(now) {
+			e.health.unusableUntil = now
 		}
 	}
 }
 
-func (h *health) note(now time.Time, o Outcome) {
+func (h *health) record(now time.Time, o Outcome) {
 	switch o {
 	case Worked:
-		h.failing -= failWeight * h.failing
-		if now.After(h.awayTill) {
-			h.leaves = 0
+		h.failureShare -= failureWeight * h.failureShare
+		if now.After(h.unusableUntil) {
+			h.ejections = 0
 		}
-		h.reached()
+		h.markReachable()
 	case Begun:
-		h.reached()
+		h.markReachable()
 	case Full:
-		h.awayTill = hingeclock.Later(h.awayTill, now.Add(min(fullAway<<min(h.fulls, 4), longestFull)))
-		h.fulls++
+		h.unusableUntil = hingeclock.Later(h.unusableUntil, now.Add(min(minFullBackoff<<min(h.fullsInRow, 4), maxFullBackoff)))
+		h.fullsInRow++
 	case Unreached:
-		h.leave(now)
-		h.dark = true
+		h.eject(now)
+		h.unreachable = true
 	case Failed:
-		h.failing += failWeight * (1 - h.failing)
-		if h.failing > failLimit {
-			h.leave(now)
+		h.failureShare += failureWeight * (1 - h.failureShare)
+		if h.failureShare > ejectionThreshold {
+			h.eject(now)
 		}
 	}
 }
 
-func (h *health) reached() {
-	h.fulls = 0
-	h.doubted = false
-	h.dark = false
+func (h *health) markReachable() {
+	h.fullsInRow = 0
+	h.suspect = false
+	h.unreachable = false
 }
 
-func (h *health) leave(now time.Time) {
-	if now.Before(h.awayTill) {
-		// What fails together is one failure of the engine.
+func (h *health) eject(now time.Time) {
+	if now.Before(h.unusableUntil) {
+		// Failures of concurrent streams count as one ejection.
 		return
 	}
-	h.awayTill = now.Add(min(firstAway<<min(h.leaves, 4), longestAway))
-	h.leaves++
-	h.failing = 0
-	h.doubted = true
+	h.unusableUntil = now.Add(min(minEjection<<min(h.ejections, 4), maxEjection))
+	h.ejections++
+	h.failureShare = 0
+	h.suspect = true
 }
--- a/internal/decide/hingefleet/health_test.go
+++ b/internal/decide/hingefleet/health_test.go
@@ -10,12 +10,12 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Rule 6 in its steps: one failure changes nothing, two in a row take the engine
-// away, longer each time; no connection does so at once.
-func TestEngineIsLeftAlone(t *testing.T) {
+// Checks rule 6: one failure doesn't eject an engine, two consecutive ones and an unreachable
+// engine do, and a refusal causes a short backoff.
+func TestFailuresEjectEngine(t *testing.T) {
 	now := simStart
-	away := func(outcomes ...Outcome) time.Duration {
-		f := taught()
+	ejectedFor := func(outcomes ...Outcome) time.Duration {
+		f := trainedFleet()
 		f.SetEngines(engines())
 		for _, o := range outcomes {
 			f.Note(now, Note{
@@ -23,26 +23,25 @@
 				Outcome: o,
 			})
 		}
-		return max(f.engines["decode-1"].health.awayTill.Sub(now), 0)
+		return max(f.engines["decode-1"].health.unusableUntil.Sub(now), 0)
 	}
 	got := []time.Duration{
-		away(Failed),
-		away(Failed, Failed),
-		away(Failed, Worked, Worked, Failed),
-		away(Unreached),
-		away(Full),
+		ejectedFor(Failed),
+		ejectedFor(Failed, Failed),
+		ejectedFor(Failed, Worked, Worked, Failed),
+		ejectedFor(Unreached),
+		ejectedFor(Full),
 	}
-	want := []time.Duration{0, firstAway, 0, firstAway, fullAway}
+	want := []time.Duration{0, minEjection, 0, minEjection, minFullBackoff}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// An engine couldn't be reached for a second. It looks like the emptiest of all then, and whatever
-// waits would go there at once; if it is still dark, each of those callers loses a fifth of a
-// second and all go elsewhere together.
-func TestEngineThatWasAwayIsTriedWithOneStream(t *testing.T) {
-	f := taught()
+// An ejected engine appears to be the emptiest. Guards against assigning it more than one stream
+// before it has answered.
+func TestEjectedEngineIsProbedWithOneStream(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	list := engines()
 	list[2].Zone = "another"
@@ -52,10 +51,10 @@
 		Server:  "decode-2",
 		Outcome: Unreached,
 	})
-	now = now.Add(firstAway)
-	granted := func(ids ...StreamID) int {
+	now = now.Add(minEjection)
+	assigned := func(ids ...StreamID) int {
 		for _, id := range ids {
-			w := wantOf(id, now)
+			w := requestOf(id, now)
 			w.Zone = "another"
 			f.Offer(now, w)
 		}
@@ -67,26 +66,25 @@
 		}
 		return n
 	}
-	got := []int{granted("a", "b", "c")}
-	// What still waits for an engine that reads its prompt isn't counted below.
+	got := []int{assigned("a", "b", "c")}
+	// Requests that still wait for a prefill engine aren't counted below.
 	f.Withdraw()
-	now = now.Add(trialTime / 2)
+	now = now.Add(probeTimeout / 2)
 	f.Note(now, Note{
 		Server:  "decode-2",
 		Outcome: Begun,
 		Stream:  "a",
 	})
-	got = append(got, granted("d", "e"))
+	got = append(got, assigned("d", "e"))
 	if diff := cmp.Diff([]int{1, 2}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A zone is cut off for some seconds, and its engines are tried in vain, each time after a longer pause. One of
-// them answers: the zone is back, and the others must not stay unused for seconds, while callers
-// wait in front of the engines of other zones.
-func TestEnginesAreTriedWhenTheirZoneIsBack(t *testing.T) {
-	f := taught()
+// After a zone was cut off for several seconds, one of its engines answers. Guards against leaving
+// the other engines ejected for several seconds more.
+func TestEnginesAreProbedWhenTheirZoneIsBack(t *testing.T) {
+	f := trainedFleet()
 	f.SetEngines(engines())
 	now := simStart
 	for range 4 {
@@ -96,7 +94,7 @@
 				Outcome: Unreached,
 			})
 		}
-		now = f.engines["decode-1"].health.awayTill
+		now = f.engines["decode-1"].health.unusableUntil
 	}
 	f.Note(now, Note{
 		Server:  "decode-1",
@@ -107,14 +105,14 @@
 		Outcome: Begun,
 	})
 	if !f.engines["decode-1"].health.usable(now.Add(time.Millisecond)) {
-		t.Fatalf("it is tried only %v after its zone is back", f.engines["decode-1"].health.awayTill.Sub(now))
+		t.Fatalf("engine is unusable for %v after its zone is back", f.engines["decode-1"].health.unusableUntil.Sub(now))
 	}
 }
 
-// A zone is cut off with two of four decode engines. What one stream finds out
-// counts for the other engine too: it gets one stream, not a share of all.
-func TestUnreachedEngineCastsDoubtOnItsZone(t *testing.T) {
-	f := taught()
+// A zone is cut off, and a stream finds one of its engines unreachable. Guards against assigning
+// several streams to the zone's other engine before it has answered.
+func TestUnreachableEngineMakesItsZoneSuspect(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	var list []Engine
 	for i := range 5 {
@@ -134,7 +132,7 @@
 	})
 	inZone := 0
 	for i := range 8 {
-		f.Offer(now, wantOf(StreamID(fmt.Sprint(i)), now))
+		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
 		for _, d := range f.Step(now) {
 			if d.Grant.Decode == "decode-3" {
 				inZone++
@@ -147,14 +145,14 @@
 		})
 	}
 	if inZone != 1 {
-		t.Fatalf("%d streams went to the doubted engine, want 1", inZone)
+		t.Fatalf("%d streams were assigned to the suspect engine, want 1", inZone)
 	}
 }
 
-// Engines of a large zone crash one after the other, while the others go on answering. The zone isn't cut off:
-// its engines must not be held to one stream at a time for as long as some are down.
-func TestCrashedEnginesCastNoDoubtOnAZoneThatAnswers(t *testing.T) {
-	f := taught()
+// Engines of a zone crash while others answer. Guards against treating the whole zone as cut off,
+// which would limit its healthy engines to probes.
+func TestCrashedEnginesDoNotMakeAnAnsweringZoneSuspect(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	list := engines()
 	for i := range list {
@@ -162,9 +160,9 @@
 	}
 	f.SetEngines(list)
 	for i := range 3 {
-		f.Offer(now, wantOf(StreamID(fmt.Sprint(i)), now))
+		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
 		if d := f.Step(now); len(d) != 1 || d[0].Grant.Prefill == "" || d[0].Grant.Decode == "" {
-			t.Fatalf("stream %d isn't granted: %+v", i, d)
+			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
 		now = now.Add(100 * time.Millisecond)
 		f.Note(now, Note{
@@ -179,10 +177,10 @@
 	}
 }
 
-// An engine's transfers have turned slow: it refuses each KV cache after a wait of most of a
-// second. Three streams a second would go on finding that out.
-func TestEngineThatRefusesAgainAndAgainIsLeftLonger(t *testing.T) {
-	f := taught()
+// An engine with slow transfers keeps refusing KV caches. Guards against offering it streams at a
+// constant rate.
+func TestRepeatedRefusalsLengthenBackoff(t *testing.T) {
+	f := trainedFleet()
 	f.SetEngines(engines())
 	now := simStart
 	var got []time.Duration
@@ -191,9 +189,9 @@
 			Server:  "decode-1",
 			Outcome: Full,
 		})
-		away := f.engines["decode-1"].health.awayTill.Sub(now)
-		got = append(got, away)
-		now = now.Add(away)
+		backoff := f.engines["decode-1"].health.unusableUntil.Sub(now)
+		got = append(got, backoff)
+		now = now.Add(backoff)
 	}
 	f.Note(now, Note{
 		Server:  "decode-1",
@@ -203,8 +201,8 @@
 		Server:  "decode-1",
 		Outcome: Full,
 	})
-	got = append(got, f.engines["decode-1"].health.awayTill.Sub(now))
-	want := []time.Duration{fullAway, 2 * fullAway, 4 * fullAway, longestFull, longestFull, fullAway}
+	got = append(got, f.engines["decode-1"].health.unusableUntil.Sub(now))
+	want := []time.Duration{minFullBackoff, 2 * minFullBackoff, 4 * minFullBackoff, maxFullBackoff, maxFullBackoff, minFullBackoff}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
--- a/internal/decide/hingefleet/memory.go
+++ b/internal/decide/hingefleet/memory.go
@@ -10,108 +10,107 @@
 )
 
 const (
-	// marginFor is the margin for hints that were too low, in standard deviations of what the streams of an engine are
-	// longer than said, together. With memory filled to a fixed share of the prediction, 0.85 to 0.92 earned most where an answer is
-	// as long as its prompt, and 0.92 to 1.0 where it is a fifth of it: a margin of 0.6 to 1.3 deviations in both. With less than
-	// 1.2 one stream in twenty is preempted at twice the load that fits (simulation), with 1.3 one in a hundred.
-	marginFor = 1.3
-	// mostMargin bounds it, as a share of the memory. Where answers are far longer than their prompts, the margin would be a
-	// quarter of it, which serves more streams than are thrown out without it: over engines of all kinds the
-	// decision earns 1.095 of what others do with the bound, and 1.074 without.
-	mostMargin = 0.15
-	// overrun is what a stream that has outlived its hint is expected to add,
-	// as a share of what it has made: lengths are spread evenly on a
-	// logarithmic scale, so the longer it was, the longer it goes on. 0.15 and 0.3 earn the same.
-	overrun = 0.2
+	// marginDeviations is the margin for answers longer than their hints, in standard deviations
+	// of the total error over an engine's streams.
+	marginDeviations = 1.3
+	// maxMarginShare bounds the margin as a share of the engine's memory. Where answers are far
+	// longer than their prompts, a larger margin would cost more streams than the preemptions it
+	// prevents.
+	maxMarginShare = 0.15
+	// overrunShare is the number of further tokens expected of a stream that has exceeded its
+	// hint, as a share of those generated: the longer such a stream is, the longer it tends to
+	// continue.
+	overrunShare = 0.2
 )
 
-// load is a stream as the prediction of an engine's memory sees it.
+// load is a stream in the prediction of an engine's memory.
 type load struct {
-	// held is what it holds now, left the tokens that it will still make.
-	held hingeids.Tokens
-	left hingeids.Tokens
+	// held is the number of tokens in memory, remaining the number still to be generated.
+	held      hingeids.Tokens
+	remaining hingeids.Tokens
 }
 
-// loadOf gives a stream's load at a moment. Past its hint it is believed to
-// have made no more than was reported: most that reach it end soon.
+// loadOf returns the load of a stream at a moment. Between reports the stream is assumed to
+// generate at the given rate, but not beyond its hint.
 func (s *stream) loadOf(now time.Time, tokensPerSecond float64) load {
-	made := s.made
-	if d := now.Sub(s.madeAt); d > 0 {
-		made = min(made+hingeids.Tokens(tokensPerSecond*d.Seconds()), max(s.made, s.expected))
+	generated := s.generated
+	if d := now.Sub(s.generatedAt); d > 0 {
+		generated = min(generated+hingeids.Tokens(tokensPerSecond*d.Seconds()), max(s.generated, s.expected))
 	}
 	return load{
-		held: s.prompt + made,
-		left: max(s.expected-made, hingeids.Tokens(overrun*float64(made))),
+		held:      s.prompt + generated,
+		remaining: max(s.expected-generated, hingeids.Tokens(overrunShare*float64(generated))),
 	}
 }
 
-// peak gives the highest memory predicted for streams that run side by side at
-// one pace, and the tokens that each makes until then. Memory is highest just before a stream ends, so only those
-// moments are looked at.
+// peak returns the highest memory predicted for streams that generate at one rate, and the number
+// of tokens that each generates until then. Memory is highest just before a stream finishes, so
+// only these moments are evaluated. It sorts list.
 func peak(list []load) (highest, until hingeids.Tokens) {
 	slices.SortFunc(list, func(a, b load) int {
-		return cmp.Compare(b.left, a.left)
+		return cmp.Compare(b.remaining, a.remaining)
 	})
 	held := hingeids.Tokens(0)
 	for i, l := range list {
-		// Those with more left than this one are still there when it ends.
+		// The streams before this one in the list are still running when it finishes.
 		held += l.held
-		if at := held + hingeids.Tokens(i+1)*l.left; at > highest {
-			highest, until = at, l.left
+		if at := held + hingeids.Tokens(i+1)*l.remaining; at > highest {
+			highest, until = at, l.remaining
 		}
 	}
 	return highest, until
 }
 
-// outlook is what is predicted of an engine's memory without a further stream: its peak, and how many tokens
-// each of its streams makes until then.
-type outlook struct {
-	peak  hingeids.Tokens
-	until hingeids.Tokens
-	// squares is the sum of the squares of what the streams are expected to make.
-	squares float64
-	at      time.Time
-	known   bool
+// forecast is the predicted memory of an engine without a further stream: its peak, and the number
+// of tokens that each of its streams generates until then.
+type forecast struct {
+	peak      hingeids.Tokens
+	untilPeak hingeids.Tokens
+	// squares is the sum of the squares of the expected answer lengths.
+	squares    float64
+	computedAt time.Time
+	valid      bool
 }
 
-// outlookLasts is how long an outlook is used while nothing is reported of the engine: within it a stream
-// makes a part of an event, and memory that is given back is seen that much later.
-const outlookLasts = 50 * time.Millisecond
+// forecastTTL is how long a forecast is reused while no stream of the engine is reported. It is
+// shorter than the time between two events of a stream, and delays the release of memory by no
+// more.
+const forecastTTL = 50 * time.Millisecond
 
-// least gives a bound below an engine's peak with one more stream. It is exact where the
-// stream outlives the moment at which memory is highest, which is soon where memory is short.
-func (o outlook) least(w *Want) hingeids.Tokens {
-	if w.Expected >= o.until {
-		return o.peak + w.Prompt + o.until
+// lowerBound returns a lower bound for an engine's peak with one more stream. It is exact if that
+// stream is still running at the peak, which is usual when memory is short.
+func (o forecast) lowerBound(w *Want) hingeids.Tokens {
+	if w.Expected >= o.untilPeak {
+		return o.peak + w.Prompt + o.untilPeak
 	}
 	return o.peak
 }
 
-// outlookOf gives an engine's outlook, worked out anew if it is old.
-func (f *Fleet) outlookOf(now time.Time, e *engine) outlook {
-	o := &e.outlook
-	if !o.known || now.Sub(o.at) > outlookLasts {
+// forecastOf returns an engine's forecast, recomputed if it has expired.
+func (f *Fleet) forecastOf(now time.Time, e *engine) forecast {
+	o := &e.forecast
+	if !o.valid || now.Sub(o.computedAt) > forecastTTL {
 		list := f.loads(now, e)
-		o.peak, o.until = peak(list)
-		o.squares = squares(e.streams)
-		o.at = now
-		o.known = true
+		o.peak, o.untilPeak = peak(list)
+		o.squares = sumSquares(e.streams)
+		o.computedAt = now
+		o.valid = true
 	}
 	return *o
 }
 
-// loads gives the loads of an engine's streams, in memory that the next call uses again.
+// loads returns the loads of an engine's streams, in a buffer that the next call overwrites.
 func (f *Fleet) loads(now time.Time, e *engine) []load {
-	pace := f.paceOf(e)
+	rate := f.decodeRateOf(e)
 	list := f.scratch[:0]
 	for _, s := range e.streams {
-		list = append(list, s.loadOf(now, pace))
+		list = append(list, s.loadOf(now, rate))
 	}
 	f.scratch = list
 	return list
 }
 
-func squares(list []*stream) float64 {
+func sumSquares(list []*stream) float64 {
 	sum := 0.0
 	for _, s := range list {
 		sum += float64(s.expected) * float64(s.expected)
@@ -119,11 +118,11 @@
 	return sum
 }
 
-// margin is the memory that is kept free for what an engine's streams, with one more, will be longer than their hints say.
-// It grows with the root of their number, so that it is a larger share of a small engine, and with what the hints have
-// been off by: where these are right, or answers are short beside their prompts, hardly any is needed.
+// margin returns the memory kept free for answers of an engine's streams, with one more, that
+// exceed their hints. It grows with the square root of their number and with the error of past
+// hints, so it is small where hints are accurate or answers short.
 func (f *Fleet) margin(e *engine, squares float64, w *Want) hingeids.Tokens {
 	squares += float64(w.Expected) * float64(w.Expected)
-	margin := marginFor * f.paces.hintsOff() * math.Sqrt(squares)
-	return hingeids.Tokens(min(margin, mostMargin*float64(e.Memory)))
+	margin := marginDeviations * f.estimates.hintError() * math.Sqrt(squares)
+	return hingeids.Tokens(min(margin, maxMarginShare*float64(e.Memory)))
 }
--- a/internal/decide/hingefleet/paces.go
+++ b/internal/decide/hingefleet/paces.go
@@ -7,149 +7,151 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// estimate is a figure that is learned from readings. The first reading stands for itself, the next ones move it
-// by equal parts, and later ones by a fixed weight: whatever was believed before the first
-// reading is forgotten with it.
+// estimate is a moving average. The first sample replaces the default, the next ones are averaged
+// equally, and later ones have a fixed weight.
 type estimate struct {
-	value    float64
-	readings int
+	value   float64
+	samples int
 }
 
-func (e *estimate) take(reading, weight float64) {
-	e.readings++
-	e.value += max(weight, 1/float64(e.readings)) * (reading - e.value)
+func (e *estimate) add(sample, weight float64) {
+	e.samples++
+	e.value += max(weight, 1/float64(e.samples)) * (sample - e.value)
 }
 
-// takeUpper is the same for what a sound engine does: readings above the figure count for more than those below, so that it
-// stands where one in five is above it, and engines that have turned slow don't pull it down.
-func (e *estimate) takeUpper(reading, weight float64) {
-	if e.readings > 0 && reading < e.value {
-		weight /= upperShare
-		e.readings++
-		e.value += weight * (reading - e.value)
+// addUpper adds a sample with a lower weight if it is below the estimate, which then converges to
+// about the 80th percentile. Engines that have become slow hardly reduce it.
+func (e *estimate) addUpper(sample, weight float64) {
+	if e.samples > 0 && sample < e.value {
+		weight /= upperWeight
+		e.samples++
+		e.value += weight * (sample - e.value)
 		return
 	}
-	e.take(reading, weight)
+	e.add(sample, weight)
 }
 
-// upperShare is how much more a reading above the figure counts in takeUpper.
-const upperShare = 4
+// upperWeight is the weight of a sample above the estimate relative to one below it, in addUpper.
+const upperWeight = 4
 
-// or gives the figure, or another before anything was read.
-func (e *estimate) or(other float64) float64 {
-	if e.readings == 0 {
+// valueOr returns the estimate, or other if there are no samples.
+func (e *estimate) valueOr(other float64) float64 {
+	if e.samples == 0 {
 		return other
 	}
 	return e.value
 }
 
-// paces are what was learned of the engines of a fleet together (rule 9). An engine that has shown nothing
-// yet is taken to be like the others.
-type paces struct {
-	// decode is the tokens that an engine makes a second for one stream, least the fewest that
-	// keep callers' events on time.
-	decode estimate
-	least  float64
-	// gap is the longest pause between events that was last asked for, zero if any may be.
-	gap time.Duration
-	// read is the prompt tokens that an engine reads a second.
-	read estimate
-	// prompt is the tokens of a prompt.
-	prompt estimate
-	// start is the seconds from a grant to the first event beside the reading of the prompt, as most
-	// streams have it: the prompts ahead, the ways, the transfer and the making of the event.
-	start estimate
-	// off is the mean square of what answers were longer or shorter than expected, in shares of that.
-	off estimate
+// estimates is what was learned about all engines of a fleet (rule 9). An engine without samples
+// of its own is assumed to be like the others.
+type estimates struct {
+	// decodeRate is the tokens per second that an engine generates for one stream. minDecodeRate
+	// is the lowest rate at which events are on time.
+	decodeRate    estimate
+	minDecodeRate float64
+	// maxEventGap is the longest permitted time between events in the latest request; zero means
+	// no limit.
+	maxEventGap time.Duration
+	// prefillRate is the prompt tokens per second that an engine prefills.
+	prefillRate estimate
+	// promptTokens is the length of a prompt.
+	promptTokens estimate
+	// startOverhead is the seconds from an assignment to the first event without the prefill of
+	// the stream's own prompt: queued prompts, round trips, the transfer and the generation of the
+	// event.
+	startOverhead estimate
+	// squaredHintError is the mean square of the relative difference between answer lengths and
+	// hints.
+	squaredHintError estimate
 }
 
 const (
-	// paceWeight is the weight of a new reading of an engine's pace. One reading spans
-	// half a second; five of them move the pace to two thirds of a change.
-	paceWeight = 0.2
-	// fleetWeight is the same for the figures of all engines together: some twenty
-	// readings, so that the readings of one slow engine don't stand for all.
+	// engineWeight is the weight of a new sample of an engine's decode rate. Samples come about
+	// every half second; five of them adapt the estimate to two thirds of a change.
+	engineWeight = 0.2
+	// fleetWeight is the weight of a new sample in the estimates for all engines. It is low, so
+	// that the samples of one slow engine don't dominate them.
 	fleetWeight = 0.05
-	// aboveLeast is how many times faster than its operator's longest pause asks for an engine is taken to be before
-	// anything was read: one that only just keeps to it leaves no room for company.
-	aboveLeast = 4
-	// unknownPace is taken where nothing is known at all, in tokens a second, and unknownRead for prompts:
-	// a middle, by proportion, of engines from 50 to 2,000 and from 5,000 to 100,000. It stands until the
-	// first event or the first prompt has been seen.
-	unknownPace = 300
-	unknownRead = 25000
-	// unknownOff is by how much, as a share, answers are taken to differ from their hints before any has ended: hints that are right at the
-	// median and off by a factor of two as often as not. mostOff bounds one answer, so that a hint of one token doesn't
-	// speak for all.
-	unknownOff = 0.75
-	mostOff    = 4
-	// startWeight is the weight of a new reading of how long a stream takes to begin: some ten
-	// streams, the time in which a queue builds up.
-	startWeight = 0.1
-	// shortestSpan is the shortest time between two reports that says something of the pace:
-	// shorter ones measure the events' own rhythm.
-	shortestSpan = 100 * time.Millisecond
+	// defaultRateFactor is the assumed ratio of an engine's decode rate to minDecodeRate before
+	// there are samples. An engine close to minDecodeRate couldn't serve several streams.
+	defaultRateFactor = 4
+	// defaultDecodeRate and defaultPrefillRate are used until the first event or prefill, in
+	// tokens per second. They are near the geometric means of the rates of common engines, 50 to
+	// 2,000 and 5,000 to 100,000.
+	defaultDecodeRate  = 300
+	defaultPrefillRate = 25000
+	// defaultHintError is the assumed relative error of hints before any answer is complete.
+	// maxHintError bounds the error of one answer, so that a hint of one token doesn't dominate
+	// the estimate.
+	defaultHintError = 0.75
+	maxHintError     = 4
+	// startOverheadWeight is the weight of a new sample of startOverhead. It adapts within some
+	// ten streams, about as fast as a queue builds up.
+	startOverheadWeight = 0.1
+	// minRateInterval is the shortest interval between two reports that gives a sample of the
+	// decode rate. Shorter ones are distorted by the size of single events.
+	minRateInterval = 100 * time.Millisecond
 )
 
-// made is the tokens that an engine is taken to make a second.
-func (p *paces) made() float64 {
-	if p.least > 0 {
-		return p.decode.or(aboveLeast * p.least)
+// usualDecodeRate returns the decode rate assumed for an engine without samples.
+func (p *estimates) usualDecodeRate() float64 {
+	if p.minDecodeRate > 0 {
+		return p.decodeRate.valueOr(defaultRateFactor * p.minDecodeRate)
 	}
-	return p.decode.or(unknownPace)
+	return p.decodeRate.valueOr(defaultDecodeRate)
 }
 
-// reads is the prompt tokens that an engine is taken to read a second.
-func (p *paces) reads() float64 {
-	return p.read.or(unknownRead)
+// usualPrefillRate returns the prefill rate assumed for an engine without samples.
+func (p *estimates) usualPrefillRate() float64 {
+	return p.prefillRate.valueOr(defaultPrefillRate)
 }
 
-// reading is how long an engine of the usual pace reads a prompt.
-func (p *paces) reading(t hingeids.Tokens) time.Duration {
-	return spanOf(float64(t) / p.reads())
+// prefillTime returns how long an engine of the usual rate prefills t tokens.
+func (p *estimates) prefillTime(t hingeids.Tokens) time.Duration {
+	return durationOf(float64(t) / p.usualPrefillRate())
 }
 
-// usualReading is the same for a prompt of the mean size.
-func (p *paces) usualReading() time.Duration {
-	return spanOf(p.prompt.or(0) / p.reads())
+// meanPrefillTime returns the prefill time of a prompt of the mean length.
+func (p *estimates) meanPrefillTime() time.Duration {
+	return durationOf(p.promptTokens.valueOr(0) / p.usualPrefillRate())
 }
 
-// hintsOff is by how much, as a share, answers differ from what was expected of them.
-func (p *paces) hintsOff() float64 {
-	return math.Sqrt(p.off.or(unknownOff * unknownOff))
+// hintError returns the root mean square of the relative error of hints.
+func (p *estimates) hintError() float64 {
+	return math.Sqrt(p.squaredHintError.valueOr(defaultHintError * defaultHintError))
 }
 
-// learnLength takes the whole length of an answer.
-func (p *paces) learnLength(expected, made hingeids.Tokens) {
-	off := float64(made-expected) / float64(max(expected, 1))
-	off = min(off, mostOff)
-	p.off.take(off*off, fleetWeight)
+// observeLength adds the length of a complete answer.
+func (p *estimates) observeLength(expected, generated hingeids.Tokens) {
+	relativeError := float64(generated-expected) / float64(max(expected, 1))
+	relativeError = min(relativeError, maxHintError)
+	p.squaredHintError.add(relativeError*relativeError, fleetWeight)
 }
 
-// starting is how long a stream takes from its grant to its first event.
-func (p *paces) starting(prompt hingeids.Tokens) time.Duration {
-	return p.reading(prompt) + spanOf(p.start.or(prefillStart.Seconds()))
+// timeToFirstEvent returns the expected time from a stream's assignment to its first event.
+func (p *estimates) timeToFirstEvent(prompt hingeids.Tokens) time.Duration {
+	return p.prefillTime(prompt) + durationOf(p.startOverhead.valueOr(prefillOverhead.Seconds()))
 }
 
-// learnStart takes the first event of a stream that was placed here.
-func (f *Fleet) learnStart(now time.Time, s *stream) {
-	if s.placed.IsZero() {
+// observeStart adds a sample of startOverhead when the first event of a stream is reported.
+func (f *Fleet) observeStart(now time.Time, s *stream) {
+	if s.prefillSince.IsZero() {
 		return
 	}
-	took := now.Sub(s.placed) - f.paces.reading(s.prompt)
-	f.paces.start.takeUpper(max(took, 0).Seconds(), startWeight)
-	s.placed = time.Time{}
+	overhead := now.Sub(s.prefillSince) - f.estimates.prefillTime(s.prompt)
+	f.estimates.startOverhead.addUpper(max(overhead, 0).Seconds(), startOverheadWeight)
+	s.prefillSince = time.Time{}
 }
 
-func (f *Fleet) learnPace(e *engine, took time.Duration, made hingeids.Tokens) {
-	if took < shortestSpan {
+func (f *Fleet) observeDecodeRate(e *engine, elapsed time.Duration, generated hingeids.Tokens) {
+	if elapsed < minRateInterval {
 		return
 	}
-	reading := float64(made) / took.Seconds()
-	e.pace.take(reading, paceWeight)
-	f.paces.decode.take(reading, fleetWeight)
+	sample := float64(generated) / elapsed.Seconds()
+	e.measuredRate.add(sample, engineWeight)
+	f.estimates.decodeRate.add(sample, fleetWeight)
 }
 
-func spanOf(seconds float64) time.Duration {
+func durationOf(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
--- a/internal/decide/hingefleet/paces_test.go
+++ b/internal/decide/hingefleet/paces_test.go
@@ -5,75 +5,73 @@
 	"time"
 )
 
-// Engines of a new deployment are five times slower than those of another. If what was true there stood for
-// what isn't known yet, the first streams would be given to engines as if they ended in a fifth of their time.
-func TestFirstReadingStandsForItself(t *testing.T) {
-	var p paces
-	p.least = 50
-	if p.made() != aboveLeast*p.least {
-		t.Fatalf("%v before anything was read", p.made())
+// Guards against defaults that influence the estimate after the first sample.
+func TestFirstSampleReplacesDefault(t *testing.T) {
+	var p estimates
+	p.minDecodeRate = 50
+	if p.usualDecodeRate() != defaultRateFactor*p.minDecodeRate {
+		t.Fatalf("decode rate is %v without samples", p.usualDecodeRate())
 	}
-	p.decode.take(7, fleetWeight)
-	if p.made() != 7 {
-		t.Fatalf("%v after a reading of 7", p.made())
+	p.decodeRate.add(7, fleetWeight)
+	if p.usualDecodeRate() != 7 {
+		t.Fatalf("decode rate is %v after a sample of 7", p.usualDecodeRate())
 	}
-	p.decode.take(9, fleetWeight)
-	if p.made() != 8 {
-		t.Fatalf("%v after readings of 7 and 9", p.made())
+	p.decodeRate.add(9, fleetWeight)
+	if p.usualDecodeRate() != 8 {
+		t.Fatalf("decode rate is %v after samples of 7 and 9", p.usualDecodeRate())
 	}
 	for range 200 {
-		p.decode.take(100, fleetWeight)
+		p.decodeRate.add(100, fleetWeight)
 	}
-	if p.made() < 99 {
-		t.Fatalf("%v after the engines have become faster", p.made())
+	if p.usualDecodeRate() < 99 {
+		t.Fatalf("decode rate is %v after 200 samples of 100", p.usualDecodeRate())
 	}
 }
 
-// One of three engines that prefill turns slow. What a sound one reads is what callers' targets are reckoned with: if
-// the slow one pulled it down, streams would be refused that the others still read in time.
-func TestSlowReadingsCountForLess(t *testing.T) {
-	var p paces
+// Guards against one slow prefill engine reducing the estimate for all, which would refuse streams
+// that the others can still serve in time.
+func TestSlowSamplesWeighLess(t *testing.T) {
+	var p estimates
 	for i := range 300 {
-		reading := 50000.0
+		sample := 50000.0
 		if i%3 == 0 {
-			reading = 10000
+			sample = 10000
 		}
-		p.read.takeUpper(reading, readWeight)
+		p.prefillRate.addUpper(sample, prefillRateWeight)
 	}
-	if p.reads() < 40000 || p.reads() > 50000 {
-		t.Fatalf("%v of readings of 50,000 and, one in three, 10,000", p.reads())
+	if p.usualPrefillRate() < 40000 || p.usualPrefillRate() > 50000 {
+		t.Fatalf("prefill rate is %v after samples of 50,000 and, one in three, 10,000", p.usualPrefillRate())
 	}
 }
 
-// Two of three engines that prefill are slow, five times, and what they can read is less than what comes. There is memory for
-// all streams: engines that decode work the prompts that would be late, and nobody is refused in front of
-// memory that idles.
-func TestEnginesThatDecodeReadWhatOthersCannotInTime(t *testing.T) {
+// Two of three prefill engines are five times slower, so prefill is the bottleneck. Guards against
+// refusals while decode engines have capacity to prefill the prompts themselves.
+func TestDecodeEnginesPrefillWhenPrefillIsSaturated(t *testing.T) {
 	p := loadPattern{
-		lasts: 30 * time.Second,
-		perSec: func(time.Duration) float64 {
+		duration: 30 * time.Second,
+		requestsPerSecond: func(time.Duration) float64 {
 			return 16
 		},
-		prefills:     3,
-		decodes:      8,
-		slowPrefills: 2,
+		prefillers:     3,
+		decoders:       8,
+		slowPrefillers: 2,
 	}
-	o := mean(p, fleetOf)
+	o := runSeeds(p, newFleetPlacer)
 	t.Logf("%+v", o)
-	if o.OwnRead < o.Asked/20 {
-		t.Errorf("only %d of %d prompts were read by engines that decode", o.OwnRead, o.Asked)
+	if o.DecodePrefilled < o.Requested/20 {
+		t.Errorf("only %d of %d prompts were prefilled by decode engines", o.DecodePrefilled, o.Requested)
 	}
-	want(t, o, "on time", o.OnTime, 0.90, 1)
-	want(t, o, "refused", o.Refused, 0, 0.02)
+	checkShare(t, o, "on time", o.OnTime, 0.90, 1)
+	checkShare(t, o, "refused", o.Refused, 0, 0.02)
 }
 
-// The same, but callers want an event every 200 ms, and to work a prompt of the usual size takes longer: the
-// streams of the engine would all be late for the one whose prompt it is.
-func TestNoPromptIsReadBesideStreamsThatItWouldMakeLate(t *testing.T) {
-	f := taught()
+// The permitted time between events is shorter than a prefill on a decode engine. Guards against
+// prefilling there, which would make all streams of the engine late.
+func TestNoPrefillOnDecoderThatDelaysItsStreams(t *testing.T) {
+	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines()[1:])
-	busy := wantOf("busy", now)
+	busy := requestOf("busy", now)
 	busy.Prompt = 1000
 	busy.Gap = time.Second
 	f.Offer(now, busy)
@@ -95,46 +93,45 @@
 			Made:     500,
 		},
 	})
-	w := wantOf("w", now)
+	w := requestOf("w", now)
 	w.Gap = 200 * time.Millisecond
 	f.Offer(now, w)
 	for _, d := range f.Step(now) {
 		if !d.Refused {
-			t.Fatalf("a prompt is read beside streams: %+v", d)
+			t.Fatalf("a decode engine with streams prefills a prompt: %+v", d)
 		}
 	}
 }
 
-// All hosts were without power, and callers have waited for them for longer than their target. The first engines are
-// heard of one by one. If whoever can't be on time any more was refused before the others are heard of, nearly all of
-// them would be, a tenth of a second before there is room for all.
-func TestLateWantsWaitWhileEnginesAreHeardOf(t *testing.T) {
+// After an outage of all hosts, requests have waited longer than their targets. Guards against
+// refusing them while engines are still being announced.
+func TestLateRequestsWaitDuringDiscovery(t *testing.T) {
 	f := New()
 	now := simStart
 	list := engines()
 	f.SetEngines(list[:2])
 	for i := range 8 {
-		w := wantOf(StreamID(rune('a'+i)), now)
+		w := requestOf(StreamID(rune('a'+i)), now)
 		w.Arrived = now.Add(-1200 * time.Millisecond)
 		f.Offer(now, w)
 	}
 	for _, d := range f.Step(now) {
 		if d.Refused {
-			t.Fatalf("refused before its engines were heard of: %+v", d)
+			t.Fatalf("request refused during discovery: %+v", d)
 		}
 	}
 }
 
-// A zone is cut off, and none of its engines decodes. Nothing will be learned there, and a caller that was let to wait would
-// use up the time in which another zone could serve it.
-func TestZoneWithoutEnginesThatDecodeRefusesAtOnce(t *testing.T) {
+// Guards against letting requests wait in a zone without decode engines, where another zone could
+// serve them.
+func TestZoneWithoutDecodeEnginesRefusesAtOnce(t *testing.T) {
 	f := New()
 	now := simStart
 	f.SetEngines(engines()[:1])
 	f.Step(now)
-	now = now.Add(2 * learning)
-	f.Offer(now, wantOf("a", now))
+	now = now.Add(2 * discoveryTime)
+	f.Offer(now, requestOf("a", now))
 	if d := f.Step(now); len(d) != 1 || !d[0].Refused {
-		t.Fatalf("want a refusal at once: %+v", d)
+		t.Fatalf("want an immediate refusal: %+v", d)
 	}
 }
--- a/internal/decide/hingefleet/prefill.go
+++ b/internal/decide/hingefleet/prefill.go
@@ -7,25 +7,25 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// prefillFor gives the engine that will have read the prompt first, one of the zone of
-// the decode engine if they are alike: a transfer between zones takes twice as long.
-// None is given if all have work for a while: what waits there holds decode
-// memory for nothing, and can't be overtaken any more by what is more urgent.
-func (f *Fleet) prefillFor(now time.Time, w *Want, zone hingeids.Zone) (*engine, time.Time) {
+// fastestPrefill returns the engine that would finish the prefill first, and when. It favors
+// engines in the zone of the decode engine, since transfers between zones take twice as long. It
+// returns nil if all engines have their maximum backlog: a prompt queued at an engine holds decode
+// memory and can't be overtaken by a more urgent one.
+func (f *Fleet) fastestPrefill(now time.Time, w *Want, zone hingeids.Zone) (*engine, time.Time) {
 	var best *engine
 	var bestAt time.Time
-	most := f.mostBacklog()
+	maxBacklog := f.maxBacklog()
 	for _, e := range f.prefillers {
 		if !e.health.usable(now) || slices.Contains(w.Avoid, e.Server) {
 			continue
 		}
-		backlog := e.prompts.backlog(now)
-		if backlog > most {
+		backlog := e.prefillQueue.backlog(now)
+		if backlog > maxBacklog {
 			continue
 		}
-		at := now.Add(backlog + e.prompts.reading(now, w.Prompt))
+		at := now.Add(backlog + e.prefillQueue.prefillTime(now, w.Prompt))
 		if e.Zone != zone {
-			at = at.Add(otherZone)
+			at = at.Add(crossZonePenalty)
 		}
 		if best == nil || at.Before(bestAt) || at.Equal(bestAt) && e.Server < best.Server {
 			best, bestAt = e, at
@@ -34,22 +34,22 @@
 	return best, bestAt
 }
 
-// otherZone is the wait that a transfer within the zone is worth: a tenth of a
-// prefill, which costs callers nothing that they would notice.
-const otherZone = 10 * time.Millisecond
+// crossZonePenalty is the delay accepted to keep the KV cache transfer within a zone. It is small
+// compared with a prefill.
+const crossZonePenalty = 10 * time.Millisecond
 
-// promptsAhead is how many prompts of the mean size a prefill engine may have ahead, so that it never
-// idles while a decision is on its way: with 1.3 and 3.2 as much is served (tried on two deployments).
-const promptsAhead = 2
+// maxPromptsAhead bounds the backlog of a prefill engine, in prompts of the mean length. It is
+// enough to keep the engine busy during a decision.
+const maxPromptsAhead = 2
 
-// mostBacklog is the work that a prefill engine may have ahead.
-func (f *Fleet) mostBacklog() time.Duration {
-	return promptsAhead*f.paces.usualReading() + handOver
+// maxBacklog returns the longest backlog with which a prefill engine is assigned another prompt.
+func (f *Fleet) maxBacklog() time.Duration {
+	return maxPromptsAhead*f.estimates.meanPrefillTime() + assignmentLatency
 }
 
-// prefills reports whether an engine that prefills can be used at all, now or once its
-// work is done.
-func (f *Fleet) prefills(now time.Time, w *Want) bool {
+// canPrefill reports whether any prefill engine is usable for the request, regardless of its
+// backlog.
+func (f *Fleet) canPrefill(now time.Time, w *Want) bool {
 	for _, e := range f.prefillers {
 		if e.health.usable(now) && !slices.Contains(w.Avoid, e.Server) {
 			return true
@@ -58,19 +58,20 @@
 	return false
 }
 
-// ownReading is how many times longer a decode engine reads a prompt than one that prefills.
-const ownReading = 2
+// decodePrefillFactor is the ratio of a decode engine's prefill time to a prefill engine's.
+const decodePrefillFactor = 2
 
 const (
-	// lastCallTime is how long before it would be late a want whose prompt no engine can read yet is
-	// given to a decode engine that has room.
-	lastCallTime = 100 * time.Millisecond
-	// readRest is how long a decode engine that works a prompt isn't given another, in readings of a prompt of the
-	// mean size by an engine that prefills: its streams pause for half of that time.
-	readRest = 2 * ownReading
-	// pauseMargin is how much longer than predicted such a pause may be: one that is too long makes all streams of the
-	// engine late, ten of them as a rule, for one that would have waited.
+	// nearDeadlineWindow is how long before the latest possible start a request may be assigned to
+	// a decode engine alone because all prefill engines are busy.
+	nearDeadlineWindow = 100 * time.Millisecond
+	// decodePrefillRest is the shortest time between two prompts assigned to one decode engine for
+	// prefill, in prefill times of a mean prompt on a prefill engine. The engine's streams pause
+	// for half of it.
+	decodePrefillRest = 2 * decodePrefillFactor
+	// pauseMargin is the safety factor for the predicted pause, since a longer one makes all
+	// streams of the engine late.
 	pauseMargin = 1.3
-	// eventWay is what an event takes from the engine to the entry host, beside the making.
-	eventWay = 10 * time.Millisecond
+	// eventLatency is the latency of an event from the engine to the entry host.
+	eventLatency = 10 * time.Millisecond
 )
--- a/internal/decide/hingefleet/prompts.go
+++ b/internal/decide/hingefleet/prompts.go
@@ -8,150 +8,155 @@
 )
 
 const (
-	// readWeight is the weight of a new reading of that pace: three prompts move it to two thirds
-	// of a change, which is a third of a second at half load.
-	readWeight = 0.3
-	// paceFades is the time in which an engine that gets no prompts is again taken to be
-	// as fast as the others, by two thirds: one that was slow would otherwise never be tried.
-	paceFades = 3 * time.Second
-	// leastService is the shortest time that says something of the pace: notes of several prompts come
-	// together, and short ones are gathered until their reading has taken as long.
-	leastService = 10 * time.Millisecond
-	// slowest and fastest bound a reading, in shares of what the engines read: one stalled prompt
-	// doesn't look like an hour's work, and two ends that were told of together not like none.
-	slowest = 0.05
-	fastest = 1.5
-	// boundAfter is how many readings there must have been for that: what the first ones say is all that is known.
-	boundAfter = 5
-	// untried is how much faster than the others an engine is taken to be that hasn't read a prompt yet: of two that
-	// look alike it is taken, so that each is known after its first prompt.
-	untried = 1.05
-	// handOver is what a prompt that comes to an idle engine takes beside its reading: the grant's way to
-	// its owner, a connection, and the note's way back.
-	handOver = 20 * time.Millisecond
-	// unread is how long a prompt counts as waiting without a word of its end.
-	unread = 3 * time.Second
+	// prefillRateWeight is the weight of a new sample of an engine's prefill rate. Three prompts
+	// adapt it to two thirds of a change.
+	prefillRateWeight = 0.3
+	// prefillRateDecay is the time constant with which the rate of an engine without prompts
+	// returns to the usual rate. Without it, an engine that was slow once would never be assigned
+	// a prompt again.
+	prefillRateDecay = 3 * time.Second
+	// minSampleTime is the shortest prefill time that gives a sample. Shorter prefills are
+	// accumulated, since several completions can be reported together.
+	minSampleTime = 10 * time.Millisecond
+	// minRateFactor and maxRateFactor bound a sample relative to the usual rate, to limit the
+	// effect of a stalled prompt and of completions that are reported together.
+	minRateFactor = 0.05
+	maxRateFactor = 1.5
+	// minBoundSamples is the number of samples after which these bounds apply.
+	minBoundSamples = 5
+	// untriedFactor is the assumed rate of an engine without samples, relative to the usual rate.
+	// It makes such an engine win ties, so that its rate becomes known.
+	untriedFactor = 1.05
+	// assignmentLatency is the overhead of a prompt at an idle engine: the assignment's way to the
+	// owner, a connection, and the report of the completion.
+	assignmentLatency = 20 * time.Millisecond
+	// promptTimeout is how long a prompt counts as pending without a report of its completion.
+	promptTimeout = 3 * time.Second
 )
 
-// prompts is the work of an engine that prefills, as far as it was handed out here.
-type prompts struct {
-	waiting map[StreamID]prompt
-	// usual is what was learned of all engines.
-	usual *paces
-	// pace is the tokens that it reads a second, learnedAt when that was last seen.
-	pace      float64
-	learnedAt time.Time
-	// endedAt is when the last prompt's end was heard of.
-	endedAt time.Time
-	// readFrom is when the engine began on the tokens in readTokens, whose ends say nothing of the pace yet.
-	readFrom   time.Time
-	readTokens hingeids.Tokens
+// prefillQueue is the pending work of a prefill engine, as far as this fleet assigned it.
+type prefillQueue struct {
+	pending map[StreamID]queuedPrompt
+	// fleet is the estimates for all engines.
+	fleet *estimates
+	// rate is the prompt tokens that the engine prefills per second, sampledAt the time of its
+	// last sample.
+	rate      float64
+	sampledAt time.Time
+	// lastDone is when the last completion was reported.
+	lastDone time.Time
+	// sampleFrom is when the engine started on sampleTokens, the tokens accumulated for the next
+	// sample.
+	sampleFrom   time.Time
+	sampleTokens hingeids.Tokens
 }
 
-// prompt is one that waits or is being read.
-type prompt struct {
+// queuedPrompt is a prompt that is queued or being prefilled.
+type queuedPrompt struct {
 	tokens hingeids.Tokens
 	since  time.Time
 }
 
-func newPrompts(usual *paces) prompts {
-	return prompts{
-		waiting: make(map[StreamID]prompt),
-		usual:   usual,
+func newPrefillQueue(fleet *estimates) prefillQueue {
+	return prefillQueue{
+		pending: make(map[StreamID]queuedPrompt),
+		fleet:   fleet,
 	}
 }
 
-func (q *prompts) add(now time.Time, id StreamID, t hingeids.Tokens) {
-	q.waiting[id] = prompt{
+func (q *prefillQueue) add(now time.Time, id StreamID, t hingeids.Tokens) {
+	q.pending[id] = queuedPrompt{
 		tokens: t,
 		since:  now,
 	}
 }
 
-func (q *prompts) drop(id StreamID) {
-	delete(q.waiting, id)
+func (q *prefillQueue) remove(id StreamID) {
+	delete(q.pending, id)
 }
 
-// done takes the end of a prompt. Prompts are read one after the other, so what passed
-// since the end before, or since this one came to an idle engine, is what it took.
-func (q *prompts) done(now time.Time, id StreamID, read bool) {
-	p, there := q.waiting[id]
-	if !there {
+// done records the end of a prompt, successful or not. An engine prefills prompts one after the
+// other, so a prompt took the time since the previous completion, or since its assignment to an
+// idle engine.
+func (q *prefillQueue) done(now time.Time, id StreamID, prefilled bool) {
+	p, found := q.pending[id]
+	if !found {
 		return
 	}
-	delete(q.waiting, id)
-	if began := p.since.Add(handOver); began.After(q.endedAt) || q.readFrom.IsZero() {
-		q.readFrom = hingeclock.Later(q.endedAt, began)
-		q.readTokens = 0
+	delete(q.pending, id)
+	if began := p.since.Add(assignmentLatency); began.After(q.lastDone) || q.sampleFrom.IsZero() {
+		q.sampleFrom = hingeclock.Later(q.lastDone, began)
+		q.sampleTokens = 0
 	}
-	q.endedAt = now
-	if !read {
-		q.readFrom = now
-		q.readTokens = 0
+	q.lastDone = now
+	if !prefilled {
+		q.sampleFrom = now
+		q.sampleTokens = 0
 		return
 	}
-	q.readTokens += p.tokens
-	took := now.Sub(q.readFrom)
-	if took < leastService {
+	q.sampleTokens += p.tokens
+	elapsed := now.Sub(q.sampleFrom)
+	if elapsed < minSampleTime {
 		return
 	}
-	q.learn(now, float64(q.readTokens)/took.Seconds())
-	q.readFrom = now
-	q.readTokens = 0
+	q.addSample(now, float64(q.sampleTokens)/elapsed.Seconds())
+	q.sampleFrom = now
+	q.sampleTokens = 0
 }
 
-// learn takes a reading of the pace.
-func (q *prompts) learn(now time.Time, reading float64) {
-	if usual := q.usual.reads(); q.usual.read.readings >= boundAfter {
-		reading = min(max(reading, slowest*usual), fastest*usual)
+// addSample adds a sample of the prefill rate.
+func (q *prefillQueue) addSample(now time.Time, sample float64) {
+	if usual := q.fleet.usualPrefillRate(); q.fleet.prefillRate.samples >= minBoundSamples {
+		sample = min(max(sample, minRateFactor*usual), maxRateFactor*usual)
 	}
-	if q.learnedAt.IsZero() {
-		q.pace = reading
+	if q.sampledAt.IsZero() {
+		q.rate = sample
 	} else {
-		q.pace = q.paceAt(now)
-		q.pace += readWeight * (reading - q.pace)
+		q.rate = q.rateAt(now)
+		q.rate += prefillRateWeight * (sample - q.rate)
 	}
-	q.learnedAt = now
-	q.usual.read.takeUpper(reading, readWeight)
+	q.sampledAt = now
+	q.fleet.prefillRate.addUpper(sample, prefillRateWeight)
 }
 
-// paceAt is the pace as far as it is still believed.
-func (q *prompts) paceAt(now time.Time) float64 {
-	believed := 1.0
-	if passed := now.Sub(q.learnedAt); passed > 0 {
-		believed = fading(passed, paceFades)
+// rateAt returns the prefill rate. It decays from the measured rate to the usual one.
+func (q *prefillQueue) rateAt(now time.Time) float64 {
+	weight := 1.0
+	if passed := now.Sub(q.sampledAt); passed > 0 {
+		weight = decayFactor(passed, prefillRateDecay)
 	}
-	usual := q.usual.reads()
-	if q.learnedAt.IsZero() {
-		return untried * usual
+	usual := q.fleet.usualPrefillRate()
+	if q.sampledAt.IsZero() {
+		return untriedFactor * usual
 	}
-	return usual + believed*(q.pace-usual)
+	return usual + weight*(q.rate-usual)
 }
 
-// backlog is how long the engine still reads at what it has. Of the time since its last end only as
-// much counts as its oldest prompt takes: if it were further, an end would have been heard of.
-func (q *prompts) backlog(now time.Time) time.Duration {
+// backlog returns how long the engine needs for its pending prompts. The elapsed time counts only
+// up to the prefill time of the oldest prompt: its completion hasn't been reported, so it isn't
+// done. It removes prompts that timed out.
+func (q *prefillQueue) backlog(now time.Time) time.Duration {
 	sum := hingeids.Tokens(0)
-	oldest := prompt{
+	oldest := queuedPrompt{
 		since: now,
 	}
 	oldestID := StreamID("")
-	for id, p := range q.waiting {
-		if now.Sub(p.since) > unread {
-			delete(q.waiting, id)
+	for id, p := range q.pending {
+		if now.Sub(p.since) > promptTimeout {
+			delete(q.pending, id)
 			continue
 		}
 		sum += p.tokens
-		// Of two that came at once the same is taken each time, whatever the order of the map.
+		// The lower ID wins a tie, so that the result doesn't depend on map order.
 		if p.since.Before(oldest.since) || p.since.Equal(oldest.since) && id < oldestID {
 			oldest, oldestID = p, id
 		}
 	}
-	at := now.Sub(hingeclock.Later(oldest.since, q.endedAt))
-	return q.reading(now, sum) - min(at, q.reading(now, oldest.tokens))
+	at := now.Sub(hingeclock.Later(oldest.since, q.lastDone))
+	return q.prefillTime(now, sum) - min(at, q.prefillTime(now, oldest.tokens))
 }
 
-// reading is how long the engine takes to read so many tokens.
-func (q *prompts) reading(now time.Time, t hingeids.Tokens) time.Duration {
-	return spanOf(float64(t) / q.paceAt(now))
+// prefillTime returns how long the engine prefills t tokens.
+func (q *prefillQueue) prefillTime(now time.Time, t hingeids.Tokens) time.Duration {
+	return durationOf(float64(t) / q.rateAt(now))
 }
--- a/internal/decide/hingefleet/queue.go
+++ b/internal/decide/hingefleet/queue.go
@@ -7,38 +7,39 @@
 )
 
 const (
-	// arrivalWindow is the time over which arrivals are counted for rule 5: a few
-	// dozen streams, and short beside a burst of some seconds.
+	// arrivalWindow is the time over which arrivals are counted for rule 5. It covers a few dozen
+	// streams and is short compared with a burst.
 	arrivalWindow = time.Second
-	// leastSpare is the share of what drains that must be left beside new
-	// arrivals for late wants to wait: below it their turn never comes while it lasts.
-	leastSpare = 0.1
-	// shortestRetry and longestRetry bound the time told with a refusal: a burst lasts
-	// some seconds, and nothing is known beyond it.
-	shortestRetry = 500 * time.Millisecond
-	longestRetry  = 4 * time.Second
+	// minSpareShare is the share of the drain rate that new arrivals must leave for late requests
+	// to wait. With less, a late request would hardly ever be assigned.
+	minSpareShare = 0.1
+	// minRetryAfter and maxRetryAfter bound the delay sent with a refusal. A burst lasts a few
+	// seconds.
+	minRetryAfter = 500 * time.Millisecond
+	maxRetryAfter = 4 * time.Second
 )
 
-// Offer puts a want into the queue; Step decides on it.
+// Offer queues a request; Step decides on it. A request younger than newRequestAge also counts as
+// demand.
 func (f *Fleet) Offer(now time.Time, w Want) {
 	f.queue = append(f.queue, &w)
-	if now.Sub(w.Arrived) < firstOffer && !w.Moved && !w.Cached {
-		f.learnWant(w)
+	if now.Sub(w.Arrived) < newRequestAge && !w.Moved && !w.Cached {
+		f.observeRequest(w)
 		f.demand.add(now, w)
 		f.arrivals = append(f.arrivals, now)
 	}
 }
 
-// learnWant takes what a new want says of all.
-func (f *Fleet) learnWant(w Want) {
-	f.paces.prompt.take(float64(w.Prompt), fleetWeight)
-	f.paces.gap = w.Gap
+// observeRequest updates the estimates from a new request.
+func (f *Fleet) observeRequest(w Want) {
+	f.estimates.promptTokens.add(float64(w.Prompt), fleetWeight)
+	f.estimates.maxEventGap = w.Gap
 	if w.Gap > 0 && len(f.decoders) > 0 {
-		f.paces.least = float64(f.decoders[0].Event) / w.Gap.Seconds()
+		f.estimates.minDecodeRate = float64(f.decoders[0].Event) / w.Gap.Seconds()
 	}
 }
 
-// Withdraw takes all wants back that wait, and names them.
+// Withdraw removes all requests from the queue and returns their IDs.
 func (f *Fleet) Withdraw() []StreamID {
 	var out []StreamID
 	for _, w := range f.queue {
@@ -48,19 +49,20 @@
 	return out
 }
 
-// firstOffer tells a want that is new from one that is offered again while it
-// waits, which comes a quarter of a second later at the earliest.
-const firstOffer = 200 * time.Millisecond
+// newRequestAge distinguishes a new request from one that is offered again while it waits, which
+// happens after 250 ms at the earliest.
+const newRequestAge = 200 * time.Millisecond
 
-// Step forgets what is over and decides on what waits.
+// Step removes expired streams and decides on the queued requests. Requests that are neither
+// assigned nor refused remain queued.
 func (f *Fleet) Step(now time.Time) []Decision {
-	if f.begun.IsZero() && len(f.engines) > 0 {
-		f.begun = now
+	if f.startedAt.IsZero() && len(f.engines) > 0 {
+		f.startedAt = now
 	}
 	f.expire(now)
-	f.order(now)
-	f.tried = f.tried[:0]
-	f.unreadable = false
+	f.sortQueue(now)
+	f.failedAttempts = f.failedAttempts[:0]
+	f.prefillSaturated = false
 	rates := f.rates(now)
 	var out []Decision
 	kept := f.queue[:0]
@@ -77,8 +79,8 @@
 	return out
 }
 
-// order is rules 3 and 4.
-func (f *Fleet) order(now time.Time) {
+// sortQueue orders the queue by rules 3 and 4.
+func (f *Fleet) sortQueue(now time.Time) {
 	rank := func(w *Want) int {
 		switch {
 		case w.Moved || w.Cached:
@@ -94,32 +96,33 @@
 	})
 }
 
-// onTime reports whether a want that is granted now can meet its target.
+// onTime reports whether a request that is assigned now can meet its target.
 func (f *Fleet) onTime(now time.Time, w *Want) bool {
-	return !now.Add(f.paces.starting(w.Prompt)).After(w.Arrived.Add(w.Target))
+	return !now.Add(f.estimates.timeToFirstEvent(w.Prompt)).After(w.Arrived.Add(w.Target))
 }
 
-// lastStart is how long before its caller loses patience a want is given up: what the prompts
-// ahead of it, its own and the way to the first event take.
-func (f *Fleet) lastStart(w *Want) time.Duration {
-	return f.mostBacklog() + f.paces.reading(w.Prompt) + prefillStart
+// maxTimeToStart returns the longest expected time from an assignment to the first event: the
+// maximum backlog, the request's own prefill and the overhead.
+func (f *Fleet) maxTimeToStart(w *Want) time.Duration {
+	return f.maxBacklog() + f.estimates.prefillTime(w.Prompt) + prefillOverhead
 }
 
-// readWait is how long until so many prompts have gone to engines that prefill. While these are what is short, there
-// is memory, and what ends at engines that decode says nothing of the wait.
-func (f *Fleet) readWait(now time.Time, prompts int) time.Duration {
-	pace := 0.0
+// prefillWait returns how long it takes until the prefill engines have finished as many prompts.
+// It replaces the wait for decode memory while prefill is the bottleneck.
+func (f *Fleet) prefillWait(now time.Time, prompts int) time.Duration {
+	rate := 0.0
 	for _, e := range f.prefillers {
 		if e.health.usable(now) {
-			pace += e.prompts.paceAt(now)
+			rate += e.prefillQueue.rateAt(now)
 		}
 	}
-	return span(float64(prompts)*f.paces.prompt.or(0), pace)
+	return waitFor(float64(prompts)*f.estimates.promptTokens.valueOr(0), rate)
 }
 
-// decide grants, refuses, or lets wait behind as many others (rule 5).
+// decide assigns or refuses a request, or returns false to keep it queued behind as many others
+// (rule 5).
 func (f *Fleet) decide(now time.Time, w *Want, ahead int, r rates) (Decision, bool) {
-	if d, granted := f.grant(now, w); granted {
+	if d, assigned := f.assign(now, w); assigned {
 		return d, true
 	}
 	if w.Cached {
@@ -130,10 +133,10 @@
 		}, true
 	}
 	wait := r.wait(ahead + 1)
-	if f.unreadable {
-		wait = f.readWait(now, ahead+1)
+	if f.prefillSaturated {
+		wait = f.prefillWait(now, ahead+1)
 	}
-	if f.waits(now, w, ahead, wait, r) {
+	if f.mayWait(now, w, ahead, wait, r) {
 		return Decision{}, false
 	}
 	return Decision{
@@ -141,44 +144,45 @@
 		Owner:      w.Owner,
 		Refused:    true,
 		RetryAfter: f.retryAfter(now, wait, r),
-		Short:      f.short(now),
+		Short:      f.shortage(now),
 		Waited:     now.Sub(w.Arrived),
 	}, true
 }
 
-// waits reports whether a want that found no place waits on, behind as many others; wait is how long for its turn (rule 5).
-func (f *Fleet) waits(now time.Time, w *Want, ahead int, wait time.Duration, r rates) bool {
+// mayWait reports whether an unassigned request remains queued behind as many others, given the
+// expected wait (rule 5).
+func (f *Fleet) mayWait(now time.Time, w *Want, ahead int, wait time.Duration, r rates) bool {
 	if f.onTime(now.Add(wait), w) {
 		return true
 	}
-	until := w.Arrived.Add(w.Patience - f.lastStart(w))
-	turn := now.Add(wait).Before(until)
+	giveUpAt := w.Arrived.Add(w.Patience - f.maxTimeToStart(w))
+	inTime := now.Add(wait).Before(giveUpAt)
 	switch {
-	case w.Moved || f.learns(now):
-		return now.Before(until)
-	case f.unreadable:
-		// There is memory, and prompts are read at a steady pace.
-		return turn
-	case r.spare() && now.Add(r.lateWait(ahead+1)).Before(until):
+	case w.Moved || f.isLearning(now):
+		return now.Before(giveUpAt)
+	case f.prefillSaturated:
+		// Memory is available, and the prefill rate is steady, so the predicted wait is reliable.
+		return inTime
+	case r.hasSpare() && now.Add(r.lateWait(ahead+1)).Before(giveUpAt):
 		return true
-	case len(f.decoders) > 0 && f.turns.hopeful(now) && turn:
+	case len(f.decoders) > 0 && f.lateOutcomes.mayWait(now) && inTime:
 		return true
 	}
-	if !turn && now.Sub(w.Arrived) > w.Target {
-		f.turns.take(now, false)
+	if !inTime && now.Sub(w.Arrived) > w.Target {
+		f.lateOutcomes.record(now, false)
 	}
 	return false
 }
 
-// short tells what a want that found no place in this step was short of.
-func (f *Fleet) short(now time.Time) Shortage {
+// shortage returns the resource that an unassigned request lacked in this step.
+func (f *Fleet) shortage(now time.Time) Shortage {
 	usable := slices.ContainsFunc(f.decoders, func(e *engine) bool {
 		return e.health.usable(now)
 	})
 	switch {
 	case !usable:
 		return ShortOfEngines
-	case f.unreadable:
+	case f.prefillSaturated:
 		return ShortOfPrefill
 	}
 	return ShortOfMemory
--- a/internal/decide/hingefleet/range_test.go
+++ b/internal/decide/hingefleet/range_test.go
@@ -9,27 +9,27 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// mostRoom is a way that knows memory, but not what it will be: at once to the engine that has the most free now, as
-// far as reports and its own grants tell, if the prompt and the answer as hinted fit into that.
-type mostRoom struct {
-	engines []Engine
-	used    map[hingeids.ServerID]hingeids.Tokens
-	counts  map[hingeids.ServerID]int
-	waiting []Want
-	turn    int
+// mostFree is a placer that doesn't predict memory: it assigns a request at once to the engine
+// with the most free memory if the prompt and the expected answer fit.
+type mostFree struct {
+	engines       []Engine
+	used          map[hingeids.ServerID]hingeids.Tokens
+	counts        map[hingeids.ServerID]int
+	waiting       []Want
+	nextPrefiller int
 }
 
-func mostRoomOf(list []Engine) placing {
-	return &mostRoom{
+func newMostFree(list []Engine) placer {
+	return &mostFree{
 		engines: list,
 		used:    make(map[hingeids.ServerID]hingeids.Tokens),
 		counts:  make(map[hingeids.ServerID]int),
 	}
 }
 
-func (m *mostRoom) offer(_ time.Time, w Want) { m.waiting = append(m.waiting, w) }
+func (m *mostFree) offer(_ time.Time, w Want) { m.waiting = append(m.waiting, w) }
 
-func (m *mostRoom) step(now time.Time) []Decision {
+func (m *mostFree) step(now time.Time) []Decision {
 	var out []Decision
 	kept := m.waiting[:0]
 	for _, w := range m.waiting {
@@ -44,13 +44,13 @@
 	return out
 }
 
-func (m *mostRoom) place(now time.Time, w Want) (Decision, bool) {
+func (m *mostFree) place(now time.Time, w Want) (Decision, bool) {
 	var best *Engine
-	var prefills []hingeids.ServerID
+	var prefillers []hingeids.ServerID
 	for i, e := range m.engines {
 		switch {
 		case e.Role == Prefill:
-			prefills = append(prefills, e.Server)
+			prefillers = append(prefillers, e.Server)
 		case m.counts[e.Server] >= int(e.Slots):
 		case best == nil || e.Memory-m.used[e.Server] > best.Memory-m.used[best.Server]:
 			best = &m.engines[i]
@@ -65,17 +65,17 @@
 	}
 	m.used[best.Server] += size
 	m.counts[best.Server]++
-	m.turn++
+	m.nextPrefiller++
 	return Decision{
 		ID: w.ID,
 		Grant: Grant{
-			Prefill: prefills[m.turn%len(prefills)],
+			Prefill: prefillers[m.nextPrefiller%len(prefillers)],
 			Decode:  best.Server,
 		},
 	}, true
 }
 
-func (m *mostRoom) report(_ time.Time, list []Progress) {
+func (m *mostFree) report(_ time.Time, list []Progress) {
 	clear(m.used)
 	clear(m.counts)
 	for _, p := range list {
@@ -84,74 +84,74 @@
 	}
 }
 
-func (*mostRoom) note(time.Time, Note) {}
+func (*mostFree) record(time.Time, Note) {}
 
-// between draws from a range, evenly on a logarithmic scale.
-func between(r *rand.Rand, least, most float64) float64 {
+// logUniform returns a random value from a range, uniform on a logarithmic scale.
+func logUniform(r *rand.Rand, least, most float64) float64 {
 	return least * math.Exp(r.Float64()*math.Log(most/least))
 }
 
-// draw makes engines of any kind, with the roles that their work asks for, and a demand of 0.4 to 1.6 times what
-// they bear.
-func draw(r *rand.Rand) loadPattern {
+// randomPattern returns engines of a random kind, with roles in proportion to their work, and a
+// demand of 0.4 to 1.6 times their capacity.
+func randomPattern(r *rand.Rand) loadPattern {
 	k := simKind{
-		slots:  hingeids.Slots(between(r, 4, 64)),
-		memory: between(r, 10_000, 500_000),
-		pace:   1 / between(r, 0.0005, 0.02),
-		reads:  1000 * between(r, 5, 100),
-		event:  hingeids.Tokens(between(r, 1, 100)),
+		slots:       hingeids.Slots(logUniform(r, 4, 64)),
+		memory:      logUniform(r, 10_000, 500_000),
+		decodeRate:  1 / logUniform(r, 0.0005, 0.02),
+		prefillRate: 1000 * logUniform(r, 5, 100),
+		event:       hingeids.Tokens(logUniform(r, 1, 100)),
 	}
-	// A quarter of the memory holds the longest stream; prompts are read in a third of the target, and answers
-	// last twenty seconds at most.
-	k.prompt = between(r, 50, min(k.memory/10, k.reads*0.3))
-	k.answer = max(between(r, 100, 20_000), 1)
-	k.answer = min(k.answer, k.memory/10, 20*k.pace)
-	life := k.answer / k.pace
-	k.gap = time.Duration((2 + 4*r.Float64()) * float64(k.event) / k.pace * float64(time.Second))
-	k.deadline = spanOf(14 + 3*life)
+	// The longest stream fits into a quarter of the memory, prompts are prefilled within a third
+	// of the target, and answers take at most twenty seconds.
+	k.prompt = logUniform(r, 50, min(k.memory/10, k.prefillRate*0.3))
+	k.answer = max(logUniform(r, 100, 20_000), 1)
+	k.answer = min(k.answer, k.memory/10, 20*k.decodeRate)
+	streamTime := k.answer / k.decodeRate
+	k.maxEventGap = time.Duration((2 + 4*r.Float64()) * float64(k.event) / k.decodeRate * float64(time.Second))
+	k.deadline = durationOf(14 + 3*streamTime)
 	engines := 3 + r.IntN(58)
-	prefill := k.prompt / k.reads
-	decode := max((k.prompt+k.answer/2)*life/(0.85*k.memory), life/float64(k.slots))
-	prefills := min(max(int(math.Round(float64(engines)*prefill/(prefill+decode))), 1), engines-1)
-	bears := min(float64(prefills)/prefill, float64(engines-prefills)/decode)
+	prefill := k.prompt / k.prefillRate
+	decode := max((k.prompt+k.answer/2)*streamTime/(0.85*k.memory), streamTime/float64(k.slots))
+	prefillers := min(max(int(math.Round(float64(engines)*prefill/(prefill+decode))), 1), engines-1)
+	capacity := min(float64(prefillers)/prefill, float64(engines-prefillers)/decode)
 	load := 0.4 + 1.2*r.Float64()
-	rate := min(load*bears, 400)
+	rate := min(load*capacity, 400)
 	return loadPattern{
-		kind:     k,
-		lasts:    spanOf(min(max(2*life, 5), 30, 6000/rate+5)),
-		perSec:   func(time.Duration) float64 { return rate },
-		prefills: prefills,
-		decodes:  engines - prefills,
-		spread:   0.5,
+		kind:              k,
+		duration:          durationOf(min(max(2*streamTime, 5), 30, 6000/rate+5)),
+		requestsPerSecond: func(time.Duration) float64 { return rate },
+		prefillers:        prefillers,
+		decoders:          engines - prefillers,
+		spread:            0.5,
 	}
 }
 
-// worth is what an outcome is worth to callers: a late answer a fifth of a timely one.
+// worth returns the value of an outcome to callers: a late answer counts a fifth of a timely one.
 func (o outcome) worth() float64 {
 	return float64(o.OnTime) + 0.2*float64(o.Late)
 }
 
-// An operator brings engines that nobody has seen: with 4 slots or 64, a fiftieth of the memory, steps forty times
-// slower, prompts read twenty times slower. Nothing that was worked out on other engines may make its callers worse off than a way
-// that knows no such figure. It does on a few draws, where answers are many times as long as their prompts and demand is above what fits:
-// there, memory that is given out twice over serves more, with thousands of streams thrown out of it.
-func TestAnyKindOfEnginesIsServedAsWellAsByTheBestOfTheOthers(t *testing.T) {
+// Guards against figures that fit only one kind of engine, by comparison with simpler placers on
+// random kinds. A few patterns are exceptions: with answers much longer than their prompts and
+// demand above the capacity, overcommitted memory serves more in spite of the preemptions.
+func TestAnyEngineKindMatchesSimplerPlacers(t *testing.T) {
 	const (
-		draws = 200
-		// leastMean and mostWorse bound the mean and the draws on which others are better by more than 0.02.
-		leastMean = 1.08
-		mostWorse = 10
+		patterns = 200
+		// minMean is the lowest permitted mean ratio, maxWorse the highest permitted number of
+		// patterns on which another placer is better by more than 0.02.
+		minMean  = 1.08
+		maxWorse = 10
 	)
 	ratios, worse := 0.0, 0
-	for seed := range uint64(draws) {
-		p := draw(rand.New(rand.NewPCG(seed, 7)))
-		got := newSim(p, seed, fleetOf).play()
+	for seed := range uint64(patterns) {
+		p := randomPattern(rand.New(rand.NewPCG(seed, 7)))
+		got := newSim(p, seed, newFleetPlacer).run()
 		best, name := 0.0, ""
-		for n, way := range map[string]func([]Engine) placing{
-			"least streams": leastOf,
-			"most room":     mostRoomOf,
+		for n, newPlacer := range map[string]func([]Engine) placer{
+			"least streams": newLeastStreams,
+			"most free":     newMostFree,
 		} {
-			if o := newSim(p, seed, way).play(); o.worth() > best {
+			if o := newSim(p, seed, newPlacer).run(); o.worth() > best {
 				best, name = o.worth(), n
 			}
 		}
@@ -159,12 +159,12 @@
 		ratios += ratio
 		if ratio < 0.98 {
 			worse++
-			t.Logf("draw %d: %.3f of %s: %+v, %d prefill, %d decode, rate %.1f, kind %+v", seed, ratio, name, got, p.prefills,
-				p.decodes, p.perSec(0), p.kind)
+			t.Logf("pattern %d: ratio %.3f to %s: %+v, %d prefill, %d decode, rate %.1f, kind %+v", seed, ratio, name, got, p.prefillers,
+				p.decoders, p.requestsPerSecond(0), p.kind)
 		}
 	}
-	if ratios/draws < leastMean || worse > mostWorse {
-		t.Errorf("want a mean of %.2f, and others better on %d at most", leastMean, mostWorse)
+	if ratios/patterns < minMean || worse > maxWorse {
+		t.Errorf("want a mean ratio of at least %.2f and at most %d patterns with a better placer", minMean, maxWorse)
 	}
-	t.Logf("mean %.3f of the best of the others, worse by more than 0.02 on %d of %d draws", ratios/draws, worse, draws)
+	t.Logf("mean ratio to the best other placer %.3f, worse by more than 0.02 on %d of %d patterns", ratios/patterns, worse, patterns)
 }
--- a/internal/decide/hingefleet/rates.go
+++ b/internal/decide/hingefleet/rates.go
@@ -2,39 +2,40 @@
 
 import "time"
 
-// rates are streams a second: that end, by what is known of those in flight, and that arrive.
+// rates are streams per second: those that finish, predicted from the streams in flight, and those
+// that arrive.
 type rates struct {
 	drain   float64
 	arrival float64
 }
 
-// ratesEvery is how often the rates are worked out: a step of those that wait.
-const ratesEvery = 20 * time.Millisecond
+// ratesInterval is how long computed rates are reused.
+const ratesInterval = 20 * time.Millisecond
 
-// rates predicts what drains: each stream gives its place back once in its life. Counted
-// ends would say nothing in the first seconds, and too little after a lull.
+// rates predicts the drain rate from the expected durations of the streams in flight. Counted
+// completions would be missing at the start and too few after a period of low load.
 func (f *Fleet) rates(now time.Time) rates {
-	if now.Sub(f.knownAt) < ratesEvery {
-		return f.known
+	if now.Sub(f.cachedRatesAt) < ratesInterval {
+		return f.cachedRates
 	}
-	f.forgetArrivals(now)
+	f.dropOldArrivals(now)
 	var r rates
 	for _, e := range f.decoders {
-		if now.Before(e.health.awayTill) {
+		if now.Before(e.health.unusableUntil) {
 			continue
 		}
-		pace := f.paceOf(e)
+		rate := f.decodeRateOf(e)
 		for _, s := range e.streams {
-			r.drain += pace / float64(max(s.expected, 1))
+			r.drain += rate / float64(max(s.expected, 1))
 		}
 	}
 	r.arrival = float64(len(f.arrivals)) / arrivalWindow.Seconds()
-	f.known = r
-	f.knownAt = now
+	f.cachedRates = r
+	f.cachedRatesAt = now
 	return r
 }
 
-func (f *Fleet) forgetArrivals(now time.Time) {
+func (f *Fleet) dropOldArrivals(now time.Time) {
 	from := 0
 	for from < len(f.arrivals) && now.Sub(f.arrivals[from]) > arrivalWindow {
 		from++
@@ -42,55 +43,53 @@
 	f.arrivals = f.arrivals[from:]
 }
 
-// wait is how long until so many streams have ended.
-func (r rates) wait(ends int) time.Duration {
-	return span(float64(ends), r.drain)
+// wait returns how long it takes until as many streams have finished.
+func (r rates) wait(streams int) time.Duration {
+	return waitFor(float64(streams), r.drain)
 }
 
-// spare reports whether more drains than arrives.
-func (r rates) spare() bool {
-	return r.drain-r.arrival > leastSpare*r.drain
+// hasSpare reports whether streams finish faster than requests arrive, by minSpareShare at least.
+func (r rates) hasSpare() bool {
+	return r.drain-r.arrival > minSpareShare*r.drain
 }
 
-// lateWait is the same for a want that new arrivals go before.
-func (r rates) lateWait(ends int) time.Duration {
-	return span(float64(ends), r.drain-r.arrival)
+// lateWait returns the wait of a late request, which new arrivals overtake.
+func (r rates) lateWait(streams int) time.Duration {
+	return waitFor(float64(streams), r.drain-r.arrival)
 }
 
-func span(ends, perSecond float64) time.Duration {
+func waitFor(streams, perSecond float64) time.Duration {
 	if perSecond <= 0 {
-		return longestRetry
+		return maxRetryAfter
 	}
-	return spanOf(min(ends/perSecond, longestRetry.Seconds()))
+	return durationOf(min(streams/perSecond, maxRetryAfter.Seconds()))
 }
 
-// retryAfter is when a refused caller is best back: once the work ahead has
-// drained or, while as much arrives as drains, once the burst is likely over.
-// Callers came one after the other, and come back so.
+// retryAfter returns the delay before a refused caller should retry: the time until the work ahead
+// is finished or, while requests arrive as fast as streams finish, the likely rest of the burst.
 func (f *Fleet) retryAfter(now time.Time, wait time.Duration, r rates) time.Duration {
 	switch {
-	case f.learns(now):
-		return learning
-	case !r.spare():
-		return longestRetry
+	case f.isLearning(now):
+		return discoveryTime
+	case !r.hasSpare():
+		return maxRetryAfter
 	}
-	return min(max(wait, shortestRetry), longestRetry)
+	return min(max(wait, minRetryAfter), maxRetryAfter)
 }
 
-// learns reports whether too little is known yet to refuse anybody: not all engines, or not
-// how fast they are. A zone that is cut off with no engine that decodes will learn nothing, and its callers
-// are told at once.
-func (f *Fleet) learns(now time.Time) bool {
-	return f.young(now) || f.paces.decode.readings == 0 && len(f.decoders) > 0
+// isLearning reports whether too little is known to refuse a request: engines may still be
+// unknown, or their decode rates are. A fleet without decode engines learns no rate, so it
+// refuses requests once discovery is over.
+func (f *Fleet) isLearning(now time.Time) bool {
+	return f.isDiscovering(now) || f.estimates.decodeRate.samples == 0 && len(f.decoders) > 0
 }
 
-// young reports whether engines may exist that haven't been heard of yet: after all hosts have lost
-// power, they announce themselves one by one. What the first of them has no room for is no
-// saturation, and to send callers away for the length of a burst would keep them from engines that
-// are there a moment later.
-func (f *Fleet) young(now time.Time) bool {
-	return !f.begun.IsZero() && now.Sub(f.begun) < learning
+// isDiscovering reports whether engines may exist that haven't been announced. After an outage of
+// all hosts they are announced one by one, and a lack of capacity at the first ones
+// doesn't mean saturation.
+func (f *Fleet) isDiscovering(now time.Time) bool {
+	return !f.startedAt.IsZero() && now.Sub(f.startedAt) < discoveryTime
 }
 
-// learning is how long it takes until all engines are heard of: they announce themselves every 1.2 s.
-const learning = 1500 * time.Millisecond
+// discoveryTime is how long it takes until all engines are known: each is announced every 1.2 s.
+const discoveryTime = 1500 * time.Millisecond
--- a/internal/decide/hingefleet/repeat_test.go
+++ b/internal/decide/hingefleet/repeat_test.go
@@ -7,13 +7,13 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An operator asks why a stream went where it did, and plays the day again. If the same reports and wants lead elsewhere the second
-// time, nobody can tell; nor can a test that fails be told from one that doesn't.
+// Guards against decisions that depend on map order, which would make them and failing tests
+// impossible to reproduce.
 func TestDecisionsRepeat(t *testing.T) {
 	for seed := range uint64(60) {
-		p := draw(rand.New(rand.NewPCG(seed, 7)))
-		if diff := cmp.Diff(newSim(p, seed, fleetOf).play(), newSim(p, seed, fleetOf).play()); diff != "" {
-			t.Errorf("draw %d: %s", seed, diff)
+		p := randomPattern(rand.New(rand.NewPCG(seed, 7)))
+		if diff := cmp.Diff(newSim(p, seed, newFleetPlacer).run(), newSim(p, seed, newFleetPlacer).run()); diff != "" {
+			t.Errorf("pattern %d: %s", seed, diff)
 		}
 	}
 }
--- a/internal/decide/hingefleet/sim_test.go
+++ b/internal/decide/hingefleet/sim_test.go
@@ -11,100 +11,97 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// The simulation plays a service of engines in steps of ten milliseconds. Its figures are those of
-// today's deployments: engines with memory for 107,196 tokens, prompts of 5,200
-// tokens and answers of 5,040 in the mean, spread by half on a logarithmic scale as are the
-// hints, 1,500 tokens a second for each stream, prefill of 55,000 tokens a second, callers that
-// want a first event within 900 ms and leave a silent stream after 3.6 s.
+// The simulation runs the engines of one service in steps of ten milliseconds. Prompts, answers
+// and hints have log-normal distributions.
 const (
-	simStep     = 10 * time.Millisecond
-	simMemory   = 107196
-	simPace     = 1500.0
-	simTarget   = 900 * time.Millisecond
-	simPatience = 3600 * time.Millisecond
-	simDeadline = 14 * time.Second
-	simPrompt   = 5200.0
-	simAnswer   = 5040.0
-	simSpread   = 0.5
-	// simReads is how many times faster an engine reads a prompt than it makes a token.
-	simReads = 55000 / simPace
+	simStep       = 10 * time.Millisecond
+	simMemory     = 107196
+	simDecodeRate = 1500.0
+	simTarget     = 900 * time.Millisecond
+	simMaxWait    = 3600 * time.Millisecond
+	simDeadline   = 14 * time.Second
+	simPrompt     = 5200.0
+	simAnswer     = 5040.0
+	simSpread     = 0.5
+	// simPrefillFactor is the ratio of an engine's prefill rate to its decode rate.
+	simPrefillFactor = 55000 / simDecodeRate
 )
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// simStream is a stream with what nobody knows in advance: its length.
+// simStream is a stream with its actual length, which the placer doesn't know.
 type simStream struct {
-	id       StreamID
-	arrived  time.Time
-	prompt   float64
-	hint     float64
-	length   float64
-	made     float64
-	decode   hingeids.ServerID
-	prefill  hingeids.ServerID
-	readAt   time.Time
-	beginsAt time.Time
-	first    time.Time
-	// started orders streams for preemption, the newest first.
+	id          StreamID
+	arrived     time.Time
+	prompt      float64
+	hint        float64
+	length      float64
+	generated   float64
+	decode      hingeids.ServerID
+	prefill     hingeids.ServerID
+	prefilledAt time.Time
+	startsAt    time.Time
+	firstEvent  time.Time
+	// started is the order of assignment; the newest stream is preempted first.
 	started int
-	// paused says that it was thrown out of memory once.
-	paused bool
+	// preempted reports that it was preempted at least once.
+	preempted bool
 }
 
 type simEngine struct {
-	id      hingeids.ServerID
-	role    Role
-	pace    float64
-	freeAt  time.Time
-	streams []*simStream
-	// failing is the share of streams that it fails at their first event.
+	id         hingeids.ServerID
+	role       Role
+	decodeRate float64
+	freeAt     time.Time
+	streams    []*simStream
+	// failing is the share of streams that fail at their first event.
 	failing float64
 }
 
-// outcome is what callers got, and what was wasted.
+// outcome counts the results of all requests, and preemptions.
 type outcome struct {
-	Asked, OnTime, Late, Refused, Failed, Preempted int
-	// RefusedLate counts refusals that took over an eighth of the target.
+	Requested, OnTime, Late, Refused, Failed, Preempted int
+	// RefusedLate counts refusals after more than an eighth of the target.
 	RefusedLate int
-	// OwnRead counts prompts that an engine that decodes has read.
-	OwnRead int
+	// DecodePrefilled counts prompts that were prefilled by a decode engine.
+	DecodePrefilled int
 }
 
-// placing is a way to place streams.
-type placing interface {
+// placer is a placement policy under test.
+type placer interface {
 	offer(now time.Time, w Want)
 	step(now time.Time) []Decision
 	report(now time.Time, list []Progress)
-	note(now time.Time, n Note)
+	record(now time.Time, n Note)
 }
 
-// ours is the way of this package.
-type ours struct {
+// fleetPlacer is the policy of this package.
+type fleetPlacer struct {
 	*Fleet
 }
 
-func (o ours) offer(now time.Time, w Want)           { o.Offer(now, w) }
-func (o ours) step(now time.Time) []Decision         { return o.Step(now) }
-func (o ours) report(now time.Time, list []Progress) { o.Report(now, "entry", list) }
-func (o ours) note(now time.Time, n Note)            { o.Note(now, n) }
+func (o fleetPlacer) offer(now time.Time, w Want)           { o.Offer(now, w) }
+func (o fleetPlacer) step(now time.Time) []Decision         { return o.Step(now) }
+func (o fleetPlacer) report(now time.Time, list []Progress) { o.Report(now, "entry", list) }
+func (o fleetPlacer) record(now time.Time, n Note)          { o.Note(now, n) }
 
-// leastStreams is the way that it is compared with: at once to the engine with the fewest
-// streams, up to its slots, as a host does that counts slots and not memory.
+// leastStreams is the policy to compare with: it assigns a request at once to the engine with the
+// fewest streams, up to its slots, regardless of memory.
 type leastStreams struct {
-	engines []Engine
-	counts  map[hingeids.ServerID]int
-	waiting []Want
-	turn    int
+	engines       []Engine
+	counts        map[hingeids.ServerID]int
+	waiting       []Want
+	nextPrefiller int
 }
 
 func (l *leastStreams) offer(_ time.Time, w Want) { l.waiting = append(l.waiting, w) }
 
 func (l *leastStreams) step(time.Time) []Decision {
 	var out []Decision
-	var prefills []hingeids.ServerID
+	var prefillers []hingeids.ServerID
 	for _, e := range l.engines {
 		if e.Role == Prefill {
-			prefills = append(prefills, e.Server)
+			prefillers = append(prefillers, e.Server)
 		}
 	}
 	for _, w := range l.waiting {
@@ -115,12 +112,12 @@
 				best = e.Server
 			}
 		}
-		l.turn++
+		l.nextPrefiller++
 		d := Decision{
 			ID:      w.ID,
 			Refused: best == "",
 			Grant: Grant{
-				Prefill: prefills[l.turn%len(prefills)],
+				Prefill: prefillers[l.nextPrefiller%len(prefillers)],
 				Decode:  best,
 			},
 		}
@@ -140,74 +137,75 @@
 	}
 }
 
-func (l *leastStreams) note(time.Time, Note) {}
+func (l *leastStreams) record(time.Time, Note) {}
 
-// load is a pattern of demand.
+// loadPattern is a pattern of demand and the engines that serve it.
 type loadPattern struct {
-	lasts    time.Duration
-	perSec   func(t time.Duration) float64
-	prefills int
-	decodes  int
-	// slow is how many decode engines run at a fifth of the pace, slowPrefills how many others do.
-	slow         int
-	slowPrefills int
+	duration          time.Duration
+	requestsPerSecond func(t time.Duration) float64
+	prefillers        int
+	decoders          int
+	// slow is the number of decode engines at a fifth of the usual rate, slowPrefillers that of
+	// prefill engines.
+	slow           int
+	slowPrefillers int
 	// failing is the share of streams that every decode engine fails.
 	failing float64
-	// spread is by how much hints differ from lengths, on a logarithmic scale.
+	// spread is the standard deviation of the logarithm of hint over length.
 	spread float64
-	// kind is the engines and what they are asked for; that of today's deployments if it is zero.
+	// kind is the engines and the sizes of requests; referenceKind if it is zero.
 	kind simKind
 }
 
-// simKind is a kind of engine with the work that it gets.
+// simKind is a kind of engine with the sizes of its requests.
 type simKind struct {
 	slots  hingeids.Slots
 	memory float64
-	// pace is the tokens a second of one stream, reads the prompt tokens a second.
-	pace  float64
-	reads float64
-	// event is the tokens of an event, gap the longest pause between two that is on time.
-	event    hingeids.Tokens
-	gap      time.Duration
-	prompt   float64
-	answer   float64
-	deadline time.Duration
+	// decodeRate is the tokens per second of one stream, prefillRate the prompt tokens per second.
+	decodeRate  float64
+	prefillRate float64
+	// event is the tokens of an event, maxEventGap the longest permitted time between two events.
+	event       hingeids.Tokens
+	maxEventGap time.Duration
+	prompt      float64
+	answer      float64
+	deadline    time.Duration
 }
 
-// today is the kind of today's deployments.
-func today() simKind {
+// referenceKind is the kind of engines in the reference deployment.
+func referenceKind() simKind {
 	return simKind{
-		slots:    48,
-		memory:   simMemory,
-		pace:     simPace,
-		reads:    simReads * simPace,
-		prompt:   simPrompt,
-		answer:   simAnswer,
-		deadline: simDeadline,
+		slots:       48,
+		memory:      simMemory,
+		decodeRate:  simDecodeRate,
+		prefillRate: simPrefillFactor * simDecodeRate,
+		prompt:      simPrompt,
+		answer:      simAnswer,
+		deadline:    simDeadline,
 	}
 }
 
-// longestPrompt and longestAnswer bound what the spread makes of the means.
+// longestPrompt and longestAnswer truncate the random lengths.
 func (k simKind) longestPrompt() float64 { return 2.1 * k.prompt }
 func (k simKind) longestAnswer() float64 { return 1.86 * k.answer }
 
 type sim struct {
-	pattern loadPattern
-	random  *rand.Rand
-	way     placing
-	engines map[hingeids.ServerID]*simEngine
-	order   []hingeids.ServerID
-	asked   map[StreamID]*simStream
-	got     outcome
-	started int
+	pattern   loadPattern
+	random    *rand.Rand
+	policy    placer
+	engines   map[hingeids.ServerID]*simEngine
+	engineIDs []hingeids.ServerID
+	active    map[StreamID]*simStream
+	result    outcome
+	started   int
 }
 
 func engineList(p loadPattern) []Engine {
 	if p.kind == (simKind{}) {
-		p.kind = today()
+		p.kind = referenceKind()
 	}
 	var out []Engine
-	for i := range p.prefills + p.decodes {
+	for i := range p.prefillers + p.decoders {
 		e := Engine{
 			Server: hingeids.ServerID(fmt.Sprintf("engine-%02d", i)),
 			Zone:   hingeids.Zone(fmt.Sprint(i % 3)),
@@ -216,7 +214,7 @@
 			Memory: hingeids.Tokens(p.kind.memory),
 			Event:  p.kind.event,
 		}
-		if i < p.prefills {
+		if i < p.prefillers {
 			e.Role = Prefill
 		}
 		out = append(out, e)
@@ -224,123 +222,123 @@
 	return out
 }
 
-func newSim(p loadPattern, seed uint64, way func([]Engine) placing) *sim {
+func newSim(p loadPattern, seed uint64, policy func([]Engine) placer) *sim {
 	if p.kind == (simKind{}) {
-		p.kind = today()
+		p.kind = referenceKind()
 	}
 	list := engineList(p)
 	s := &sim{
 		pattern: p,
 		random:  rand.New(rand.NewPCG(seed, 1)),
-		way:     way(list),
+		policy:  policy(list),
 		engines: make(map[hingeids.ServerID]*simEngine),
-		asked:   make(map[StreamID]*simStream),
+		active:  make(map[StreamID]*simStream),
 	}
-	slow, slowPrefills := p.slow, p.slowPrefills
+	slow, slowPrefillers := p.slow, p.slowPrefillers
 	for _, e := range list {
 		x := &simEngine{
-			id:   e.Server,
-			role: e.Role,
-			pace: p.kind.pace,
+			id:         e.Server,
+			role:       e.Role,
+			decodeRate: p.kind.decodeRate,
 		}
-		if e.Role == Prefill && slowPrefills > 0 {
-			x.pace /= 5
-			slowPrefills--
+		if e.Role == Prefill && slowPrefillers > 0 {
+			x.decodeRate /= 5
+			slowPrefillers--
 		}
 		if e.Role == Decode {
 			x.failing = p.failing
 			if slow > 0 {
-				x.pace /= 5
+				x.decodeRate /= 5
 				slow--
 			}
 		}
 		s.engines[e.Server] = x
-		s.order = append(s.order, e.Server)
+		s.engineIDs = append(s.engineIDs, e.Server)
 	}
 	return s
 }
 
-func fleetOf(list []Engine) placing {
+func newFleetPlacer(list []Engine) placer {
 	f := New()
 	f.SetEngines(list)
-	return ours{f}
+	return fleetPlacer{f}
 }
 
-func leastOf(list []Engine) placing {
+func newLeastStreams(list []Engine) placer {
 	return &leastStreams{
 		engines: list,
 		counts:  make(map[hingeids.ServerID]int),
 	}
 }
 
-// spreadBy gives a factor spread on a logarithmic scale, with the mean 1.
+// spreadBy returns a log-normal factor with mean 1.
 func (s *sim) spreadBy(sigma float64) float64 {
 	return math.Exp(sigma*s.random.NormFloat64() - sigma*sigma/2)
 }
 
-func (s *sim) play() outcome {
-	for t := time.Duration(0); t < s.pattern.lasts+s.pattern.kind.deadline; t += simStep {
+func (s *sim) run() outcome {
+	for t := time.Duration(0); t < s.pattern.duration+s.pattern.kind.deadline; t += simStep {
 		now := simStart.Add(t)
-		if t < s.pattern.lasts {
-			s.arrive(now, t)
+		if t < s.pattern.duration {
+			s.generateRequests(now, t)
 		}
-		for _, d := range s.way.step(now) {
-			s.take(now, d)
+		for _, d := range s.policy.step(now) {
+			s.apply(now, d)
 		}
-		s.tellRead(now)
-		for _, id := range s.order {
-			s.run(now, s.engines[id])
+		s.recordPrefills(now)
+		for _, id := range s.engineIDs {
+			s.runEngine(now, s.engines[id])
 		}
 		if t%(100*time.Millisecond) == 0 {
-			s.way.report(now, s.progress())
+			s.policy.report(now, s.progress())
 		}
 	}
-	s.got.Failed += len(s.asked)
-	return s.got
+	s.result.Failed += len(s.active)
+	return s.result
 }
 
-func (s *sim) arrive(now time.Time, t time.Duration) {
-	for due := s.pattern.perSec(t) * simStep.Seconds(); due > 0; due-- {
-		if s.random.Float64() < due {
-			s.ask(now)
+func (s *sim) generateRequests(now time.Time, t time.Duration) {
+	for expected := s.pattern.requestsPerSecond(t) * simStep.Seconds(); expected > 0; expected-- {
+		if s.random.Float64() < expected {
+			s.addRequest(now)
 		}
 	}
 }
 
-func (s *sim) ask(now time.Time) {
+func (s *sim) addRequest(now time.Time) {
 	k := s.pattern.kind
-	s.got.Asked++
+	s.result.Requested++
 	x := &simStream{
-		id:      StreamID(fmt.Sprint(s.got.Asked)),
+		id:      StreamID(fmt.Sprint(s.result.Requested)),
 		arrived: now,
 		prompt:  min(k.prompt*s.spreadBy(simSpread), k.longestPrompt()),
 		length:  min(k.answer*s.spreadBy(simSpread), k.longestAnswer()),
 	}
-	// A hint is right at the median, and as likely too long by a factor as too short.
+	// The hint is correct at the median, with errors symmetric on a logarithmic scale.
 	x.hint = min(x.length*math.Exp(s.pattern.spread*s.random.NormFloat64()), k.longestAnswer())
-	s.asked[x.id] = x
-	s.way.offer(now, Want{
+	s.active[x.id] = x
+	s.policy.offer(now, Want{
 		ID:       x.id,
 		Owner:    "entry",
-		Zone:     hingeids.Zone(fmt.Sprint(s.got.Asked % 3)),
+		Zone:     hingeids.Zone(fmt.Sprint(s.result.Requested % 3)),
 		Prompt:   hingeids.Tokens(x.prompt),
 		Expected: hingeids.Tokens(x.hint),
 		Arrived:  now,
 		Target:   simTarget,
-		Gap:      k.gap,
-		Patience: simPatience,
+		Gap:      k.maxEventGap,
+		Patience: simMaxWait,
 		Deadline: now.Add(k.deadline),
 	})
 }
 
-func (s *sim) take(now time.Time, d Decision) {
-	x := s.asked[d.ID]
+func (s *sim) apply(now time.Time, d Decision) {
+	x := s.active[d.ID]
 	if d.Refused {
-		s.got.Refused++
+		s.result.Refused++
 		if now.Sub(x.arrived) > simTarget/8 {
-			s.got.RefusedLate++
+			s.result.RefusedLate++
 		}
-		delete(s.asked, d.ID)
+		delete(s.active, d.ID)
 		return
 	}
 	x.decode = d.Grant.Decode
@@ -350,31 +348,32 @@
 	e.streams = append(e.streams, x)
 	begin := now.Add(10 * time.Millisecond)
 	if d.Grant.Prefill == "" {
-		// An engine that decodes reads at half the pace, and makes next to nothing meanwhile.
-		s.got.OwnRead++
-		e.freeAt = hingeclock.Later(begin, e.freeAt).Add(spanOf(2 * x.prompt / s.reads(e)))
-		x.beginsAt = e.freeAt
+		// A decode engine prefills at half the rate and generates almost nothing meanwhile.
+		s.result.DecodePrefilled++
+		e.freeAt = hingeclock.Later(begin, e.freeAt).Add(durationOf(2 * x.prompt / s.prefillRate(e)))
+		x.startsAt = e.freeAt
 		return
 	}
 	p := s.engines[d.Grant.Prefill]
-	p.freeAt = hingeclock.Later(begin, p.freeAt).Add(spanOf(x.prompt / s.reads(p)))
+	p.freeAt = hingeclock.Later(begin, p.freeAt).Add(durationOf(x.prompt / s.prefillRate(p)))
 	x.prefill = p.id
-	x.readAt = p.freeAt
-	x.beginsAt = p.freeAt.Add(20 * time.Millisecond)
+	x.prefilledAt = p.freeAt
+	x.startsAt = p.freeAt.Add(20 * time.Millisecond)
 }
 
-// reads is the prompt tokens that an engine reads a second: one that is slow is so at all it does.
-func (s *sim) reads(e *simEngine) float64 {
-	return s.pattern.kind.reads * e.pace / s.pattern.kind.pace
+// prefillRate returns the prompt tokens per second of an engine. A slow engine is slow at prefill
+// and decode alike.
+func (s *sim) prefillRate(e *simEngine) float64 {
+	return s.pattern.kind.prefillRate * e.decodeRate / s.pattern.kind.decodeRate
 }
 
-// tellRead tells of the prompts that were read since the step before.
-func (s *sim) tellRead(now time.Time) {
-	for _, id := range s.order {
+// recordPrefills reports the prompts that were prefilled since the last step.
+func (s *sim) recordPrefills(now time.Time) {
+	for _, id := range s.engineIDs {
 		for _, x := range s.engines[id].streams {
-			if !x.readAt.IsZero() && !now.Before(x.readAt) {
-				x.readAt = time.Time{}
-				s.way.note(now, Note{
+			if !x.prefilledAt.IsZero() && !now.Before(x.prefilledAt) {
+				x.prefilledAt = time.Time{}
+				s.policy.record(now, Note{
 					Server:  x.prefill,
 					Outcome: Worked,
 					Stream:  x.id,
@@ -384,38 +383,38 @@
 	}
 }
 
-func (s *sim) run(now time.Time, e *simEngine) {
+func (s *sim) runEngine(now time.Time, e *simEngine) {
 	held := 0.0
 	running := 0
 	kept := e.streams[:0]
 	for _, x := range e.streams {
-		if now.Before(x.beginsAt) || running >= int(s.pattern.kind.slots) {
-			// It is on its way, or waits at the engine for a slot.
+		if now.Before(x.startsAt) || running >= int(s.pattern.kind.slots) {
+			// The stream is being prefilled, or waits for a slot.
 			kept = append(kept, x)
 			continue
 		}
 		running++
-		if x.first.IsZero() {
+		if x.firstEvent.IsZero() {
 			if e.failing > 0 && s.random.Float64() < e.failing {
-				s.way.note(now, Note{
+				s.policy.record(now, Note{
 					Server:  e.id,
 					Outcome: Failed,
 					Stream:  x.id,
 				})
-				s.got.Failed++
-				delete(s.asked, x.id)
+				s.result.Failed++
+				delete(s.active, x.id)
 				continue
 			}
-			x.first = now
+			x.firstEvent = now
 		}
 		if now.After(e.freeAt) {
-			x.made += e.pace * simStep.Seconds()
+			x.generated += e.decodeRate * simStep.Seconds()
 		}
-		if x.made >= x.length {
-			s.end(now, e, x)
+		if x.generated >= x.length {
+			s.complete(now, e, x)
 			continue
 		}
-		held += x.prompt + x.made
+		held += x.prompt + x.generated
 		kept = append(kept, x)
 	}
 	clear(e.streams[len(kept):])
@@ -425,46 +424,47 @@
 	}
 }
 
-// preempt throws the newest stream out of memory; it is read in again, which is waste.
+// preempt preempts the newest stream, which then has to be prefilled again, and returns its
+// memory.
 func (s *sim) preempt(now time.Time, e *simEngine) float64 {
 	newest := slices.MaxFunc(e.streams, func(a, b *simStream) int {
 		return a.started - b.started
 	})
-	s.got.Preempted++
-	newest.beginsAt = now.Add(time.Second)
-	newest.paused = true
+	s.result.Preempted++
+	newest.startsAt = now.Add(time.Second)
+	newest.preempted = true
 	s.started++
-	return newest.prompt + newest.made
+	return newest.prompt + newest.generated
 }
 
-func (s *sim) end(now time.Time, e *simEngine, x *simStream) {
-	delete(s.asked, x.id)
-	s.way.note(now, Note{
+func (s *sim) complete(now time.Time, e *simEngine, x *simStream) {
+	delete(s.active, x.id)
+	s.policy.record(now, Note{
 		Server:  e.id,
 		Outcome: Worked,
 		Stream:  x.id,
 		Made:    hingeids.Tokens(x.length),
 	})
 	switch {
-	case now.Sub(x.arrived) > s.pattern.kind.deadline || x.first.Sub(x.arrived) > simPatience:
-		s.got.Failed++
-	case x.first.Sub(x.arrived) <= simTarget && !x.paused:
-		s.got.OnTime++
+	case now.Sub(x.arrived) > s.pattern.kind.deadline || x.firstEvent.Sub(x.arrived) > simMaxWait:
+		s.result.Failed++
+	case x.firstEvent.Sub(x.arrived) <= simTarget && !x.preempted:
+		s.result.OnTime++
 	default:
-		s.got.Late++
+		s.result.Late++
 	}
 }
 
 func (s *sim) progress() []Progress {
 	var out []Progress
-	for _, id := range s.order {
+	for _, id := range s.engineIDs {
 		for _, x := range s.engines[id].streams {
 			out = append(out, Progress{
 				ID:       x.id,
 				Decode:   x.decode,
 				Prompt:   hingeids.Tokens(x.prompt),
 				Expected: hingeids.Tokens(x.hint),
-				Made:     hingeids.Tokens(x.made),
+				Made:     hingeids.Tokens(x.generated),
 			})
 		}
 	}
--- a/internal/decide/hingefleet/streams.go
+++ b/internal/decide/hingefleet/streams.go
@@ -9,50 +9,51 @@
 
 // stream is a stream in flight.
 type stream struct {
-	id       StreamID
-	owner    hingeids.HostID
-	prefill  hingeids.ServerID
-	decode   hingeids.ServerID
-	prompt   hingeids.Tokens
-	expected hingeids.Tokens
-	made     hingeids.Tokens
-	// madeAt is when made was true, or when the first token is expected.
-	madeAt time.Time
-	// granted is when it was placed here; zero once its owner has reported it.
-	granted time.Time
-	// placed is when it was placed here with its prompt to be prefilled; zero otherwise, or once its first token has come.
-	placed time.Time
-	// named is the number of the report that named it last.
-	named uint64
+	id        StreamID
+	owner     hingeids.HostID
+	prefill   hingeids.ServerID
+	decode    hingeids.ServerID
+	prompt    hingeids.Tokens
+	expected  hingeids.Tokens
+	generated hingeids.Tokens
+	// generatedAt is the time of the report of generated, or when the first token is expected.
+	generatedAt time.Time
+	// assignedAt is the time of the assignment; zero once the owner has reported the stream.
+	assignedAt time.Time
+	// prefillSince is the time of an assignment with a prefill engine; zero otherwise, and after
+	// the first token.
+	prefillSince time.Time
+	// lastReport is the number of the last report that listed the stream.
+	lastReport uint64
 }
 
-// owner is an entry host with the streams that it has reported or that were granted to it.
+// owner is an entry host with the streams that it reported or that were assigned to it.
 type owner struct {
-	heardAt time.Time
-	streams []*stream
+	lastSeen time.Time
+	streams  []*stream
 }
 
-// book is the streams of one engine. It outlives the engine's absence from the list: an engine
-// that isn't heard for a moment still holds them.
-type book struct {
-	streams []*stream
-	outlook outlook
+// engineStreams is the streams of one engine. It is kept while the engine is missing from the
+// list, since an engine without heartbeats for a moment still holds its streams.
+type engineStreams struct {
+	streams  []*stream
+	forecast forecast
 }
 
-func (f *Fleet) book(id hingeids.ServerID) *book {
-	b := f.books[id]
+func (f *Fleet) engineStreams(id hingeids.ServerID) *engineStreams {
+	b := f.streamsByEngine[id]
 	if b == nil {
-		b = &book{}
-		f.books[id] = b
+		b = &engineStreams{}
+		f.streamsByEngine[id] = b
 	}
 	return b
 }
 
-// dropBooks forgets the books of engines that are gone and hold nothing.
-func (f *Fleet) dropBooks() {
-	for id, b := range f.books {
+// dropUnusedStreams deletes the empty entries of engines that were removed.
+func (f *Fleet) dropUnusedStreams() {
+	for id, b := range f.streamsByEngine {
 		if f.engines[id] == nil && len(b.streams) == 0 {
-			delete(f.books, id)
+			delete(f.streamsByEngine, id)
 		}
 	}
 }
@@ -66,96 +67,97 @@
 	return o
 }
 
-// enter puts a stream into the books.
-func (f *Fleet) enter(s *stream) {
+// addStream adds a stream to its owner and its decode engine.
+func (f *Fleet) addStream(s *stream) {
 	f.streams[s.id] = s
 	o := f.ownerOf(s.owner)
 	o.streams = append(o.streams, s)
-	b := f.book(s.decode)
+	b := f.engineStreams(s.decode)
 	b.streams = append(b.streams, s)
-	b.outlook.known = false
+	b.forecast.valid = false
 }
 
-// forget drops a stream and what it has waiting at an engine that prefills.
-func (f *Fleet) forget(id StreamID) {
+// removeStream removes a stream and its pending prompt.
+func (f *Fleet) removeStream(id StreamID) {
 	s := f.streams[id]
 	if s == nil {
 		return
 	}
-	f.dropPrompt(s)
+	f.removePrompt(s)
 	delete(f.streams, id)
-	o, b := f.ownerOf(s.owner), f.book(s.decode)
-	o.streams = without(o.streams, s)
-	b.streams = without(b.streams, s)
-	b.outlook.known = false
+	o, b := f.ownerOf(s.owner), f.engineStreams(s.decode)
+	o.streams = withoutStream(o.streams, s)
+	b.streams = withoutStream(b.streams, s)
+	b.forecast.valid = false
 }
 
-func without(list []*stream, s *stream) []*stream {
+func withoutStream(list []*stream, s *stream) []*stream {
 	if i := slices.Index(list, s); i >= 0 {
 		return slices.Delete(list, i, i+1)
 	}
 	return list
 }
 
-func (f *Fleet) dropPrompt(s *stream) {
+func (f *Fleet) removePrompt(s *stream) {
 	if e := f.engines[s.prefill]; e != nil {
-		e.prompts.drop(s.id)
+		e.prefillQueue.remove(s.id)
 	}
 }
 
-// Report takes what an owner says of all its streams (rule 8).
+// Report replaces what is known about an owner's streams (rule 8). Streams that the owner has
+// reported before and no longer lists are removed; unreported assignments are kept.
 func (f *Fleet) Report(now time.Time, h hingeids.HostID, list []Progress) {
-	f.reports++
+	f.reportCount++
 	for _, p := range list {
-		f.progress(now, h, p)
+		f.applyProgress(now, h, p)
 	}
 	o := f.ownerOf(h)
-	o.heardAt = now
-	f.forgetThose(o, func(s *stream) bool {
-		return s.named != f.reports && s.granted.IsZero()
+	o.lastSeen = now
+	f.removeStreams(o, func(s *stream) bool {
+		return s.lastReport != f.reportCount && s.assignedAt.IsZero()
 	})
 }
 
-// forgetThose forgets an owner's streams that are over.
-func (f *Fleet) forgetThose(o *owner, over func(s *stream) bool) {
+// removeStreams removes the streams of an owner for which done returns true.
+func (f *Fleet) removeStreams(o *owner, done func(s *stream) bool) {
 	for i := len(o.streams) - 1; i >= 0; i-- {
-		if s := o.streams[i]; over(s) {
-			f.forget(s.id)
+		if s := o.streams[i]; done(s) {
+			f.removeStream(s.id)
 		}
 	}
 }
 
-func (f *Fleet) progress(now time.Time, h hingeids.HostID, p Progress) {
+func (f *Fleet) applyProgress(now time.Time, h hingeids.HostID, p Progress) {
 	s := f.streams[p.ID]
 	if s == nil || s.decode != p.Decode || s.owner != h {
-		f.forget(p.ID)
+		f.removeStream(p.ID)
 		s = &stream{
-			id:     p.ID,
-			owner:  h,
-			decode: p.Decode,
-			madeAt: now,
+			id:          p.ID,
+			owner:       h,
+			decode:      p.Decode,
+			generatedAt: now,
 		}
-		f.enter(s)
+		f.addStream(s)
 	}
-	if e := f.engines[p.Decode]; e != nil && p.Made > s.made && s.made > 0 {
-		f.learnPace(e, now.Sub(s.madeAt), p.Made-s.made)
+	if e := f.engines[p.Decode]; e != nil && p.Made > s.generated && s.generated > 0 {
+		f.observeDecodeRate(e, now.Sub(s.generatedAt), p.Made-s.generated)
 	}
-	s.named = f.reports
+	s.lastReport = f.reportCount
 	s.prompt = p.Prompt
 	s.expected = p.Expected
-	s.granted = time.Time{}
+	s.assignedAt = time.Time{}
 	if p.Made > 0 {
-		f.learnStart(now, s)
-		f.dropPrompt(s)
-		s.made = p.Made
-		s.madeAt = now
+		f.observeStart(now, s)
+		f.removePrompt(s)
+		s.generated = p.Made
+		s.generatedAt = now
 	}
-	f.book(s.decode).outlook.known = false
+	f.engineStreams(s.decode).forecast.valid = false
 }
 
-// Cancel forgets a stream or a want whose caller is gone.
+// Cancel removes a stream or queued request whose caller has disconnected.
 func (f *Fleet) Cancel(id StreamID) {
-	f.forget(id)
+	f.removeStream(id)
 	for i, w := range f.queue {
 		if w.ID == id {
 			f.queue = append(f.queue[:i], f.queue[i+1:]...)
@@ -164,19 +166,19 @@
 	}
 }
 
-// expire forgets grants and owners that nobody speaks of any more.
+// expire removes assignments and owners that have timed out.
 func (f *Fleet) expire(now time.Time) {
-	if now.Sub(f.expiredAt) < expireEvery {
+	if now.Sub(f.lastExpiry) < expireInterval {
 		return
 	}
-	f.expiredAt = now
+	f.lastExpiry = now
 	for h, o := range f.owners {
-		silent := now.Sub(o.heardAt) > ownerSilence
-		f.forgetThose(o, func(s *stream) bool {
-			if s.granted.IsZero() {
+		silent := now.Sub(o.lastSeen) > ownerTimeout
+		f.removeStreams(o, func(s *stream) bool {
+			if s.assignedAt.IsZero() {
 				return silent
 			}
-			return now.Sub(s.granted) > unreported
+			return now.Sub(s.assignedAt) > assignmentTimeout
 		})
 		if silent && len(o.streams) == 0 {
 			delete(f.owners, h)
--- a/internal/decide/hingefleet/turns.go
+++ b/internal/decide/hingefleet/turns.go
@@ -2,48 +2,49 @@
 
 import "time"
 
-// turns is how late wants fare that wait while new ones go before them. In a burst of some seconds most get a
-// turn within their callers' patience, and are spared another way here. While demand stays above what the engines serve none
-// does: to let them wait would only use up the time that their callers have to come back, or to ask elsewhere.
-type turns struct {
-	got estimate
-	at  time.Time
+// lateOutcomes is the share of late requests that were assigned after waiting behind new ones. In
+// a short burst most are assigned within their callers' maximum wait. Under lasting overload none
+// is, and waiting only uses up the time in which their callers could retry elsewhere.
+type lateOutcomes struct {
+	placedShare estimate
+	updatedAt   time.Time
 }
 
 const (
-	// turnWeight is the weight of a new outcome in the share of those that got their turn: half a dozen that didn't
-	// move it below leastTurns.
-	turnWeight = 0.1
-	// leastTurns is the share that must have got their turn for others to wait.
-	leastTurns = 0.5
-	// turnsLast is how long the share stands without a new outcome: the next burst is another.
-	turnsLast = 10 * time.Second
+	// lateOutcomeWeight is the weight of a new outcome. Half a dozen failures reduce the share
+	// below minPlacedShare.
+	lateOutcomeWeight = 0.1
+	// minPlacedShare is the share of assigned late requests below which others don't wait.
+	minPlacedShare = 0.5
+	// lateOutcomeTTL is how long the share is kept without a new outcome. A later burst starts
+	// afresh.
+	lateOutcomeTTL = 10 * time.Second
 )
 
-// take notes whether a late want got its turn.
-func (t *turns) take(now time.Time, got bool) {
-	t.fade(now)
-	t.at = now
-	if t.got.readings == 0 {
-		t.got.take(1, turnWeight)
-		// What one says isn't what all do.
-		t.got.readings = int(1 / turnWeight)
+// record adds whether a late request was assigned.
+func (t *lateOutcomes) record(now time.Time, placed bool) {
+	t.expire(now)
+	t.updatedAt = now
+	if t.placedShare.samples == 0 {
+		t.placedShare.add(1, lateOutcomeWeight)
+		// The first outcome must not replace the default alone.
+		t.placedShare.samples = int(1 / lateOutcomeWeight)
 	}
 	outcome := 0.0
-	if got {
+	if placed {
 		outcome = 1
 	}
-	t.got.take(outcome, turnWeight)
+	t.placedShare.add(outcome, lateOutcomeWeight)
 }
 
-// hopeful reports whether a late want may wait for its turn.
-func (t *turns) hopeful(now time.Time) bool {
-	t.fade(now)
-	return t.got.or(1) >= leastTurns
+// mayWait reports whether a late request may wait.
+func (t *lateOutcomes) mayWait(now time.Time) bool {
+	t.expire(now)
+	return t.placedShare.valueOr(1) >= minPlacedShare
 }
 
-func (t *turns) fade(now time.Time) {
-	if now.Sub(t.at) > turnsLast {
-		t.got = estimate{}
+func (t *lateOutcomes) expire(now time.Time) {
+	if now.Sub(t.updatedAt) > lateOutcomeTTL {
+		t.placedShare = estimate{}
 	}
 }
--- a/internal/decide/hingefleet/turns_test.go
+++ b/internal/decide/hingefleet/turns_test.go
@@ -5,56 +5,55 @@
 	"time"
 )
 
-// Demand is twice what the engines serve. The first callers that can't be on time wait in vain, and use up the time in which
-// they could have come back; those after them must hear it at once. Ten seconds later another burst begins, and nothing is
-// known of that one.
-func TestLateWantsWaitOnlyWhereSomeGetTheirTurn(t *testing.T) {
-	var u turns
+// Guards against late requests that keep waiting under lasting overload, and against the outcome
+// of one burst affecting the next.
+func TestLateRequestsWaitOnlyWhileSomeArePlaced(t *testing.T) {
+	var u lateOutcomes
 	now := simStart
-	if !u.hopeful(now) {
-		t.Fatal("nobody may try")
+	if !u.mayWait(now) {
+		t.Fatal("late requests may not wait without outcomes")
 	}
-	inVain := 0
-	for u.hopeful(now) {
+	failed := 0
+	for u.mayWait(now) {
 		now = now.Add(100 * time.Millisecond)
-		u.take(now, false)
-		inVain++
+		u.record(now, false)
+		failed++
 	}
-	if inVain < 3 || inVain > 10 {
-		t.Fatalf("%d waited in vain", inVain)
+	if failed < 3 || failed > 10 {
+		t.Fatalf("%d late requests waited and failed, want 3 to 10", failed)
 	}
 	for range 10 {
-		u.take(now, true)
+		u.record(now, true)
 	}
-	if !u.hopeful(now) {
-		t.Fatal("nobody may wait where ten in a row got their turn")
+	if !u.mayWait(now) {
+		t.Fatal("late requests may not wait after ten consecutive assignments")
 	}
 	for range 20 {
-		u.take(now, false)
+		u.record(now, false)
 	}
-	if u.hopeful(now) {
-		t.Fatal("others wait where twenty in a row got none")
+	if u.mayWait(now) {
+		t.Fatal("late requests may wait after twenty consecutive failures")
 	}
-	if !u.hopeful(now.Add(turnsLast + time.Second)) {
-		t.Fatal("the next burst is judged by the last")
+	if !u.mayWait(now.Add(lateOutcomeTTL + time.Second)) {
+		t.Fatal("outcomes of the last burst affect the next")
 	}
 }
 
-// A burst of a second and a half brings more than there is memory for, and it drains within callers' patience. Sent away,
-// they would come back seconds later than they could be served.
-func TestLateWantsAreServedAfterAShortBurst(t *testing.T) {
-	o := mean(loadPattern{
-		lasts: 12 * time.Second,
-		perSec: func(t time.Duration) float64 {
+// A short burst exceeds the memory, but can be served within the callers' maximum wait. Guards
+// against refusing its late requests, whose retries would be served later.
+func TestLateRequestsAreServedAfterAShortBurst(t *testing.T) {
+	o := runSeeds(loadPattern{
+		duration: 12 * time.Second,
+		requestsPerSecond: func(t time.Duration) float64 {
 			if t > 4*time.Second && t < 5500*time.Millisecond {
 				return 45
 			}
 			return 8
 		},
-		prefills: 3,
-		decodes:  5,
-	}, fleetOf)
+		prefillers: 3,
+		decoders:   5,
+	}, newFleetPlacer)
 	t.Logf("%+v", o)
-	want(t, o, "refused", o.Refused, 0, 0.04)
-	want(t, o, "late", o.Late, 0.05, 0.3)
+	checkShare(t, o, "refused", o.Refused, 0, 0.04)
+	checkShare(t, o, "late", o.Late, 0.05, 0.3)
 }
