--- a/internal/decide/hingequota/account.go
+++ b/internal/decide/hingequota/account.go
@@ -9,138 +9,138 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// use is one request that counts.
-type use struct {
+// usage is the counted usage of one request.
+type usage struct {
 	id ChargeID
-	// at is nanoseconds since the book began.
+	// at is in nanoseconds since Book.Begin.
 	at   int64
 	cost hingeids.Units
-	// through is the sum of this and all uses before it, those that have left the window included.
-	through hingeids.Units
-	owner   hingeids.HostID
+	// cumulative is the sum of this entry and all earlier ones, including those that have left the window.
+	cumulative hingeids.Units
+	reporter   hingeids.HostID
 }
 
-// account is what is counted of one customer.
+// account holds the usage of one customer.
 type account struct {
-	// uses are in the order of their times, from first on; those before have left the window.
-	uses  []use
-	first int
-	// sum is what counts of them, pending what was admitted and waits for its server.
+	// usages are sorted by time. Entries before index first have left the window.
+	usages []usage
+	first  int
+	// sum is the usage in the window; pending is the cost of admitted requests that have no server yet.
 	sum     hingeids.Units
 	pending hingeids.Units
-	// out is the sum of all that has left the window: uses leave it in the order of through.
-	out hingeids.Units
-	// silent is what hosts have used that are silent now, beyond what stands in uses (rule 4).
-	silent    map[hingeids.HostID]hingeids.Units
-	silentSum hingeids.Units
-	// basis is rule 5.
-	basis hingeids.Units
-	// promised is up to where uses have to leave the window for all who were refused to have room (rule 7).
-	promised hingeids.Units
-	// promisedFaded is the share of what was forgotten that has to leave the window for all who were refused to have room.
-	promisedFaded float64
-	// asked and passed are what was asked and let through lately.
-	asked  fading
-	passed fading
-	// quota is the one that uses were counted under last (rule 8).
+	// expired is the sum of all usage that has left the window, on the same scale as usage.cumulative.
+	expired hingeids.Units
+	// silentUsage holds expired usage of hosts that are silent, which still counts (rule 4).
+	silentUsage map[hingeids.HostID]hingeids.Units
+	silentSum   hingeids.Units
+	// baseline is the usage that hosts reported to a non-leader, which their side of a partition may keep using (rule 5).
+	baseline hingeids.Units
+	// reserved is the cumulative usage that has to leave the window before every refused caller fits (rule 7).
+	reserved hingeids.Units
+	// reservedForgotten is the share of the forgotten usage that has to leave the window before every refused caller fits.
+	reservedForgotten float64
+	// requested and admitted are the costs of recent requests and of those admitted.
+	requested decayingSum
+	admitted  decayingSum
+	// quota is the one that the usage was last scaled to (rule 8).
 	quota hingeids.Units
 }
 
-// used is all that counts.
+// used returns all usage that counts against the quota.
 func (a *account) used() hingeids.Units {
 	return a.sum + a.pending + a.silentSum
 }
 
-// soonAsked is what will be asked within soon, at the pace of late.
-func (a *account) soonAsked(now time.Time) float64 {
-	return a.asked.value(now) * soon.Seconds() / fadeTime.Seconds()
+// expectedSoon extrapolates the recent request rate over the lookahead.
+func (a *account) expectedSoon(now time.Time) float64 {
+	return a.requested.value(now) * lookahead.Seconds() / decayTime.Seconds()
 }
 
-// before is what counts of uses from before a time.
-func (a *account) before(at int64) hingeids.Units {
-	rest := a.uses[a.first:]
+// usedBefore returns the usage in the window from before at.
+func (a *account) usedBefore(at int64) hingeids.Units {
+	rest := a.usages[a.first:]
 	i := sort.Search(len(rest), func(i int) bool {
 		return rest[i].at >= at
 	})
 	if i == 0 {
 		return 0
 	}
-	return rest[i-1].through - a.out
+	return rest[i-1].cumulative - a.expired
 }
 
-// last is the sum through the last use.
-func (a *account) last() hingeids.Units {
-	if len(a.uses) == 0 {
-		return a.out
+// total is the cumulative sum through the newest entry.
+func (a *account) total() hingeids.Units {
+	if len(a.usages) == 0 {
+		return a.expired
 	}
-	return a.uses[len(a.uses)-1].through
+	return a.usages[len(a.usages)-1].cumulative
 }
 
-// add counts a use, which is the newest.
-func (a *account) add(u use) {
-	if n := len(a.uses); n > 0 && a.uses[n-1].at > u.at {
-		u.at = a.uses[n-1].at
+// add appends the newest usage. A time before that of the last entry is raised to it.
+func (a *account) add(u usage) {
+	if n := len(a.usages); n > 0 && a.usages[n-1].at > u.at {
+		u.at = a.usages[n-1].at
 	}
-	u.through = a.last() + u.cost
-	a.uses = append(a.uses, u)
+	u.cumulative = a.total() + u.cost
+	a.usages = append(a.usages, u)
 	a.sum += u.cost
 }
 
-// leastCompacted keeps short lists from being moved for every use that leaves.
-const leastCompacted = 32
+// minCompact is the number of expired entries below which the list isn't compacted.
+const minCompact = 32
 
-// expire forgets uses from before a time. Those of silent hosts go on to count (rule 4).
+// expire removes usage from before a time. Usage of silent hosts continues to count (rule 4).
 func (a *account) expire(before int64, isSilent func(hingeids.HostID) bool) {
-	for a.first < len(a.uses) && a.uses[a.first].at < before {
-		u := a.uses[a.first]
+	for a.first < len(a.usages) && a.usages[a.first].at < before {
+		u := a.usages[a.first]
 		a.first++
-		a.out = u.through
+		a.expired = u.cumulative
 		a.sum -= u.cost
-		if u.cost > 0 && isSilent(u.owner) {
+		if u.cost > 0 && isSilent(u.reporter) {
 			a.keepSilent(u)
 		}
 	}
-	if a.first > leastCompacted && a.first > len(a.uses)/2 {
-		a.uses = slices.Delete(a.uses, 0, a.first)
+	if a.first > minCompact && a.first > len(a.usages)/2 {
+		a.usages = slices.Delete(a.usages, 0, a.first)
 		a.first = 0
 	}
 }
 
-func (a *account) keepSilent(u use) {
-	if a.silent == nil {
-		a.silent = make(map[hingeids.HostID]hingeids.Units)
+func (a *account) keepSilent(u usage) {
+	if a.silentUsage == nil {
+		a.silentUsage = make(map[hingeids.HostID]hingeids.Units)
 	}
-	a.silent[u.owner] += u.cost
+	a.silentUsage[u.reporter] += u.cost
 	a.silentSum += u.cost
 }
 
-// heard forgets what a host was taken to use while it was silent.
-func (a *account) heard(owner hingeids.HostID) {
-	a.silentSum -= a.silent[owner]
-	delete(a.silent, owner)
+// clearSilent removes the usage retained for a host while it was silent.
+func (a *account) clearSilent(host hingeids.HostID) {
+	a.silentSum -= a.silentUsage[host]
+	delete(a.silentUsage, host)
 }
 
-// remove takes a use back. It leaves a use of nothing behind, so that the sums through the others stay true enough.
+// remove cancels a usage. It leaves an entry of zero cost, so that the cumulative sums of the others needn't be recomputed.
 func (a *account) remove(id ChargeID) {
-	for i := len(a.uses) - 1; i >= a.first; i-- {
-		if a.uses[i].id == id {
-			a.sum -= a.uses[i].cost
-			a.uses[i].cost = 0
+	for i := len(a.usages) - 1; i >= a.first; i-- {
+		if a.usages[i].id == id {
+			a.sum -= a.usages[i].cost
+			a.usages[i].cost = 0
 			return
 		}
 	}
 }
 
-// merge takes uses that another host has told of, but for those that count already, and gives the sum of the new ones.
-func (a *account) merge(list []use) hingeids.Units {
-	there := make(map[ChargeID]bool, len(a.uses)-a.first)
-	for _, u := range a.uses[a.first:] {
-		there[u.id] = true
+// merge adds reported usages that aren't counted yet and returns their sum.
+func (a *account) merge(list []usage) hingeids.Units {
+	known := make(map[ChargeID]bool, len(a.usages)-a.first)
+	for _, u := range a.usages[a.first:] {
+		known[u.id] = true
 	}
 	var sum hingeids.Units
 	for _, u := range list {
-		if !there[u.id] {
-			a.uses = append(a.uses, u)
+		if !known[u.id] {
+			a.usages = append(a.usages, u)
 			sum += u.cost
 		}
 	}
@@ -149,52 +149,52 @@
 	return sum
 }
 
-// rebuild puts uses in order and works out the sums through them.
+// rebuild sorts the entries and recomputes their cumulative sums.
 func (a *account) rebuild() {
-	slices.SortStableFunc(a.uses[a.first:], func(x, y use) int {
+	slices.SortStableFunc(a.usages[a.first:], func(x, y usage) int {
 		return cmp.Compare(x.at, y.at)
 	})
-	through := a.out
-	for i := a.first; i < len(a.uses); i++ {
-		through += a.uses[i].cost
-		a.uses[i].through = through
+	cumulative := a.expired
+	for i := a.first; i < len(a.usages); i++ {
+		cumulative += a.usages[i].cost
+		a.usages[i].cumulative = cumulative
 	}
 }
 
-// scale is rule 8.
+// scale reduces the usage in proportion to a lowered quota (rule 8).
 func (a *account) scale(quota hingeids.Units) {
-	before := a.quota
+	previous := a.quota
 	a.quota = quota
-	if before == 0 || quota >= before {
+	if previous == 0 || quota >= previous {
 		return
 	}
-	part := float64(quota) / float64(before)
+	factor := float64(quota) / float64(previous)
 	a.sum = 0
-	for i := a.first; i < len(a.uses); i++ {
-		a.uses[i].cost = hingeids.Units(part * float64(a.uses[i].cost))
-		a.sum += a.uses[i].cost
+	for i := a.first; i < len(a.usages); i++ {
+		a.usages[i].cost = hingeids.Units(factor * float64(a.usages[i].cost))
+		a.sum += a.usages[i].cost
 	}
 	a.silentSum = 0
-	for h, n := range a.silent {
-		a.silent[h] = hingeids.Units(part * float64(n))
-		a.silentSum += a.silent[h]
+	for h, n := range a.silentUsage {
+		a.silentUsage[h] = hingeids.Units(factor * float64(n))
+		a.silentSum += a.silentUsage[h]
 	}
-	a.basis = hingeids.Units(part * float64(a.basis))
-	a.promised = 0
+	a.baseline = hingeids.Units(factor * float64(a.baseline))
+	a.reserved = 0
 	a.rebuild()
 }
 
-// roomAt gives when so much more has left the window than has now, behind what is promised already, and where that is; false if the
-// uses that count don't come to it.
-func (a *account) roomAt(lacking, cost hingeids.Units) (at int64, upTo hingeids.Units, known bool) {
-	// Room that was promised is what lies beyond what is lacking for this one alone.
-	upTo = max(a.promised+cost, a.out+lacking)
-	rest := a.uses[a.first:]
+// freeAt returns the time of the entry whose expiry frees shortfall units, after those reserved for earlier refusals, and the cumulative
+// usage that has expired by then. It returns false if the entries in the window don't suffice.
+func (a *account) freeAt(shortfall, cost hingeids.Units) (at int64, target hingeids.Units, found bool) {
+	// A reservation matters only where it reaches beyond the shortfall of this request.
+	target = max(a.reserved+cost, a.expired+shortfall)
+	rest := a.usages[a.first:]
 	i := sort.Search(len(rest), func(i int) bool {
-		return rest[i].through >= upTo
+		return rest[i].cumulative >= target
 	})
 	if i == len(rest) {
-		return 0, upTo, false
+		return 0, target, false
 	}
-	return rest[i].at, upTo, true
+	return rest[i].at, target, true
 }
--- a/internal/decide/hingequota/book.go
+++ b/internal/decide/hingequota/book.go
@@ -11,152 +11,153 @@
 )
 
 const (
-	// silentAfter is how long a host may say nothing before it is taken to be cut off (rule 4): it reports twice a second
-	// while anything of its own is in the window. To be wrong costs little, until its next word.
+	// silentAfter is how long a host may send nothing before it counts as silent (rule 4). A host reports twice a second while it
+	// has usage in the window.
 	silentAfter = 800 * time.Millisecond
-	// forgetAfter is how long after its last word a host is forgotten: until then one that is gone for good keeps its even part of each
-	// quota from the others, 1 in 560 or in 6. Cuts that last longer come a few times a year.
+	// forgetAfter is how long after its last message a host is forgotten. Until then a host that was removed withholds its even share
+	// of each quota from the others.
 	forgetAfter = 2 * time.Minute
-	// apartFor is how long a side that is cut off gives out what the others leave to it: it begins to count seconds after they last heard
-	// it, and has to end a window before they forget it.
-	apartFor = forgetAfter - 20*time.Second
+	// partitionTime is how long a partitioned side admits requests on the share that the leader withholds for it. The side starts counting
+	// seconds after the leader last received its messages, and has to stop a window before the leader forgets it.
+	partitionTime = forgetAfter - 20*time.Second
 )
 
-// owner is a host whose requests are counted.
-type owner struct {
-	heardAt time.Time
-	// told says that it has told all that it used since it was last silent, and ever that it has told anything.
-	told bool
-	ever bool
-	// usedAt is when a request of it counted last.
-	usedAt time.Time
+// reporter is a host that reports usage.
+type reporter struct {
+	lastSeen time.Time
+	// complete says that the host has reported all its usage since it was last silent; everReported that it has reported at all.
+	complete     bool
+	everReported bool
+	// lastUsage is the time of its latest counted request.
+	lastUsage time.Time
 }
 
-// silent reports whether it may have used what it hasn't told.
-func (o *owner) silent(now time.Time) bool {
-	return !o.told || now.Sub(o.heardAt) > silentAfter
+// silent reports whether the host may have unreported usage.
+func (r *reporter) silent(now time.Time) bool {
+	return !r.complete || now.Sub(r.lastSeen) > silentAfter
 }
 
-// parted reports whether it is probably cut off and goes on out of sight: it fell silent while it had something to report.
-func (o *owner) parted(now time.Time, window time.Duration) bool {
-	return o.ever && o.silent(now) && o.heardAt.Sub(o.usedAt) < window-silentAfter
+// partitioned reports whether the host is probably partitioned and still admits requests: it fell silent while it had usage to report.
+func (r *reporter) partitioned(now time.Time, window time.Duration) bool {
+	return r.everReported && r.silent(now) && r.lastSeen.Sub(r.lastUsage) < window-silentAfter
 }
 
-// Book counts for all hosts that ask it. It is not safe for concurrent use.
+// Book counts usage and decides on requests for all hosts that query it. It is not safe for concurrent use.
 type Book struct {
 	terms Terms
 	hosts hosts
-	// began is when this book began to count, leads whether all of each quota is its to give out.
-	began    time.Time
-	leads    bool
-	accounts map[hingeids.CallerID]*account
-	owners   map[hingeids.HostID]*owner
-	// everTold counts the hosts that have told what they used, known is the sum of how long before that they knew of.
-	everTold int
-	known    time.Duration
-	// parted counts the hosts that are probably cut off.
-	parted int
-	// partedAt is when some last were.
-	partedAt time.Time
-	// tight are the customers that have little left, by when they were seen so.
-	tight map[hingeids.CallerID]time.Time
+	// startedAt is the time of Begin. leads says that the leader owns the limiter, which may then admit up to the whole of each quota.
+	startedAt time.Time
+	leads     bool
+	accounts  map[hingeids.CallerID]*account
+	reporters map[hingeids.HostID]*reporter
+	// reported counts the hosts that have reported their usage. history is the sum of the times that these reports covered, at most a
+	// window each.
+	reported int
+	history  time.Duration
+	// partitioned counts the hosts that are probably partitioned.
+	partitioned int
+	// partitionedAt is when there last were any.
+	partitionedAt time.Time
+	// nearLimit maps customers near their limits to the time when this was last observed.
+	nearLimit map[hingeids.CallerID]time.Time
 }
 
-// NewBook makes a book that knows nothing.
+// NewBook returns a limiter that isn't counting yet; see Begin.
 func NewBook(t Terms) *Book {
 	return &Book{
 		terms: t,
 	}
 }
 
-// Begin begins to count anew, as the leader or without one.
+// Begin discards all usage and starts counting, as the leader or as a substitute that receives no leader's messages.
 func (b *Book) Begin(now time.Time, leads bool) {
-	b.began = now
+	b.startedAt = now
 	b.leads = leads
 	b.accounts = make(map[hingeids.CallerID]*account)
-	b.owners = make(map[hingeids.HostID]*owner)
-	b.tight = make(map[hingeids.CallerID]time.Time)
-	b.everTold = 0
-	b.known = 0
-	b.parted = 0
+	b.reporters = make(map[hingeids.HostID]*reporter)
+	b.nearLimit = make(map[hingeids.CallerID]time.Time)
+	b.reported = 0
+	b.history = 0
+	b.partitioned = 0
 }
 
-// End forgets everything, until Begin.
+// End stops counting and discards all usage.
 func (b *Book) End() {
-	b.accounts, b.owners, b.tight = nil, nil, nil
+	b.accounts, b.reporters, b.nearLimit = nil, nil, nil
 }
 
-// Begun reports whether the book counts, in this part.
+// Begun reports whether the limiter is counting, as the leader or as a substitute.
 func (b *Book) Begun(leads bool) bool {
 	return b.accounts != nil && b.leads == leads
 }
 
-// Hear notes a word of a host, and reports whether the host has to tell all that it has used.
-func (b *Book) Hear(now time.Time, h hingeids.HostID) (wants bool) {
-	o := b.owners[h]
+// Hear records a message from a host and reports whether the host has to report all its usage (Tell).
+func (b *Book) Hear(now time.Time, h hingeids.HostID) (needsReport bool) {
+	o := b.reporters[h]
 	if o == nil {
-		o = &owner{
-			heardAt: now,
+		o = &reporter{
+			lastSeen: now,
 		}
-		b.owners[h] = o
+		b.reporters[h] = o
 		return true
 	}
-	// What a host without anything in the window has used since, it has used alone, and tells by itself.
-	if now.Sub(o.heardAt) > silentAfter && o.heardAt.Sub(o.usedAt) <= b.terms.Window {
-		o.told = false
+	// A host without usage in the window reports by itself what it has admitted alone since.
+	if now.Sub(o.lastSeen) > silentAfter && o.lastSeen.Sub(o.lastUsage) <= b.terms.Window {
+		o.complete = false
 	}
-	o.heardAt = now
-	return !o.told
+	o.lastSeen = now
+	return !o.complete
 }
 
-// Tell takes all that a host has used within the window, of which it knows for so long.
-func (b *Book) Tell(now time.Time, h hingeids.HostID, uses []Use, knows time.Duration) {
+// Tell accepts a host's report of all its usage within the window, oldest first. history is how far back the report goes.
+func (b *Book) Tell(now time.Time, h hingeids.HostID, usages []Use, history time.Duration) {
 	b.Hear(now, h)
-	byCustomer := make(map[hingeids.CallerID][]use)
-	for _, u := range uses {
+	byCustomer := make(map[hingeids.CallerID][]usage)
+	for _, u := range usages {
 		if u.Charge.Free() || u.Age > b.terms.Window {
 			continue
 		}
-		byCustomer[u.Charge.Customer] = append(byCustomer[u.Charge.Customer], use{
-			id:    u.Charge.ID,
-			at:    b.since(now) - int64(u.Age),
-			cost:  u.Charge.Cost,
-			owner: h,
+		byCustomer[u.Charge.Customer] = append(byCustomer[u.Charge.Customer], usage{
+			id:       u.Charge.ID,
+			at:       b.since(now) - int64(u.Age),
+			cost:     u.Charge.Cost,
+			reporter: h,
 		})
 	}
-	if len(uses) > 0 {
-		b.owners[h].usedAt = now.Add(-uses[len(uses)-1].Age)
+	if len(usages) > 0 {
+		b.reporters[h].lastUsage = now.Add(-usages[len(usages)-1].Age)
 	}
 	for c, list := range byCustomer {
 		a := b.account(c)
 		sum := a.merge(list)
 		if !b.leads {
-			a.basis += sum
+			a.baseline += sum
 		}
 	}
-	o := b.owners[h]
-	if !o.told {
-		o.told = true
-		b.forgetSilent(h)
-		b.countParted(now)
+	o := b.reporters[h]
+	if !o.complete {
+		o.complete = true
+		b.clearSilent(h)
+		b.countPartitioned(now)
 	}
-	if !o.ever {
-		o.ever = true
-		b.known += min(knows, b.terms.Window)
-		b.everTold++
+	if !o.everReported {
+		o.everReported = true
+		b.history += min(history, b.terms.Window)
+		b.reported++
 	}
 }
 
-// forgetSilent forgets what a host was taken to use while it was silent.
-func (b *Book) forgetSilent(h hingeids.HostID) {
+// clearSilent removes the usage retained for a host while it was silent.
+func (b *Book) clearSilent(h hingeids.HostID) {
 	for _, a := range b.accounts {
-		a.heard(h)
+		a.clearSilent(h)
 	}
 }
 
-// since is a time as uses have it.
+// since converts a time to that of usage.at.
 func (b *Book) since(now time.Time) int64 {
-	return int64(now.Sub(b.began))
+	return int64(now.Sub(b.startedAt))
 }
 
 func (b *Book) account(c hingeids.CallerID) *account {
@@ -168,8 +169,9 @@
 	return a
 }
 
-// Admit decides on a request of one of so many hosts, whose caller waits for so long at most. One that is admitted counts until Settle.
-func (b *Book) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, left time.Duration) Verdict {
+// Admit decides on a request; hosts is the number of hosts known now, and maxWait how long the caller waits at most. The cost of an
+// admitted request is pending until Settle.
+func (b *Book) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, maxWait time.Duration) Verdict {
 	if c.Free() || !q.Bounded() {
 		return Verdict{
 			Admitted: true,
@@ -181,11 +183,11 @@
 	hosts = b.hosts.count(now, hosts)
 	a.scale(quota)
 	limit := b.limit(now, c, a, quota, hosts)
-	a.asked.add(now, float64(c.Cost))
+	a.requested.add(now, float64(c.Cost))
 	if a.used()+c.Cost <= limit {
 		a.pending += c.Cost
-		a.passed.add(now, float64(c.Cost))
-		b.noteTight(now, c.Customer, a, quota)
+		a.admitted.add(now, float64(c.Cost))
+		b.recordNearLimit(now, c.Customer, a, quota)
 		return Verdict{
 			Admitted: true,
 		}
@@ -195,172 +197,172 @@
 			RetryAfter: b.knownAfter(now, c, a, quota, a.used()+c.Cost-limit, hosts),
 		}
 	}
-	b.tight[c.Customer] = now
+	b.nearLimit[c.Customer] = now
 	return Verdict{
 		Over:       true,
-		RetryAfter: b.retryAfter(now, a, c.Cost, limit, left),
+		RetryAfter: b.retryAfter(now, a, c.Cost, limit, maxWait),
 	}
 }
 
-// limit is what may be counted of a customer at most, with a charge of its.
+// limit returns the usage up to which the charge is admitted.
 func (b *Book) limit(now time.Time, c Charge, a *account, quota hingeids.Units, hosts int) hingeids.Units {
-	if now.Sub(b.began) < graceTime && !c.Doubtful {
+	if now.Sub(b.startedAt) < graceTime && !c.Doubtful {
 		return quota
 	}
 	margin := float64(b.terms.margin(quota))
 	if !b.leads {
-		share := min(float64(len(b.owners))/float64(max(hosts, 1)), 1)
-		left := max(a.basis, hingeids.Units(share*float64(quota)))
-		if now.Sub(b.began) > apartFor {
-			left = 0
+		share := min(float64(len(b.reporters))/float64(max(hosts, 1)), 1)
+		budget := max(a.baseline, hingeids.Units(share*float64(quota)))
+		if now.Sub(b.startedAt) > partitionTime {
+			budget = 0
 		}
-		return min(left+hingeids.Units(share*partedShare*margin), quota)
+		return min(budget+hingeids.Units(share*partitionMarginShare*margin), quota)
 	}
 	missing, forgotten := b.unknown(now, hosts)
-	if missing+forgotten < nearlyAll && b.parted == 0 && b.sure(now) {
-		return quota + hingeids.Units(givenShare*margin)
+	if missing+forgotten < maxUnknown && b.partitioned == 0 && b.stable(now) {
+		return quota + hingeids.Units(leaderMarginShare*margin)
 	}
-	unknown := max((missing+forgotten)*float64(quota)-unknownShare*margin, 0)
-	silent := max(b.partedPart(hosts)*float64(quota)-float64(a.silentSum), 0)
+	unknown := max((missing+forgotten)*float64(quota)-unknownMarginShare*margin, 0)
+	silent := max(b.partitionedShare(hosts)*float64(quota)-float64(a.silentSum), 0)
 	return quota - hingeids.Units(unknown+silent)
 }
 
-// sure reports whether this book has counted for a window without a change of placer and without hosts that were cut off.
-func (b *Book) sure(now time.Time) bool {
-	return now.Sub(hingeclock.Later(b.began, b.partedAt)) > b.terms.Window
+// stable reports whether a whole window has passed since the last change of placer and the last partition.
+func (b *Book) stable(now time.Time) bool {
+	return now.Sub(hingeclock.Later(b.startedAt, b.partitionedAt)) > b.terms.Window
 }
 
-// partedPart is the part of all hosts that are probably cut off (rule 4).
-func (b *Book) partedPart(hosts int) float64 {
-	return float64(b.parted) / float64(max(hosts, len(b.owners), 1))
+// partitionedShare returns the share of all hosts that are probably partitioned (rule 4).
+func (b *Book) partitionedShare(hosts int) float64 {
+	return float64(b.partitioned) / float64(max(hosts, len(b.reporters), 1))
 }
 
-// countParted counts the hosts that are probably cut off. It looks at each, and is done a few times a second.
-func (b *Book) countParted(now time.Time) {
-	b.parted = 0
-	for _, o := range b.owners {
-		if o.parted(now, b.terms.Window) {
-			b.parted++
+// countPartitioned counts the hosts that are probably partitioned. It takes time linear in the hosts and runs a few times a second.
+func (b *Book) countPartitioned(now time.Time) {
+	b.partitioned = 0
+	for _, o := range b.reporters {
+		if o.partitioned(now, b.terms.Window) {
+			b.partitioned++
 		}
 	}
-	if b.parted > 0 {
-		b.partedAt = now
+	if b.partitioned > 0 {
+		b.partitionedAt = now
 	}
 }
 
-// unknown is the share of the window's uses that nobody has told of (rule 3): what hosts that haven't told anything have used and
-// may go on to use out of sight, and what those that started late have forgotten, which leaves the window with time.
+// unknown returns the shares of the window's usage that aren't reported (rule 3): missing is that of hosts without a report, which may still
+// grow; forgotten is that of hosts which started within the window, and expires.
 func (b *Book) unknown(now time.Time, hosts int) (missing, forgotten float64) {
-	all := float64(max(hosts, b.everTold, 1))
-	missing = 1 - float64(b.everTold)/all
-	return missing, b.forgot(hosts) * (1 - b.faded(now))
+	all := float64(max(hosts, b.reported, 1))
+	missing = 1 - float64(b.reported)/all
+	return missing, b.forgottenShare(hosts) * (1 - b.forgottenExpired(now))
 }
 
-// forgot is the share of a window's uses that hosts had forgotten when they told what they knew.
-func (b *Book) forgot(hosts int) float64 {
-	all := float64(max(hosts, b.everTold, 1))
-	return (float64(b.everTold) - b.known.Seconds()/b.terms.Window.Seconds()) / all
+// forgottenShare returns the share of a window's usage that hosts had no record of when they reported.
+func (b *Book) forgottenShare(hosts int) float64 {
+	all := float64(max(hosts, b.reported, 1))
+	return (float64(b.reported) - b.history.Seconds()/b.terms.Window.Seconds()) / all
 }
 
-// faded is the share of what was forgotten that has left the window.
-func (b *Book) faded(now time.Time) float64 {
-	passed := now.Sub(b.began).Seconds() / b.terms.Window.Seconds()
-	return max(min(passed, 1)-forgottenHold, 0) / (1 - forgottenHold)
+// forgottenExpired returns the share of the forgotten usage that has left the window.
+func (b *Book) forgottenExpired(now time.Time) float64 {
+	elapsed := now.Sub(b.startedAt).Seconds() / b.terms.Window.Seconds()
+	return max(min(elapsed, 1)-forgottenHold, 0) / (1 - forgottenHold)
 }
 
-// fadedAt is when such a share will have left it.
-func (b *Book) fadedAt(share float64) time.Time {
-	passed := forgottenHold + (1-forgottenHold)*min(share, 1)
-	return b.began.Add(time.Duration(passed * float64(b.terms.Window)))
+// forgottenExpiredAt returns the time at which a share of the forgotten usage has left the window.
+func (b *Book) forgottenExpiredAt(share float64) time.Time {
+	elapsed := forgottenHold + (1-forgottenHold)*min(share, 1)
+	return b.startedAt.Add(time.Duration(elapsed * float64(b.terms.Window)))
 }
 
-// knownAfter is when a request will fit that doesn't for want of knowledge: what is forgotten leaves the window at a steady pace, and those
-// who were refused before come first.
-func (b *Book) knownAfter(now time.Time, c Charge, a *account, quota, lacking hingeids.Units, hosts int) time.Duration {
-	all := b.forgot(hosts) * float64(quota)
-	if !b.leads || all <= 0 || b.faded(now) >= 1 {
-		return unknownRetry
+// knownAfter returns the retry delay of a request that is refused only because of unknown usage. Forgotten usage is assumed to leave the
+// window at a constant rate, and callers refused earlier fit first.
+func (b *Book) knownAfter(now time.Time, c Charge, a *account, quota, shortfall hingeids.Units, hosts int) time.Duration {
+	all := b.forgottenShare(hosts) * float64(quota)
+	if !b.leads || all <= 0 || b.forgottenExpired(now) >= 1 {
+		return unknownRetryAfter
 	}
-	a.promisedFaded = max(b.faded(now)+float64(lacking)/all, a.promisedFaded+float64(c.Cost)/all)
-	return max(b.fadedAt(a.promisedFaded).Sub(now), leastRetry)
+	a.reservedForgotten = max(b.forgottenExpired(now)+float64(shortfall)/all, a.reservedForgotten+float64(c.Cost)/all)
+	return max(b.forgottenExpiredAt(a.reservedForgotten).Sub(now), minRetryAfter)
 }
 
-// retryAfter is rule 7. Nothing is promised to a caller who can't wait for it.
-func (b *Book) retryAfter(now time.Time, a *account, cost, limit hingeids.Units, left time.Duration) time.Duration {
-	at, upTo, known := a.roomAt(a.used()+cost-limit, cost)
-	if !known {
+// retryAfter returns the delay until the request fits (rule 7). It reserves nothing for a caller that can't wait that long.
+func (b *Book) retryAfter(now time.Time, a *account, cost, limit hingeids.Units, maxWait time.Duration) time.Duration {
+	at, target, found := a.freeAt(a.used()+cost-limit, cost)
+	if !found {
 		return b.terms.Window
 	}
 	after := time.Duration(at-b.since(now)) + b.terms.Window
-	if after < left {
-		a.promised = upTo
+	if after < maxWait {
+		a.reserved = target
 	}
-	return max(after, leastRetry)
+	return max(after, minRetryAfter)
 }
 
-// Settle says what became of a request that was admitted: it was given a server, or refused for want of one.
+// Settle ends the pending state of an admitted request: it is counted if it was placed on a server, and dropped otherwise.
 func (b *Book) Settle(now time.Time, h hingeids.HostID, c Charge, placed bool) {
 	if c.Free() || b.accounts == nil {
 		return
 	}
 	a := b.accounts[c.Customer]
 	if a == nil || a.pending < c.Cost {
-		// It was admitted without a bound, or before the book began anew.
+		// It was admitted under an unlimited quota or before the last Begin.
 		return
 	}
 	a.pending -= c.Cost
-	if o := b.owners[h]; o != nil && placed {
-		o.usedAt = now
+	if o := b.reporters[h]; o != nil && placed {
+		o.lastUsage = now
 	}
 	if placed {
-		a.add(use{
-			id:    c.ID,
-			at:    b.since(now),
-			cost:  c.Cost,
-			owner: h,
+		a.add(usage{
+			id:       c.ID,
+			at:       b.since(now),
+			cost:     c.Cost,
+			reporter: h,
 		})
 	}
 }
 
-// Return takes a request back that was given a server and has not run.
+// Return cancels the charge of a request that was placed on a server but did not run.
 func (b *Book) Return(c Charge) {
 	if a := b.accounts[c.Customer]; a != nil {
 		a.remove(c.ID)
 	}
 }
 
-// expire forgets what has left the window.
+// expire removes usage that has left the window.
 func (b *Book) expire(now time.Time, a *account) {
 	a.expire(b.since(now)-int64(b.terms.Window), func(h hingeids.HostID) bool {
-		o := b.owners[h]
+		o := b.reporters[h]
 		return o != nil && o.silent(now)
 	})
 }
 
-func (b *Book) noteTight(now time.Time, c hingeids.CallerID, a *account, quota hingeids.Units) {
+func (b *Book) recordNearLimit(now time.Time, c hingeids.CallerID, a *account, quota hingeids.Units) {
 	used := float64(a.used())
-	// After a change of placer, or a loss of all power, callers come at once: their pace says little.
-	settled := now.Sub(b.began) > b.terms.Window
-	if used > tightShare*float64(quota) || settled && used+a.soonAsked(now) > float64(quota) {
-		b.tight[c] = now
+	// After a change of placer or a power loss callers retry all at once, so that the recent rate is no estimate.
+	settled := now.Sub(b.startedAt) > b.terms.Window
+	if used > nearLimitShare*float64(quota) || settled && used+a.expectedSoon(now) > float64(quota) {
+		b.nearLimit[c] = now
 	}
 }
 
-// Tight names the customers that have little left, in order, and reports whether it knows of all, with so many hosts. In the first moments
-// nobody is named: what is let through then goes by what hosts were told before, and would tell them the same again with its
-// chance errors.
+// Tight returns the customers near their limits, sorted, and whether enough hosts have reported for the list to be complete. During graceTime
+// it returns none: what is admitted then depends on the shares that hosts received earlier, and shares computed from it would add sampling
+// errors.
 func (b *Book) Tight(now time.Time, hosts int) (list []Tight, all bool) {
-	if now.Sub(b.began) < graceTime {
+	if now.Sub(b.startedAt) < graceTime {
 		return nil, false
 	}
-	out := make([]Tight, 0, len(b.tight))
-	for c := range b.tight {
+	out := make([]Tight, 0, len(b.nearLimit))
+	for c := range b.nearLimit {
 		t := Tight{
 			Customer: c,
 			Share:    1,
 		}
-		if a := b.accounts[c]; a != nil && a.asked.value(now) > 0 {
-			t.Share = min(a.passed.value(now)/a.asked.value(now), b.soonFits(now, a)/a.soonAsked(now))
+		if a := b.accounts[c]; a != nil && a.requested.value(now) > 0 {
+			t.Share = min(a.admitted.value(now)/a.requested.value(now), b.fitsSoon(now, a)/a.expectedSoon(now))
 		}
 		out = append(out, t)
 	}
@@ -368,32 +370,32 @@
 		return cmp.Compare(x.Customer, y.Customer)
 	})
 	missing, forgotten := b.unknown(now, b.hosts.count(now, hosts))
-	return out, missing+forgotten < littleUnknown
+	return out, missing+forgotten < maxUnknownComplete
 }
 
-// soonFits is what of a customer's requests will fit within soon.
-func (b *Book) soonFits(now time.Time, a *account) float64 {
-	leaving := a.before(b.since(now) - int64(b.terms.Window) + int64(soon))
-	return max(float64(a.quota-a.used()+leaving), 0)
+// fitsSoon returns the units of a customer's requests that will fit within the lookahead.
+func (b *Book) fitsSoon(now time.Time, a *account) float64 {
+	expiring := a.usedBefore(b.since(now) - int64(b.terms.Window) + int64(lookahead))
+	return max(float64(a.quota-a.used()+expiring), 0)
 }
 
-// Step forgets what is over: to be called a few times a second.
+// Step removes expired state. The placer calls it a few times a second.
 func (b *Book) Step(now time.Time) {
-	for h, o := range b.owners {
-		if now.Sub(o.heardAt) > forgetAfter {
-			delete(b.owners, h)
-			b.forgetSilent(h)
+	for h, o := range b.reporters {
+		if now.Sub(o.lastSeen) > forgetAfter {
+			delete(b.reporters, h)
+			b.clearSilent(h)
 		}
 	}
-	b.countParted(now)
-	for c, at := range b.tight {
+	b.countPartitioned(now)
+	for c, at := range b.nearLimit {
 		if now.Sub(at) > b.terms.Window {
-			delete(b.tight, c)
+			delete(b.nearLimit, c)
 		}
 	}
 	for c, a := range b.accounts {
 		b.expire(now, a)
-		if a.used() == 0 && a.basis == 0 {
+		if a.used() == 0 && a.baseline == 0 {
 			delete(b.accounts, c)
 		}
 	}
--- a/internal/decide/hingequota/book_test.go
+++ b/internal/decide/hingequota/book_test.go
@@ -13,20 +13,20 @@
 
 var start = time.Unix(1000, 0)
 
-// tenASecond lets a customer use 90 units in a window.
+// tenASecond allows 90 units in a window.
 var tenASecond = hingecustomers.Quota{
 	Rate:  10,
 	Burst: 10,
 }
 
-// bareTerms leave no margin.
-var bareTerms = Terms{
+// noMarginTerms have no margin.
+var noMarginTerms = Terms{
 	Window: 8 * time.Second,
 }
 
-// ledBook is a leader's book that has counted for long.
-func ledBook() *Book {
-	b := NewBook(bareTerms)
+// leaderLimiter returns a leader's limiter that has been counting for an hour.
+func leaderLimiter() *Book {
+	b := NewBook(noMarginTerms)
 	b.Begin(start.Add(-time.Hour), true)
 	b.Tell(start, "host-1", nil, time.Hour)
 	return b
@@ -40,7 +40,7 @@
 	}
 }
 
-// use has a request of host-1 admitted and placed, and gives the verdict.
+// use submits a request of host-1 and places it if it is admitted.
 func (b *Book) use(now time.Time, c Charge, q hingecustomers.Quota) Verdict {
 	if b.Hear(now, "host-1") {
 		b.Tell(now, "host-1", nil, time.Hour)
@@ -52,10 +52,9 @@
 	return v
 }
 
-// A customer that was quiet all morning sends a batch of dossiers at once. It is within its quota of the window, so all are taken,
-// where a bucket would hold it to its burst and its rate.
+// An idle customer may use its whole window at once. A token bucket would limit it to its burst and rate.
 func TestQuietCustomerMayUseItsWindowAtOnce(t *testing.T) {
-	b := ledBook()
+	b := leaderLimiter()
 	admitted := 0
 	for i := range 100 {
 		if b.use(start, charge(i, 1), tenASecond).Admitted {
@@ -63,77 +62,74 @@
 		}
 	}
 	if admitted != 90 {
-		t.Fatalf("%d of 90 units", admitted)
+		t.Fatalf("%d units were admitted at once, want 90", admitted)
 	}
 }
 
-// A customer that is told to come back at a certain time does so. Were it refused again, its user would wait twice for nothing; and of two
-// that are refused one after the other, the second has to wait for more room than the first.
-func TestWhoComesBackAsToldIsServed(t *testing.T) {
-	b := ledBook()
+// A caller that retries after its RetryAfter must be admitted, and of several refused callers each must get a later time than the one
+// before.
+func TestRetryAfterIsKept(t *testing.T) {
+	b := leaderLimiter()
 	for i := range 9 {
 		b.use(start.Add(time.Duration(i)*time.Second/2), charge(i, 10), tenASecond)
 	}
 	now := start.Add(5 * time.Second)
-	var told []time.Duration
+	var delays []time.Duration
 	for i := range 3 {
 		v := b.use(now, charge(10+i, 10), tenASecond)
 		if v.Admitted || !v.Over {
 			t.Fatalf("request %d: %+v", i, v)
 		}
-		told = append(told, v.RetryAfter)
+		delays = append(delays, v.RetryAfter)
 	}
 	want := []time.Duration{3 * time.Second, 3500 * time.Millisecond, 4 * time.Second}
-	if diff := cmp.Diff(want, told); diff != "" {
+	if diff := cmp.Diff(want, delays); diff != "" {
 		t.Fatal(diff)
 	}
-	for i, after := range told {
+	for i, after := range delays {
 		if v := b.use(now.Add(after+time.Millisecond), charge(20+i, 10), tenASecond); !v.Admitted {
-			t.Errorf("request %d came back after %v and got %+v", i, after, v)
+			t.Errorf("request %d, retried after %v: %+v", i, after, v)
 		}
 	}
 }
 
-// A caller that can't wait until there is room won't come back. What it would have taken isn't kept for it, or those after it
-// would be told to wait for nothing.
-func TestNothingIsPromisedToWhoCannotWait(t *testing.T) {
-	b := ledBook()
+// A caller that can't wait for its RetryAfter won't retry. Capacity reserved for it would only delay later callers.
+func TestNoCapacityIsReservedForCallersThatCannotWait(t *testing.T) {
+	b := leaderLimiter()
 	b.use(start, charge(1, 90), tenASecond)
 	now := start.Add(time.Second)
 	b.Tell(now, "host-1", nil, time.Hour)
 	for i := range 5 {
 		if v := b.Admit(now, charge(2+i, 10), tenASecond, 1, time.Second); v.RetryAfter != 7*time.Second {
-			t.Fatalf("request %d is told %v", i, v.RetryAfter)
+			t.Fatalf("request %d: RetryAfter %v, want 7s", i, v.RetryAfter)
 		}
 	}
 }
 
-// A request is placed and its engine dies before it runs, or it is refused for want of room. If it counted all the same, a customer would
-// pay for what it didn't get, most of all on a bad day.
-func TestWhatDidNotRunDoesNotCount(t *testing.T) {
-	b := ledBook()
+// Requests whose engine fails before they run, and requests refused for lack of a server, must not count against the quota.
+func TestRequestsThatDidNotRunDoNotCount(t *testing.T) {
+	b := leaderLimiter()
 	b.use(start, charge(1, 60), tenASecond)
 	b.use(start, charge(2, 30), tenASecond)
 	if b.use(start, charge(3, 20), tenASecond).Admitted {
-		t.Fatal("beyond the quota")
+		t.Fatal("a request beyond the quota was admitted")
 	}
 	b.Return(charge(2, 30))
 	if !b.Admit(start, charge(4, 20), tenASecond, 1, time.Minute).Admitted {
-		t.Fatal("what was given back still counts")
+		t.Fatal("a returned charge still counts")
 	}
 	if b.Admit(start, charge(5, 20), tenASecond, 1, time.Minute).Admitted {
-		t.Fatal("what waits for a place doesn't count")
+		t.Fatal("a pending charge doesn't count")
 	}
 	b.Settle(start, "host-1", charge(4, 20), false)
 	if !b.use(start, charge(6, 20), tenASecond).Admitted {
-		t.Fatal("what was refused a place still counts")
+		t.Fatal("the charge of a request that wasn't placed still counts")
 	}
 }
 
-// An operator lowers a customer's quota to a third. From then on it gets a third; what it used before, well within its quota of
-// then, must not shut it out for a whole window.
-func TestLoweredQuotaHoldsAtOnceAndShutsNobodyOut(t *testing.T) {
-	b := ledBook()
+// A lowered quota must apply at once, and usage within the previous quota must not block the customer for a whole window.
+func TestLoweredQuotaAppliesAtOnceWithoutBlocking(t *testing.T) {
+	b := leaderLimiter()
 	for i := range 16 {
 		b.use(start.Add(time.Duration(i)*time.Second/2), charge(i, 4), tenASecond)
 	}
@@ -148,17 +144,16 @@
 			admitted++
 		}
 	}
-	if quota := bareTerms.quota(lower); admitted > quota || admitted < quota/2 {
+	if quota := noMarginTerms.quota(lower); admitted > quota || admitted < quota/2 {
 		t.Fatalf("%d units in the window after a change to %d", admitted, quota)
 	}
 }
 
-// Retried reports, and uses that the placer has counted itself, come in once more when a host tells all. Counted twice they would
-// shut a customer out.
-func TestUsesThatAreToldTwiceCountOnce(t *testing.T) {
-	b := ledBook()
+// Retried reports, and full reports that include charges counted already, must not count a charge twice.
+func TestUsageReportedTwiceCountsOnce(t *testing.T) {
+	b := leaderLimiter()
 	b.use(start, charge(1, 40), tenASecond)
-	uses := []Use{
+	usages := []Use{
 		{
 			Charge: charge(1, 40),
 			Age:    time.Second,
@@ -170,20 +165,19 @@
 	}
 	now := start.Add(time.Second)
 	for range 3 {
-		b.Tell(now, "host-1", uses, time.Hour)
+		b.Tell(now, "host-1", usages, time.Hour)
 	}
 	if !b.use(now, charge(3, 10), tenASecond).Admitted || b.use(now, charge(4, 10), tenASecond).Admitted {
-		t.Fatal("want room for 10 units beside twice 40")
+		t.Fatal("want 10 units free beside two charges of 40")
 	}
 }
 
-// All hosts lose power, and nobody remembers what was used. Customers get their rate from then on, and a caller that is refused and comes
-// back as told is served: refused again it would be lost.
-func TestAfterALossOfPowerWhoComesBackAsToldIsServed(t *testing.T) {
-	b := NewBook(bareTerms)
+// After all hosts have lost their usage records, a caller that retries after its RetryAfter must be admitted.
+func TestRetryAfterIsKeptAfterAPowerLoss(t *testing.T) {
+	b := NewBook(noMarginTerms)
 	b.Begin(start, true)
 	b.Tell(start, "host-1", nil, 0)
-	var told []time.Duration
+	var delays []time.Duration
 	for i := range 3 {
 		c := charge(i, 10)
 		c.Doubtful = true
@@ -191,68 +185,67 @@
 		if v.Admitted || v.Over {
 			t.Fatalf("request %d: %+v", i, v)
 		}
-		told = append(told, v.RetryAfter)
+		delays = append(delays, v.RetryAfter)
 	}
-	for i, after := range told {
+	for i, after := range delays {
 		c := charge(100+i, 10)
 		c.Doubtful = true
 		if v := b.use(start.Add(after+10*time.Millisecond), c, tenASecond); !v.Admitted {
-			t.Errorf("came back after %v and got %+v", after, v)
+			t.Errorf("retried after %v: %+v", after, v)
 		}
 	}
 }
 
-// Hosts of a fleet without quotas say nothing for a second now and then. If each were asked for its uses at its next word, the leader would take
-// twice the reports, in a burst as well, when its processor is what is short.
-func TestIdleHostsAreNotAskedAgain(t *testing.T) {
-	b := ledBook()
-	asked := 0
+// Idle hosts are silent for seconds at a time. Requesting a full report after each pause would double the leader's load.
+func TestNoReportIsRequestedFromIdleHosts(t *testing.T) {
+	b := leaderLimiter()
+	requests := 0
 	for i := range 20 {
 		if b.Hear(start.Add(time.Duration(i)*2*time.Second), "host-1") {
-			asked++
+			requests++
 		}
 	}
-	if asked != 0 {
-		t.Fatalf("asked %d times for uses that there aren't", asked)
+	if requests != 0 {
+		t.Fatalf("%d reports were requested from a host without usage", requests)
 	}
 	b.use(start.Add(40*time.Second), charge(1, 10), tenASecond)
 	if !b.Hear(start.Add(43*time.Second), "host-1") {
-		t.Fatal("a host that fell silent with uses in the window isn't asked")
+		t.Fatal("no report was requested from a host that fell silent with usage in the window")
 	}
 }
 
-// A region is cut off for minutes while a customer asks for all it can get on both sides. As fewer hosts are heard, each side could take
-// itself for the whole fleet; and once the others have forgotten it, a side must no longer give out what they left to it.
-func TestBothSidesOfALongCutStayBelowTheBound(t *testing.T) {
+// During a long partition each side sees fewer hosts and must not compute shares as if it were the whole fleet. The partitioned side must
+// also stop using the share withheld for it once the leader has forgotten its hosts.
+func TestBothSidesOfALongPartitionStayWithinTheMargin(t *testing.T) {
 	const all, cut = 60, 20
-	lead, apart := NewBook(modelTerms), NewBook(modelTerms)
+	leader, substitute := NewBook(modelTerms), NewBook(modelTerms)
 	q := modelQuota(18000)
 	bound := modelTerms.quota(q) + modelTerms.margin(modelTerms.quota(q))
 	begin := start.Add(-time.Minute)
-	lead.Begin(begin, true)
-	apart.Begin(start, false)
-	var used []dayUse
+	leader.Begin(begin, true)
+	substitute.Begin(start, false)
+	var used []admission
 	id := 0
 	for at := -10 * time.Second; at < 3*time.Minute; at += 50 * time.Millisecond {
 		now := start.Add(at)
 		isCut := at >= 0
 		for i := range all {
-			book, heard := lead, all
+			limiter, seen := leader, all
 			if isCut && i < cut {
-				book = apart
+				limiter = substitute
 			}
 			if isCut && at > 5*time.Second {
-				// Each side hears its own hosts only.
-				heard = all - cut
+				// Each side sees only its own hosts.
+				seen = all - cut
 				if i < cut {
-					heard = cut
+					seen = cut
 				}
 			}
-			if book.Hear(now, host(i)) {
-				book.Tell(now, host(i), nil, time.Hour)
+			if limiter.Hear(now, host(i)) {
+				limiter.Tell(now, host(i), nil, time.Hour)
 			}
 			if at%time.Second == 0 {
-				book.Step(now)
+				limiter.Step(now)
 			}
 			if i%10 != 0 {
 				continue
@@ -260,9 +253,9 @@
 			id++
 			c := charge(id, 9000)
 			c.Doubtful = true
-			if book.Admit(now, c, q, heard, time.Minute).Admitted {
-				book.Settle(now, host(i), c, true)
-				used = append(used, dayUse{
+			if limiter.Admit(now, c, q, seen, time.Minute).Admitted {
+				limiter.Settle(now, host(i), c, true)
+				used = append(used, admission{
 					at:   at,
 					cost: c.Cost,
 				})
@@ -273,16 +266,16 @@
 			sum += used[i].cost
 		}
 		if sum > bound {
-			t.Fatalf("%d of %d in the window at %v of the cut", sum, bound, at)
+			t.Fatalf("%d units in the window, bound %d, %v into the partition", sum, bound, at)
 		}
 	}
 }
 
-// A placer that is busy with thousands of customers must not spend its processor on counting.
+// BenchmarkAdmit measures the cost of a decision with few and with thousands of customers.
 func BenchmarkAdmit(b *testing.B) {
 	for _, customers := range []int{16, 7300} {
 		b.Run(fmt.Sprint(customers), func(b *testing.B) {
-			book := ledBook()
+			limiter := leaderLimiter()
 			names := make([]hingeids.CallerID, customers)
 			for i := range names {
 				names[i] = hingeids.CallerID(fmt.Sprint("customer-", i))
@@ -303,9 +296,9 @@
 					Customer: names[i%customers],
 					Cost:     200,
 				}
-				book.Hear(now, "host-1")
-				book.Admit(now, c, q, 560, time.Second)
-				book.Settle(now, "host-1", c, true)
+				limiter.Hear(now, "host-1")
+				limiter.Admit(now, c, q, 560, time.Second)
+				limiter.Settle(now, "host-1", c, true)
 			}
 		})
 	}
--- a/internal/decide/hingequota/fading.go
+++ b/internal/decide/hingequota/fading.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// fadeTime is the time in which what was counted fades by two thirds: some requests of a customer that asks as much as it may.
-const fadeTime = time.Second
+// decayTime is the time constant of decayingSum: a customer at its quota sends several requests in it.
+const decayTime = time.Second
 
-// fading is a sum in which older parts count less.
-type fading struct {
+// decayingSum is an exponentially decaying sum.
+type decayingSum struct {
 	sum float64
 	at  time.Time
 }
 
-func (f *fading) add(now time.Time, n float64) {
+func (f *decayingSum) add(now time.Time, n float64) {
 	f.sum = f.value(now) + n
 	f.at = now
 }
 
-func (f *fading) value(now time.Time) float64 {
-	return f.sum * math.Exp(-now.Sub(f.at).Seconds()/fadeTime.Seconds())
+func (f *decayingSum) value(now time.Time) float64 {
+	return f.sum * math.Exp(-now.Sub(f.at).Seconds()/decayTime.Seconds())
 }
--- a/internal/decide/hingequota/hosts.go
+++ b/internal/decide/hingequota/hosts.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// hostsLast is how long the highest number of hosts stands that was counted: as long as a silent host is taken to go on.
-const hostsLast = forgetAfter
+// hostCountTTL is how long the highest host count is kept: as long as a silent host is assumed to be running.
+const hostCountTTL = forgetAfter
 
-// hosts counts the hosts that share a quota. How many there are is known from those that are heard: on each side of a cut the
-// number falls to that side's own, and if parts were worked out by it, the sides together would give out more than there is.
+// hosts keeps the highest recent count of the hosts that share a quota. On each side of a partition only that side's hosts are seen; shares
+// computed from these counts would add up to more than the quota.
 type hosts struct {
 	most int
 	at   time.Time
 }
 
-// count takes a number that was counted, and gives the one that parts are worked out by.
+// count records the number of hosts seen now and returns the number to compute shares with, at least 1.
 func (h *hosts) count(now time.Time, n int) int {
-	if n >= h.most || now.Sub(h.at) > hostsLast {
+	if n >= h.most || now.Sub(h.at) > hostCountTTL {
 		h.most = n
 		h.at = now
 	}
--- a/internal/decide/hingequota/ledger.go
+++ b/internal/decide/hingequota/ledger.go
@@ -7,76 +7,76 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Ledger is what the requests of one host have used within the window (rule 3). It is not safe for concurrent use.
+// Ledger records the usage of one host's requests within the window (rule 3). It is not safe for concurrent use.
 type Ledger struct {
 	window time.Duration
-	// since is from when on the ledger knows everything: the start of its process.
-	since time.Time
-	uses  []ledgerUse
-	// tight are the customers that the placer named as tight, toldAt is when it last named all of them.
-	tight  map[hingeids.CallerID]told
-	toldAt time.Time
+	// since is the start of the process, from which on the ledger is complete.
+	since   time.Time
+	entries []ledgerEntry
+	// nearLimit holds the customers that the placer reported as near their limits; completeAt is when it last sent a complete list.
+	nearLimit  map[hingeids.CallerID]limitReport
+	completeAt time.Time
 }
 
-// told is what the placer said last of a tight customer.
-type told struct {
+// limitReport is the placer's last report on a customer near its limit.
+type limitReport struct {
 	share float64
 	at    time.Time
 }
 
-type ledgerUse struct {
+type ledgerEntry struct {
 	charge Charge
 	at     time.Time
 }
 
-// NewLedger makes the ledger of a process that begins now.
+// NewLedger returns the ledger of a process that starts now.
 func NewLedger(now time.Time, t Terms) *Ledger {
 	return &Ledger{
-		window: t.Window,
-		since:  now,
-		tight:  make(map[hingeids.CallerID]told),
+		window:    t.Window,
+		since:     now,
+		nearLimit: make(map[hingeids.CallerID]limitReport),
 	}
 }
 
-// Add notes a request that was given a server.
+// Add records the charge of a request that was placed on a server.
 func (l *Ledger) Add(now time.Time, c Charge) {
 	l.expire(now)
-	l.uses = append(l.uses, ledgerUse{
+	l.entries = append(l.entries, ledgerEntry{
 		charge: c,
 		at:     now,
 	})
 }
 
-// Remove takes a request back that has not run.
+// Remove cancels the charge of a request that did not run.
 func (l *Ledger) Remove(id ChargeID) {
-	for i := len(l.uses) - 1; i >= 0; i-- {
-		if l.uses[i].charge.ID == id {
-			l.uses = slices.Delete(l.uses, i, i+1)
+	for i := len(l.entries) - 1; i >= 0; i-- {
+		if l.entries[i].charge.ID == id {
+			l.entries = slices.Delete(l.entries, i, i+1)
 			return
 		}
 	}
 }
 
-// expire forgets what has left the window.
+// expire removes usage that has left the window.
 func (l *Ledger) expire(now time.Time) {
 	n := 0
-	for n < len(l.uses) && now.Sub(l.uses[n].at) > l.window {
+	for n < len(l.entries) && now.Sub(l.entries[n].at) > l.window {
 		n++
 	}
-	l.uses = slices.Delete(l.uses, 0, n)
+	l.entries = slices.Delete(l.entries, 0, n)
 }
 
-// Empty reports whether nothing was used within the window.
+// Empty reports whether there is no usage within the window.
 func (l *Ledger) Empty(now time.Time) bool {
 	l.expire(now)
-	return len(l.uses) == 0
+	return len(l.entries) == 0
 }
 
-// Uses gives all that was used within the window, the oldest first, and for how long before now the ledger knows all.
+// Uses returns the usage within the window, oldest first, and for how long before now the ledger is complete.
 func (l *Ledger) Uses(now time.Time) ([]Use, time.Duration) {
 	l.expire(now)
-	out := make([]Use, 0, len(l.uses))
-	for _, u := range l.uses {
+	out := make([]Use, 0, len(l.entries))
+	for _, u := range l.entries {
 		out = append(out, Use{
 			Charge: u.charge,
 			Age:    now.Sub(u.at),
@@ -85,10 +85,10 @@
 	return out, now.Sub(l.since)
 }
 
-// used is what a customer has used since a time.
+// used returns a customer's usage since a time.
 func (l *Ledger) used(c hingeids.CallerID, since time.Time) hingeids.Units {
 	var sum hingeids.Units
-	for _, u := range l.uses {
+	for _, u := range l.entries {
 		if u.charge.Customer == c && !u.at.Before(since) {
 			sum += u.charge.Cost
 		}
@@ -96,42 +96,42 @@
 	return sum
 }
 
-// SetTight takes the customers that are tight, as the placer tells them; all says that it knows enough to name all.
+// SetTight merges the placer's list of customers near their limits; all says that the list is complete.
 func (l *Ledger) SetTight(now time.Time, list []Tight, all bool) {
 	if all {
-		l.toldAt = now
+		l.completeAt = now
 	}
 	for _, t := range list {
-		l.tight[t.Customer] = told{
+		l.nearLimit[t.Customer] = limitReport{
 			share: t.Share,
 			at:    now,
 		}
 	}
-	for c, t := range l.tight {
+	for c, t := range l.nearLimit {
 		if now.Sub(t.at) > l.window {
-			delete(l.tight, c)
+			delete(l.nearLimit, c)
 		}
 	}
 }
 
-// toldLasts is how long it is good to know who isn't tight: a host reports twice a second, and may hear of no placer for the time of an
-// election. A customer that isn't tight takes longer to use up a quarter of its quota at its full rate.
-const toldLasts = 3 * time.Second
+// nearLimitTTL is how long the absence of a customer from the placer's list is relied on. It covers the half second between reports and an
+// election; a customer that isn't near its limit needs longer to use up a quarter of its quota at its full rate.
+const nearLimitTTL = 3 * time.Second
 
-// share is the part of a customer's requests that was let through when the placer told last (rule 6): all of them unless it was
-// tight, and none if the placer hasn't told of late.
+// share returns the share of a customer's requests to admit without a placer (rule 6): 1 unless the customer was near its limit, and 0 if the
+// last complete list is older than nearLimitTTL.
 func (l *Ledger) share(now time.Time, c hingeids.CallerID) float64 {
-	if now.Sub(l.toldAt) > toldLasts {
+	if now.Sub(l.completeAt) > nearLimitTTL {
 		return 0
 	}
-	if t, there := l.tight[c]; there && now.Sub(t.at) <= l.window {
+	if t, known := l.nearLimit[c]; known && now.Sub(t.at) <= l.window {
 		return t.share
 	}
 	return 1
 }
 
-// Doubts reports whether a customer may have little left, going by what was told last.
+// Doubts reports whether a customer may be near its limit, by the last list from the placer.
 func (l *Ledger) Doubts(now time.Time, c hingeids.CallerID) bool {
-	t, there := l.tight[c]
-	return now.Sub(l.toldAt) > toldLasts || there && now.Sub(t.at) <= l.window
+	t, known := l.nearLimit[c]
+	return now.Sub(l.completeAt) > nearLimitTTL || known && now.Sub(t.at) <= l.window
 }
--- a/internal/decide/hingequota/lone.go
+++ b/internal/decide/hingequota/lone.go
@@ -7,20 +7,20 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Lone is what an entry host lets through that hears no placer at all. It is rule 5 for one host, with one difference: an even
-// part of the margin is less than a stream where hosts are many. So a request that doesn't fit into what is left of
-// the part is let through by lot, as often as all hosts together have room for such requests.
+// Lone decides for an entry host that no placer answers. It applies rule 5 to a single host, except that with many hosts an even share of
+// the margin is smaller than one stream. A request that doesn't fit into the remaining share is therefore admitted with a probability
+// of the remaining share over its cost, so that all hosts together admit about what fits. It is not safe for concurrent use.
 type Lone struct {
 	terms  Terms
 	ledger *Ledger
 	hosts  hosts
-	// since is the first request that found no placer, zero while one answers.
+	// since is the time of the first request that no placer answered, zero while one answers.
 	since time.Time
-	// basis is what each customer had used in the window at that time.
-	basis map[hingeids.CallerID]hingeids.Units
+	// baseline is the usage of each customer in the window before that time.
+	baseline map[hingeids.CallerID]hingeids.Units
 }
 
-// NewLone makes the decision of a host with a ledger.
+// NewLone returns the decider of the host that owns the ledger, to which admitted requests are added.
 func NewLone(t Terms, l *Ledger) *Lone {
 	return &Lone{
 		terms:  t,
@@ -28,22 +28,23 @@
 	}
 }
 
-// Heard notes that a placer answered.
+// Heard records that a placer answered.
 func (l *Lone) Heard() {
 	l.since = time.Time{}
-	l.basis = nil
+	l.baseline = nil
 }
 
-// Admit decides on a request of one of so many hosts, and notes it in the ledger. The lot is between 0 and 1, drawn for this request.
-func (l *Lone) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, lot float64) Verdict {
+// Admit decides on a request and adds an admitted one to the ledger. hosts is the number of hosts known now, sample a random number in [0, 1)
+// for this request.
+func (l *Lone) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) Verdict {
 	if c.Free() || !q.Bounded() {
 		return Verdict{
 			Admitted: true,
 		}
 	}
-	if !l.fits(now, c, q, l.hosts.count(now, hosts), lot) {
+	if !l.fits(now, c, q, l.hosts.count(now, hosts), sample) {
 		return Verdict{
-			RetryAfter: unknownRetry,
+			RetryAfter: unknownRetryAfter,
 		}
 	}
 	l.ledger.Add(now, c)
@@ -52,38 +53,38 @@
 	}
 }
 
-func (l *Lone) fits(now time.Time, c Charge, q hingecustomers.Quota, hosts int, lot float64) bool {
+func (l *Lone) fits(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) bool {
 	if l.since.IsZero() {
 		l.since = now
-		l.basis = make(map[hingeids.CallerID]hingeids.Units)
+		l.baseline = make(map[hingeids.CallerID]hingeids.Units)
 	}
 	if now.Sub(l.since) < graceTime {
-		return lot < l.ledger.share(now, c.Customer)
+		return sample < l.ledger.share(now, c.Customer)
 	}
 	l.ledger.expire(now)
 	quota := l.terms.quota(q)
-	even := float64(quota) / float64(max(hosts, 1))
-	part := partedShare * float64(l.terms.margin(quota)) / float64(max(hosts, 1))
+	share := float64(quota) / float64(max(hosts, 1))
+	margin := partitionMarginShare * float64(l.terms.margin(quota)) / float64(max(hosts, 1))
 	used := l.ledger.used(c.Customer, now.Add(-l.terms.Window))
-	own := max(float64(l.basisOf(c.Customer)), even)
-	if now.Sub(l.since) > apartFor {
-		own = 0
+	base := max(float64(l.baselineOf(c.Customer)), share)
+	if now.Sub(l.since) > partitionTime {
+		base = 0
 	}
-	left := own + part - float64(used)
-	return left > lot*float64(c.Cost)
+	remaining := base + margin - float64(used)
+	return remaining > sample*float64(c.Cost)
 }
 
-// basisOf is what a customer had used in the window before the host was alone. It is worked out at the first question after the
-// grace, from what the ledger still holds, so that it is rather too low.
-func (l *Lone) basisOf(c hingeids.CallerID) hingeids.Units {
-	b, there := l.basis[c]
-	if !there {
-		for _, u := range l.ledger.uses {
+// baselineOf returns a customer's usage in the window before the host lost its placer. It is computed at the first request after graceTime
+// from what the ledger still holds, so that it errs on the low side.
+func (l *Lone) baselineOf(c hingeids.CallerID) hingeids.Units {
+	b, known := l.baseline[c]
+	if !known {
+		for _, u := range l.ledger.entries {
 			if u.charge.Customer == c && u.at.Before(l.since) {
 				b += u.charge.Cost
 			}
 		}
-		l.basis[c] = b
+		l.baseline[c] = b
 	}
 	return b
 }
--- a/internal/decide/hingequota/sim_test.go
+++ b/internal/decide/hingequota/sim_test.go
@@ -12,17 +12,17 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// way is one way to keep quotas over many hosts. The fleet of the model tells it what happens.
-type way interface {
-	// admit decides on a request that comes at a host; cut says that the host can't reach the leader.
+// strategy enforces quotas over the hosts of a simulated fleet.
+type strategy interface {
+	// admit decides on a request that arrives at a host; cut says that the host can't reach the leader.
 	admit(now time.Time, host int, c Charge, cut bool) bool
-	// leader says that another host leads from now on, which knows nothing by itself; lost that no host remembers anything either.
+	// leader is called when a new leader without any state takes over; lost says that all hosts have lost their state too.
 	leader(now time.Time, lost bool)
-	// tick comes ten times a second, with the hosts that are cut off.
+	// tick is called ten times a second; cut reports whether a host is partitioned.
 	tick(now time.Time, cut func(host int) bool)
 }
 
-// setup is a fleet with customers of one quota each.
+// setup is a fleet whose customers all have the same quota.
 type setup struct {
 	hosts     int
 	customers int
@@ -30,7 +30,7 @@
 	quota     hingecustomers.Quota
 }
 
-// modelQuota is that of a customer that sends streams of 9,000 tokens, 0.56 of its rate as a rule.
+// modelQuota returns the quota of the simulated customers.
 func modelQuota(rate float64) hingecustomers.Quota {
 	return hingecustomers.Quota{
 		Unit:  hingecustomers.Tokens,
@@ -40,7 +40,7 @@
 	}
 }
 
-// modelRates are those of small and of large customers: the margin is half of a quota, or an eighth.
+// modelRates are the rates of small and large customers, with margins of a half and an eighth of the quota.
 var modelRates = []float64{18000, 236000}
 
 var modelTerms = Terms{
@@ -49,49 +49,49 @@
 	Slack:  73000,
 }
 
-// hostParts has each host keep to its even part of every quota.
-type hostParts struct {
+// hostShares limits each host to an even share of every quota.
+type hostShares struct {
 	setup
 	buckets map[string]*bucket
 }
 
-func (w *hostParts) admit(now time.Time, host int, c Charge, _ bool) bool {
+func (w *hostShares) admit(now time.Time, host int, c Charge, _ bool) bool {
 	key := fmt.Sprint(host, c.Customer)
 	b := w.buckets[key]
-	part := 1 / float64(w.hosts)
+	share := 1 / float64(w.hosts)
 	if b == nil {
 		b = &bucket{
-			rate: part * w.quota.Rate,
-			most: part * float64(w.quota.Burst),
-			left: part * float64(w.quota.Burst),
-			at:   now,
+			rate:     share * w.quota.Rate,
+			capacity: share * float64(w.quota.Burst),
+			tokens:   share * float64(w.quota.Burst),
+			at:       now,
 		}
 		w.buckets[key] = b
 	}
-	return b.take(now, float64(c.Cost))
+	return b.spend(now, float64(c.Cost))
 }
 
-func (*hostParts) leader(time.Time, bool) {}
+func (*hostShares) leader(time.Time, bool) {}
 
-func (*hostParts) tick(time.Time, func(int) bool) {}
+func (*hostShares) tick(time.Time, func(int) bool) {}
 
-// bucket is a bucket that fills at a rate.
+// bucket is a token bucket.
 type bucket struct {
-	rate, most, left float64
-	at               time.Time
+	rate, capacity, tokens float64
+	at                     time.Time
 }
 
-func (b *bucket) take(now time.Time, cost float64) bool {
-	b.left = min(b.left+b.rate*now.Sub(b.at).Seconds(), b.most)
+func (b *bucket) spend(now time.Time, cost float64) bool {
+	b.tokens = min(b.tokens+b.rate*now.Sub(b.at).Seconds(), b.capacity)
 	b.at = now
-	if cost > b.left {
+	if cost > b.tokens {
 		return false
 	}
-	b.left -= cost
+	b.tokens -= cost
 	return true
 }
 
-// placerBucket has the leader keep a bucket for each customer. A new leader begins with full ones, and hosts that are cut off aren't held.
+// placerBucket keeps a token bucket for each customer at the leader. A new leader starts with full ones; partitioned hosts aren't limited.
 type placerBucket struct {
 	setup
 	buckets map[hingeids.CallerID]*bucket
@@ -104,238 +104,240 @@
 	b := w.buckets[c.Customer]
 	if b == nil {
 		b = &bucket{
-			rate: w.quota.Rate,
-			most: float64(w.quota.Burst),
-			left: float64(w.quota.Burst),
-			at:   now,
+			rate:     w.quota.Rate,
+			capacity: float64(w.quota.Burst),
+			tokens:   float64(w.quota.Burst),
+			at:       now,
 		}
 		w.buckets[c.Customer] = b
 	}
-	return b.take(now, float64(c.Cost))
+	return b.spend(now, float64(c.Cost))
 }
 
 func (w *placerBucket) leader(time.Time, bool) { clear(w.buckets) }
 
 func (*placerBucket) tick(time.Time, func(int) bool) {}
 
-// counted is the book and its parts, as the fleet runs them: a leader, a placer for the hosts that are cut off, and what hosts do alone
-// while they hear neither.
-type counted struct {
+// fleet uses the types of this package as the fleet does: the leader's Book, a substitute's Book for partitioned hosts, and a Lone for
+// each host that neither answers.
+type fleet struct {
 	setup
-	// zonePlaces says that hosts that are cut off have a placer of their own.
-	zonePlaces bool
-	lead       *Book
-	parted     *Book
-	ledgers    []*Ledger
-	lones      []*Lone
-	// owes says that a host has to tell its placer all, wasCut that it was cut off at the last tick.
-	owes   []bool
-	wasCut []bool
-	// changed says that a host has begun a stream since its last report.
+	// zonePlacer says that partitioned hosts have a placer of their own.
+	zonePlacer    bool
+	leaderLimiter *Book
+	substitute    *Book
+	ledgers       []*Ledger
+	local         []*Lone
+	// needsReport says that a host has to report all its usage, wasCut that it was partitioned at the last tick.
+	needsReport []bool
+	wasCut      []bool
+	// changed says that a host has started a stream since its last report.
 	changed []bool
 	random  *rand.Rand
-	// quietTill is until when no leader answers.
-	quietTill time.Time
-	// zones are the placers of zones, which place while nobody leads; none if hosts are alone then. quietFrom is when nobody led last.
-	zones     []*Book
-	quietFrom time.Time
-	// reportsEvery is how many ticks a host lets pass between its reports; zero is none. Ticks counts them.
+	// leaderlessUntil is the time until which no leader answers.
+	leaderlessUntil time.Time
+	// zones are the placers of zones, which place while there is no leader; without any, hosts decide alone. leaderlessSince is when
+	// the last leader was lost.
+	zones           []*Book
+	leaderlessSince time.Time
+	// reportsEvery is the number of ticks between reports of a host; zero means that it reports at every tick. ticks counts them.
 	reportsEvery int
 	ticks        int
 }
 
-func newCounted(s setup, now time.Time, zonePlaces bool) *counted {
-	w := &counted{
-		setup:      s,
-		zonePlaces: zonePlaces,
-		lead:       NewBook(s.terms),
-		parted:     NewBook(s.terms),
-		random:     rand.New(rand.NewPCG(1, 2)),
+func newFleet(s setup, now time.Time, zonePlacer bool) *fleet {
+	w := &fleet{
+		setup:         s,
+		zonePlacer:    zonePlacer,
+		leaderLimiter: NewBook(s.terms),
+		substitute:    NewBook(s.terms),
+		random:        rand.New(rand.NewPCG(1, 2)),
 	}
-	w.lead.Begin(now, true)
+	w.leaderLimiter.Begin(now, true)
 	w.restart(now)
 	return w
 }
 
-// restart has all hosts begin anew.
-func (w *counted) restart(now time.Time) {
-	w.ledgers, w.lones, w.owes = nil, nil, make([]bool, w.hosts)
+// restart simulates a restart of all hosts.
+func (w *fleet) restart(now time.Time) {
+	w.ledgers, w.local, w.needsReport = nil, nil, make([]bool, w.hosts)
 	w.wasCut = make([]bool, w.hosts)
 	w.changed = make([]bool, w.hosts)
 	for i := range w.hosts {
 		l := NewLedger(now, w.terms)
 		w.ledgers = append(w.ledgers, l)
-		w.lones = append(w.lones, NewLone(w.terms, l))
-		w.owes[i] = true
+		w.local = append(w.local, NewLone(w.terms, l))
+		w.needsReport[i] = true
 	}
 }
 
 func host(i int) hingeids.HostID { return hingeids.HostID(fmt.Sprint("host-", i)) }
 
-func (w *counted) admit(now time.Time, i int, c Charge, cut bool) bool {
-	lot := w.random.Float64()
+func (w *fleet) admit(now time.Time, i int, c Charge, cut bool) bool {
+	sample := w.random.Float64()
 	c.Doubtful = w.ledgers[i].Doubts(now, c.Customer)
-	book := w.lead
+	limiter := w.leaderLimiter
 	switch {
-	case now.Before(w.quietTill) && now.Sub(w.quietFrom) > noticeTime && len(w.zones) > 0:
-		book = w.zones[i%len(w.zones)]
-		if !book.Begun(false) {
-			book.Begin(now, false)
+	case now.Before(w.leaderlessUntil) && now.Sub(w.leaderlessSince) > noticeTime && len(w.zones) > 0:
+		limiter = w.zones[i%len(w.zones)]
+		if !limiter.Begun(false) {
+			limiter.Begin(now, false)
 		}
-		w.tell(now, i, book)
-	case now.Before(w.quietTill), cut && !w.zonePlaces:
-		ok := w.lones[i].Admit(now, c, w.quota, w.hosts, lot).Admitted
-		w.owes[i] = w.owes[i] || ok
+		w.report(now, i, limiter)
+	case now.Before(w.leaderlessUntil), cut && !w.zonePlacer:
+		ok := w.local[i].Admit(now, c, w.quota, w.hosts, sample).Admitted
+		w.needsReport[i] = w.needsReport[i] || ok
 		return ok
 	case cut:
-		book = w.parted
+		limiter = w.substitute
 	}
-	w.lones[i].Heard()
-	w.owes[i] = book.Hear(now, host(i)) || w.owes[i]
-	if !book.Admit(now, c, w.quota, w.hosts, 5*time.Second).Admitted {
+	w.local[i].Heard()
+	w.needsReport[i] = limiter.Hear(now, host(i)) || w.needsReport[i]
+	if !limiter.Admit(now, c, w.quota, w.hosts, 5*time.Second).Admitted {
 		return false
 	}
-	book.Settle(now, host(i), c, true)
+	limiter.Settle(now, host(i), c, true)
 	w.ledgers[i].Add(now, c)
 	w.changed[i] = true
 	return true
 }
 
-// electionTime is how long nobody leads, downTime how long nothing is served after all hosts have lost power.
-// noticeTime is how long control hosts take to notice that nobody leads.
+// electionTime is the time without a leader, downTime the outage after a power loss of all hosts, and noticeTime the time in which control
+// hosts detect the loss of the leader.
 const (
 	electionTime = 700 * time.Millisecond
 	noticeTime   = 500 * time.Millisecond
 	downTime     = 2 * time.Second
 )
 
-// tell has a host tell a placer that doesn't know it all that it has used.
-func (w *counted) tell(now time.Time, i int, book *Book) {
-	if book.Hear(now, host(i)) {
-		uses, knows := w.ledgers[i].Uses(now)
-		book.Tell(now, host(i), uses, knows)
+// report sends the usage of a host to a placer that needs it.
+func (w *fleet) report(now time.Time, i int, limiter *Book) {
+	if limiter.Hear(now, host(i)) {
+		usages, history := w.ledgers[i].Uses(now)
+		limiter.Tell(now, host(i), usages, history)
 	}
 }
 
-func (w *counted) leader(now time.Time, lost bool) {
-	w.quietFrom = now
-	w.quietTill = now.Add(electionTime)
+func (w *fleet) leader(now time.Time, lost bool) {
+	w.leaderlessSince = now
+	w.leaderlessUntil = now.Add(electionTime)
 	for _, z := range w.zones {
 		z.End()
 	}
-	w.lead.End()
-	// A host reports to each new placer, if only that it has nothing.
-	for i := range w.owes {
-		w.owes[i] = true
+	w.leaderLimiter.End()
+	// A host reports to each new placer, even without usage.
+	for i := range w.needsReport {
+		w.needsReport[i] = true
 	}
 	if lost {
-		w.quietTill = now
+		w.leaderlessUntil = now
 		w.restart(now)
-		w.lead.Begin(now, true)
+		w.leaderLimiter.Begin(now, true)
 	}
 }
 
-func (w *counted) tick(now time.Time, cut func(int) bool) {
-	if now.Before(w.quietTill) {
+func (w *fleet) tick(now time.Time, cut func(int) bool) {
+	if now.Before(w.leaderlessUntil) {
 		return
 	}
-	if !w.lead.Begun(true) {
-		w.lead.Begin(now, true)
+	if !w.leaderLimiter.Begun(true) {
+		w.leaderLimiter.Begin(now, true)
 	}
 	anyCut := false
 	w.ticks++
 	for i := range w.hosts {
-		book := w.lead
+		limiter := w.leaderLimiter
 		if cut(i) != w.wasCut[i] {
 			w.wasCut[i] = cut(i)
-			w.owes[i] = true
+			w.needsReport[i] = true
 		}
 		if cut(i) {
 			anyCut = true
-			if !w.zonePlaces {
+			if !w.zonePlacer {
 				continue
 			}
-			if !w.parted.Begun(false) {
-				w.parted.Begin(now, false)
+			if !w.substitute.Begun(false) {
+				w.substitute.Begin(now, false)
 			}
-			book = w.parted
+			limiter = w.substitute
 		}
-		if w.ledgers[i].Empty(now) && !w.owes[i] || w.reportsEvery > 0 && (w.ticks+i)%w.reportsEvery != 0 && !w.changed[i] {
+		if w.ledgers[i].Empty(now) && !w.needsReport[i] || w.reportsEvery > 0 && (w.ticks+i)%w.reportsEvery != 0 && !w.changed[i] {
 			continue
 		}
 		w.changed[i] = false
-		if book.Hear(now, host(i)) || w.owes[i] {
-			uses, knows := w.ledgers[i].Uses(now)
-			book.Tell(now, host(i), uses, knows)
-			w.owes[i] = false
+		if limiter.Hear(now, host(i)) || w.needsReport[i] {
+			usages, history := w.ledgers[i].Uses(now)
+			limiter.Tell(now, host(i), usages, history)
+			w.needsReport[i] = false
 		}
-		tight, all := book.Tight(now, w.hosts)
+		tight, all := limiter.Tight(now, w.hosts)
 		w.ledgers[i].SetTight(now, tight, all)
 	}
 	if !anyCut {
-		w.parted.End()
-	} else if w.parted.Begun(false) {
-		w.parted.Step(now)
+		w.substitute.End()
+	} else if w.substitute.Begun(false) {
+		w.substitute.Step(now)
 	}
-	w.lead.Step(now)
+	w.leaderLimiter.Step(now)
 }
 
-// trouble is what happens in a day of the model.
-type trouble struct {
+// scenario is a sequence of faults and load changes.
+type scenario struct {
 	name string
-	// hot is how many times its usual the first customer sends, from hotAt on.
-	hot   float64
-	hotAt time.Duration
-	// newLeader are the moments at which another host leads; allLost has all hosts forget everything at the first.
-	newLeader []time.Duration
-	allLost   bool
-	// cutShare of the hosts are cut off from cutAt on for cutFor; zonePlaces says that they have a placer among themselves.
-	cutShare   float64
-	cutAt      time.Duration
-	cutFor     time.Duration
-	zonePlaces bool
-	// twice repeats the cut after it has healed.
+	// overload multiplies the load of the first customer from overloadAt on.
+	overload   float64
+	overloadAt time.Duration
+	// leaderChanges are the times of leader changes; with stateLost all hosts lose their state at the first.
+	leaderChanges []time.Duration
+	stateLost     bool
+	// partitionedShare of the hosts are partitioned for partitionTime from partitionAt on; zonePlacer says that they have a placer of their
+	// own.
+	partitionedShare float64
+	partitionAt      time.Duration
+	partitionTime    time.Duration
+	zonePlacer       bool
+	// twice repeats the partition after it has healed.
 	twice bool
 }
 
-// result is what came of a day, as shares.
+// result is the outcome of a scenario.
 type result struct {
-	// refusedBelow is the share of what was refused of what customers asked who stay below their quotas.
+	// refusedBelow is the refused share of requests that were below the quota, of all customers but the first.
 	refusedBelow float64
-	// highest is the most of the bound that any customer used in a window: above 1 the rule is broken.
+	// highest is the highest usage of a customer in any window relative to quota plus margin; it must not exceed 1.
 	highest float64
 }
 
-var dayStart = time.Unix(1000, 0)
+var simStart = time.Unix(1000, 0)
 
 const (
-	dayTime   = 40 * time.Second
-	usualPart = 1 / 1.8
+	simTime   = 40 * time.Second
+	usualLoad = 1 / 1.8
 )
 
-// play plays a day. Customers send streams and plain requests, a wave of a quarter up and down, at hosts drawn by lot.
-func play(s setup, t trouble, w way, seed uint64) result {
+// simulate runs a scenario. Customers send streams and plain requests at random times to random hosts.
+func simulate(s setup, t scenario, w strategy, seed uint64) result {
 	random := rand.New(rand.NewPCG(seed, 7))
-	days := make([]customerDay, s.customers)
-	cutHosts := int(t.cutShare * float64(s.hosts))
-	lost := t.allLost
-	leaders := slices.Clone(t.newLeader)
+	runs := make([]customerRun, s.customers)
+	partitionedHosts := int(t.partitionedShare * float64(s.hosts))
+	lost := t.stateLost
+	leaders := slices.Clone(t.leaderChanges)
 	isCut := func(at time.Duration) func(int) bool {
-		inCut := t.cutShare > 0 && (at >= t.cutAt && at < t.cutAt+t.cutFor ||
-			t.twice && at >= t.cutAt+2*t.cutFor && at < t.cutAt+3*t.cutFor)
+		inCut := t.partitionedShare > 0 && (at >= t.partitionAt && at < t.partitionAt+t.partitionTime ||
+			t.twice && at >= t.partitionAt+2*t.partitionTime && at < t.partitionAt+3*t.partitionTime)
 		return func(i int) bool {
-			return inCut && i < cutHosts
+			return inCut && i < partitionedHosts
 		}
 	}
 	const step = 10 * time.Millisecond
-	for at := time.Duration(0); at < dayTime; at += step {
-		now := dayStart.Add(at)
+	for at := time.Duration(0); at < simTime; at += step {
+		now := simStart.Add(at)
 		cut := isCut(at)
 		if len(leaders) > 0 && at >= leaders[0] {
 			leaders = leaders[1:]
 			if lost {
 				at += downTime
-				now = dayStart.Add(at)
+				now = simStart.Add(at)
 			}
 			w.leader(now, lost)
 			lost = false
@@ -344,11 +346,11 @@
 			w.tick(now, cut)
 		}
 		for c := range s.customers {
-			rate := usualPart * s.quota.Rate
-			if c == 0 && t.hot > 0 && at >= t.hotAt {
-				rate *= t.hot
+			rate := usualLoad * s.quota.Rate
+			if c == 0 && t.overload > 0 && at >= t.overloadAt {
+				rate *= t.overload
 			}
-			// One request in seven is a stream of 9,000 tokens, the others are plain requests.
+			// One request in seven is a stream, the others are plain requests.
 			for _, kind := range []struct {
 				cost  hingeids.Units
 				share float64
@@ -366,7 +368,7 @@
 					continue
 				}
 				i := random.IntN(s.hosts)
-				days[c].ask(s, at, kind.cost, w.admit(now, i, Charge{
+				runs[c].record(s, at, kind.cost, w.admit(now, i, Charge{
 					ID:       ChargeID(random.Uint64()),
 					Customer: hingeids.CallerID(fmt.Sprint("customer-", c)),
 					Cost:     kind.cost,
@@ -374,29 +376,29 @@
 			}
 		}
 	}
-	return sum(s, days)
+	return sum(s, runs)
 }
 
-// customerDay is what a customer asked for and got.
-type customerDay struct {
-	// run is what ran, sum what of it lies in the window, from first on, and most the most that ever did.
-	run   []dayUse
-	first int
-	sum   hingeids.Units
-	most  hingeids.Units
-	// below is what was asked below the quota, lost what was refused of that.
-	below hingeids.Units
-	lost  hingeids.Units
+// customerRun records the requests and usage of one customer.
+type customerRun struct {
+	// admitted are the admitted requests; those from index first on are in the window. sum is their cost and peak its maximum.
+	admitted []admission
+	first    int
+	sum      hingeids.Units
+	peak     hingeids.Units
+	// below is the cost of requests that were admitted or fitted into the quota, refused the refused part of it.
+	below   hingeids.Units
+	refused hingeids.Units
 }
 
-type dayUse struct {
+type admission struct {
 	at   time.Duration
 	cost hingeids.Units
 }
 
-func (d *customerDay) ask(s setup, at time.Duration, cost hingeids.Units, admitted bool) {
-	for d.first < len(d.run) && at-d.run[d.first].at > s.terms.Window {
-		d.sum -= d.run[d.first].cost
+func (d *customerRun) record(s setup, at time.Duration, cost hingeids.Units, admitted bool) {
+	for d.first < len(d.admitted) && at-d.admitted[d.first].at > s.terms.Window {
+		d.sum -= d.admitted[d.first].cost
 		d.first++
 	}
 	isBelow := d.sum+cost <= s.terms.quota(s.quota)
@@ -405,111 +407,111 @@
 	}
 	switch {
 	case admitted:
-		d.run = append(d.run, dayUse{
+		d.admitted = append(d.admitted, admission{
 			at:   at,
 			cost: cost,
 		})
 		d.sum += cost
-		d.most = max(d.most, d.sum)
+		d.peak = max(d.peak, d.sum)
 	case isBelow:
-		d.lost += cost
+		d.refused += cost
 	}
 }
 
-func sum(s setup, days []customerDay) result {
+func sum(s setup, runs []customerRun) result {
 	var r result
-	var lost, total hingeids.Units
+	var refused, total hingeids.Units
 	bound := float64(s.terms.quota(s.quota) + s.terms.margin(s.terms.quota(s.quota)))
-	for c, d := range days {
+	for c, d := range runs {
 		if c > 0 {
-			lost += d.lost
+			refused += d.refused
 			total += d.below
 		}
-		r.highest = max(r.highest, float64(d.most)/bound)
+		r.highest = max(r.highest, float64(d.peak)/bound)
 	}
-	r.refusedBelow = float64(lost) / float64(max(total, 1))
+	r.refusedBelow = float64(refused) / float64(max(total, 1))
 	return r
 }
 
-var troubles = []trouble{
+var scenarios = []scenario{
 	{
 		name: "calm",
 	},
 	{
-		name:  "hot",
-		hot:   7.5,
-		hotAt: 10 * time.Second,
+		name:       "overload",
+		overload:   7.5,
+		overloadAt: 10 * time.Second,
 	},
 	{
-		name:      "hot, leaders change twice",
-		hot:       7.5,
-		hotAt:     10 * time.Second,
-		newLeader: []time.Duration{13 * time.Second, 16 * time.Second},
+		name:          "overload, two leader changes",
+		overload:      7.5,
+		overloadAt:    10 * time.Second,
+		leaderChanges: []time.Duration{13 * time.Second, 16 * time.Second},
 	},
 	{
-		name:      "leader changes as it gets hot",
-		hot:       7.5,
-		hotAt:     10 * time.Second,
-		newLeader: []time.Duration{10 * time.Second},
+		name:          "leader change as the overload starts",
+		overload:      7.5,
+		overloadAt:    10 * time.Second,
+		leaderChanges: []time.Duration{10 * time.Second},
 	},
 	{
-		name:       "hot, a zone cut off",
-		hot:        7.5,
-		hotAt:      10 * time.Second,
-		cutShare:   1.0 / 3,
-		cutAt:      14 * time.Second,
-		cutFor:     6 * time.Second,
-		zonePlaces: true,
-		twice:      true,
+		name:             "overload, then a zone partitioned",
+		overload:         7.5,
+		overloadAt:       10 * time.Second,
+		partitionedShare: 1.0 / 3,
+		partitionAt:      14 * time.Second,
+		partitionTime:    6 * time.Second,
+		zonePlacer:       true,
+		twice:            true,
 	},
 	{
-		name:     "hot, hosts cut off alone",
-		hot:      7.5,
-		hotAt:    10 * time.Second,
-		cutShare: 1.0 / 3,
-		cutAt:    14 * time.Second,
-		cutFor:   6 * time.Second,
+		name:             "overload, then hosts partitioned singly",
+		overload:         7.5,
+		overloadAt:       10 * time.Second,
+		partitionedShare: 1.0 / 3,
+		partitionAt:      14 * time.Second,
+		partitionTime:    6 * time.Second,
 	},
 	{
-		name:       "a zone cut off, then hot",
-		hot:        7.5,
-		hotAt:      14 * time.Second,
-		cutShare:   1.0 / 3,
-		cutAt:      13 * time.Second,
-		cutFor:     6 * time.Second,
-		zonePlaces: true,
+		name:             "a zone partitioned, then overload",
+		overload:         7.5,
+		overloadAt:       14 * time.Second,
+		partitionedShare: 1.0 / 3,
+		partitionAt:      13 * time.Second,
+		partitionTime:    6 * time.Second,
+		zonePlacer:       true,
 	},
 	{
-		name:       "hot, a zone cut off as leaders change",
-		hot:        7.5,
-		hotAt:      10 * time.Second,
-		newLeader:  []time.Duration{14 * time.Second},
-		cutShare:   1.0 / 3,
-		cutAt:      14 * time.Second,
-		cutFor:     6 * time.Second,
-		zonePlaces: true,
+		name:             "overload, a zone partitioned during a leader change",
+		overload:         7.5,
+		overloadAt:       10 * time.Second,
+		leaderChanges:    []time.Duration{14 * time.Second},
+		partitionedShare: 1.0 / 3,
+		partitionAt:      14 * time.Second,
+		partitionTime:    6 * time.Second,
+		zonePlacer:       true,
 	},
 	{
-		name:      "all lost while hot",
-		hot:       7.5,
-		hotAt:     4 * time.Second,
-		newLeader: []time.Duration{14 * time.Second},
-		allLost:   true,
+		name:          "all state lost during overload",
+		overload:      7.5,
+		overloadAt:    4 * time.Second,
+		leaderChanges: []time.Duration{14 * time.Second},
+		stateLost:     true,
 	},
 	{
-		name:       "a zone cut off",
-		cutShare:   1.0 / 3,
-		cutAt:      14 * time.Second,
-		cutFor:     6 * time.Second,
-		zonePlaces: true,
+		name:             "a zone partitioned",
+		partitionedShare: 1.0 / 3,
+		partitionAt:      14 * time.Second,
+		partitionTime:    6 * time.Second,
+		zonePlacer:       true,
 	},
 	{
-		name:      "leaders change",
-		newLeader: []time.Duration{13 * time.Second, 20 * time.Second},
+		name:          "two leader changes",
+		leaderChanges: []time.Duration{13 * time.Second, 20 * time.Second},
 	},
 }
 
-// sizes are fleets of today and of two years on.
+// sizes are the simulated fleets.
 var sizes = []setup{
 	{
 		hosts:     6,
@@ -529,9 +531,8 @@
 	},
 }
 
-// The quota of a customer is kept over all hosts whatever fails, and customers below theirs are hardly refused. A customer
-// beyond its quota fills engines that others need; one refused below it doesn't get what it has paid for. Hosts that hear nobody
-// at all for seconds keep the quota and refuse what other hosts could serve, so that these don't count among the second.
+// No failure may let a customer exceed its quota and margin over all hosts, and customers below their quotas must rarely be refused. Hosts
+// that decide alone refuse more, so scenarios with such hosts are left out of the second check.
 func TestQuotaHoldsOverAllHostsWhateverFails(t *testing.T) {
 	for _, s := range sizes {
 		s.terms = modelTerms
@@ -541,11 +542,11 @@
 				s.customers = 4
 			}
 			below := 0.0
-			for _, x := range troubles {
-				r := play(s, x, newCounted(s, dayStart.Add(-2*s.terms.Window), x.zonePlaces), 1)
+			for _, x := range scenarios {
+				r := simulate(s, x, newFleet(s, simStart.Add(-2*s.terms.Window), x.zonePlacer), 1)
 				checkBound(t, s, x, r)
-				if x.cutShare == 0 || x.zonePlaces {
-					below += r.refusedBelow / float64(len(troubles)-1)
+				if x.partitionedShare == 0 || x.zonePlacer {
+					below += r.refusedBelow / float64(len(scenarios)-1)
 				}
 			}
 			if below > 0.01 {
@@ -555,9 +556,9 @@
 	}
 }
 
-// A customer turns to ten times its usual, and the placer dies before all hosts have heard of it. By what they were told last
-// it has most of its quota left, so that they let all of it through until there is another placer: more than the quota and all margins.
-func TestQuotaHoldsWhenThePlacerDiesSoonAfterACustomerTurnsHot(t *testing.T) {
+// If the placer fails right after a customer's load rises, hosts still have the old list of customers near their limits. They must not admit
+// so much of that customer that it exceeds quota and margin.
+func TestQuotaHoldsWhenThePlacerFailsAfterALoadIncrease(t *testing.T) {
 	for _, s := range []setup{sizes[0], sizes[1], sizes[3]} {
 		s.customers = 2
 		s.terms = modelTerms
@@ -565,48 +566,47 @@
 			s.quota = modelQuota(rate)
 			for after := time.Duration(0); after <= 4*time.Second; after += 200 * time.Millisecond {
 				for seed := range uint64(4) {
-					// While nobody leads hosts are alone, or ask the control hosts of their zones.
+					// Without a leader, hosts decide alone or query the control hosts of their zones.
 					zones := 6 * int(seed%2)
-					x := trouble{
-						name:      fmt.Sprint("the placer dies ", after, " after it turns hot"),
-						hot:       10,
-						hotAt:     10 * time.Second,
-						newLeader: []time.Duration{10*time.Second + after},
+					x := scenario{
+						name:          fmt.Sprint("the placer fails ", after, " after the overload starts"),
+						overload:      10,
+						overloadAt:    10 * time.Second,
+						leaderChanges: []time.Duration{10*time.Second + after},
 					}
-					w := newCounted(s, dayStart.Add(-2*s.terms.Window), false)
+					w := newFleet(s, simStart.Add(-2*s.terms.Window), false)
 					w.reportsEvery = 5
 					for range zones {
 						w.zones = append(w.zones, NewBook(s.terms))
 					}
-					checkBound(t, s, x, play(s, x, w, seed))
+					checkBound(t, s, x, simulate(s, x, w, seed))
 				}
 			}
 		}
 	}
 }
 
-func checkBound(t *testing.T, s setup, x trouble, r result) {
+func checkBound(t *testing.T, s setup, x scenario, r result) {
 	t.Helper()
 	if r.highest > 1 {
-		t.Errorf("%d hosts, %s, rate %g: %.3f of the bound", s.hosts, x.name, s.quota.Rate, r.highest)
+		t.Errorf("%d hosts, %s, rate %g: a customer used %.3f of quota plus margin", s.hosts, x.name, s.quota.Rate, r.highest)
 	}
 }
 
-// The bound of a large customer is the closest: its margin is an eighth of its quota. Chance decides how close together its
-// requests lie when something fails, so that one draw shows little.
-func TestQuotaOfALargeCustomerHoldsOverManyDraws(t *testing.T) {
+// A large customer has the smallest relative margin, and how close together its requests are during a failure is random, so that a single
+// seed could miss a violation.
+func TestQuotaOfALargeCustomerHoldsForManySeeds(t *testing.T) {
 	s := sizes[1]
 	s.customers = 2
 	s.terms, s.quota = modelTerms, modelQuota(236000)
-	for _, x := range troubles {
+	for _, x := range scenarios {
 		for seed := range uint64(5) {
-			checkBound(t, s, x, play(s, x, newCounted(s, dayStart.Add(-2*s.terms.Window), x.zonePlaces), seed))
+			checkBound(t, s, x, simulate(s, x, newFleet(s, simStart.Add(-2*s.terms.Window), x.zonePlacer), seed))
 		}
 	}
 }
 
-// BenchmarkWays plays each way on each trouble, and tells what it refuses below the quota and how far it lets a customer go; set
-// WAYS to see the table.
+// BenchmarkWays prints the results of each strategy in each scenario as a table. It runs only if WAYS is set.
 func BenchmarkWays(b *testing.B) {
 	if os.Getenv("WAYS") == "" {
 		return
@@ -614,19 +614,19 @@
 	for _, s := range sizes {
 		for _, rate := range modelRates {
 			s.terms, s.quota = modelTerms, modelQuota(rate)
-			for _, x := range troubles {
-				for name, w := range map[string]way{
-					"parts of hosts": &hostParts{
+			for _, x := range scenarios {
+				for name, w := range map[string]strategy{
+					"share per host": &hostShares{
 						setup:   s,
 						buckets: make(map[string]*bucket),
 					},
-					"bucket at the placer": &placerBucket{
+					"token bucket at the placer": &placerBucket{
 						setup:   s,
 						buckets: make(map[hingeids.CallerID]*bucket),
 					},
-					"book": newCounted(s, dayStart.Add(-2*s.terms.Window), x.zonePlaces),
+					"limiter": newFleet(s, simStart.Add(-2*s.terms.Window), x.zonePlacer),
 				} {
-					r := play(s, x, w, 1)
+					r := simulate(s, x, w, 1)
 					fmt.Printf("| %d | %g | %s | %s | %.3f | %.2f |\n", s.hosts, rate, x.name, name, r.refusedBelow, r.highest)
 				}
 			}
--- a/internal/decide/hingequota/terms.go
+++ b/internal/decide/hingequota/terms.go
@@ -1,30 +1,30 @@
 // Package hingequota decides which requests of customers fit into their quotas, counted over all hosts of a fleet. It has no
 // clock, no sockets and no goroutines.
 //
-// The load it is made for: a customer that sends many times its usual beside others that don't; hundreds of hosts that each
-// see a request of it now and then; placers that die, hosts and zones that are cut off. The harm: engines filled with
-// what one customer may not have, while the others wait; or, the other way round, customers refused far below their
-// quotas, because each host gives out a part that is smaller than one stream.
+// It handles bursts of one customer whose requests arrive at hundreds of hosts, failures of placers, and network partitions of
+// hosts and zones. It keeps one customer from occupying engines beyond its quota, and avoids refusing customers far below their
+// quotas, as fixed shares per host would where a share is smaller than one stream.
 //
-//  1. One host, the placer, counts for all. In each span of the window a customer may use its rate times the window and its
-//     burst, at whatever moments of the span it likes: one that was quiet isn't held to its rate.
-//  2. A request counts from the moment it is given a server. One that ends without having run is given back, and one that goes
-//     on at another server counts once.
-//  3. What was used is known to the hosts that sent it (Ledger). A placer that begins asks them for it; of hosts that haven't
-//     told, or that have started since, it takes for granted that they have used their even part of every quota, less with
-//     each moment since.
-//  4. A host that falls silent while it has something to report is taken to go on out of sight: with what it has used in the window,
-//     or its even part of each quota if that is more, until it has told what it did, or is forgotten.
-//  5. Whoever counts without leading (a control host that hears no leader) gives out the same for the hosts that ask it,
-//     and their even part of partedShare of the margin; only the latter once the others may have forgotten it (apartFor). By
-//     this and rule 4 all sides of a cut together stay below quota and margin.
-//  6. In the first moments after a change of placer little is known, and most customers are far below their quotas. For
-//     graceTime their requests are let through. Hosts are told which customers are tight, that is, have little left or will have if they
-//     go on for soon as they ask now: those wait until it is known what they have used, and a host that hears no placer lets as large a part of their requests through as before, by lot. One that
-//     wasn't told of late takes all for tight.
-//  7. A refusal says when there will be room, behind what was promised to those who were refused before.
-//  8. A quota that is lowered is in force at once, but what was used under the higher one doesn't shut its customer out: it
-//     counts in proportion.
+//  1. One host, the placer, counts for all. Within any window a customer may use its rate times the window plus its burst,
+//     distributed in any way: an idle customer may use all of it at once.
+//  2. A request counts from the moment it is placed on a server. The charge of a request that ends without having run is
+//     returned, and a request that is moved to another server counts once.
+//  3. The hosts that sent the requests record the usage (Ledger). A new placer requests it from them. Of hosts that haven't
+//     reported it assumes that they have used their even share of every quota. The same holds for the part of the window before
+//     a host started, and that assumed usage decreases as the window moves on.
+//  4. A host that falls silent while it has usage to report is assumed to continue admitting requests. Until it reports or is
+//     forgotten, its usage in the window keeps counting, or its even share of each quota if that is more.
+//  5. A control host that receives no leader's messages counts as a substitute. It admits the same amount for the hosts that query
+//     it, plus their even share of partitionMarginShare of the margin; after partitionTime, when the leader may have
+//     forgotten these hosts, only the latter. With rule 4, all sides of a partition together stay within quota and margin.
+//  6. For graceTime after a change of placer, when little usage is reported, requests of customers far below their quotas are
+//     admitted. The placer reports to hosts which customers are near their limits: those that have little left, or will have
+//     within the lookahead at their recent request rate. Their requests are refused until their usage is known. A host that
+//     no placer answers admits a random sample of them, as large a share as the placer last admitted, and treats all customers
+//     as near their limits if it has no recent list.
+//  7. A refusal says when the request will fit, after the capacity reserved for earlier refusals.
+//  8. A lowered quota applies at once. Usage under the higher quota is scaled down in proportion, so that it doesn't block the
+//     customer for a whole window.
 package hingequota
 
 import (
@@ -34,98 +34,97 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Terms are what quotas are judged by, the same for all customers.
+// Terms are the parameters by which quotas are enforced, the same for all customers.
 type Terms struct {
-	// Window is the span that is counted.
+	// Window is the length of the sliding window.
 	Window time.Duration
-	// Over and Slack are the margin above what the placer gives out: a share of the quota, and units.
+	// Over and Slack define the margin above the quota: a share of the quota, plus a number of units.
 	Over  float64
 	Slack hingeids.Units
 }
 
-// StandardTerms stand where the operators say nothing.
+// StandardTerms are the defaults.
 var StandardTerms = Terms{
 	Window: 8 * time.Second,
 	Over:   0.1,
 }
 
-// quota is what a customer may use in a window.
+// quota returns the units that a customer may use in a window.
 func (t Terms) quota(q hingecustomers.Quota) hingeids.Units {
 	return hingeids.Units(q.Rate*t.Window.Seconds()) + q.Burst
 }
 
-// margin is what may be used beside that while hosts can't hear of each other.
+// margin returns the units that may be used beyond the quota during failures.
 func (t Terms) margin(quota hingeids.Units) hingeids.Units {
 	return hingeids.Units(t.Over*float64(quota)) + t.Slack
 }
 
-// ChargeID names a request for its quota, the same at whatever host it is counted.
+// ChargeID identifies a request's charge on all hosts, so that repeated reports count once.
 type ChargeID uint64
 
-// Charge is what a request would use. One without a customer uses nothing.
+// Charge is the cost of a request to its customer's quota. Without a customer it is free.
 type Charge struct {
 	ID       ChargeID          `cbor:"1,keyasint,omitempty"`
 	Customer hingeids.CallerID `cbor:"2,keyasint,omitempty"`
 	Cost     hingeids.Units    `cbor:"3,keyasint,omitempty"`
-	// Doubtful says that the customer may have little left, going by what its host was told last (rule 6).
+	// Doubtful says that the customer may be near its limit, by the last list that its host received (rule 6).
 	Doubtful bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Tight is a customer that has little of its quota left.
+// Tight is a customer near its limit.
 type Tight struct {
 	Customer hingeids.CallerID `cbor:"1,keyasint"`
-	// Share is the part of what it asked lately that was let through.
+	// Share is the share of its recent requests that was admitted, by cost.
 	Share float64 `cbor:"2,keyasint"`
 }
 
-// Free reports whether nothing is to be counted.
+// Free reports whether the charge isn't counted.
 func (c Charge) Free() bool {
 	return c.Customer == "" || c.Cost <= 0
 }
 
-// Use is a charge that counts, as it is told to another host.
+// Use is a counted charge in a host's report.
 type Use struct {
 	Charge Charge        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Verdict is whether a request fits.
+// Verdict is the result of Admit.
 type Verdict struct {
 	Admitted bool
-	// Over says that the customer has used its quota. If it doesn't, whoever counts doesn't know enough to admit more.
+	// Over says that the customer has used its quota. A refusal without it is due to unreported usage.
 	Over bool
-	// RetryAfter is when there will be room.
+	// RetryAfter is the expected delay until the request fits.
 	RetryAfter time.Duration
 }
 
 const (
-	// graceTime is how long after a change of placer customers are let through that weren't tight (rule 6): hosts notice
-	// within two thirds of it, and tell what they have used within the rest. A customer that isn't tight has a quarter of its quota
-	// left, two seconds of its full rate and more.
+	// graceTime is how long after a change of placer customers that weren't near their limits are admitted (rule 6). It covers the time
+	// in which hosts detect the change and report their usage. Such a customer has at least a quarter of its quota left, more than two
+	// seconds of its full rate.
 	graceTime = time.Second
-	// tightShare is the share of its quota from which a customer is tight.
-	tightShare = 0.75
-	// soon is how long hosts may go by what they were told last: until the next word, an election, and graceTime. A customer whose
-	// pace would fill its quota within it is tight too, however little it has used.
-	soon = 3 * time.Second
-	// givenShare is the part of the margin that is given out while all hosts are heard, for a customer that comes close to its quota
-	// in a burst. nearlyAll is the share of uses that may be unknown then.
-	givenShare = 0.15
-	nearlyAll  = 0.02
-	// littleUnknown is the share of all uses that may be unknown to a placer that names the tight customers: what hosts that
-	// are down for a moment have used.
-	littleUnknown = 0.2
-	// forgottenHold is the part of the window for which nothing of what hosts have forgotten is taken to have left it: a customer that
-	// asks for more than it may uses what becomes free at once, so that its uses lie close together.
+	// nearLimitShare is the used share of its quota above which a customer is near its limit.
+	nearLimitShare = 0.75
+	// lookahead is how long hosts may depend on the last list: a report interval, an election, and graceTime. A customer whose recent
+	// rate would exceed its quota within it is near its limit too, however little it has used.
+	lookahead = 3 * time.Second
+	// leaderMarginShare is the share of the margin that a leader admits while all hosts report, for bursts close to the quota.
+	// maxUnknown is the share of usage that may be unknown then.
+	leaderMarginShare = 0.15
+	maxUnknown        = 0.02
+	// maxUnknownComplete is the share of usage that may be unknown to a placer whose list of customers near their limits is called
+	// complete. It allows for hosts that are briefly down.
+	maxUnknownComplete = 0.2
+	// forgottenHold is the share of the window during which no forgotten usage is assumed to expire: a customer above its quota uses freed
+	// units at once, so that its usage isn't spread evenly.
 	forgottenHold = 0.28
-	// partedShare is the part of the margin that is given out by hosts that count without leading. What is left of it
-	// covers requests on their way, answers that are lost, and two leaders for a moment.
-	partedShare = 0.5
-	// unknownShare is the part of it that a leader gives out on behalf of what nobody has told it (rule 3).
-	unknownShare = 0.05
-	// leastRetry keeps a caller from coming back before its refusal has reached it.
-	leastRetry = 100 * time.Millisecond
-	// unknownRetry is when a host that hears nobody, or has just begun to count, is likely to know more: after an election
-	// and the reports of all hosts.
-	unknownRetry = time.Second
+	// partitionMarginShare is the share of the margin that substitutes and single hosts admit. The rest of the margin covers requests in
+	// flight, lost responses, and a brief overlap of two leaders.
+	partitionMarginShare = 0.5
+	// unknownMarginShare is the share of the margin that a leader admits against unreported usage (rule 3).
+	unknownMarginShare = 0.05
+	// minRetryAfter is the shortest retry delay.
+	minRetryAfter = 100 * time.Millisecond
+	// unknownRetryAfter is the retry delay while usage is unknown: an election and the reports of all hosts take about that long.
+	unknownRetryAfter = time.Second
 )
