--- a/internal/decide/hingepoison/book.go
+++ b/internal/decide/hingepoison/book.go
@@ -1,23 +1,21 @@
-// Package hingepoison finds requests that end the servers which run them. It has no clock, no sockets and no
+// Package hingepoison detects poison requests, which crash the servers that run them. It has no clock, no sockets and no
 // goroutines.
 //
-// The load it is made for: a request that makes a server end as soon as it begins to run, and that comes again, under
-// new ids, at any host. The harm: all servers of a service end one after the other, each with dozens of other
-// requests. A request is known by its print over all attempts and hosts.
+// A client resends such a request under new ids to any host. Without detection it crashes the servers of a service one after the
+// other, each with dozens of unrelated requests. Resends are recognized by a fingerprint that is the same for all attempts and hosts.
 //
-//  1. What counts is seen by whoever had a request at a server: that the server ended meanwhile. A connection that
-//     broke is no end, nor is a server that was about to leave.
-//  2. Each host keeps what it has seen (Ledger), and tells whoever places. Facts are told once more to another placer; the same
-//     fact twice changes nothing, so that hosts may tell in any order.
-//  3. A request under which enoughEnds servers ended is refused. All that ran at a server end with it, so an end counts only for those that
-//     more servers ended under than under any other that was there: the others were there by chance.
-//     Servers end by themselves too. Where they do so often, and the request was with them for long, more ends are needed, until chance is
-//     unlikely to have brought them.
-//  4. A whole answer clears a request of all that was before.
-//  5. What was found is kept on disk by agreement (List), since each loss of that knowledge would cost enoughEnds servers again. After a
-//     long while such a request is tried once: what ended servers may have been mended. Each trial in vain doubles the time. It is tried
-//     soon where another request was at all the same ends, so that one of the two was there by chance.
-//  6. What is kept has a bound. Those that were at one end only are forgotten first.
+//  1. A host with a request on a server reports a crash if the server ended before the request did. A broken connection is not a
+//     crash, and neither is the end of a server that was draining.
+//  2. Each host records the crashes and completions that it observed (Ledger) and reports them to the placer, and again to each new
+//     placer. Reports are idempotent and may arrive in any order.
+//  3. A request is refused after minCrashes crashes. A crash affects every request on the server, but it counts only against those
+//     with the most crashes; the others are assumed to have been there by chance. Servers also crash for other reasons. Where they
+//     do so often and the request ran for long, more crashes are needed, until chance is an unlikely explanation.
+//  4. A completion clears a request of all earlier crashes.
+//  5. Detected requests are kept on disk by consensus (List), since losing the list would cost minCrashes servers again. After a
+//     long wait such a request is allowed one probe, as the fault may have been fixed. Each failed probe doubles the wait. The first
+//     wait is short if another request was at all the same crashes, so that one of the two was there by chance.
+//  6. The number of recorded requests is bounded. Those with the fewest crashes are dropped first.
 package hingepoison
 
 import (
@@ -30,164 +28,162 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// SettleTime is how long hosts take to tell what they had at a server that ended: reports are gathered for 15 ms.
+// SettleTime is how long after a crash reports of other hosts may still arrive, including the delay for batching them.
 const SettleTime = 40 * time.Millisecond
 
 const (
-	// enoughEnds is how many servers may end under a request before it is refused: the users' bound.
-	enoughEnds = 3
-	// suspectTime is how long ends are remembered without another: a caller that asks once in a quarter of an hour is found too.
-	suspectTime = time.Hour
-	// mostSuspects bounds the requests in a book, 200 bytes each: a zone with 2,000 engines that loses power is at the end of
-	// some ten thousand.
-	mostSuspects = 16384
-	// rateWindow is the time over which ends are counted that have nothing to do with a request, shortWindow the same for trouble
-	// that has just begun; unseen stands for ends that nobody has seen.
-	rateWindow  = time.Minute
-	shortWindow = 10 * time.Second
-	unseen      = 0.5
-	// byChance is the probability of chance from which on a request isn't refused. Of a hundred million requests that are
-	// at several ends by chance, one is refused.
-	byChance = 1e-8
-	// leastHad stands for the resolution of what hosts see.
-	leastHad = 5 * time.Millisecond
-	// trialTime is how long a trial may take before the next is allowed.
-	trialTime = 30 * time.Second
-	// shortestWait and longestWait bound the time after which a request that was found is tried again.
-	shortestWait = 2 * time.Hour
-	longestWait  = 48 * time.Hour
-	// doubtfulWait is the same for the first trial of one that may have been there by chance.
+	// minCrashes is the number of crashes after which a request is refused.
+	minCrashes = 3
+	// suspectTTL is how long after its last crash a request is kept.
+	suspectTTL = time.Hour
+	// maxSuspects bounds the requests in a detector. A power loss of a zone adds all requests that ran there.
+	maxSuspects = 16384
+	// rateWindow is the time over which the crash rate without a request is estimated, and shortWindow the same for a rate that has
+	// just risen. unseenCrashes is added for crashes that no host observed.
+	rateWindow    = time.Minute
+	shortWindow   = 10 * time.Second
+	unseenCrashes = 0.5
+	// maxChance is the probability of a coincidence from which on a request isn't refused.
+	maxChance = 1e-8
+	// minHeld is the resolution of Had.
+	minHeld = 5 * time.Millisecond
+	// probeTimeout is how long a probe may take before the next is allowed.
+	probeTimeout = 30 * time.Second
+	// minWait and maxWait bound the time until a refused request is probed.
+	minWait = 2 * time.Hour
+	maxWait = 48 * time.Hour
+	// doubtfulWait is the wait before the first probe of a request that may have been at the crashes by chance.
 	doubtfulWait = time.Minute
 )
 
-// End is a server that ended while it had a request.
+// End is the crash of a server that had a request.
 type End struct {
 	Print   hingeids.Print    `cbor:"1,keyasint"`
 	Server  hingeids.ServerID `cbor:"2,keyasint"`
 	Service hingeids.Service  `cbor:"3,keyasint"`
 	Caller  hingeids.CallerID `cbor:"4,keyasint,omitempty"`
-	// Ago is how long ago it was, Had how long the server had the request.
+	// Ago is the time since the crash, Had how long the server had the request by then.
 	Ago time.Duration `cbor:"5,keyasint"`
 	Had time.Duration `cbor:"6,keyasint"`
 }
 
-// Pass is a server that answered a suspected request whole.
+// Pass is the completion of a suspected request.
 type Pass struct {
 	Print hingeids.Print `cbor:"1,keyasint"`
 	Ago   time.Duration  `cbor:"2,keyasint"`
 }
 
-// Judgement is what to do with a request.
+// Judgement is the result of Judge.
 type Judgement struct {
-	// Refused says that it mustn't run, RetryAfter when it may be tried again.
+	// Refused says that the request must not run, RetryAfter when the caller may retry.
 	Refused    bool
 	RetryAfter time.Duration
-	// Settles says that what speaks against it is so new that others may not have told yet what they had at the same server.
+	// Settles says that the last crash is newer than SettleTime, so that reports about other requests on that server may be missing.
 	Settles bool
-	// Suspect says that a whole answer has to be told.
+	// Suspect says that a completion of the request has to be reported.
 	Suspect bool
-	// Found says that it is to be put on the list, Tried that it is let through although it stands there.
+	// Found says that the request has to be added to the list, Tried that it runs as a probe although it is listed.
 	Found bool
 	Tried bool
 }
 
-// Listed is what the list says of a request.
+// Listed is the state of a request in the list.
 type Listed struct {
 	Record Record
-	// Wait is how long it isn't tried; zero or less if it is due.
+	// Wait is the time until the next probe; zero or less if it is allowed now.
 	Wait time.Duration
-	// There says that it is refused by the list.
+	// There says that the list has the request as refused.
 	There bool
-	// Lifted says that it was let through again, LiftedAgo how long ago.
+	// Lifted says that an operator lifted the block, LiftedAgo how long ago.
 	Lifted    bool
 	LiftedAgo time.Duration
 }
 
-// suspect is a request that servers ended under.
+// suspect is a request that was on servers when they crashed.
 type suspect struct {
 	service hingeids.Service
 	caller  hingeids.CallerID
-	// ends are the servers that ended.
-	ends   map[hingeids.ServerID]ended
-	lastAt time.Time
-	// passedAt is when it was answered whole last; what was before doesn't count.
-	passedAt time.Time
-	// triedAt is when it was let through although it is listed.
-	triedAt time.Time
+	// crashes are the crashes by server.
+	crashes   map[hingeids.ServerID]crash
+	lastCrash time.Time
+	// completedAt is the time of the last completion. Earlier crashes don't count.
+	completedAt time.Time
+	// probedAt is the start of the last probe.
+	probedAt time.Time
 }
 
-// ended is when a server ended, and how long it had the request.
-type ended struct {
-	at  time.Time
-	had time.Duration
+// crash is the time of a crash and how long the server had the request by then.
+type crash struct {
+	at   time.Time
+	held time.Duration
 }
 
-// Book is what a placer knows. It is for one goroutine.
+// Book holds the crashes that were reported to a placer. It is not safe for concurrent use.
 type Book struct {
 	suspects map[hingeids.Print]*suspect
-	// beside are the requests that each server had when it ended.
-	beside map[hingeids.ServerID][]hingeids.Print
-	// recent are the servers that ended within rateWindow, by service.
+	// onServer are the requests that each crashed server had.
+	onServer map[hingeids.ServerID][]hingeids.Print
+	// recent holds the crashes within rateWindow, by service and server.
 	recent map[hingeids.Service]map[hingeids.ServerID]time.Time
 }
 
-// NewBook makes an empty book.
+// NewBook returns a detector without reported crashes.
 func NewBook() *Book {
 	return &Book{
 		suspects: make(map[hingeids.Print]*suspect),
-		beside:   make(map[hingeids.ServerID][]hingeids.Print),
+		onServer: make(map[hingeids.ServerID][]hingeids.Print),
 		recent:   make(map[hingeids.Service]map[hingeids.ServerID]time.Time),
 	}
 }
 
-// Tell takes an end that a host has seen, and reports whether it is new here.
+// Tell records a crash that a host observed, and reports whether it wasn't known yet.
 func (b *Book) Tell(now time.Time, e End) bool {
 	at := now.Add(-e.Ago)
-	if e.Print == 0 || e.Ago > suspectTime {
+	if e.Print == 0 || e.Ago > suspectTTL {
 		return false
 	}
 	s := b.suspects[e.Print]
 	if s == nil {
 		s = &suspect{
-			ends: make(map[hingeids.ServerID]ended),
+			crashes: make(map[hingeids.ServerID]crash),
 		}
 		b.suspects[e.Print] = s
 	}
-	if _, known := s.ends[e.Server]; known || !at.After(s.passedAt) {
+	if _, known := s.crashes[e.Server]; known || !at.After(s.completedAt) {
 		return false
 	}
 	s.service = e.Service
 	s.caller = e.Caller
-	s.ends[e.Server] = ended{
-		at:  at,
-		had: e.Had,
+	s.crashes[e.Server] = crash{
+		at:   at,
+		held: e.Had,
 	}
-	b.note(e.Service, e.Server, at)
-	if at.After(s.lastAt) {
-		s.lastAt = at
+	b.recordRecent(e.Service, e.Server, at)
+	if at.After(s.lastCrash) {
+		s.lastCrash = at
 	}
-	b.beside[e.Server] = append(b.beside[e.Server], e.Print)
+	b.onServer[e.Server] = append(b.onServer[e.Server], e.Print)
 	b.bound()
 	return true
 }
 
-// Pass takes that a request was answered whole (rule 4).
+// Pass records a completion and drops the earlier crashes of the request (rule 4).
 func (b *Book) Pass(now time.Time, p Pass) {
 	s := b.suspects[p.Print]
 	at := now.Add(-p.Ago)
-	if s == nil || !at.After(s.passedAt) {
+	if s == nil || !at.After(s.completedAt) {
 		return
 	}
-	s.passedAt = at
-	for id, x := range s.ends {
+	s.completedAt = at
+	for id, x := range s.crashes {
 		if !x.at.After(at) {
 			b.remove(p.Print, s, id)
 		}
 	}
 }
 
-// note keeps that a server of a service ended.
-func (b *Book) note(service hingeids.Service, id hingeids.ServerID, at time.Time) {
+// recordRecent records the crash of a server for the crash rate of its service.
+func (b *Book) recordRecent(service hingeids.Service, id hingeids.ServerID, at time.Time) {
 	r := b.recent[service]
 	if r == nil {
 		r = make(map[hingeids.ServerID]time.Time)
@@ -198,8 +194,8 @@
 	}
 }
 
-// Judge tells what to do with a request; servers counts those of its service, which takes a while with thousands of them and is asked only
-// where enough of them ended.
+// Judge decides on a request. servers counts the servers of its service; it is called only after enough crashes, since counting thousands is
+// slow.
 func (b *Book) Judge(now time.Time, p hingeids.Print, l Listed, servers func() int) Judgement {
 	switch {
 	case l.There && l.Wait > 0:
@@ -208,7 +204,7 @@
 			RetryAfter: l.Wait,
 		}
 	case l.There:
-		return b.try(now, p)
+		return b.probe(now, p)
 	}
 	if l.Lifted {
 		b.Pass(now, Pass{
@@ -217,53 +213,53 @@
 		})
 	}
 	s := b.suspects[p]
-	if s == nil || len(s.ends) == 0 {
+	if s == nil || len(s.crashes) == 0 {
 		return Judgement{}
 	}
-	count, chance := b.against(now, p, s, servers)
-	if count < enoughEnds || chance >= byChance {
+	count, chance := b.evidence(now, p, s, servers)
+	if count < minCrashes || chance >= maxChance {
 		return Judgement{
 			Suspect: true,
 		}
 	}
-	settles := now.Sub(s.lastAt) < SettleTime
+	settles := now.Sub(s.lastCrash) < SettleTime
 	return Judgement{
 		Refused:    true,
-		RetryAfter: shortestWait,
+		RetryAfter: minWait,
 		Settles:    settles,
 		Found:      !settles,
 	}
 }
 
-// against gives what speaks against a request (rule 3): how many ends no other explains, and how likely chance brought them.
-func (b *Book) against(now time.Time, p hingeids.Print, s *suspect, servers func() int) (int, float64) {
+// evidence returns the number of crashes that no other request explains, and the probability that they are a coincidence (rule 3).
+func (b *Book) evidence(now time.Time, p hingeids.Print, s *suspect, servers func() int) (int, float64) {
 	count, chance := 0, 1.0
-	if len(s.ends) < enoughEnds {
+	if len(s.crashes) < minCrashes {
 		return count, chance
 	}
 	rate := b.rate(now, s, servers())
-	for id, x := range s.ends {
-		if b.explainedBy(p, s, id) {
+	for id, x := range s.crashes {
+		if b.explainedByOther(p, s, id) {
 			continue
 		}
 		count++
-		chance *= -math.Expm1(-rate * max(x.had, leastHad).Seconds())
+		chance *= -math.Expm1(-rate * max(x.held, minHeld).Seconds())
 	}
 	return count, chance
 }
 
-// explainedBy reports whether another request was at a server's end that more servers ended under.
-func (b *Book) explainedBy(p hingeids.Print, s *suspect, id hingeids.ServerID) bool {
-	return slices.ContainsFunc(b.beside[id], func(q hingeids.Print) bool {
-		return q != p && len(b.suspects[q].ends) > len(s.ends)
+// explainedByOther reports whether the crashed server had another request with more crashes.
+func (b *Book) explainedByOther(p hingeids.Print, s *suspect, id hingeids.ServerID) bool {
+	return slices.ContainsFunc(b.onServer[id], func(q hingeids.Print) bool {
+		return q != p && len(b.suspects[q].crashes) > len(s.crashes)
 	})
 }
 
-// rate is how often one server ends that a request isn't at, in a second: over a while, or of late if that is more.
+// rate returns the crashes per server and second that don't involve the request, over rateWindow or shortWindow, whichever is higher.
 func (b *Book) rate(now time.Time, s *suspect, servers int) float64 {
-	long, short := unseen, 0.0
+	long, short := unseenCrashes, 0.0
 	for id, at := range b.recent[s.service] {
-		if _, own := s.ends[id]; own || now.Sub(at) >= rateWindow {
+		if _, own := s.crashes[id]; own || now.Sub(at) >= rateWindow {
 			continue
 		}
 		long++
@@ -274,39 +270,40 @@
 	return max(long/rateWindow.Seconds(), short/shortWindow.Seconds()) / float64(max(servers, 1))
 }
 
-// try decides on a request that is on the list, and due (rule 5): one attempt at a time may run.
-func (b *Book) try(now time.Time, p hingeids.Print) Judgement {
+// probe decides on a listed request whose wait is over (rule 5). Only one attempt may run at a time.
+func (b *Book) probe(now time.Time, p hingeids.Print) Judgement {
 	s := b.suspects[p]
 	if s == nil {
 		s = &suspect{
-			ends:   make(map[hingeids.ServerID]ended),
-			lastAt: now,
+			crashes:   make(map[hingeids.ServerID]crash),
+			lastCrash: now,
 		}
 		b.suspects[p] = s
 	}
-	if !s.triedAt.IsZero() && now.Sub(s.triedAt) < trialTime {
+	if !s.probedAt.IsZero() && now.Sub(s.probedAt) < probeTimeout {
 		return Judgement{
 			Refused:    true,
-			RetryAfter: trialTime - now.Sub(s.triedAt),
+			RetryAfter: probeTimeout - now.Sub(s.probedAt),
 		}
 	}
-	s.triedAt = now
+	s.probedAt = now
 	return Judgement{
 		Suspect: true,
 		Tried:   true,
 	}
 }
 
-// InVain gives the record of a request that is on the list after a trial in vain, if an end that is new here is that of a trial.
+// InVain returns the updated record of a listed request if the crash, which Tell reported as new, happened during its probe.
 func (b *Book) InVain(now, today time.Time, e End, l Listed) (Record, bool) {
 	s := b.suspects[e.Print]
-	if !l.There || s == nil || s.triedAt.IsZero() || now.Add(-e.Ago).Before(s.triedAt) {
+	if !l.There || s == nil || s.probedAt.IsZero() || now.Add(-e.Ago).Before(s.probedAt) {
 		return Record{}, false
 	}
-	return l.Record.again(today, e.Server), true
+	return l.Record.afterFailedProbe(today, e.Server), true
 }
 
-// Found gives the record of a request that is refused. Today is the time of day, which hosts that read the list have in common.
+// Found returns the list record of a refused request that Judge reported as found. today is the wall-clock time, since the record is shared
+// between hosts; now is the clock of the detector.
 func (b *Book) Found(now, today time.Time, p hingeids.Print) Record {
 	s := b.suspects[p]
 	r := Record{
@@ -316,37 +313,37 @@
 		Since:   today.UnixMilli(),
 		First:   today.UnixMilli(),
 	}
-	for id, x := range s.ends {
+	for id, x := range s.crashes {
 		r.Servers = append(r.Servers, id)
 		r.First = min(r.First, today.Add(x.at.Sub(now)).UnixMilli())
 	}
 	slices.Sort(r.Servers)
 	r.Doubtful = b.isDoubtful(p, s)
 	r.Ended = len(r.Servers)
-	r.Servers = r.Servers[:min(len(r.Servers), mostServers)]
+	r.Servers = r.Servers[:min(len(r.Servers), maxServers)]
 	return r
 }
 
-// isDoubtful reports whether another request was at all the same ends (rule 5).
+// isDoubtful reports whether another request was at all the same crashes (rule 5).
 func (b *Book) isDoubtful(p hingeids.Print, s *suspect) bool {
-	times := make(map[hingeids.Print]int)
-	for id := range s.ends {
-		for _, q := range b.beside[id] {
-			times[q]++
+	shared := make(map[hingeids.Print]int)
+	for id := range s.crashes {
+		for _, q := range b.onServer[id] {
+			shared[q]++
 		}
 	}
-	for q, n := range times {
-		if q != p && n >= len(s.ends) {
+	for q, n := range shared {
+		if q != p && n >= len(s.crashes) {
 			return true
 		}
 	}
 	return false
 }
 
-// Step forgets what is over.
+// Step removes expired state. It is called periodically.
 func (b *Book) Step(now time.Time) {
 	for p, s := range b.suspects {
-		if now.Sub(s.lastAt) > suspectTime {
+		if now.Sub(s.lastCrash) > suspectTTL {
 			b.forget(p)
 		}
 	}
@@ -357,42 +354,42 @@
 	}
 }
 
-// Len counts the requests in the book.
+// Len returns the number of recorded requests.
 func (b *Book) Len() int {
 	return len(b.suspects)
 }
 
-// bound is rule 6. A quarter goes at once, so that it is rare.
+// bound enforces maxSuspects (rule 6). It removes a quarter at once to amortize the sorting.
 func (b *Book) bound() {
-	if len(b.suspects) <= mostSuspects {
+	if len(b.suspects) <= maxSuspects {
 		return
 	}
 	order := slices.SortedFunc(maps.Keys(b.suspects), func(p, q hingeids.Print) int {
 		x, y := b.suspects[p], b.suspects[q]
-		return cmp.Or(cmp.Compare(len(x.ends), len(y.ends)), x.lastAt.Compare(y.lastAt), cmp.Compare(p, q))
+		return cmp.Or(cmp.Compare(len(x.crashes), len(y.crashes)), x.lastCrash.Compare(y.lastCrash), cmp.Compare(p, q))
 	})
-	for _, p := range order[:mostSuspects/4] {
+	for _, p := range order[:maxSuspects/4] {
 		b.forget(p)
 	}
 }
 
 func (b *Book) forget(p hingeids.Print) {
 	s := b.suspects[p]
-	for id := range s.ends {
+	for id := range s.crashes {
 		b.remove(p, s, id)
 	}
 	delete(b.suspects, p)
 }
 
-// remove takes an end away from a request.
+// remove deletes a crash of a request.
 func (b *Book) remove(p hingeids.Print, s *suspect, id hingeids.ServerID) {
-	delete(s.ends, id)
-	rest := slices.DeleteFunc(b.beside[id], func(q hingeids.Print) bool {
+	delete(s.crashes, id)
+	rest := slices.DeleteFunc(b.onServer[id], func(q hingeids.Print) bool {
 		return q == p
 	})
 	if len(rest) == 0 {
-		delete(b.beside, id)
+		delete(b.onServer, id)
 		return
 	}
-	b.beside[id] = rest
+	b.onServer[id] = rest
 }
--- a/internal/decide/hingepoison/book_test.go
+++ b/internal/decide/hingepoison/book_test.go
@@ -12,10 +12,10 @@
 
 var begin = time.Unix(1000, 0)
 
-// servers is how many servers the service of the tests has.
+// servers counts the servers of the tested service.
 func servers() int { return 9 }
 
-func end(p hingeids.Print, server string, had time.Duration) End {
+func newCrash(p hingeids.Print, server string, had time.Duration) End {
 	return End{
 		Print:   p,
 		Server:  hingeids.ServerID(server),
@@ -24,65 +24,64 @@
 	}
 }
 
-// cause tells that so many servers ended under a request, a second apart, with others there.
-func cause(b *Book, now time.Time, p hingeids.Print, n int, beside ...hingeids.Print) time.Time {
+// crashServers reports n crashes under a request, a second apart, with other requests on the same servers. It returns the time after the last.
+func crashServers(b *Book, now time.Time, p hingeids.Print, n int, others ...hingeids.Print) time.Time {
 	for i := range n {
 		id := fmt.Sprintf("engine-%d-%d", p, i)
-		for _, q := range beside {
-			b.Tell(now, end(q, id, 2*time.Second))
+		for _, q := range others {
+			b.Tell(now, newCrash(q, id, 2*time.Second))
 		}
-		b.Tell(now, end(p, id, 100*time.Millisecond))
+		b.Tell(now, newCrash(p, id, 100*time.Millisecond))
 		now = now.Add(time.Second)
 	}
 	return now
 }
 
-// Two hosts tell the same end, and a report is sent twice. Counted twice, a request would be refused after two servers.
-func TestEndThatIsToldTwiceCountsOnce(t *testing.T) {
+// A crash that is reported twice must not count twice, or a request would be refused after two crashes.
+func TestCrashReportedTwiceCountsOnce(t *testing.T) {
 	b := NewBook()
-	now := cause(b, begin, 7, 2)
-	if b.Tell(now, end(7, "engine-7-1", 100*time.Millisecond)) {
-		t.Error("an end that was told is new")
+	now := crashServers(b, begin, 7, 2)
+	if b.Tell(now, newCrash(7, "engine-7-1", 100*time.Millisecond)) {
+		t.Error("a crash that was reported before counts as new")
 	}
 	if j := b.Judge(now, 7, Listed{}, servers); j.Refused || !j.Suspect {
-		t.Errorf("%+v after two servers", j)
+		t.Errorf("after two crashes: %+v", j)
 	}
-	now = cause(b, now, 7, 3)
+	now = crashServers(b, now, 7, 3)
 	if j := b.Judge(now, 7, Listed{}, servers); !j.Refused {
-		t.Errorf("%+v after three servers", j)
+		t.Errorf("after three crashes: %+v", j)
 	}
 }
 
-// A stream moves from an engine that ended to another, where the cause comes again, and is there when that ends too. Its caller
-// must not pay for its neighbour.
-func TestRequestsThatWereThereByChanceAreNotRefused(t *testing.T) {
+// A stream that is retried on the same engines as a poison request is at as many crashes. It must not be refused for them.
+func TestCoincidentRequestsAreNotRefused(t *testing.T) {
 	b := NewBook()
-	now := cause(b, begin, 7, 2, 8)
-	// One end more under the cause alone explains those that both were at.
+	now := crashServers(b, begin, 7, 2, 8)
+	// One crash more under the cause alone explains those that both were at.
 	for i, p := range []hingeids.Print{7, 7, 8} {
-		b.Tell(now, end(p, fmt.Sprint("other-", i), 100*time.Millisecond))
+		b.Tell(now, newCrash(p, fmt.Sprint("other-", i), 100*time.Millisecond))
 	}
 	now = now.Add(time.Second)
 	if j := b.Judge(now, 7, Listed{}, servers); !j.Refused {
-		t.Errorf("the cause: %+v", j)
+		t.Errorf("the cause of the crashes: %+v", j)
 	}
 	if j := b.Judge(now, 8, Listed{}, servers); j.Refused {
-		t.Errorf("the other: %+v", j)
+		t.Errorf("a request on the same servers: %+v", j)
 	}
 }
 
-// Engines end by themselves all the time, after a bad release. A stream of four seconds meets three of them; a request
-// that ends them at once is told from it all the same.
-func TestMoreEndsAreNeededWhereServersEndByThemselves(t *testing.T) {
+// Where engines crash often for other reasons, a long stream that was at three crashes must not be refused, but a request under which they
+// crash at once must be.
+func TestMoreCrashesAreNeededWhereServersCrashOften(t *testing.T) {
 	b := NewBook()
 	now := begin
 	for i := range 40 {
-		b.Tell(now, end(hingeids.Print(100+i), fmt.Sprint("bad-", i), time.Second))
+		b.Tell(now, newCrash(hingeids.Print(100+i), fmt.Sprint("bad-", i), time.Second))
 		now = now.Add(200 * time.Millisecond)
 	}
 	for i := range 3 {
-		b.Tell(now, end(7, fmt.Sprint("long-", i), 3*time.Second))
-		b.Tell(now, end(8, fmt.Sprint("short-", i), 20*time.Millisecond))
+		b.Tell(now, newCrash(7, fmt.Sprint("long-", i), 3*time.Second))
+		b.Tell(now, newCrash(8, fmt.Sprint("short-", i), 20*time.Millisecond))
 	}
 	now = now.Add(time.Second)
 	many := func() int { return 300 }
@@ -90,148 +89,148 @@
 		t.Errorf("a long stream: %+v", j)
 	}
 	if j := b.Judge(now, 8, Listed{}, many); !j.Refused {
-		t.Errorf("a request that ends servers at once: %+v", j)
+		t.Errorf("a request under which servers crash at once: %+v", j)
 	}
 }
 
-// A lookup was there when three replicas ended, and is answered by a fourth.
-func TestWholeAnswerClears(t *testing.T) {
+// A completion clears a request of earlier crashes, also of those that are reported after it.
+func TestCompletionClearsEarlierCrashes(t *testing.T) {
 	b := NewBook()
-	now := cause(b, begin, 7, 2)
+	now := crashServers(b, begin, 7, 2)
 	b.Pass(now, Pass{
 		Print: 7,
 	})
-	now = cause(b, now.Add(time.Second), 9, 1, 7)
-	// A host tells an end from before the answer only now.
+	now = crashServers(b, now.Add(time.Second), 9, 1, 7)
+	// A host reports a crash from before the completion only now.
 	b.Tell(now, End{
 		Print:   7,
 		Server:  "engine-late",
 		Service: "model",
 		Ago:     10 * time.Second,
 	})
-	b.Tell(now, end(7, "engine-new", 100*time.Millisecond))
+	b.Tell(now, newCrash(7, "engine-new", 100*time.Millisecond))
 	if j := b.Judge(now, 7, Listed{}, servers); j.Refused {
-		t.Errorf("%+v after two ends since it was answered", j)
+		t.Errorf("after two crashes since the completion: %+v", j)
 	}
 }
 
-// A zone of thousands of engines loses power. What it had there must not push out the one request that the operators look for.
-func TestBookKeepsThoseWithMostEnds(t *testing.T) {
+// The requests on thousands of engines that lose power must not evict the one request with several crashes.
+func TestRequestsWithMostCrashesAreKept(t *testing.T) {
 	b := NewBook()
-	now := cause(b, begin, 7, 3)
-	for i := range 2 * mostSuspects {
-		b.Tell(now, end(hingeids.Print(1000+i), fmt.Sprint("dark-", i/20), time.Second))
+	now := crashServers(b, begin, 7, 3)
+	for i := range 2 * maxSuspects {
+		b.Tell(now, newCrash(hingeids.Print(1000+i), fmt.Sprint("dark-", i/20), time.Second))
 	}
-	if b.Len() > mostSuspects {
-		t.Errorf("%d requests are kept", b.Len())
+	if b.Len() > maxSuspects {
+		t.Errorf("%d requests are kept, more than maxSuspects", b.Len())
 	}
-	if n := len(b.suspects[7].ends); n != 3 {
-		t.Errorf("%d ends are kept of the cause", n)
+	if n := len(b.suspects[7].crashes); n != 3 {
+		t.Errorf("%d crashes of the cause are kept, want 3", n)
 	}
-	b.Step(now.Add(2 * suspectTime))
-	if b.Len() != 0 || len(b.beside) != 0 || len(b.recent["model"]) != 0 {
-		t.Errorf("%d requests, %d servers and %d ends are kept for ever", b.Len(), len(b.beside), len(b.recent["model"]))
+	b.Step(now.Add(2 * suspectTTL))
+	if b.Len() != 0 || len(b.onServer) != 0 || len(b.recent["model"]) != 0 {
+		t.Errorf("%d requests, %d servers and %d crashes remain after expiry", b.Len(), len(b.onServer), len(b.recent["model"]))
 	}
 }
 
-// The placer has changed. The next one hears from each host what that has seen, and not again with every report.
-func TestLedgerTellsEachPlacerOnce(t *testing.T) {
+// Each new placer must receive all facts of a host, but only once.
+func TestLedgerReportsToEachPlacerOnce(t *testing.T) {
 	var l Ledger
-	l.End(begin, end(7, "engine-1", time.Second))
+	l.End(begin, newCrash(7, "engine-1", time.Second))
 	l.Pass(begin, 9)
-	told := func(to hingeids.HostID) (int, int) {
+	report := func(to hingeids.HostID) (int, int) {
 		ends, passes := l.Untold(begin.Add(time.Second), to)
 		l.Told(to, len(ends), len(passes))
 		return len(ends), len(passes)
 	}
 	var got [][2]int
 	for _, to := range []hingeids.HostID{"control-1", "control-1", "control-2", "control-2", "control-1"} {
-		ends, passes := told(to)
+		ends, passes := report(to)
 		got = append(got, [2]int{ends, passes})
 	}
 	if diff := cmp.Diff([][2]int{{1, 1}, {0, 0}, {1, 1}, {0, 0}, {1, 1}}, got); diff != "" {
 		t.Error(diff)
 	}
-	l.End(begin, end(7, "engine-2", time.Second))
+	l.End(begin, newCrash(7, "engine-2", time.Second))
 	if ends, _ := l.Untold(begin.Add(time.Second), "control-1"); len(ends) != 1 || ends[0].Ago != time.Second {
 		t.Errorf("%+v", ends)
 	}
-	for i := range 3 * mostKept {
-		l.End(begin, end(hingeids.Print(i+1), "engine-3", time.Second))
+	for i := range 3 * maxKept {
+		l.End(begin, newCrash(hingeids.Print(i+1), "engine-3", time.Second))
 	}
-	if ends, _ := l.Untold(begin, "control-3"); len(ends) != mostKept {
-		t.Errorf("%d are kept", len(ends))
+	if ends, _ := l.Untold(begin, "control-3"); len(ends) != maxKept {
+		t.Errorf("%d crashes are kept, want maxKept", len(ends))
 	}
-	if ends, passes := l.Untold(begin.Add(2*suspectTime), "control-4"); len(ends)+len(passes) != 0 {
-		t.Errorf("%d and %d are kept for ever", len(ends), len(passes))
+	if ends, passes := l.Untold(begin.Add(2*suspectTTL), "control-4"); len(ends)+len(passes) != 0 {
+		t.Errorf("%d crashes and %d completions remain after expiry", len(ends), len(passes))
 	}
 }
 
-// What ended servers was mended, or a request was refused that ended nothing. Each must come back without an operator, at the
-// risk of one server, and less and less often if it was in vain.
-func TestRequestIsTriedAgainAfterAWhile(t *testing.T) {
+// A refused request must be probed after a wait, in case the fault was fixed or the refusal was wrong. One probe may run at a time, and each
+// failed one doubles the wait.
+func TestRefusedRequestIsProbedAfterAWait(t *testing.T) {
 	today := time.Unix(1_700_000_000, 0)
 	b := NewBook()
-	now := cause(b, begin, 7, 3)
+	now := crashServers(b, begin, 7, 3)
 	certain := b.Found(now, today, 7)
 	both := NewBook()
-	now = cause(both, begin, 7, 3, 8)
+	now = crashServers(both, begin, 7, 3, 8)
 	doubtful := both.Found(now, today, 7)
 	var waits []time.Duration
-	for _, r := range []Record{doubtful, doubtful.again(today, "engine-4"), certain, certain.again(today, "engine-4")} {
+	for _, r := range []Record{doubtful, doubtful.afterFailedProbe(today, "engine-4"), certain, certain.afterFailedProbe(today, "engine-4")} {
 		waits = append(waits, r.Wait(today))
 	}
-	if diff := cmp.Diff([]time.Duration{doubtfulWait, 2 * shortestWait, shortestWait, 2 * shortestWait}, waits); diff != "" {
+	if diff := cmp.Diff([]time.Duration{doubtfulWait, 2 * minWait, minWait, 2 * minWait}, waits); diff != "" {
 		t.Error(diff)
 	}
-	due := Listed{
+	listed := Listed{
 		Record: certain,
 		There:  true,
 	}
-	if j := b.Judge(now, 7, due, servers); !j.Tried || j.Refused {
-		t.Errorf("when it is due: %+v", j)
+	if j := b.Judge(now, 7, listed, servers); !j.Tried || j.Refused {
+		t.Errorf("after the wait: %+v", j)
 	}
-	if j := b.Judge(now.Add(time.Second), 7, due, servers); j.Tried || !j.Refused {
-		t.Errorf("beside a trial: %+v", j)
+	if j := b.Judge(now.Add(time.Second), 7, listed, servers); j.Tried || !j.Refused {
+		t.Errorf("during a probe: %+v", j)
 	}
-	if r, inVain := b.InVain(now.Add(time.Second), today, end(7, "engine-5", 0), due); !inVain || r.Trials != 1 {
-		t.Errorf("an end under the trial isn't known as one: %+v", r)
+	if r, failed := b.InVain(now.Add(time.Second), today, newCrash(7, "engine-5", 0), listed); !failed || r.Trials != 1 {
+		t.Errorf("a crash during the probe isn't recorded as a failed probe: %+v", r)
 	}
-	late := end(7, "engine-5", 0)
+	late := newCrash(7, "engine-5", 0)
 	late.Ago = time.Minute
-	if _, inVain := b.InVain(now.Add(time.Second), today, late, due); inVain {
-		t.Error("an end from before the trial is taken for its own")
+	if _, failed := b.InVain(now.Add(time.Second), today, late, listed); failed {
+		t.Error("a crash from before the probe counts as a failed probe")
 	}
-	// A time of day that was set back by a year must not make it wait for a year.
-	if w := certain.Wait(today.AddDate(-1, 0, 0)); w > shortestWait {
-		t.Errorf("it waits for %v", w)
+	// A wall clock that was set back must not prolong the wait.
+	if w := certain.Wait(today.AddDate(-1, 0, 0)); w > minWait {
+		t.Errorf("wait %v after the clock was set back, longer than minWait", w)
 	}
 }
 
-// Hundreds of different requests end servers, over weeks.
+// The list must not grow without bound. The newest records are kept.
 func TestListIsBounded(t *testing.T) {
 	l := &List{}
-	for i := range 2 * mostListed {
+	for i := range 2 * maxListed {
 		l = l.With(Record{
 			Print: hingeids.Print(1 + i*7919%4096),
 			Since: int64(i),
 		})
 	}
-	if len(l.Records) != mostListed || l.Revision != 2*mostListed {
+	if len(l.Records) != maxListed || l.Revision != 2*maxListed {
 		t.Errorf("%d records, revision %d", len(l.Records), l.Revision)
 	}
 	for _, r := range l.Records {
-		if got, found := l.Find(r.Print); !found || got.Print != r.Print || r.Since < mostListed {
-			t.Errorf("record %+v", r)
+		if got, found := l.Find(r.Print); !found || got.Print != r.Print || r.Since < maxListed {
+			t.Errorf("record %+v is too old or isn't found", r)
 		}
 	}
 }
 
 func BenchmarkJudge(b *testing.B) {
 	k := NewBook()
-	now := cause(k, begin, 7, 3, 8, 9, 10)
-	for i := range mostSuspects / 2 {
-		k.Tell(now, end(hingeids.Print(1000+i), fmt.Sprint("dark-", i/20), time.Second))
+	now := crashServers(k, begin, 7, 3, 8, 9, 10)
+	for i := range maxSuspects / 2 {
+		k.Tell(now, newCrash(hingeids.Print(1000+i), fmt.Sprint("dark-", i/20), time.Second))
 	}
 	b.Run("unknown", func(b *testing.B) {
 		b.ReportAllocs()
@@ -247,7 +246,7 @@
 	})
 	b.Run("listed", func(b *testing.B) {
 		l := &List{}
-		for i := range mostListed {
+		for i := range maxListed {
 			l = l.With(Record{
 				Print: hingeids.Print(i * 7),
 			})
--- a/internal/decide/hingepoison/ledger.go
+++ b/internal/decide/hingepoison/ledger.go
@@ -6,102 +6,102 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// mostKept bounds what a host remembers of what it has seen: the newest are told to another placer.
-const mostKept = 256
+// maxKept bounds the recorded facts of each kind. The newest are kept.
+const maxKept = 256
 
-// Ledger is what one host has seen (rule 2). It is for one goroutine.
+// Ledger holds the crashes and completions that one host observed (rule 2). It is not safe for concurrent use.
 type Ledger struct {
-	ends   seen[End]
-	passes seen[hingeids.Print]
-	// to is the placer that was told.
-	to hingeids.HostID
+	crashes     reportLog[End]
+	completions reportLog[hingeids.Print]
+	// placer is the placer that receives the reports.
+	placer hingeids.HostID
 }
 
-// seen is facts of one kind, the oldest first, of which a placer knows the first told.
-type seen[T any] struct {
-	facts []fact[T]
-	told  int
+// reportLog is a log of facts of one kind, oldest first. The placer has accepted the first reported of them.
+type reportLog[T any] struct {
+	facts    []fact[T]
+	reported int
 }
 
 type fact[T any] struct {
-	at   time.Time
-	what T
+	at    time.Time
+	value T
 }
 
-func (s *seen[T]) add(now time.Time, what T) {
+func (s *reportLog[T]) add(now time.Time, value T) {
 	s.facts = append(s.facts, fact[T]{
-		at:   now,
-		what: what,
+		at:    now,
+		value: value,
 	})
-	s.drop(len(s.facts) - mostKept)
+	s.drop(len(s.facts) - maxKept)
 }
 
-// drop forgets so many of the oldest.
-func (s *seen[T]) drop(n int) {
+// drop removes the n oldest facts.
+func (s *reportLog[T]) drop(n int) {
 	if n <= 0 {
 		return
 	}
 	s.facts = s.facts[n:]
-	s.told = max(s.told-n, 0)
+	s.reported = max(s.reported-n, 0)
 }
 
-// untold drops what no placer would remember, and gives what isn't told of the rest.
-func (s *seen[T]) untold(now time.Time) []fact[T] {
-	old := 0
-	for old < len(s.facts) && now.Sub(s.facts[old].at) > suspectTime {
-		old++
+// unreported removes facts older than suspectTTL and returns the remaining ones that the placer hasn't accepted.
+func (s *reportLog[T]) unreported(now time.Time) []fact[T] {
+	expired := 0
+	for expired < len(s.facts) && now.Sub(s.facts[expired].at) > suspectTTL {
+		expired++
 	}
-	s.drop(old)
-	return s.facts[s.told:]
+	s.drop(expired)
+	return s.facts[s.reported:]
 }
 
-func (s *seen[T]) tell(n int) {
-	s.told = min(s.told+n, len(s.facts))
+func (s *reportLog[T]) markReported(n int) {
+	s.reported = min(s.reported+n, len(s.facts))
 }
 
-// End notes an end that this host has seen.
+// End records a crash that this host observed.
 func (l *Ledger) End(now time.Time, e End) {
-	l.ends.add(now, e)
+	l.crashes.add(now, e)
 }
 
-// Pass notes that a suspected request was answered whole.
+// Pass records the completion of a suspected request.
 func (l *Ledger) Pass(now time.Time, p hingeids.Print) {
-	l.passes.add(now, p)
+	l.completions.add(now, p)
 }
 
-// Untold gives what a placer hasn't been told.
-func (l *Ledger) Untold(now time.Time, to hingeids.HostID) ([]End, []Pass) {
-	if to != l.to {
+// Untold returns the facts that the placer hasn't accepted yet; that is all of them if the placer has changed.
+func (l *Ledger) Untold(now time.Time, placer hingeids.HostID) ([]End, []Pass) {
+	if placer != l.placer {
 		l.Forgotten()
-		l.to = to
+		l.placer = placer
 	}
-	var ends []End
-	for _, f := range l.ends.untold(now) {
-		e := f.what
+	var crashes []End
+	for _, f := range l.crashes.unreported(now) {
+		e := f.value
 		e.Ago += now.Sub(f.at)
-		ends = append(ends, e)
+		crashes = append(crashes, e)
 	}
-	var passes []Pass
-	for _, f := range l.passes.untold(now) {
-		passes = append(passes, Pass{
-			Print: f.what,
+	var completions []Pass
+	for _, f := range l.completions.unreported(now) {
+		completions = append(completions, Pass{
+			Print: f.value,
 			Ago:   now.Sub(f.at),
 		})
 	}
-	return ends, passes
+	return crashes, completions
 }
 
-// Told notes that a placer has taken the next so many.
-func (l *Ledger) Told(to hingeids.HostID, ends, passes int) {
-	if to != l.to {
+// Told records that the placer accepted that many of the facts from Untold. It does nothing if the placer has changed since.
+func (l *Ledger) Told(placer hingeids.HostID, crashes, completions int) {
+	if placer != l.placer {
 		return
 	}
-	l.ends.tell(ends)
-	l.passes.tell(passes)
+	l.crashes.markReported(crashes)
+	l.completions.markReported(completions)
 }
 
-// Forgotten notes that the placer knows nothing any more.
+// Forgotten records that the placer has lost its state, so that all facts are reported again.
 func (l *Ledger) Forgotten() {
-	l.ends.told = 0
-	l.passes.told = 0
+	l.crashes.reported = 0
+	l.completions.reported = 0
 }
--- a/internal/decide/hingepoison/list.go
+++ b/internal/decide/hingepoison/list.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	// mostListed bounds the list, which every host holds: 150 bytes each. The one that was found first falls out.
-	mostListed = 512
-	// mostServers is how many servers a record names.
-	mostServers = 8
+	// maxListed bounds the list, which every host holds. The record with the oldest Since is dropped.
+	maxListed = 512
+	// maxServers is the number of servers that a record names.
+	maxServers = 8
 )
 
-// Record is a request that was found to end servers, as operators and all hosts read it.
+// Record is the list entry of a poison request, which all hosts and operators read.
 type Record struct {
 	Print   hingeids.Print    `cbor:"1,keyasint"`
 	Service hingeids.Service  `cbor:"2,keyasint"`
 	Caller  hingeids.CallerID `cbor:"3,keyasint,omitempty"`
-	// Servers are some of those that ended, Ended is how many did.
+	// Servers names up to maxServers of the crashed servers, Ended is the number of crashes.
 	Servers []hingeids.ServerID `cbor:"4,keyasint,omitempty"`
 	Ended   int                 `cbor:"5,keyasint"`
-	// First is when the first ended, Since from when on it is refused or was tried in vain last, in milliseconds of the time of day.
+	// First is the time of the first crash, Since that of the refusal or the last failed probe, in Unix milliseconds.
 	First int64 `cbor:"6,keyasint"`
 	Since int64 `cbor:"7,keyasint"`
-	// Trials counts the trials in vain.
+	// Trials counts the failed probes.
 	Trials int `cbor:"8,keyasint,omitempty"`
-	// Doubtful says that another request was at all the same ends.
+	// Doubtful says that another request was at all the same crashes.
 	Doubtful bool `cbor:"9,keyasint,omitempty"`
-	// Lifted is when the request was let through again, in the same milliseconds; zero if it is refused. What was before doesn't count
-	// any more, whoever tells it.
+	// Lifted is when an operator lifted the block, in Unix milliseconds; zero if the request is refused. Earlier crashes don't count any
+	// more, also if they are reported later.
 	Lifted int64 `cbor:"10,keyasint,omitempty"`
 }
 
-// Lift gives the record that lets a request through again.
+// Lift returns the record that lifts the block of a request.
 func Lift(today time.Time, p hingeids.Print) Record {
 	return Record{
 		Print:  p,
@@ -45,41 +45,41 @@
 	}
 }
 
-// String names the service and the servers, for the log.
+// String formats the record for the log.
 func (r Record) String() string {
 	return fmt.Sprintf("service %s, since %s, servers %v, doubtful %v, trials %d",
 		r.Service, time.UnixMilli(r.First).UTC().Format(time.RFC3339Nano), r.Servers, r.Doubtful, r.Trials)
 }
 
-// Wait is how long after today the request is due to be tried again; zero or less if it is (rule 5).
+// Wait returns the time until the next probe is allowed; zero or less if it is allowed now (rule 5). today is the wall-clock time.
 func (r Record) Wait(today time.Time) time.Duration {
-	wait := min(shortestWait<<min(r.Trials, 8), longestWait)
+	wait := min(minWait<<min(r.Trials, 8), maxWait)
 	if r.Doubtful && r.Trials == 0 {
 		wait = doubtfulWait
 	}
-	// A time of day that was set back must not make it wait for longer than that.
+	// If the wall clock was set back, the wait must not grow.
 	return min(time.UnixMilli(r.Since).Add(wait).Sub(today), wait)
 }
 
-// again gives the record after a trial in vain.
-func (r Record) again(today time.Time, server hingeids.ServerID) Record {
+// afterFailedProbe returns the record with one more failed probe.
+func (r Record) afterFailedProbe(today time.Time, server hingeids.ServerID) Record {
 	r.Trials++
 	r.Ended++
 	r.Since = today.UnixMilli()
-	if len(r.Servers) < mostServers {
+	if len(r.Servers) < maxServers {
 		r.Servers = append(slices.Clip(r.Servers), server)
 	}
 	return r
 }
 
-// List is the requests that are refused, by print. Its values are not changed once made.
+// List holds the records of refused and lifted requests, sorted by fingerprint. It is immutable.
 type List struct {
-	// Revision counts the changes.
+	// Revision is the number of changes.
 	Revision uint64   `cbor:"1,keyasint,omitempty"`
 	Records  []Record `cbor:"2,keyasint,omitempty"`
 }
 
-// Find gives the record of a request.
+// Find returns the record of a request, also if it is lifted.
 func (l *List) Find(p hingeids.Print) (Record, bool) {
 	i, found := l.search(p)
 	if !found {
@@ -88,7 +88,7 @@
 	return l.Records[i], true
 }
 
-// At gives what the list says of a request at a time of day.
+// At returns the state of a request at a wall-clock time.
 func (l *List) At(today time.Time, p hingeids.Print) Listed {
 	r, there := l.Find(p)
 	switch {
@@ -107,7 +107,7 @@
 	}
 }
 
-// Refused gives the records of the requests that are refused.
+// Refused returns the records of the requests that are refused.
 func (l *List) Refused() []Record {
 	return slices.DeleteFunc(slices.Clone(l.Records), func(r Record) bool {
 		return r.Lifted > 0
@@ -120,7 +120,7 @@
 	})
 }
 
-// With gives the list with a record, in the place of an older one of the same request.
+// With returns a copy of the list with the record, which replaces an older one of the same request.
 func (l *List) With(r Record) *List {
 	out := l.next()
 	i, found := out.search(r.Print)
@@ -129,7 +129,7 @@
 		return out
 	}
 	out.Records = slices.Insert(out.Records, i, r)
-	if len(out.Records) > mostListed {
+	if len(out.Records) > maxListed {
 		oldest := 0
 		for i, x := range out.Records {
 			if cmp.Or(cmp.Compare(x.Since, out.Records[oldest].Since), cmp.Compare(x.Print, out.Records[oldest].Print)) < 0 {
--- a/internal/decide/hingepoison/print.go
+++ b/internal/decide/hingepoison/print.go
@@ -7,8 +7,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// PrintOf gives what a request has in common with all that are sent again, of its body and of what else tells it from others: whose it
-// is, and what it asks. Nobody can make a request that has another's print, since the hash can't be turned round.
+// PrintOf returns the fingerprint of a request, which is the same for all resends: a hash of the body and of parts such as the caller and
+// the path. The hash is cryptographic, so that a client can't craft a request with the fingerprint of another's. It is never zero.
 func PrintOf(body []byte, parts ...string) hingeids.Print {
 	h := sha256.New()
 	var length [8]byte
@@ -18,6 +18,6 @@
 		h.Write([]byte(part))
 	}
 	h.Write(body)
-	// Zero is no print; to take the next one costs nothing.
+	// Zero means no fingerprint.
 	return hingeids.Print(max(binary.BigEndian.Uint64(h.Sum(nil)), 1))
 }
--- a/internal/decide/hingepoison/sim_test.go
+++ b/internal/decide/hingepoison/sim_test.go
@@ -11,112 +11,111 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// way is how it is decided whether a request may run.
-type way int
+// strategy is how it is decided whether a request may run.
+type strategy int
 
-// The ways: nobody counts over attempts; each host counts what it has seen; the placer counts ends and nothing else; the book, which leaves
-// out those that another request or chance explains.
+// The strategies: no counting over attempts; each host counts the crashes it observed; the placer counts all crashes; the detector, which
+// leaves out crashes that another request or chance explains.
 const (
-	nobody way = iota
-	eachHost
-	plainCount
-	book
+	noCounting strategy = iota
+	perHost
+	crashCount
+	detector
 )
 
-var wayNames = []string{"nobody", "each host", "count", "book"}
-
-// day is what a model is played with. Decode engines hold slots streams that last for life; what is sent to an engine
-// begins there within a round trip.
-type day struct {
-	way     way
-	seed    uint64
-	hosts   int
-	engines int
-	load    float64
-	// poisons are requests that end engines, each sent by callers again and again.
+var strategyNames = []string{"none", "each host", "count", "detector"}
+
+// scenario is the input of a simulation. Each decode engine has slots for streams, which start without delay and last streamTime on average.
+type scenario struct {
+	strategy strategy
+	seed     uint64
+	hosts    int
+	engines  int
+	load     float64
+	// poisons is the number of poison requests, callers the number of callers that resend each.
 	poisons int
 	callers int
-	// crashes ends an engine by itself every so often, racks a tenth of all at once.
-	crashes time.Duration
-	racks   time.Duration
-	// lost forgets all that the placer knows, at these times: all lose power. Told says that hosts then tell it what they have seen.
-	lost []time.Duration
-	told bool
+	// crashEvery is the mean time between crashes of single engines for other reasons, rackEvery that between crashes of a tenth of all.
+	crashEvery time.Duration
+	rackEvery  time.Duration
+	// stateLost are the times at which the placer loses its state. reportAgain says that hosts then report their facts again.
+	stateLost   []time.Duration
+	reportAgain bool
 }
 
 const (
-	slots     = 16
-	life      = 4 * time.Second
-	endAfter  = 100 * time.Millisecond
-	backAfter = 2500 * time.Millisecond
-	toldAfter = 20 * time.Millisecond
-	playFor   = 40 * time.Second
-	tick      = 5 * time.Millisecond
-	// attempts is how many engines one attempt of a caller may run at; half of the callers whose stream failed send it again.
+	slots       = 16
+	streamTime  = 4 * time.Second
+	crashAfter  = 100 * time.Millisecond
+	restartTime = 2500 * time.Millisecond
+	reportDelay = 20 * time.Millisecond
+	simTime     = 40 * time.Second
+	tick        = 5 * time.Millisecond
+	// attempts is the number of engines that one attempt of a caller may run on. Half of the callers resend a failed stream once.
 	attempts = 2
 )
 
-// result is what a day shows.
+// result is the outcome of a simulation.
 type result struct {
-	// ended counts the engines that ended under poison requests, late those more than three for each.
-	ended, late int
-	// wrong counts the requests refused that ended nothing, served those that were whole, failed those that weren't.
+	// crashed counts the crashes under poison requests, excess those beyond minCrashes for each.
+	crashed, excess int
+	// wrong counts refusals of harmless requests, served completed requests, and failed those that weren't completed.
 	wrong, served, failed int
-	asked                 int
-	// knownAt is when the last poison request was refused first.
-	knownAt time.Duration
+	requests              int
+	// detectedAt is the time by which every poison request that was refused had been refused once.
+	detectedAt time.Duration
 }
 
 type simStream struct {
-	print   hingeids.Print
-	host    int
-	poison  bool
-	engine  int
-	begun   time.Duration
-	ends    time.Duration
-	runs    int
-	retries int
+	fingerprint hingeids.Print
+	host        int
+	poison      bool
+	engine      int
+	startedAt   time.Duration
+	finishesAt  time.Duration
+	runs        int
+	retries     int
 }
 
 type simEngine struct {
-	lives   int
-	downTil time.Duration
-	streams []*simStream
+	incarnation int
+	downUntil   time.Duration
+	streams     []*simStream
 }
 
 func (e *simEngine) id(i int) hingeids.ServerID {
-	return hingeids.ServerID(fmt.Sprintf("engine-%d.%d", i, e.lives))
+	return hingeids.ServerID(fmt.Sprintf("engine-%d.%d", i, e.incarnation))
 }
 
 type simFact struct {
-	at   time.Duration
-	host int
-	end  End
-	pass Pass
+	at         time.Duration
+	host       int
+	crash      End
+	completion Pass
 }
 
 type sim struct {
-	day
-	random  *rand.Rand
-	now     time.Duration
-	engine  []*simEngine
-	books   []*Book
-	ledgers []*Ledger
-	facts   []simFact
-	later   map[time.Duration][]*simStream
-	refused map[hingeids.Print]bool
-	endsOf  map[hingeids.Print]int
-	result  result
-	prints  uint64
+	scenario
+	random       *rand.Rand
+	now          time.Duration
+	engine       []*simEngine
+	detectors    []*Book
+	ledgers      []*Ledger
+	facts        []simFact
+	arrivals     map[time.Duration][]*simStream
+	refused      map[hingeids.Print]bool
+	crashesOf    map[hingeids.Print]int
+	result       result
+	fingerprints uint64
 }
 
-func play(d day) result {
+func simulate(d scenario) result {
 	s := &sim{
-		day:     d,
-		random:  rand.New(rand.NewPCG(d.seed, 3)),
-		later:   make(map[time.Duration][]*simStream),
-		refused: make(map[hingeids.Print]bool),
-		endsOf:  make(map[hingeids.Print]int),
+		scenario:  d,
+		random:    rand.New(rand.NewPCG(d.seed, 3)),
+		arrivals:  make(map[time.Duration][]*simStream),
+		refused:   make(map[hingeids.Print]bool),
+		crashesOf: make(map[hingeids.Print]int),
 	}
 	for range d.engines {
 		s.engine = append(s.engine, &simEngine{})
@@ -124,23 +123,23 @@
 	for range d.hosts {
 		b := NewBook()
 		b.Step(s.time())
-		s.books = append(s.books, b)
+		s.detectors = append(s.detectors, b)
 		s.ledgers = append(s.ledgers, &Ledger{})
 	}
 	for p := range d.poisons {
 		for range d.callers {
-			s.again(&simStream{
-				print:  hingeids.Print(1_000_000_000 + p),
-				poison: true,
+			s.resend(&simStream{
+				fingerprint: hingeids.Print(1_000_000_000 + p),
+				poison:      true,
 			}, time.Second)
 		}
 	}
-	for s.now = 0; s.now < playFor; s.now += tick {
+	for s.now = 0; s.now < simTime; s.now += tick {
 		s.step()
 	}
-	for _, n := range s.endsOf {
-		s.result.ended += n
-		s.result.late += max(n-enoughEnds, 0)
+	for _, n := range s.crashesOf {
+		s.result.crashed += n
+		s.result.excess += max(n-minCrashes, 0)
 	}
 	return s.result
 }
@@ -149,59 +148,59 @@
 	return time.Unix(1000, 0).Add(s.now)
 }
 
-// count counts the engines.
+// count returns the number of engines.
 func (s *sim) count() int {
 	return s.engines
 }
 
-// again has a stream come after some time.
-func (s *sim) again(x *simStream, mean time.Duration) {
+// resend schedules the arrival of a stream after a random delay.
+func (s *sim) resend(x *simStream, mean time.Duration) {
 	at := s.now + tick + time.Duration(s.random.ExpFloat64()*float64(mean))
 	at = at.Truncate(tick)
 	x.host = s.random.IntN(s.hosts)
 	x.runs = 0
-	s.later[at] = append(s.later[at], x)
+	s.arrivals[at] = append(s.arrivals[at], x)
 }
 
-// book is where a host's request is judged.
-func (s *sim) book(host int) *Book {
-	if s.way == eachHost {
-		return s.books[host]
+// detector returns the detector that decides on requests of a host.
+func (s *sim) detector(host int) *Book {
+	if s.strategy == perHost {
+		return s.detectors[host]
 	}
-	return s.books[0]
+	return s.detectors[0]
 }
 
 func (s *sim) step() {
 	for len(s.facts) > 0 && s.facts[0].at <= s.now {
-		s.take(s.facts[0])
+		s.deliver(s.facts[0])
 		s.facts = s.facts[1:]
 	}
-	if slices.Contains(s.lost, s.now) {
-		s.forget()
+	if slices.Contains(s.stateLost, s.now) {
+		s.loseState()
 	}
-	rate := s.load * float64(s.engines*slots) / life.Seconds()
+	rate := s.load * float64(s.engines*slots) / streamTime.Seconds()
 	for n := s.poisson(rate * tick.Seconds()); n > 0; n-- {
-		s.prints++
-		s.later[s.now] = append(s.later[s.now], &simStream{
-			print: hingeids.Print(s.prints),
-			host:  s.random.IntN(s.hosts),
+		s.fingerprints++
+		s.arrivals[s.now] = append(s.arrivals[s.now], &simStream{
+			fingerprint: hingeids.Print(s.fingerprints),
+			host:        s.random.IntN(s.hosts),
 		})
 	}
-	for _, x := range s.later[s.now] {
-		s.result.asked++
+	for _, x := range s.arrivals[s.now] {
+		s.result.requests++
 		s.place(x)
 	}
-	delete(s.later, s.now)
+	delete(s.arrivals, s.now)
 	for i, e := range s.engine {
 		s.run(i, e)
 	}
-	if s.crashes > 0 && s.random.Float64() < tick.Seconds()/s.crashes.Seconds() {
-		s.end(s.random.IntN(s.engines), "")
+	if s.crashEvery > 0 && s.random.Float64() < tick.Seconds()/s.crashEvery.Seconds() {
+		s.crash(s.random.IntN(s.engines), "")
 	}
-	if s.racks > 0 && s.random.Float64() < tick.Seconds()/s.racks.Seconds() {
+	if s.rackEvery > 0 && s.random.Float64() < tick.Seconds()/s.rackEvery.Seconds() {
 		from := s.random.IntN(s.engines)
 		for i := range max(s.engines/10, 1) {
-			s.end((from+i)%s.engines, "")
+			s.crash((from+i)%s.engines, "")
 		}
 	}
 }
@@ -214,80 +213,80 @@
 	return n
 }
 
-func (s *sim) forget() {
-	s.books[0] = NewBook()
-	s.books[0].Step(s.time())
-	if !s.told {
+func (s *sim) loseState() {
+	s.detectors[0] = NewBook()
+	s.detectors[0].Step(s.time())
+	if !s.reportAgain {
 		return
 	}
 	for h, l := range s.ledgers {
 		l.Forgotten()
-		ends, passes := l.Untold(s.time(), "placer")
-		for _, e := range ends {
+		crashes, completions := l.Untold(s.time(), "placer")
+		for _, e := range crashes {
 			s.facts = append(s.facts, simFact{
-				at:   s.now + toldAfter,
-				host: h,
-				end:  e,
+				at:    s.now + reportDelay,
+				host:  h,
+				crash: e,
 			})
 		}
-		for _, p := range passes {
+		for _, p := range completions {
 			s.facts = append(s.facts, simFact{
-				at:   s.now + toldAfter,
-				host: h,
-				pass: p,
+				at:         s.now + reportDelay,
+				host:       h,
+				completion: p,
 			})
 		}
 	}
 }
 
-func (s *sim) take(f simFact) {
-	b := s.book(f.host)
-	if f.end.Print != 0 {
-		b.Tell(s.time(), f.end)
+func (s *sim) deliver(f simFact) {
+	b := s.detector(f.host)
+	if f.crash.Print != 0 {
+		b.Tell(s.time(), f.crash)
 	}
-	if f.pass.Print != 0 {
-		b.Pass(s.time(), f.pass)
+	if f.completion.Print != 0 {
+		b.Pass(s.time(), f.completion)
 	}
 }
 
-// judge asks the way whether a stream may run.
-func (s *sim) judge(x *simStream) Judgement {
-	b := s.book(x.host)
-	switch s.way {
-	case nobody:
+// evaluate decides by the strategy whether a stream may run.
+func (s *sim) evaluate(x *simStream) Judgement {
+	b := s.detector(x.host)
+	switch s.strategy {
+	case noCounting:
 		return Judgement{}
-	case plainCount, eachHost:
-		if known := b.suspects[x.print]; known != nil && len(known.ends) >= enoughEnds {
+	case crashCount, perHost:
+		if known := b.suspects[x.fingerprint]; known != nil && len(known.crashes) >= minCrashes {
 			return Judgement{
 				Refused: true,
 			}
 		}
 		return Judgement{}
 	}
-	return b.Judge(s.time(), x.print, Listed{}, s.count)
+	return b.Judge(s.time(), x.fingerprint, Listed{}, s.count)
 }
 
 func (s *sim) place(x *simStream) {
-	j := s.judge(x)
+	j := s.evaluate(x)
 	if j.Refused {
 		if x.poison {
-			if !s.refused[x.print] {
-				s.refused[x.print] = true
-				s.result.knownAt = max(s.result.knownAt, s.now)
+			if !s.refused[x.fingerprint] {
+				s.refused[x.fingerprint] = true
+				s.result.detectedAt = max(s.result.detectedAt, s.now)
 			}
-			s.again(x, 500*time.Millisecond)
+			s.resend(x, 500*time.Millisecond)
 			return
 		}
 		s.result.wrong++
 		return
 	}
 	best := -1
-	// Of hundreds some are looked at, as good as all of them here.
-	from, look := s.random.IntN(s.engines), min(s.engines, 30)
-	for k := range look {
+	// A sample of the engines is enough to find a lightly loaded one.
+	from, sample := s.random.IntN(s.engines), min(s.engines, 30)
+	for k := range sample {
 		i := (from + k) % s.engines
 		e := s.engine[i]
-		if e.downTil > s.now || len(e.streams) >= slots {
+		if e.downUntil > s.now || len(e.streams) >= slots {
 			continue
 		}
 		if best < 0 || len(e.streams) < len(s.engine[best].streams) {
@@ -301,22 +300,22 @@
 	e := s.engine[best]
 	x.engine = best
 	x.runs++
-	x.begun = s.now
-	x.ends = s.now + time.Duration((0.5+s.random.Float64())*float64(life))
+	x.startedAt = s.now
+	x.finishesAt = s.now + time.Duration((0.5+s.random.Float64())*float64(streamTime))
 	if x.poison {
-		x.ends = s.now + endAfter/2 + time.Duration(s.random.Float64()*float64(endAfter))
+		x.finishesAt = s.now + crashAfter/2 + time.Duration(s.random.Float64()*float64(crashAfter))
 	}
 	e.streams = append(e.streams, x)
 }
 
 func (s *sim) failed(x *simStream) {
 	if x.poison {
-		s.again(x, 500*time.Millisecond)
+		s.resend(x, 500*time.Millisecond)
 		return
 	}
 	if x.retries == 0 && s.random.IntN(2) == 0 {
 		x.retries++
-		s.again(x, 500*time.Millisecond)
+		s.resend(x, 500*time.Millisecond)
 		return
 	}
 	s.result.failed++
@@ -325,68 +324,68 @@
 func (s *sim) run(i int, e *simEngine) {
 	for k := 0; k < len(e.streams); k++ {
 		x := e.streams[k]
-		if x.ends > s.now {
+		if x.finishesAt > s.now {
 			continue
 		}
 		if x.poison {
-			s.end(i, x.print)
+			s.crash(i, x.fingerprint)
 			return
 		}
 		e.streams = slices.Delete(e.streams, k, k+1)
 		k--
 		s.result.served++
-		if s.book(x.host).Judge(s.time(), x.print, Listed{}, s.count).Suspect {
-			s.ledgers[x.host].Pass(s.time(), x.print)
+		if s.detector(x.host).Judge(s.time(), x.fingerprint, Listed{}, s.count).Suspect {
+			s.ledgers[x.host].Pass(s.time(), x.fingerprint)
 			s.facts = append(s.facts, simFact{
-				at:   s.now + toldAfter,
+				at:   s.now + reportDelay,
 				host: x.host,
-				pass: Pass{
-					Print: x.print,
+				completion: Pass{
+					Print: x.fingerprint,
 				},
 			})
 		}
 	}
 }
 
-// end ends an engine, under a request or by itself.
-func (s *sim) end(i int, under any) {
+// crash crashes an engine, under a poison request or for another reason.
+func (s *sim) crash(i int, cause any) {
 	e := s.engine[i]
-	if e.downTil > s.now {
+	if e.downUntil > s.now {
 		return
 	}
-	if p, ok := under.(hingeids.Print); ok {
-		s.endsOf[p]++
+	if p, ok := cause.(hingeids.Print); ok {
+		s.crashesOf[p]++
 	}
-	there := e.streams
+	streams := e.streams
 	e.streams = nil
-	for _, x := range there {
+	for _, x := range streams {
 		f := End{
-			Print:  x.print,
+			Print:  x.fingerprint,
 			Server: e.id(i),
-			Had:    s.now - x.begun,
+			Had:    s.now - x.startedAt,
 		}
 		s.ledgers[x.host].End(s.time(), f)
 		s.facts = append(s.facts, simFact{
-			at:   s.now + toldAfter,
-			host: x.host,
-			end:  f,
+			at:    s.now + reportDelay,
+			host:  x.host,
+			crash: f,
 		})
 	}
-	e.lives++
-	e.downTil = s.now + backAfter
-	for _, x := range there {
+	e.incarnation++
+	e.downUntil = s.now + restartTime
+	for _, x := range streams {
 		if x.runs < attempts && !x.poison {
-			// It goes on elsewhere after a round trip, by when the placer has its fact.
-			at := (s.now + toldAfter + tick).Truncate(tick)
-			s.later[at] = append(s.later[at], x)
-			s.result.asked--
+			// The stream is retried after a round trip, when the placer has received the report.
+			at := (s.now + reportDelay + tick).Truncate(tick)
+			s.arrivals[at] = append(s.arrivals[at], x)
+			s.result.requests--
 			continue
 		}
 		s.failed(x)
 	}
 }
 
-// sizes are deployments: hosts and the decode engines of one service.
+// sizes are deployments: the hosts, and the decode engines of one service.
 var sizes = []struct{ hosts, engines int }{
 	{6, 5},
 	{69, 30},
@@ -394,120 +393,120 @@
 	{560, 700},
 }
 
-// One request ends engines and comes again, from several callers at the same time, at hosts of any number: three engines end, those that
-// were on their way besides, and none after that. Nobody else's request is refused, however often it was there.
-func TestThreeEnginesEndAndNoOtherRequestIsRefused(t *testing.T) {
+// A poison request that several callers resend must be refused after minCrashes crashes, plus those of attempts in flight. No other request
+// on the crashed engines may be refused.
+func TestPoisonRequestIsRefusedAfterThreeCrashesAndNoOther(t *testing.T) {
 	for _, size := range sizes {
 		var sum result
 		for seed := range uint64(20) {
-			r := play(day{
-				way:     book,
-				seed:    seed,
-				hosts:   size.hosts,
-				engines: size.engines,
-				load:    0.6,
-				poisons: 1,
-				callers: 3,
+			r := simulate(scenario{
+				strategy: detector,
+				seed:     seed,
+				hosts:    size.hosts,
+				engines:  size.engines,
+				load:     0.6,
+				poisons:  1,
+				callers:  3,
 			})
-			if r.ended < enoughEnds || r.late > 2 {
-				t.Errorf("%d hosts, seed %d: %d engines ended", size.hosts, seed, r.ended)
+			if r.crashed < minCrashes || r.excess > 2 {
+				t.Errorf("%d hosts, seed %d: %d engines crashed", size.hosts, seed, r.crashed)
 			}
-			sum.ended += r.ended
+			sum.crashed += r.crashed
 			sum.wrong += r.wrong
 		}
 		if sum.wrong > 0 {
-			t.Errorf("%d hosts: %d requests were refused that ended nothing", size.hosts, sum.wrong)
+			t.Errorf("%d hosts: %d harmless requests were refused", size.hosts, sum.wrong)
 		}
-		t.Logf("%d hosts: %.2f engines ended for a request", size.hosts, float64(sum.ended)/20)
+		t.Logf("%d hosts: %.2f engines crashed for each poison request", size.hosts, float64(sum.crashed)/20)
 	}
 }
 
-// Engines and racks end by themselves, all day long. None of the requests that were there is the cause.
-func TestNoRequestIsRefusedForEnginesThatEndByThemselves(t *testing.T) {
+// Requests must not be refused for crashes of engines and racks that have other reasons.
+func TestNoRequestIsRefusedForUnrelatedCrashes(t *testing.T) {
 	for _, size := range sizes {
-		wrong, asked := 0, 0
+		wrong, requests := 0, 0
 		for seed := range uint64(10) {
-			r := play(day{
-				way:     book,
-				seed:    seed,
-				hosts:   size.hosts,
-				engines: size.engines,
-				load:    0.6,
-				crashes: 2 * time.Second,
-				racks:   8 * time.Second,
+			r := simulate(scenario{
+				strategy:   detector,
+				seed:       seed,
+				hosts:      size.hosts,
+				engines:    size.engines,
+				load:       0.6,
+				crashEvery: 2 * time.Second,
+				rackEvery:  8 * time.Second,
 			})
 			wrong += r.wrong
-			asked += r.asked
+			requests += r.requests
 		}
 		if wrong > 0 {
-			t.Errorf("%d hosts: %d of %d requests were refused that ended nothing", size.hosts, wrong, asked)
+			t.Errorf("%d hosts: %d of %d harmless requests were refused", size.hosts, wrong, requests)
 		}
 	}
 }
 
-// The placer changes while a request goes round. Hosts tell the next one what they have seen, so that it needs no more engines to
-// find out.
-func TestNextPlacerKnowsWhatHostsHaveSeen(t *testing.T) {
-	for _, told := range []bool{true, false} {
-		ended := 0
+// If the placer changes while a poison request is resent, hosts must report their facts to the next one, so that no further engines crash
+// before it is detected.
+func TestNextPlacerReceivesReportedCrashes(t *testing.T) {
+	for _, reportAgain := range []bool{true, false} {
+		crashed := 0
 		for seed := range uint64(20) {
-			r := play(day{
-				way:     book,
-				seed:    seed,
-				hosts:   69,
-				engines: 30,
-				load:    0.6,
-				poisons: 1,
-				callers: 3,
-				lost:    []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second},
-				told:    told,
+			r := simulate(scenario{
+				strategy:    detector,
+				seed:        seed,
+				hosts:       69,
+				engines:     30,
+				load:        0.6,
+				poisons:     1,
+				callers:     3,
+				stateLost:   []time.Duration{2 * time.Second, 5 * time.Second, 10 * time.Second},
+				reportAgain: reportAgain,
 			})
-			ended += r.ended
-			if told && r.ended > enoughEnds+2 {
-				t.Errorf("seed %d: %d engines ended", seed, r.ended)
+			crashed += r.crashed
+			if reportAgain && r.crashed > minCrashes+2 {
+				t.Errorf("seed %d: %d engines crashed", seed, r.crashed)
 			}
 		}
-		t.Logf("told %v: %.2f engines ended for a request", told, float64(ended)/20)
+		t.Logf("facts reported again %v: %.2f engines crashed for each poison request", reportAgain, float64(crashed)/20)
 	}
 }
 
-// BenchmarkWays prints what each way does, with WAYS=1.
+// BenchmarkWays prints the results of each strategy. It runs only if WAYS is set.
 func BenchmarkWays(b *testing.B) {
 	if os.Getenv("WAYS") == "" {
 		return
 	}
 	for _, size := range sizes {
 		for _, poisons := range []int{0, 1, 5} {
-			for w, name := range wayNames {
+			for w, name := range strategyNames {
 				var sum result
 				worst := 0
-				const draws = 20
-				for seed := range uint64(draws) {
-					d := day{
-						way:     way(w),
-						seed:    seed,
-						hosts:   size.hosts,
-						engines: size.engines,
-						load:    0.6,
-						poisons: poisons,
-						callers: 3,
-						crashes: 2 * time.Second,
-						racks:   8 * time.Second,
+				const runs = 20
+				for seed := range uint64(runs) {
+					d := scenario{
+						strategy:   strategy(w),
+						seed:       seed,
+						hosts:      size.hosts,
+						engines:    size.engines,
+						load:       0.6,
+						poisons:    poisons,
+						callers:    3,
+						crashEvery: 2 * time.Second,
+						rackEvery:  8 * time.Second,
 					}
 					if poisons > 0 {
-						d.racks = 0
+						d.rackEvery = 0
 					}
-					r := play(d)
-					sum.ended += r.ended
-					worst = max(worst, r.ended)
-					sum.late += r.late
+					r := simulate(d)
+					sum.crashed += r.crashed
+					worst = max(worst, r.crashed)
+					sum.excess += r.excess
 					sum.wrong += r.wrong
 					sum.served += r.served
 					sum.failed += r.failed
-					sum.asked += r.asked
+					sum.requests += r.requests
 				}
-				fmt.Printf("%d hosts, %d engines, %d poison, %-17s: ended %.2f a draw (most %d), more than three %.2f, refused wrongly %d of %d, failed %.4f\n",
-					size.hosts, size.engines, poisons, name, float64(sum.ended)/draws, worst, float64(sum.late)/draws, sum.wrong, sum.asked,
+				fmt.Printf("%d hosts, %d engines, %d poison, %-17s: %.2f crashes a run (most %d), %.2f beyond three, %d of %d refused wrongly, %.4f failed\n",
+					size.hosts, size.engines, poisons, name, float64(sum.crashed)/runs, worst, float64(sum.excess)/runs, sum.wrong, sum.requests,
 					float64(sum.failed)/float64(max(sum.served+sum.failed, 1)))
 			}
 		}
