--- a/internal/agreement/hingeconfig/lives.go
+++ b/internal/agreement/hingeconfig/lives.go
@@ -21,11 +21,11 @@
 
 // LifeOver is the fact that a life, and all before it, are over. The same fact
 // has the same id whoever reports it.
-func LifeOver(l hingeids.Life, by hingeids.HostID, now time.Time) Change {
+func LifeOver(l hingeids.Instance, by hingeids.HostID, now time.Time) Change {
 	number := binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation))
 	return Change{
 		ID: ChangeID("lifeOver." + hingeids.RequestID{
-			Life: l,
+			Instance: l,
 		}.String() + "." + string(by)),
 		Puts: map[Path][]byte{
 			LifePath(l.Host): number,
--- a/internal/agreement/hingeconfig/machine_test.go
+++ b/internal/agreement/hingeconfig/machine_test.go
@@ -81,7 +81,7 @@
 	m := New()
 	answer(t, m, put("c1", "yann", 0, "models/redacteur", "9"))
 	for _, n := range []hingeids.Incarnation{5, 9, 7} {
-		answer(t, m, LifeOver(hingeids.Life{
+		answer(t, m, LifeOver(hingeids.Instance{
 			Host:        "cancale-1",
 			Incarnation: n,
 		}, "roscoff-1", time.Unix(0, 0)))
--- a/internal/agreement/hingeshared/shared_test.go
+++ b/internal/agreement/hingeshared/shared_test.go
@@ -21,10 +21,10 @@
 
 func record(p uint64) hingepoison.Record {
 	return hingepoison.Record{
-		Print:   7,
-		Service: "model",
-		Ended:   3,
-		Since:   int64(p),
+		Fingerprint: 7,
+		Service:     "model",
+		Crashes:     3,
+		Since:       int64(p),
 	}
 }
 
--- a/internal/agreement/hingespread/spread.go
+++ b/internal/agreement/hingespread/spread.go
@@ -22,7 +22,7 @@
 
 // Settings of one host's part in spreading.
 type Settings struct {
-	Self hingeids.Life
+	Self hingeids.Instance
 	Zone hingeids.Zone
 	// Peers are all entry hosts, this one among them.
 	Peers    []Peer
--- a/internal/agreement/hingespread/world_test.go
+++ b/internal/agreement/hingespread/world_test.go
@@ -103,7 +103,7 @@
 		})
 	}
 	x.spread = New(Settings{
-		Self: hingeids.Life{
+		Self: hingeids.Instance{
 			Host:        p.Host,
 			Incarnation: hingeids.Incarnation(w.starts),
 		},
--- a/internal/capacity/hingeholds/driver.go
+++ b/internal/capacity/hingeholds/driver.go
@@ -32,7 +32,7 @@
 type Owner interface {
 	// Life is the life that this host leads now. It changes only after every
 	// caller of the old one has been answered finally.
-	Life() hingeids.Life
+	Life() hingeids.Instance
 	// Knows reports whether the host still answers for a request of this life.
 	Knows(id hingeids.RequestID) bool
 }
@@ -187,7 +187,7 @@
 
 // known is an owner's answer.
 type known struct {
-	Life hingeids.Life        `cbor:"1,keyasint"`
+	Life hingeids.Instance    `cbor:"1,keyasint"`
 	IDs  []hingeids.RequestID `cbor:"2,keyasint"`
 }
 
--- a/internal/capacity/hingeholds/holds.go
+++ b/internal/capacity/hingeholds/holds.go
@@ -204,7 +204,7 @@
 			continue
 		}
 		seen[h.ID] = true
-		if s.record.IsOver(h.ID.Life) {
+		if s.record.IsOver(h.ID.Instance) {
 			s.doom(now, e, h.ID)
 			continue
 		}
@@ -224,7 +224,7 @@
 
 // TakeAnswer takes which of the ids asked about their host, in the given life,
 // knows. Rule 4.
-func (s *State) TakeAnswer(now time.Time, by hingeids.Life, asked, known []hingeids.RequestID) {
+func (s *State) TakeAnswer(now time.Time, by hingeids.Instance, asked, known []hingeids.RequestID) {
 	knows := make(map[hingeids.RequestID]bool, len(known))
 	for _, id := range known {
 		knows[id] = true
--- a/internal/capacity/hingeholds/holds_test.go
+++ b/internal/capacity/hingeholds/holds_test.go
@@ -151,14 +151,14 @@
 }
 
 type owner struct {
-	life  hingeids.Life
+	life  hingeids.Instance
 	knows hingeids.RequestID
 }
 
-func (o owner) Life() hingeids.Life              { return o.life }
+func (o owner) Life() hingeids.Instance          { return o.life }
 func (o owner) Knows(id hingeids.RequestID) bool { return id == o.knows }
 func (o owner) request(n uint64) hingeids.RequestID {
-	return hingeids.RequestID{Life: o.life, Sequence: n}
+	return hingeids.RequestID{Instance: o.life, Sequence: n}
 }
 
 // A watches an engine that holds four things for requests of B, of which B knows
@@ -167,7 +167,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		network := hingefake.NewNetwork()
 		b := owner{
-			life: hingeids.Life{
+			life: hingeids.Instance{
 				Host:        "b",
 				Incarnation: 7,
 			},
@@ -184,7 +184,7 @@
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		group, ctx := errgroup.WithContext(ctx)
-		for _, o := range []owner{{life: hingeids.Life{Host: "a", Incarnation: 1}}, b} {
+		for _, o := range []owner{{life: hingeids.Instance{Host: "a", Incarnation: 1}}, b} {
 			h := New(Config{
 				Link:    network.Link(o.life.Host),
 				Engines: engine,
--- a/internal/capacity/hingeholds/sim_test.go
+++ b/internal/capacity/hingeholds/sim_test.go
@@ -31,7 +31,7 @@
 type simHost struct {
 	id    hingeids.HostID
 	state *State
-	life  hingeids.Life
+	life  hingeids.Instance
 	// down hosts do nothing: killed or frozen.
 	down  bool
 	known map[hingeids.RequestID]bool
@@ -94,7 +94,7 @@
 
 // start begins a new life of a host; the earlier one is over at once.
 func (s *simulation) start(h *simHost) {
-	h.life = hingeids.Life{
+	h.life = hingeids.Instance{
 		Host:        h.id,
 		Incarnation: h.life.Incarnation + 1,
 	}
@@ -105,7 +105,7 @@
 	s.tick(h, h.state)
 }
 
-func (s *simulation) recordLife(l hingeids.Life, over bool) {
+func (s *simulation) recordLife(l hingeids.Instance, over bool) {
 	next := hingemembers.Record{}
 	for k, v := range s.record {
 		next[k] = v
@@ -258,7 +258,7 @@
 	}
 	s.after(s.delay(), func() {
 		owner := s.byID[c.ID.Host]
-		if owner.known[c.ID] && !s.record.IsOver(c.ID.Life) {
+		if owner.known[c.ID] && !s.record.IsOver(c.ID.Instance) {
 			s.problems = append(s.problems, fmt.Sprintf("at %v %s cancelled live %v", s.now, h.id, c.ID))
 		}
 		delete(s.engine(c.Engine).held, c.ID)
@@ -277,7 +277,7 @@
 	e := s.engines[s.random.IntN(len(s.engines))]
 	h.next++
 	id := hingeids.RequestID{
-		Life:     h.life,
+		Instance: h.life,
 		Sequence: h.next,
 	}
 	h.known[id] = true
--- a/internal/capacity/hingeplacer/alone.go
+++ b/internal/capacity/hingeplacer/alone.go
@@ -76,8 +76,8 @@
 		mine := slices.Clone(list)
 		for i := range mine {
 			mine[i].Slots = 0
-			if mine[i].Most > 0 {
-				mine[i].Most = max(mine[i].Most/hosts, leastConnections)
+			if mine[i].MaxConnections > 0 {
+				mine[i].MaxConnections = max(mine[i].MaxConnections/hosts, leastConnections)
 			}
 		}
 		out[name] = mine
@@ -96,7 +96,7 @@
 }
 
 // Poison gives what the list says of a request.
-func (s ownShare) Poison(p hingeids.Print) hingepoison.Listed {
+func (s ownShare) Poison(p hingeids.Fingerprint) hingepoison.Listed {
 	return s.fleets.Poison(p)
 }
 
--- a/internal/capacity/hingeplacer/caller.go
+++ b/internal/capacity/hingeplacer/caller.go
@@ -22,7 +22,7 @@
 		}
 	}
 	began := o.clock()
-	c.Charge.Doubtful = o.doubts(c.Charge)
+	c.Charge.NearLimit = o.doubts(c.Charge)
 	var placed CallPlacement
 	if o.inTurn(ctx, o.calls, func(h hingeids.HostID) (bool, error) {
 		var err error
@@ -137,7 +137,7 @@
 }
 
 // EndCall tells whoever chose a request's replica how it ended there.
-func (o *Owner) EndCall(s hingeids.Service, a CallPlacement, e hingequeue.End) {
+func (o *Owner) EndCall(s hingeids.Service, a CallPlacement, e hingequeue.Completion) {
 	end := callEnd{
 		Service: s,
 		End:     e,
--- a/internal/capacity/hingeplacer/calls.go
+++ b/internal/capacity/hingeplacer/calls.go
@@ -95,7 +95,7 @@
 func withdrawn(c Call) callEnd {
 	return callEnd{
 		Service: c.Service,
-		End: hingequeue.End{
+		End: hingequeue.Completion{
 			ID:      c.ID,
 			Outcome: hingebalance.Unknown,
 		},
@@ -118,7 +118,7 @@
 		return
 	}
 	q := p.queue(c.Service)
-	if server, placed := q.Placed(c.ID); placed {
+	if server, placed := q.AssignedReplica(c.ID); placed {
 		answer(CallPlacement{
 			Server:  server,
 			Address: p.address(server),
@@ -127,7 +127,7 @@
 	}
 	j := p.judge(now, c.Service, c.Print, c.Ends)
 	switch {
-	case j.Settles:
+	case j.Settling:
 		p.settle(func(now time.Time) {
 			c.Ends = nil
 			p.offerCall(now, owner, c, answer)
@@ -156,7 +156,7 @@
 		charge:  c.Charge,
 		suspect: j.Suspect,
 	}
-	q.Offer(now, c.wanted(now))
+	q.Enqueue(now, c.wanted(now))
 }
 
 // EndCall takes how a request ended at its replica. One that still waits is forgotten.
@@ -171,7 +171,7 @@
 			return
 		}
 		p.book.Return(e.Returned)
-		q.End(now, e.End)
+		q.RecordCompletion(now, e.End)
 	})
 }
 
@@ -210,7 +210,7 @@
 // handBackCalls gives what waits in a queue back to its owners. A control host that has just
 // started has heard of no replica yet; its owners have.
 func (p *Placer) handBackCalls(now time.Time, q *hingequeue.Queue) {
-	for _, id := range q.Withdraw() {
+	for _, id := range q.RemoveAll() {
 		p.answerCall(now, id, CallPlacement{
 			NotHere: true,
 		})
--- a/internal/capacity/hingeplacer/calls_test.go
+++ b/internal/capacity/hingeplacer/calls_test.go
@@ -24,12 +24,12 @@
 	}
 }
 
-func endOf(c Call, a CallPlacement) hingequeue.End {
-	return hingequeue.End{
+func endOf(c Call, a CallPlacement) hingequeue.Completion {
+	return hingequeue.Completion{
 		ID:      c.ID,
 		Server:  a.Server,
 		Outcome: hingebalance.Answered,
-		Took:    20 * time.Millisecond,
+		Elapsed: 20 * time.Millisecond,
 	}
 }
 
@@ -168,7 +168,7 @@
 		servers := &counted{}
 		p := New(servers, nil, func() bool {
 			return true
-		}, time.Now, hingequota.StandardTerms)
+		}, time.Now, hingequota.DefaultTerms)
 		go func() {
 			_ = p.Run(ctx)
 		}()
--- a/internal/capacity/hingeplacer/ends.go
+++ b/internal/capacity/hingeplacer/ends.go
@@ -8,26 +8,26 @@
 )
 
 // Ended notes a server that ended while it had one of this host's requests.
-func (o *Owner) Ended(e hingepoison.End) {
+func (o *Owner) Ended(e hingepoison.Crash) {
 	o.mu.Lock()
-	o.ends.End(o.clock(), e)
+	o.ends.AddCrash(o.clock(), e)
 	o.mu.Unlock()
 	o.changed()
 }
 
 // Passed notes that a suspected request was answered whole.
-func (o *Owner) Passed(p hingeids.Print) {
+func (o *Owner) Passed(p hingeids.Fingerprint) {
 	o.mu.Lock()
-	o.ends.Pass(o.clock(), p)
+	o.ends.AddCompletion(o.clock(), p)
 	o.mu.Unlock()
 	o.changed()
 }
 
 // refuses reports whether a request is known to end servers, and for how long it still isn't tried. It saves the question, which
 // whoever sends such a request asks at any rate.
-func (o *Owner) refuses(p hingeids.Print) (time.Duration, bool) {
+func (o *Owner) refuses(p hingeids.Fingerprint) (time.Duration, bool) {
 	l := o.fleets.Poison(p)
-	return l.Wait, l.There && l.Wait > 0
+	return l.Wait, l.Blocked && l.Wait > 0
 }
 
 // toldEnds notes what the placer has taken, or that it knows nothing of this host.
@@ -38,8 +38,8 @@
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if a.Wants {
-		o.ends.Forgotten()
+		o.ends.ResetReported()
 		return
 	}
-	o.ends.Told(to, len(r.Ends), len(r.Passes))
+	o.ends.MarkReported(to, len(r.Ends), len(r.Passes))
 }
--- a/internal/capacity/hingeplacer/messages.go
+++ b/internal/capacity/hingeplacer/messages.go
@@ -48,26 +48,26 @@
 	// Priority is the customer's or the route's; 0 goes first.
 	Priority int `cbor:"15,keyasint,omitempty"`
 	// Print is the request's, Ends are the servers that ended under this attempt.
-	Print hingeids.Print    `cbor:"16,keyasint,omitempty"`
-	Ends  []hingepoison.End `cbor:"17,keyasint,omitempty"`
+	Print hingeids.Fingerprint `cbor:"16,keyasint,omitempty"`
+	Ends  []hingepoison.Crash  `cbor:"17,keyasint,omitempty"`
 }
 
-func (w Want) wanted(now time.Time, owner hingeids.HostID) hingefleet.Want {
-	return hingefleet.Want{
-		ID:       w.ID,
-		Owner:    owner,
-		Zone:     w.Zone,
-		Prompt:   w.Prompt,
-		Expected: w.Expected,
-		Arrived:  now.Add(-w.Waited),
-		Target:   w.Target,
-		Gap:      w.Gap,
-		Patience: w.Patience,
-		Deadline: now.Add(w.Left),
-		Moved:    w.Moved,
-		Cached:   w.Cached,
-		Avoid:    w.Avoid,
-		Priority: w.Priority,
+func (w Want) wanted(now time.Time, owner hingeids.HostID) hingefleet.StreamRequest {
+	return hingefleet.StreamRequest{
+		ID:             w.ID,
+		Owner:          owner,
+		Zone:           w.Zone,
+		PromptTokens:   w.Prompt,
+		ExpectedTokens: w.Expected,
+		Arrived:        now.Add(-w.Waited),
+		Target:         w.Target,
+		MaxEventGap:    w.Gap,
+		MaxWait:        w.Patience,
+		Deadline:       now.Add(w.Left),
+		Moved:          w.Moved,
+		Cached:         w.Cached,
+		Avoid:          w.Avoid,
+		Priority:       w.Priority,
 	}
 }
 
@@ -108,7 +108,7 @@
 )
 
 // causeOf is the cause of a refusal for a quota.
-func causeOf(v hingequota.Verdict) Cause {
+func causeOf(v hingequota.Decision) Cause {
 	if v.Over {
 		return OverQuota
 	}
@@ -117,8 +117,8 @@
 
 // note is how an engine of a service did.
 type note struct {
-	Service hingeids.Service `cbor:"1,keyasint"`
-	Note    hingefleet.Note  `cbor:"2,keyasint"`
+	Service hingeids.Service         `cbor:"1,keyasint"`
+	Note    hingefleet.OutcomeReport `cbor:"2,keyasint"`
 }
 
 // report is all that an owner says of its streams.
@@ -127,14 +127,14 @@
 	Streams  map[hingeids.Service][]hingefleet.Progress `cbor:"2,keyasint,omitempty"`
 	Notes    []note                                     `cbor:"3,keyasint,omitempty"`
 	// Uses are what the owner's requests have used of quotas within the window, of which it knows for Knows; All says that they are told.
-	Uses  []hingequota.Use `cbor:"4,keyasint,omitempty"`
-	All   bool             `cbor:"5,keyasint,omitempty"`
-	Knows time.Duration    `cbor:"6,keyasint,omitempty"`
+	Uses  []hingequota.Usage `cbor:"4,keyasint,omitempty"`
+	All   bool               `cbor:"5,keyasint,omitempty"`
+	Knows time.Duration      `cbor:"6,keyasint,omitempty"`
 	// Returned are requests that were counted and have not run.
 	Returned []hingequota.Charge `cbor:"7,keyasint,omitempty"`
 	// Ends are servers that ended under requests, Passes suspected requests that were answered whole, of which the placer hasn't been told.
-	Ends   []hingepoison.End  `cbor:"8,keyasint,omitempty"`
-	Passes []hingepoison.Pass `cbor:"9,keyasint,omitempty"`
+	Ends   []hingepoison.Crash      `cbor:"8,keyasint,omitempty"`
+	Passes []hingepoison.Completion `cbor:"9,keyasint,omitempty"`
 }
 
 // reported is the answer to a report.
@@ -142,7 +142,7 @@
 	// Wants asks for all uses with the next report.
 	Wants bool `cbor:"1,keyasint,omitempty"`
 	// Tight are the customers that have little of their quotas left.
-	Tight []hingequota.Tight `cbor:"2,keyasint,omitempty"`
+	Tight []hingequota.NearLimit `cbor:"2,keyasint,omitempty"`
 	// All says that nobody else is tight.
 	All bool `cbor:"3,keyasint,omitempty"`
 }
@@ -163,8 +163,8 @@
 	// Priority is the customer's or the route's; 0 goes first.
 	Priority int `cbor:"9,keyasint,omitempty"`
 	// Print is the request's, Ends are the servers that ended under this attempt.
-	Print hingeids.Print    `cbor:"10,keyasint,omitempty"`
-	Ends  []hingepoison.End `cbor:"11,keyasint,omitempty"`
+	Print hingeids.Fingerprint `cbor:"10,keyasint,omitempty"`
+	Ends  []hingepoison.Crash  `cbor:"11,keyasint,omitempty"`
 }
 
 // after gives the call as it is when some of its time has passed.
@@ -174,15 +174,15 @@
 	return c
 }
 
-func (c Call) wanted(now time.Time) hingequeue.Want {
-	return hingequeue.Want{
-		ID:       c.ID,
-		Zone:     c.Zone,
-		Due:      now.Add(c.InTime),
-		Deadline: now.Add(c.Left),
-		Patience: c.Patience,
-		Avoid:    c.Avoid,
-		Priority: c.Priority,
+func (c Call) wanted(now time.Time) hingequeue.CallRequest {
+	return hingequeue.CallRequest{
+		ID:           c.ID,
+		Zone:         c.Zone,
+		SoftDeadline: now.Add(c.InTime),
+		Deadline:     now.Add(c.Left),
+		MaxWait:      c.Patience,
+		Avoid:        c.Avoid,
+		Priority:     c.Priority,
 	}
 }
 
@@ -211,8 +211,8 @@
 
 // callEnd is how a request of a service ended at its replica.
 type callEnd struct {
-	Service hingeids.Service `cbor:"1,keyasint"`
-	End     hingequeue.End   `cbor:"2,keyasint"`
+	Service hingeids.Service      `cbor:"1,keyasint"`
+	End     hingequeue.Completion `cbor:"2,keyasint"`
 	// Returned is what the request was counted for, if it was never sent to the replica that it was given.
 	Returned hingequota.Charge `cbor:"3,keyasint,omitzero"`
 }
--- a/internal/capacity/hingeplacer/owner.go
+++ b/internal/capacity/hingeplacer/owner.go
@@ -75,7 +75,7 @@
 // NewOwner makes an entry host's side.
 func NewOwner(
 	self hingeids.HostID, link hingelink.Link, f Fleets, clock func() time.Time, r *hingeevents.Recorder,
-	t hingequota.Terms,
+	t hingequota.Params,
 ) *Owner {
 	o := &Owner{
 		recorder: r,
@@ -121,7 +121,7 @@
 	waited := w.Waited
 	for ctx.Err() == nil {
 		w.Waited = waited + o.clock().Sub(began)
-		w.Charge.Doubtful = o.doubts(w.Charge)
+		w.Charge.NearLimit = o.doubts(w.Charge)
 		if a := o.placeOnce(ctx, w); !a.Later {
 			return a
 		}
@@ -227,11 +227,11 @@
 
 // Note tells the placer how an engine did with the stream.
 func (s *Stream) Note(server hingeids.ServerID, o hingefleet.Outcome) {
-	s.owner.tell(s.service, hingefleet.Note{
-		Server:  server,
-		Outcome: o,
-		Stream:  s.progress.ID,
-		Made:    s.made(),
+	s.owner.tell(s.service, hingefleet.OutcomeReport{
+		Server:    server,
+		Outcome:   o,
+		Stream:    s.progress.ID,
+		Generated: s.made(),
 	})
 }
 
@@ -239,15 +239,15 @@
 func (s *Stream) made() hingeids.Tokens {
 	s.owner.mu.Lock()
 	defer s.owner.mu.Unlock()
-	return s.progress.Made
+	return s.progress.Generated
 }
 
 // Made notes how many tokens have come.
 func (s *Stream) Made(t hingeids.Tokens) {
 	o := s.owner
 	o.mu.Lock()
-	first := s.progress.Made == 0
-	s.progress.Made = t
+	first := s.progress.Generated == 0
+	s.progress.Generated = t
 	o.mu.Unlock()
 	if first {
 		o.changed()
@@ -263,7 +263,7 @@
 	o.changed()
 }
 
-func (o *Owner) tell(service hingeids.Service, n hingefleet.Note) {
+func (o *Owner) tell(service hingeids.Service, n hingefleet.OutcomeReport) {
 	o.mu.Lock()
 	o.notes = append(o.notes, note{
 		Service: service,
@@ -300,7 +300,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-o.dirty:
-			hingeclock.Pause(ctx, gatherReports)
+			hingeclock.Sleep(ctx, gatherReports)
 		case <-ticker.C:
 			placer := o.reportTo()
 			if o.idle() && placer == to {
@@ -370,7 +370,7 @@
 	}
 	o.notes = nil
 	o.quotas.fill(o.clock(), &r)
-	r.Ends, r.Passes = o.ends.Untold(o.clock(), to)
+	r.Ends, r.Passes = o.ends.Unreported(o.clock(), to)
 	for _, s := range o.streams {
 		r.Streams[s.service] = append(r.Streams[s.service], s.progress)
 	}
--- a/internal/capacity/hingeplacer/placer.go
+++ b/internal/capacity/hingeplacer/placer.go
@@ -69,7 +69,7 @@
 	// Entries is how many entry hosts there are.
 	Entries() int
 	// Poison gives what the list of the requests that end servers says of one, as it was agreed on.
-	Poison(p hingeids.Print) hingepoison.Listed
+	Poison(p hingeids.Fingerprint) hingepoison.Listed
 	// Leads reports whether this host was elected to place for all, rather than to place while nobody leads.
 	Leads() bool
 }
@@ -103,11 +103,11 @@
 	queues map[hingeids.Service]*hingequeue.Queue
 	asking map[hingequeue.CallID]asker[CallPlacement]
 	// book counts what customers use of their quotas; it is swept at sweepAt.
-	book    *hingequota.Book
+	book    *hingequota.Limiter
 	sweepAt time.Time
 	// poisons finds requests that end servers; unagreed are those found that aren't on the list.
-	poisons  *hingepoison.Book
-	unagreed map[hingeids.Print]unagreed
+	poisons  *hingepoison.Detector
+	unagreed map[hingeids.Fingerprint]unagreed
 	told     []toldEnd
 	// today gives the time of day, by which all hosts read the list.
 	today    func() time.Time
@@ -125,7 +125,7 @@
 }
 
 // New makes a placer; a is nil if its host can't have anything agreed on.
-func New(s Servers, a Agreement, leads func() bool, clock func() time.Time, t hingequota.Terms) *Placer {
+func New(s Servers, a Agreement, leads func() bool, clock func() time.Time, t hingequota.Params) *Placer {
 	return &Placer{
 		servers:   s,
 		agreement: a,
@@ -138,9 +138,9 @@
 		sequence:  make(map[hingeids.HostID]uint64),
 		queues:    make(map[hingeids.Service]*hingequeue.Queue),
 		asking:    make(map[hingequeue.CallID]asker[CallPlacement]),
-		book:      hingequota.NewBook(t),
-		poisons:   hingepoison.NewBook(),
-		unagreed:  make(map[hingeids.Print]unagreed),
+		book:      hingequota.NewLimiter(t),
+		poisons:   hingepoison.NewDetector(),
+		unagreed:  make(map[hingeids.Fingerprint]unagreed),
 		today:     time.Now,
 	}
 }
@@ -346,7 +346,7 @@
 	}
 	j := p.judge(now, w.Service, w.Print, w.Ends)
 	switch {
-	case j.Settles:
+	case j.Settling:
 		p.settle(func(now time.Time) {
 			w.Ends = nil
 			p.offer(now, owner, w, answer)
@@ -375,7 +375,7 @@
 		charge:  w.Charge,
 		suspect: j.Suspect,
 	}
-	p.fleet(w.Service).Offer(now, w.wanted(now, owner))
+	p.fleet(w.Service).Enqueue(now, w.wanted(now, owner))
 }
 
 func (p *Placer) cancel(now time.Time, w Want) {
@@ -409,10 +409,10 @@
 	}
 	// What a note says of a stream is lost once a report says that the stream is further.
 	for _, n := range r.Notes {
-		p.fleet(n.Service).Note(now, n.Note)
+		p.fleet(n.Service).RecordOutcome(now, n.Note)
 	}
 	for s, f := range p.fleets {
-		f.Report(now, owner, r.Streams[s])
+		f.HandleReport(now, owner, r.Streams[s])
 	}
 	return answer
 }
@@ -436,7 +436,7 @@
 		for _, d := range f.Step(now) {
 			p.decided(now, d)
 		}
-		left += f.Waiting()
+		left += f.QueueLength()
 	}
 	return left
 }
@@ -444,7 +444,7 @@
 // handBack gives what waits in a fleet back to its owners. A control host that has just
 // started has heard of no engine yet; its owners have.
 func (p *Placer) handBack(now time.Time, f *hingefleet.Fleet) {
-	for _, id := range f.Withdraw() {
+	for _, id := range f.DrainQueue() {
 		p.answer(now, id, Placement{
 			NotHere: true,
 		})
@@ -462,21 +462,21 @@
 	}
 	clear(p.fleets)
 	p.stopCalls(now)
-	p.book.End()
+	p.book.Stop()
 }
 
 // decided tells an owner what was decided on its stream.
 func (p *Placer) decided(now time.Time, d hingefleet.Decision) {
 	p.answer(now, d.ID, Placement{
-		Prefill:    d.Grant.Prefill,
-		PrefillAt:  p.address(d.Grant.Prefill),
-		Decode:     d.Grant.Decode,
-		DecodeAt:   p.address(d.Grant.Decode),
+		Prefill:    d.Assignment.Prefill,
+		PrefillAt:  p.address(d.Assignment.Prefill),
+		Decode:     d.Assignment.Decode,
+		DecodeAt:   p.address(d.Assignment.Decode),
 		Refused:    d.Refused,
 		RetryAfter: d.RetryAfter,
 		Waited:     d.Waited,
 		Peak:       d.Peak,
-		Short:      d.Short,
+		Short:      d.Shortage,
 	})
 }
 
--- a/internal/capacity/hingeplacer/placer_test.go
+++ b/internal/capacity/hingeplacer/placer_test.go
@@ -78,7 +78,7 @@
 }
 
 // Poison knows of no request that is refused.
-func (engines) Poison(hingeids.Print) hingepoison.Listed {
+func (engines) Poison(hingeids.Fingerprint) hingepoison.Listed {
 	return hingepoison.Listed{}
 }
 
@@ -117,7 +117,7 @@
 			leads := &atomic.Bool{}
 			leads.Store(h == "control-1")
 			b.leads[h] = leads
-			p := New(engines{}, nil, leads.Load, time.Now, hingequota.StandardTerms)
+			p := New(engines{}, nil, leads.Load, time.Now, hingequota.DefaultTerms)
 			p.Handle(b.network.Link(h), nil)
 			done = append(done, p.Done())
 			go func() {
@@ -130,7 +130,7 @@
 				entries: 2,
 			}
 			known.placers.Store(&[]hingeids.HostID{"control-1", "control-2"})
-			o := NewOwner(h, b.network.Link(h), known, time.Now, nil, hingequota.StandardTerms)
+			o := NewOwner(h, b.network.Link(h), known, time.Now, nil, hingequota.DefaultTerms)
 			b.owners = append(b.owners, o)
 			b.known = append(b.known, known)
 			done = append(done, o.Done())
@@ -171,7 +171,7 @@
 	}
 	s := b.owners[owner].Begin(w, a)
 	time.AfterFunc(100*time.Millisecond, func() {
-		s.Note(a.Prefill, hingefleet.Worked)
+		s.Note(a.Prefill, hingefleet.Succeeded)
 	})
 	return a, s
 }
@@ -337,7 +337,7 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	p := New(slowPrefill{}, nil, func() bool {
 		return true
-	}, nil, hingequota.StandardTerms)
+	}, nil, hingequota.DefaultTerms)
 	p.step(now)
 	now = now.Add(warmUp)
 	counts := make(map[hingeids.ServerID]int)
@@ -360,16 +360,16 @@
 		r.Streams = map[hingeids.Service][]hingefleet.Progress{
 			"model": {
 				{
-					ID:     w.ID,
-					Decode: a.Decode,
-					Made:   70,
+					ID:        w.ID,
+					Decode:    a.Decode,
+					Generated: 70,
 				},
 			},
 		}
 		r.Notes = []note{
 			{
 				Service: "model",
-				Note: hingefleet.Note{
+				Note: hingefleet.OutcomeReport{
 					Server: a.Prefill,
 					Stream: w.ID,
 				},
--- a/internal/capacity/hingeplacer/poison.go
+++ b/internal/capacity/hingeplacer/poison.go
@@ -14,21 +14,21 @@
 
 // judge tells whether a request may run (rule 7). What has ended under this very attempt is told with the question: its host's
 // report may come after it.
-func (p *Placer) judge(now time.Time, s hingeids.Service, print hingeids.Print, ends []hingepoison.End) hingepoison.Judgement {
+func (p *Placer) judge(now time.Time, s hingeids.Service, print hingeids.Fingerprint, ends []hingepoison.Crash) hingepoison.Decision {
 	if print == 0 {
-		return hingepoison.Judgement{}
+		return hingepoison.Decision{}
 	}
 	for _, e := range ends {
 		p.tell(now, e)
 	}
 	l := p.servers.Poison(print)
-	j := p.poisons.Judge(now, print, l, func() int {
+	j := p.poisons.Evaluate(now, print, l, func() int {
 		return p.serversOf(s)
 	})
-	if j.Tried {
+	if j.Probe {
 		p.record(hingeevents.PoisonTried, l.Record)
 	}
-	if j.Found {
+	if j.Detected {
 		p.found(now, s, print)
 	}
 	return j
@@ -43,9 +43,9 @@
 
 // stepPoisons has those agreed on that were found, whether or not they come again: by the time they do, this host may be gone.
 func (p *Placer) stepPoisons(now time.Time) {
-	p.poisons.Step(now)
-	maps.DeleteFunc(p.unagreed, func(print hingeids.Print, _ unagreed) bool {
-		return p.servers.Poison(print).There
+	p.poisons.RemoveExpired(now)
+	maps.DeleteFunc(p.unagreed, func(print hingeids.Fingerprint, _ unagreed) bool {
+		return p.servers.Poison(print).Blocked
 	})
 	for print, u := range p.unagreed {
 		if now.Sub(u.at) >= agreeEvery {
@@ -67,7 +67,7 @@
 type toldEnd struct {
 	at      time.Time
 	service hingeids.Service
-	print   hingeids.Print
+	print   hingeids.Fingerprint
 }
 
 // unagreed is a request that was found and isn't on the list yet: there may be no leader, or a disk that takes no writes.
@@ -78,7 +78,7 @@
 }
 
 // found has a request agreed on that the own book refuses.
-func (p *Placer) found(now time.Time, s hingeids.Service, print hingeids.Print) {
+func (p *Placer) found(now time.Time, s hingeids.Service, print hingeids.Fingerprint) {
 	u, again := p.unagreed[print]
 	if again && now.Sub(u.at) < agreeEvery {
 		return
@@ -87,7 +87,7 @@
 		at:      now,
 		service: s,
 	}
-	r := p.poisons.Found(now, p.today(), print)
+	r := p.poisons.NewRecord(now, p.today(), print)
 	if !again {
 		p.record(hingeevents.PoisonFound, r)
 	}
@@ -97,20 +97,20 @@
 }
 
 // tell takes an end. One under a trial is another reason to refuse the request.
-func (p *Placer) tell(now time.Time, e hingepoison.End) {
-	if !p.poisons.Tell(now, e) {
+func (p *Placer) tell(now time.Time, e hingepoison.Crash) {
+	if !p.poisons.HandleCrash(now, e) {
 		return
 	}
-	l := p.servers.Poison(e.Print)
-	if !l.There {
+	l := p.servers.Poison(e.Fingerprint)
+	if !l.Blocked {
 		p.told = append(p.told, toldEnd{
 			at:      now,
 			service: e.Service,
-			print:   e.Print,
+			print:   e.Fingerprint,
 		})
 		return
 	}
-	if r, inVain := p.poisons.InVain(now, p.today(), e, l); inVain && p.agreement != nil {
+	if r, inVain := p.poisons.FailedProbe(now, p.today(), e, l); inVain && p.agreement != nil {
 		p.agreement.Agree(r)
 	}
 }
@@ -121,20 +121,20 @@
 		p.tell(now, e)
 	}
 	for _, x := range r.Passes {
-		p.poisons.Pass(now, x)
+		p.poisons.HandleCompletion(now, x)
 		p.acquit(x)
 	}
 }
 
 // acquit has a request let through again that was answered whole since it is refused. Hosts tell a new placer of older answers too.
-func (p *Placer) acquit(x hingepoison.Pass) {
-	l := p.servers.Poison(x.Print)
+func (p *Placer) acquit(x hingepoison.Completion) {
+	l := p.servers.Poison(x.Fingerprint)
 	at := p.today().Add(-x.Ago)
-	if p.agreement == nil || !l.There || at.UnixMilli() <= l.Record.Since {
+	if p.agreement == nil || !l.Blocked || at.UnixMilli() <= l.Record.Since {
 		return
 	}
 	p.record(hingeevents.PoisonAcquitted, l.Record)
-	p.agreement.Agree(hingepoison.Lift(at, x.Print))
+	p.agreement.Agree(hingepoison.Lift(at, x.Fingerprint))
 }
 
 // serversOf counts the servers of a service.
@@ -144,9 +144,9 @@
 
 func (p *Placer) record(n hingeevents.Number, r hingepoison.Record) {
 	p.recorder.Record(time.Now(), n, hingeevents.Fields{
-		Print:  r.Print,
+		Print:  r.Fingerprint,
 		Caller: r.Caller,
-		Count:  int64(r.Ended),
+		Count:  int64(r.Crashes),
 		Detail: r.String(),
 	})
 }
--- a/internal/capacity/hingeplacer/poison_test.go
+++ b/internal/capacity/hingeplacer/poison_test.go
@@ -20,7 +20,7 @@
 	agreed []hingepoison.Record
 }
 
-func (l *listing) Poison(p hingeids.Print) hingepoison.Listed {
+func (l *listing) Poison(p hingeids.Fingerprint) hingepoison.Listed {
 	return l.list.At(l.today, p)
 }
 
@@ -39,28 +39,28 @@
 	}
 	p := New(l, l, func() bool {
 		return true
-	}, time.Now, hingequota.StandardTerms)
+	}, time.Now, hingequota.DefaultTerms)
 	p.today = func() time.Time {
 		return l.today
 	}
 	return p, l
 }
 
-func ended(server string, p hingeids.Print) hingepoison.End {
-	return hingepoison.End{
-		Print:   p,
-		Server:  hingeids.ServerID(server),
-		Service: "model",
-		Had:     100 * time.Millisecond,
+func ended(server string, p hingeids.Fingerprint) hingepoison.Crash {
+	return hingepoison.Crash{
+		Fingerprint: p,
+		Server:      hingeids.ServerID(server),
+		Service:     "model",
+		Held:        100 * time.Millisecond,
 	}
 }
 
 // tells has owners report that so many engines ended under a request, a second apart.
-func tells(p *Placer, now time.Time, print hingeids.Print, n int) time.Time {
+func tells(p *Placer, now time.Time, print hingeids.Fingerprint, n int) time.Time {
 	for i := range n {
 		p.take(now, hingeids.HostID(fmt.Sprint("entry-", i)), report{
 			Sequence: uint64(i + 1),
-			Ends:     []hingepoison.End{ended(fmt.Sprint("engine-", i), print)},
+			Ends:     []hingepoison.Crash{ended(fmt.Sprint("engine-", i), print)},
 		})
 		now = now.Add(time.Second)
 	}
@@ -74,7 +74,7 @@
 	l.works = true
 	now := tells(p, time.Now(), 7, 3)
 	p.stepQuotas(now)
-	if len(l.agreed) != 1 || l.agreed[0].Print != 7 || l.agreed[0].Ended != 3 {
+	if len(l.agreed) != 1 || l.agreed[0].Fingerprint != 7 || l.agreed[0].Crashes != 3 {
 		t.Fatalf("agreed on %+v", l.agreed)
 	}
 	p.stepQuotas(now.Add(time.Second))
@@ -121,7 +121,7 @@
 		now = now.Add(time.Second)
 	}
 	now = now.Add(-time.Second)
-	if j := p.judge(now.Add(5*time.Millisecond), "model", 8, nil); !j.Settles {
+	if j := p.judge(now.Add(5*time.Millisecond), "model", 8, nil); !j.Settling {
 		t.Errorf("it is decided at once: %+v", j)
 	}
 	p.tell(now.Add(20*time.Millisecond), ended("engine-2", 7))
@@ -159,9 +159,9 @@
 		if mended {
 			p.take(now, "entry-1", report{
 				Sequence: 9,
-				Passes: []hingepoison.Pass{
+				Passes: []hingepoison.Completion{
 					{
-						Print: 7,
+						Fingerprint: 7,
 					},
 				},
 			})
@@ -174,7 +174,7 @@
 			continue
 		}
 		p.tell(now, ended("engine-9", 7))
-		if r := l.Poison(7).Record; r.Trials != 1 || r.Ended != 4 {
+		if r := l.Poison(7).Record; r.FailedProbes != 1 || r.Crashes != 4 {
 			t.Errorf("after a trial in vain: %+v", r)
 		}
 		if j := p.judge(now, "model", 7, nil); !j.Refused || j.RetryAfter < 2*time.Hour {
@@ -204,7 +204,7 @@
 			t.Fatalf("%+v", a)
 		}
 		w.ID = "and-again"
-		w.Ends = []hingepoison.End{ended("engine-2", 7)}
+		w.Ends = []hingepoison.Crash{ended("engine-2", 7)}
 		if a := b.owners[1].Place(t.Context(), w); !a.Refused || a.Cause != Poison || a.RetryAfter <= 0 {
 			t.Errorf("%+v", a)
 		}
@@ -248,10 +248,10 @@
 	p.stepQuotas(now)
 	p.take(now, "entry-9", report{
 		Sequence: 1,
-		Passes: []hingepoison.Pass{
+		Passes: []hingepoison.Completion{
 			{
-				Print: 7,
-				Ago:   time.Minute,
+				Fingerprint: 7,
+				Ago:         time.Minute,
 			},
 		},
 	})
--- a/internal/capacity/hingeplacer/quotas.go
+++ b/internal/capacity/hingeplacer/quotas.go
@@ -8,13 +8,13 @@
 )
 
 // admit decides whether a request fits into its customer's quota (rule 6).
-func (p *Placer) admit(now time.Time, owner hingeids.HostID, c hingequota.Charge, left time.Duration) hingequota.Verdict {
+func (p *Placer) admit(now time.Time, owner hingeids.HostID, c hingequota.Charge, left time.Duration) hingequota.Decision {
 	p.stepQuotas(now)
 	if owner != "" {
-		p.book.Hear(now, owner)
+		p.book.Observe(now, owner)
 	}
 	if c.Free() {
-		return hingequota.Verdict{
+		return hingequota.Decision{
 			Admitted: true,
 		}
 	}
@@ -23,12 +23,12 @@
 
 // stepQuotas begins to count anew when this host begins to place, or to lead, and forgets what is over.
 func (p *Placer) stepQuotas(now time.Time) {
-	if leads := p.servers.Leads(); !p.book.Begun(leads) {
-		p.book.Begin(now, leads)
+	if leads := p.servers.Leads(); !p.book.Started(leads) {
+		p.book.Start(now, leads)
 	}
 	if !now.Before(p.sweepAt) {
 		p.sweepAt = now.Add(idleEvery)
-		p.book.Step(now)
+		p.book.RemoveExpired(now)
 		p.stepPoisons(now)
 	}
 }
@@ -39,15 +39,15 @@
 		return reported{}
 	}
 	p.stepQuotas(now)
-	wants := p.book.Hear(now, owner)
+	wants := p.book.Observe(now, owner)
 	if r.All {
-		p.book.Tell(now, owner, r.Uses, r.Knows)
+		p.book.HandleReport(now, owner, r.Uses, r.Knows)
 		wants = false
 	}
 	for _, c := range r.Returned {
 		p.book.Return(c)
 	}
-	tight, all := p.book.Tight(now, p.servers.Entries())
+	tight, all := p.book.NearLimit(now, p.servers.Entries())
 	return reported{
 		Wants: wants,
 		Tight: tight,
--- a/internal/capacity/hingeplacer/quotas_test.go
+++ b/internal/capacity/hingeplacer/quotas_test.go
@@ -13,7 +13,7 @@
 )
 
 // busyCall is a request of the customer named busy, whose quota is 16,000 tokens in a window.
-func busyCall(id int, cost hingeids.Units) Call {
+func busyCall(id int, cost hingeids.QuotaUnits) Call {
 	c := quayQuery(id)
 	c.Charge = hingequota.Charge{
 		ID:       hingequota.ChargeID(id),
@@ -39,7 +39,7 @@
 		c := busyCall(1000+i, 1)
 		c.Charge.Customer = "calm"
 		b.call(i%2, c)
-		time.Sleep(hingequota.StandardTerms.Window / 16)
+		time.Sleep(hingequota.DefaultTerms.Window / 16)
 	}
 }
 
@@ -140,7 +140,7 @@
 		b.serveAWindow()
 		b.network.Remove("control-1")
 		b.network.Remove("control-2")
-		used := hingeids.Units(0)
+		used := hingeids.QuotaUnits(0)
 		for i := range 200 {
 			ok, cause := b.call(0, busyCall(i, 200))
 			if ok {
--- a/internal/capacity/hingeplacer/spent.go
+++ b/internal/capacity/hingeplacer/spent.go
@@ -14,18 +14,18 @@
 // ownQuotas is what an owner knows of quotas (rule 6). The owner's lock guards it.
 type ownQuotas struct {
 	ledger *hingequota.Ledger
-	lone   *hingequota.Lone
+	lone   *hingequota.LocalLimiter
 	// owes says that the placer doesn't know all of the ledger.
 	owes bool
 	// returned are requests that have not run, of which the placer isn't told yet.
 	returned []hingequota.Charge
 }
 
-func newOwnQuotas(now time.Time, t hingequota.Terms) ownQuotas {
+func newOwnQuotas(now time.Time, t hingequota.Params) ownQuotas {
 	l := hingequota.NewLedger(now, t)
 	return ownQuotas{
 		ledger: l,
-		lone:   hingequota.NewLone(t, l),
+		lone:   hingequota.NewLocalLimiter(t, l),
 		owes:   true,
 	}
 }
@@ -43,7 +43,7 @@
 	}
 	q.owes = false
 	r.All = true
-	r.Uses, r.Knows = q.ledger.Uses(now)
+	r.Uses, r.Knows = q.ledger.Usages(now)
 }
 
 // reported takes the answer to a report, or that there was none.
@@ -57,7 +57,7 @@
 		q.returned = q.returned[:min(len(q.returned), mostReturned)]
 		return
 	}
-	q.ledger.SetTight(o.clock(), a.Tight, a.All)
+	q.ledger.SetNearLimit(o.clock(), a.Tight, a.All)
 	if a.Wants {
 		q.owes = true
 		o.changed()
@@ -68,7 +68,7 @@
 func (o *Owner) heard(h hingeids.HostID) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.quotas.lone.Heard()
+	o.quotas.lone.PlacerAnswered()
 	if h != o.answered {
 		o.answered = h
 		o.quotas.owes = true
@@ -83,7 +83,7 @@
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.quotas.ledger.Doubts(o.clock(), c.Customer)
+	return o.quotas.ledger.MayBeNearLimit(o.clock(), c.Customer)
 }
 
 // counted notes a request that the placer has counted.
@@ -97,7 +97,7 @@
 }
 
 // admitAlone decides on a request that no placer counts.
-func (o *Owner) admitAlone(c hingequota.Charge) hingequota.Verdict {
+func (o *Owner) admitAlone(c hingequota.Charge) hingequota.Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	v := o.quotas.lone.Admit(o.clock(), c, o.fleets.Quota(c.Customer), o.fleets.Entries(), rand.Float64())
--- a/internal/capacity/hingeslots/compare_test.go
+++ b/internal/capacity/hingeslots/compare_test.go
@@ -321,7 +321,7 @@
 	h := l.hosts[l.names[j.host]]
 	h.sequence++
 	j.id = hingeids.RequestID{
-		Life:     h.state.life,
+		Instance: h.state.life,
 		Sequence: h.sequence,
 	}
 	l.jobs[j.id] = j
--- a/internal/capacity/hingeslots/driver_test.go
+++ b/internal/capacity/hingeslots/driver_test.go
@@ -32,7 +32,7 @@
 		all := make(map[hingeids.HostID]*Slots)
 		for _, h := range hosts {
 			s := New(Config{
-				Life: hingeids.Life{
+				Life: hingeids.Instance{
 					Host:        h,
 					Incarnation: 1,
 				},
@@ -60,7 +60,7 @@
 		}
 		request := func(h hingeids.HostID, n uint64) hingeids.RequestID {
 			return hingeids.RequestID{
-				Life: hingeids.Life{
+				Instance: hingeids.Instance{
 					Host:        h,
 					Incarnation: 1,
 				},
--- a/internal/capacity/hingeslots/granter.go
+++ b/internal/capacity/hingeslots/granter.go
@@ -11,7 +11,7 @@
 // loan is a pool that this host may grant from.
 type loan struct {
 	pool       hingeids.HostID
-	owner      hingeids.Life
+	owner      hingeids.Instance
 	serial     uint64
 	size       hingeids.Slots
 	validUntil time.Time
@@ -25,7 +25,7 @@
 // waiter is a request that waits for a slot.
 type waiter struct {
 	id       hingeids.RequestID
-	from     hingeids.Life
+	from     hingeids.Instance
 	priority int
 	arrival  uint64
 	// number is the holder's newest question, heard at heard.
@@ -231,7 +231,7 @@
 		}
 	}
 	for _, p := range e.pools {
-		if g := p.book[m.ID]; g != nil && g.serial == m.Serial && p.open && p.lentTo == (hingeids.Life{}) {
+		if g := p.book[m.ID]; g != nil && g.serial == m.Serial && p.open && p.lentTo == (hingeids.Instance{}) {
 			delete(p.book, m.ID)
 		}
 	}
--- a/internal/capacity/hingeslots/held.go
+++ b/internal/capacity/hingeslots/held.go
@@ -32,7 +32,7 @@
 
 func (e *engineState) stale(now time.Time) bool {
 	for _, p := range e.pools {
-		if p.open && p.lentTo == (hingeids.Life{}) && p.book.stale(now) {
+		if p.open && p.lentTo == (hingeids.Instance{}) && p.book.stale(now) {
 			return true
 		}
 	}
--- a/internal/capacity/hingeslots/holder.go
+++ b/internal/capacity/hingeslots/holder.go
@@ -142,7 +142,7 @@
 // A grant to an earlier life of this host is left too: that life may have sent
 // its request to the engine, and a release would free a slot that is taken up.
 func (s *State) takeGrant(now time.Time, e *engineState, m Message) {
-	if m.ID.Life != s.life {
+	if m.ID.Instance != s.life {
 		return
 	}
 	r := e.requests[m.ID]
--- a/internal/capacity/hingeslots/owner.go
+++ b/internal/capacity/hingeslots/owner.go
@@ -23,16 +23,16 @@
 	// to earlier ones don't count.
 	askedFrom uint64
 	// lent
-	lentTo    hingeids.Life
+	lentTo    hingeids.Instance
 	lentUntil time.Time
 	// mustYield says that another may have owned it before: all others must yield.
 	mustYield bool
 }
 
 // ownerOf gives the life that owns a pool by the record as known here. Rule 1.
-func (s *State) ownerOf(e *engineState, h hingeids.HostID) hingeids.Life {
+func (s *State) ownerOf(e *engineState, h hingeids.HostID) hingeids.Instance {
 	if i, ok := s.view.Recorded[h]; ok {
-		return hingeids.Life{
+		return hingeids.Instance{
 			Host:        h,
 			Incarnation: i,
 		}
@@ -44,7 +44,7 @@
 		}
 	}
 	heir := rendezvous(recorded, string(e.ID), string(h))
-	return hingeids.Life{
+	return hingeids.Instance{
 		Host:        heir,
 		Incarnation: s.view.Recorded[heir],
 	}
@@ -99,18 +99,18 @@
 	p.notBefore = notBefore.Add(showWithin)
 	p.yields = make(map[hingeids.HostID]bool)
 	p.claims = make(map[hingeids.RequestID]hingeids.HostID)
-	p.lentTo = hingeids.Life{}
+	p.lentTo = hingeids.Instance{}
 }
 
 func (p *pool) isLent(now time.Time) bool {
-	return p.lentTo != hingeids.Life{} && now.Before(p.lentUntil)
+	return p.lentTo != hingeids.Instance{} && now.Before(p.lentUntil)
 }
 
 // goOnOpening asks others to yield and to claim. A loan that ended without being
 // given back starts an opening: its book is out of date.
 func (s *State) goOnOpening(now time.Time, e *engineState, p *pool) {
 	if p.open {
-		if p.lentTo == (hingeids.Life{}) || p.isLent(now) {
+		if p.lentTo == (hingeids.Instance{}) || p.isLent(now) {
 			return
 		}
 		p.reopen(now, s.number)
@@ -194,7 +194,7 @@
 	e *engineState, p *pool, asked time.Time, held map[hingeids.RequestID]bool,
 ) {
 	if p.open {
-		if p.lentTo == (hingeids.Life{}) {
+		if p.lentTo == (hingeids.Instance{}) {
 			p.book.settle(asked, held)
 		}
 		return
@@ -237,7 +237,7 @@
 		if p == nil || !p.open || s.ownerOf(e, h) != s.life {
 			continue
 		}
-		if p.lentTo != (hingeids.Life{}) && p.lentTo != m.From {
+		if p.lentTo != (hingeids.Instance{}) && p.lentTo != m.From {
 			continue
 		}
 		s.lend(now, e, p, m, seen[h], lasts)
@@ -254,7 +254,7 @@
 		For:    lasts,
 		Size:   p.size,
 	}
-	if p.lentTo == (hingeids.Life{}) {
+	if p.lentTo == (hingeids.Instance{}) {
 		e.serial++
 		p.serial = e.serial
 		p.lentTo = m.From
@@ -279,5 +279,5 @@
 		return
 	}
 	p.book = readBook(now, m.Book)
-	p.lentTo = hingeids.Life{}
+	p.lentTo = hingeids.Instance{}
 }
--- a/internal/capacity/hingeslots/share.go
+++ b/internal/capacity/hingeslots/share.go
@@ -28,7 +28,7 @@
 }
 
 // lifeWeight gives a number below half of all, from which a life can count.
-func lifeWeight(l hingeids.Life, key string) uint64 {
+func lifeWeight(l hingeids.Instance, key string) uint64 {
 	return weight(string(l.Host), strconv.FormatUint(uint64(l.Incarnation), 36), key) >> 1
 }
 
--- a/internal/capacity/hingeslots/sim_test.go
+++ b/internal/capacity/hingeslots/sim_test.go
@@ -128,7 +128,7 @@
 	s.record[h.id] = simRecord{
 		incarnation: r.incarnation + 1,
 	}
-	life := hingeids.Life{
+	life := hingeids.Instance{
 		Host:        h.id,
 		Incarnation: r.incarnation + 1,
 	}
@@ -313,7 +313,7 @@
 	}
 	h.sequence++
 	id := hingeids.RequestID{
-		Life:     h.state.life,
+		Instance: h.state.life,
 		Sequence: h.sequence,
 	}
 	h.live[id] = true
--- a/internal/capacity/hingeslots/slots.go
+++ b/internal/capacity/hingeslots/slots.go
@@ -33,7 +33,7 @@
 
 // Config says whose slots these are and what they work with.
 type Config struct {
-	Life hingeids.Life
+	Life hingeids.Instance
 	// Hosts are the entry hosts of this host's zone from the settings, itself among them.
 	Hosts   []hingeids.HostID
 	Link    hingelink.Link
@@ -146,7 +146,7 @@
 
 // SetLife begins a new life, after the old one was found to be over. Whatever the
 // old one held or waited for is no longer this host's.
-func (s *Slots) SetLife(l hingeids.Life) {
+func (s *Slots) SetLife(l hingeids.Instance) {
 	s.loop.Post(func(now time.Time) {
 		s.state = NewState(l, s.config.Hosts)
 		s.state.SetEngines(now, s.engines)
--- a/internal/capacity/hingeslots/slots_test.go
+++ b/internal/capacity/hingeslots/slots_test.go
@@ -222,7 +222,7 @@
 		Engine:      "engine-0",
 		Incarnation: 1,
 		ID: hingeids.RequestID{
-			Life: hingeids.Life{
+			Instance: hingeids.Instance{
 				Host:        "host-0",
 				Incarnation: 1,
 			},
@@ -245,7 +245,7 @@
 	s.run(2100 * time.Millisecond)
 	e := s.engines["engine-0"].Engine
 	id := hingeids.RequestID{
-		Life: hingeids.Life{
+		Instance: hingeids.Instance{
 			Host:        "gone",
 			Incarnation: 1,
 		},
@@ -271,7 +271,7 @@
 	for number := range uint64(1000) {
 		h.state.Receive(s.clock(h), Message{
 			Kind:        kindLend,
-			From:        hingeids.Life{Host: "host-9"},
+			From:        hingeids.Instance{Host: "host-9"},
 			Engine:      "engine-0",
 			Incarnation: 1,
 			Number:      number,
--- a/internal/capacity/hingeslots/state.go
+++ b/internal/capacity/hingeslots/state.go
@@ -74,7 +74,7 @@
 // State is one host's part in the slots of its zone: owner of pools, granter of
 // engines and holder of grants. It is not safe for concurrent use.
 type State struct {
-	life    hingeids.Life
+	life    hingeids.Instance
 	hosts   []hingeids.HostID
 	view    View
 	engines map[hingeids.ServerID]*engineState
@@ -103,7 +103,7 @@
 
 // NewState makes the state of a life of a host; hosts are its zone's entry
 // hosts from the settings, this one among them.
-func NewState(life hingeids.Life, hosts []hingeids.HostID) *State {
+func NewState(life hingeids.Instance, hosts []hingeids.HostID) *State {
 	sorted := slices.Clone(hosts)
 	slices.Sort(sorted)
 	return &State{
--- a/internal/capacity/hingeslots/wire.go
+++ b/internal/capacity/hingeslots/wire.go
@@ -24,7 +24,7 @@
 // on its kind.
 type Message struct {
 	Kind   messageKind       `cbor:"1,keyasint"`
-	From   hingeids.Life     `cbor:"2,keyasint"`
+	From   hingeids.Instance `cbor:"2,keyasint"`
 	Engine hingeids.ServerID `cbor:"3,keyasint"`
 	// Incarnation is the engine's.
 	Incarnation hingeids.Incarnation `cbor:"4,keyasint"`
@@ -55,9 +55,9 @@
 
 // seenLoan is the newest loan of a pool that a borrower got.
 type seenLoan struct {
-	Pool   hingeids.HostID `cbor:"1,keyasint"`
-	Serial uint64          `cbor:"2,keyasint"`
-	Owner  hingeids.Life   `cbor:"3,keyasint"`
+	Pool   hingeids.HostID   `cbor:"1,keyasint"`
+	Serial uint64            `cbor:"2,keyasint"`
+	Owner  hingeids.Instance `cbor:"3,keyasint"`
 	// Live says that the borrower still has it.
 	Live bool `cbor:"4,keyasint,omitempty"`
 }
--- a/internal/config/hingecustomers/customers.go
+++ b/internal/config/hingecustomers/customers.go
@@ -53,9 +53,9 @@
 	// Rate is what it may use a second, in units; zero is without a bound.
 	Rate float64
 	// Burst is what it may use beside that at any time.
-	Burst hingeids.Units
+	Burst hingeids.QuotaUnits
 	// Plain is what a request costs that states no tokens, where tokens count.
-	Plain hingeids.Units
+	Plain hingeids.QuotaUnits
 }
 
 // Bounded reports whether there is a bound at all.
@@ -64,12 +64,12 @@
 }
 
 // Cost is what one request counts, which may state tokens of prompt and answer (rule 4).
-func (q Quota) Cost(tokens hingeids.Tokens, stated bool) hingeids.Units {
+func (q Quota) Cost(tokens hingeids.Tokens, stated bool) hingeids.QuotaUnits {
 	switch {
 	case q.Unit == Requests:
 		return 1
 	case stated:
-		return hingeids.Units(tokens)
+		return hingeids.QuotaUnits(tokens)
 	}
 	return q.Plain
 }
--- a/internal/config/hingecustomers/customers_test.go
+++ b/internal/config/hingecustomers/customers_test.go
@@ -30,9 +30,9 @@
 		case "rate":
 			c.Quota.Rate = n
 		case "burst":
-			c.Quota.Burst = hingeids.Units(n)
+			c.Quota.Burst = hingeids.QuotaUnits(n)
 		case "plain":
-			c.Quota.Plain = hingeids.Units(n)
+			c.Quota.Plain = hingeids.QuotaUnits(n)
 		case "keys":
 			for k := range strings.SplitSeq(value, ",") {
 				c.Keys = append(c.Keys, Key(strings.Trim(k, "-")).Digest())
@@ -105,10 +105,10 @@
 		Unit:  Tokens,
 		Plain: 200,
 	}
-	got := []hingeids.Units{
+	got := []hingeids.QuotaUnits{
 		Quota{}.Cost(5000, true), tokens.Cost(5000, true), tokens.Cost(0, false),
 	}
-	if diff := cmp.Diff([]hingeids.Units{1, 5000, 200}, got); diff != "" {
+	if diff := cmp.Diff([]hingeids.QuotaUnits{1, 5000, 200}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
--- a/internal/core/hingeclock/clock.go
+++ b/internal/core/hingeclock/clock.go
@@ -12,10 +12,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Boot returns the time since the machine booted, including suspended time, as
+// BootTime returns the time since the machine booted, including suspended time, as
 // an offset from the Unix epoch. It isn't a wall-clock time. The result has no
 // monotonic clock reading, so that Sub compares boot times.
-func Boot() time.Time {
+func BootTime() time.Time {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
 		// Linux has this clock since 2.6.39. Without it leases can't be checked safely.
--- a/internal/core/hingeclock/pause.go
+++ b/internal/core/hingeclock/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for the duration, or until the context is done.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits for the duration, or until the context is done.
+func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/internal/core/hingeids/ids.go
+++ b/internal/core/hingeids/ids.go
@@ -25,10 +25,10 @@
 // occur in a name, because names are URL path segments and "#" ends a path.
 const incarnationSeparator = "#"
 
-// InLife returns the id of one incarnation of a server. State that is keyed by
+// WithIncarnation returns the id of one incarnation of a server. State that is keyed by
 // it (health, streams, orders) isn't applied to a later incarnation. Incarnation
 // 1 has the bare name: servers that take a new name at each start have no other.
-func (s ServerID) InLife(i Incarnation) ServerID {
+func (s ServerID) WithIncarnation(i Incarnation) ServerID {
 	if i <= 1 {
 		return s
 	}
@@ -41,8 +41,8 @@
 	return ServerID(name)
 }
 
-// Life returns the incarnation in the id, or 1 if it has none.
-func (s ServerID) Life() Incarnation {
+// Incarnation returns the incarnation in the id, or 1 if it has none.
+func (s ServerID) Incarnation() Incarnation {
 	_, text, _ := strings.Cut(string(s), incarnationSeparator)
 	i, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
@@ -61,13 +61,13 @@
 // CallerID identifies the customer on whose behalf a request is made.
 type CallerID string
 
-// Print is the fingerprint of a request: a digest that all resends of the same
+// Fingerprint is the fingerprint of a request: a digest that all resends of the same
 // request share, over all attempts, hosts and clients. Zero means no fingerprint.
-type Print uint64
+type Fingerprint uint64
 
 // String formats the fingerprint as 16 hexadecimal digits, the form in logs and
 // in operators' commands. It returns "" for zero.
-func (p Print) String() string {
+func (p Fingerprint) String() string {
 	if p == 0 {
 		return ""
 	}
@@ -75,19 +75,19 @@
 }
 
 // MarshalText implements encoding.TextMarshaler with the format of String.
-func (p Print) MarshalText() ([]byte, error) {
+func (p Fingerprint) MarshalText() ([]byte, error) {
 	return []byte(p.String()), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It accepts the format of
 // String; an empty text is zero.
-func (p *Print) UnmarshalText(b []byte) error {
+func (p *Fingerprint) UnmarshalText(b []byte) error {
 	if len(b) == 0 {
 		*p = 0
 		return nil
 	}
 	n, err := strconv.ParseUint(string(b), 16, 64)
-	*p = Print(n)
+	*p = Fingerprint(n)
 	return eris.Wrap(err, "request fingerprint isn't a 64-bit hexadecimal number")
 }
 
@@ -110,8 +110,8 @@
 // Tokens is a number of tokens of a prompt or of an answer.
 type Tokens int64
 
-// Units is an amount of a customer's quota, in requests or in tokens.
-type Units int64
+// QuotaUnits is an amount of a customer's quota, in requests or in tokens.
+type QuotaUnits int64
 
 // Bytes is a size in bytes.
 type Bytes int64
@@ -122,8 +122,8 @@
 // Slots is a number of decode slots. A decode engine holds one request in each.
 type Slots int
 
-// Life is one instance of an entry host: the host with its incarnation.
-type Life struct {
+// Instance is one instance of an entry host: the host with its incarnation.
+type Instance struct {
 	Host        HostID      `cbor:"1,keyasint" json:"host"`
 	Incarnation Incarnation `cbor:"2,keyasint" json:"incarnation"`
 }
@@ -132,7 +132,7 @@
 // owns the request, so that engine memory that was allocated under the id can be
 // freed once that instance is gone.
 type RequestID struct {
-	Life
+	Instance
 	Sequence uint64 `cbor:"3,keyasint" json:"sequence"`
 	// Attempt counts the placements of the request on engines. Each placement has
 	// its own id there, so that a delayed cancel of an earlier attempt doesn't
@@ -186,7 +186,7 @@
 		return RequestID{}, eris.Wrapf(err, "request id %q: sequence", s)
 	}
 	return RequestID{
-		Life: Life{
+		Instance: Instance{
 			Host:        HostID(host),
 			Incarnation: Incarnation(i),
 		},
--- a/internal/core/hingeids/ids_test.go
+++ b/internal/core/hingeids/ids_test.go
@@ -11,7 +11,7 @@
 func TestRequestIDRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want := RequestID{
-			Life: Life{
+			Instance: Instance{
 				Host:        HostID(rapid.StringMatching(`[a-z0-9.-]{1,30}`).Draw(t, "host")),
 				Incarnation: Incarnation(rapid.Uint64().Draw(t, "incarnation")),
 			},
--- a/internal/decide/hingeadmit/giveup.go
+++ b/internal/decide/hingeadmit/giveup.go
@@ -7,16 +7,16 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// GaveUp is a waiting request that was refused, with its refusal.
-type GaveUp struct {
+// Expired is a waiting request that was refused, with its refusal.
+type Expired struct {
 	Request Request
 	Err     *hingeverdict.Error
 }
 
-// GiveUp removes and returns the waiting requests that can no longer meet
+// Expire removes and returns the waiting requests that can no longer meet
 // their target or deadline. Rule 6. The caller must deliver the refusals.
-func (q *Queue) GiveUp(now time.Time) []GaveUp {
-	var out []GaveUp
+func (q *Queue) Expire(now time.Time) []Expired {
+	var out []Expired
 	for len(q.expiring.list) > 0 && !q.expiring.list[0].expiry.After(now) {
 		it := q.expiring.list[0]
 		if it.request.CanWait && now.Before(it.request.Deadline) {
@@ -24,11 +24,11 @@
 			continue
 		}
 		q.remove(it)
-		code := hingeverdict.CodeTargetOutOfReach
+		code := hingeverdict.CodeTargetUnreachable
 		if it.request.CanWait || it.request.FirstToken == 0 {
 			code = hingeverdict.CodeDeadline
 		}
-		out = append(out, GaveUp{
+		out = append(out, Expired{
 			Request: it.request,
 			Err:     q.refuse(now, it.level, it.request, code, 0),
 		})
@@ -58,9 +58,9 @@
 	heap.Fix(&q.expiring, it.expiryIndex)
 }
 
-// Wake returns the time at which GiveUp must next be called, or the zero time
+// NextExpiry returns the time at which GiveUp must next be called, or the zero time
 // if no request waits.
-func (q *Queue) Wake() time.Time {
+func (q *Queue) NextExpiry() time.Time {
 	if len(q.expiring.list) == 0 {
 		return time.Time{}
 	}
--- a/internal/decide/hingeadmit/queue_test.go
+++ b/internal/decide/hingeadmit/queue_test.go
@@ -35,7 +35,7 @@
 		TokenGap:   40 * time.Millisecond,
 		Deadline:   start.Add(5 * time.Second),
 		Work:       750 * time.Millisecond,
-		Spread:     serial,
+		JitterSeed: serial,
 	}
 }
 
@@ -56,7 +56,7 @@
 // In any order of events, each offered request must end exactly once: one that
 // doesn't end leaves its caller waiting, one that ends twice is answered
 // twice.
-func TestEachRequestComesToOneEnd(t *testing.T) {
+func TestEachRequestEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		q := New(Config{
 			Limit:    20,
@@ -93,7 +93,7 @@
 					}
 				}
 			case 3:
-				for _, g := range q.GiveUp(now) {
+				for _, g := range q.Expire(now) {
 					finish(g.Request.ID)
 				}
 			case 4:
@@ -148,7 +148,7 @@
 
 // A caller that sends ten thousand requests in one second must neither cause
 // the refusal of other callers' requests nor delay them noticeably.
-func TestOneGreedyCallerCannotPushOutTheOthers(t *testing.T) {
+func TestGreedyCallerDoesNotDisplaceOthers(t *testing.T) {
 	q := New(Defaults())
 	dequeued := make(map[hingeids.CallerID]int)
 	for range 10000 {
@@ -205,7 +205,7 @@
 
 // Callers refused at the same moment must get retry times spread by the drain,
 // or they would return together and be refused again.
-func TestRefusedCallersAreToldToComeBackAsThereIsRoom(t *testing.T) {
+func TestRetryTimesFollowTheDrain(t *testing.T) {
 	q := New(Defaults())
 	busy := engines
 	busy.FirstToken = time.Second
@@ -231,7 +231,7 @@
 
 // A waiting request that can no longer meet its first-token target must be
 // refused then, with a retry time, and not at its deadline seconds later.
-func TestHopelessRequestIsGivenUpAtOnce(t *testing.T) {
+func TestRequestExpiresWhenTargetIsOutOfReach(t *testing.T) {
 	q := New(Defaults())
 	r := interactive("a")
 	if err := q.Offer(start, r, engines); err != nil {
@@ -240,11 +240,11 @@
 	if _, ok := q.Next(start, acceptNone); ok {
 		t.Fatal("dequeued although try rejected it")
 	}
-	wake := q.Wake()
+	wake := q.NextExpiry()
 	if wait := wake.Sub(start); wait > r.FirstToken {
 		t.Fatalf("expires only after %v, its target is %v", wait, r.FirstToken)
 	}
-	expired := q.GiveUp(wake)
+	expired := q.Expire(wake)
 	if len(expired) != 1 {
 		t.Fatalf("%d requests expired, want 1", len(expired))
 	}
@@ -254,7 +254,7 @@
 	}
 	want := hingeverdict.Error{
 		Verdict:    hingeverdict.NotRun,
-		Code:       hingeverdict.CodeTargetOutOfReach,
+		Code:       hingeverdict.CodeTargetUnreachable,
 		RetryAfter: got.RetryAfter,
 		Cause:      got.Cause,
 	}
@@ -265,7 +265,7 @@
 
 // A request whose KV cache was evicted must not be charged to its caller's
 // share a second time.
-func TestEvictedRequestKeepsItsTurn(t *testing.T) {
+func TestEvictedRequestIsNotChargedTwice(t *testing.T) {
 	q := New(Defaults())
 	first := batch("a")
 	_ = q.Offer(start, first, engines)
@@ -294,10 +294,10 @@
 
 // A long prompt must be accepted on idle engines: its prefill cost in slots is
 // far higher than the duration of its answer, and may exceed the deadline.
-func TestLongPromptIsTakenOnIdleEngines(t *testing.T) {
+func TestLongPromptIsAcceptedOnIdleEngines(t *testing.T) {
 	r := batch("v")
 	r.Work = 2 * time.Minute
-	r.Takes = 5 * time.Second
+	r.AnswerTime = 5 * time.Second
 	if err := New(Defaults()).Offer(start, r, engines); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/decide/hingeadmit/rate.go
+++ b/internal/decide/hingeadmit/rate.go
@@ -101,22 +101,22 @@
 		// The schedule is full: spread further retries over its second half.
 		l.nextRetry = now.Add(maxRetryAfter)
 		retryAfter = maxRetryAfter
-		retryAfter -= time.Duration(unitFraction(r.Spread) * float64(maxRetryAfter/2))
+		retryAfter -= time.Duration(unitFraction(r.JitterSeed) * float64(maxRetryAfter/2))
 	} else {
 		// Entry hosts schedule independently. Jitter of up to a quarter keeps their
 		// retry times apart.
-		retryAfter += time.Duration(unitFraction(r.Spread) * float64(retryAfter/4))
+		retryAfter += time.Duration(unitFraction(r.JitterSeed) * float64(retryAfter/4))
 	}
-	return refusal(c, max(retryAfter, minRetryAfter+time.Duration(unitFraction(r.Spread)*float64(minRetryAfter))))
+	return refusal(c, max(retryAfter, minRetryAfter+time.Duration(unitFraction(r.JitterSeed)*float64(minRetryAfter))))
 }
 
 // reasons are the error texts of the refusals.
 var reasons = map[hingeverdict.Code]string{
-	hingeverdict.CodeQueueFull:        "the queue is full",
-	hingeverdict.CodeCallerShare:      "the caller's share of the queue is full",
-	hingeverdict.CodeTargetOutOfReach: "the latency target is out of reach",
-	hingeverdict.CodeDeadline:         "the deadline is out of reach",
-	hingeverdict.CodeNoServer:         "there is no engine",
+	hingeverdict.CodeQueueFull:           "the queue is full",
+	hingeverdict.CodeCallerShareExceeded: "the caller's share of the queue is full",
+	hingeverdict.CodeTargetUnreachable:   "the latency target is out of reach",
+	hingeverdict.CodeDeadline:            "the deadline is out of reach",
+	hingeverdict.CodeNoServer:            "there is no engine",
 }
 
 // unitFraction hashes a number to a fraction in [0, 1).
--- a/internal/decide/hingeadmit/request.go
+++ b/internal/decide/hingeadmit/request.go
@@ -24,11 +24,11 @@
 	Deadline time.Time
 	// Work is the cost of the request as slot time (rule 1).
 	Work time.Duration
-	// Takes is the expected duration of the answer after its first token.
-	Takes time.Duration
-	// Spread is a number that differs between requests, such as a hash of the ID.
+	// AnswerTime is the expected duration of the answer after its first token.
+	AnswerTime time.Duration
+	// JitterSeed is a number that differs between requests, such as a hash of the ID.
 	// It seeds the jitter of retry times.
-	Spread uint64
+	JitterSeed uint64
 }
 
 // Forecast is the prediction for a request that is started now.
--- a/internal/decide/hingebalance/balance.go
+++ b/internal/decide/hingebalance/balance.go
@@ -42,19 +42,19 @@
 	Zone    hingeids.Zone
 	// Slots is the number of requests that the replica processes concurrently, zero if unknown.
 	Slots hingeids.Slots
-	// Most is the maximum number of connections to the replica, zero for no limit.
-	Most int
+	// MaxConnections is the maximum number of connections to the replica, zero for no limit.
+	MaxConnections int
 }
 
-// Ask holds the constraints of a request on the choice of its replica.
-type Ask struct {
+// Constraints holds the constraints of a request on the choice of its replica.
+type Constraints struct {
 	// Zone is the availability zone of the host that sends the request.
 	Zone hingeids.Zone
 	// Avoid lists replicas that have already failed the request.
 	Avoid []hingeids.ServerID
-	// Within is the time left to answer the request; replicas with a higher expected latency are
+	// MaxLatency is the time left to answer the request; replicas with a higher expected latency are
 	// not chosen. Zero means no limit.
-	Within time.Duration
+	MaxLatency time.Duration
 }
 
 // Outcome is the result of a request at a replica.
@@ -68,20 +68,20 @@
 	Answered Outcome = iota
 	Full
 	Failed
-	Unreached
-	Gone
+	ConnectFailed
+	Replaced
 	Unknown
 )
 
-// Found is the result of Choose.
-type Found uint8
+// Result is the result of Choose.
+type Result uint8
 
 // Chosen means that a replica was chosen; Busy that all eligible replicas are at their limit or too
 // slow; None that no replica is eligible.
 const (
-	Chosen Found = iota
+	Chosen Result = iota
 	Busy
-	None
+	NoReplica
 )
 
 const (
@@ -188,8 +188,8 @@
 	return r
 }
 
-// Balance chooses among the replicas of one service. It is not safe for concurrent use.
-type Balance struct {
+// Balancer chooses among the replicas of one service. It is not safe for concurrent use.
+type Balancer struct {
 	random *rand.Rand
 	states map[hingeids.ServerID]*state
 	// turnaround is the idle time of a slot between two requests (rule 6).
@@ -200,14 +200,14 @@
 }
 
 // New returns a Balance without observations.
-func New(seed uint64) *Balance {
-	return &Balance{
+func New(seed uint64) *Balancer {
+	return &Balancer{
 		random: rand.New(rand.NewPCG(seed, seed+1)),
 		states: make(map[hingeids.ServerID]*state),
 	}
 }
 
-func (b *Balance) state(id hingeids.ServerID) *state {
+func (b *Balancer) state(id hingeids.ServerID) *state {
 	s := b.states[id]
 	if s == nil {
 		s = &state{
@@ -229,9 +229,9 @@
 
 // Choose picks a replica for a request. For each chosen replica, the caller must call either Done
 // or Expire once.
-func (b *Balance) Choose(now time.Time, list []Replica, a Ask) (Replica, Found) {
+func (b *Balancer) Choose(now time.Time, list []Replica, a Constraints) (Replica, Result) {
 	b.available, b.ejected = b.available[:0], b.ejected[:0]
-	found := None
+	found := NoReplica
 	for _, r := range list {
 		s := b.state(r.Server)
 		if s.replaced || slices.Contains(a.Avoid, r.Server) {
@@ -242,7 +242,7 @@
 			continue
 		}
 		found = Busy
-		if s.open >= s.limit(r, b.turnaround) || a.Within > 0 && s.expectedLatency(now) > a.Within && !s.needsProbe(now) {
+		if s.open >= s.limit(r, b.turnaround) || a.MaxLatency > 0 && s.expectedLatency(now) > a.MaxLatency && !s.needsProbe(now) {
 			continue
 		}
 		c := candidate{
@@ -316,7 +316,7 @@
 	return cost
 }
 
-func (b *Balance) best() (candidate, bool) {
+func (b *Balancer) best() (candidate, bool) {
 	if len(b.available) == 0 {
 		if len(b.ejected) == 0 {
 			return candidate{}, false
@@ -344,23 +344,23 @@
 	return best, true
 }
 
-// Expire releases the place of a request at a replica without an outcome.
-func (b *Balance) Expire(id hingeids.ServerID) {
+// Release releases the place of a request at a replica without an outcome.
+func (b *Balancer) Release(id hingeids.ServerID) {
 	s := b.state(id)
 	s.open = max(s.open-1, 0)
 }
 
 // Done releases the place of a request and records its outcome, seen from the given zone, and how
 // long it took.
-func (b *Balance) Done(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
-	b.Expire(id)
-	b.Learn(now, id, zone, o, elapsed)
+func (b *Balancer) Done(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
+	b.Release(id)
+	b.RecordOutcome(now, id, zone, o, elapsed)
 }
 
-// Learn records the outcome of a request whose replica was not chosen by this Balance.
-func (b *Balance) Learn(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
+// RecordOutcome records the outcome of a request whose replica was not chosen by this Balance.
+func (b *Balancer) RecordOutcome(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
 	s := b.state(id)
-	if o != Unreached && o != Unknown {
+	if o != ConnectFailed && o != Unknown {
 		s.recordResponse(now)
 		fromZone := s.reachability(zone)
 		fromZone.connectFailures = 0
@@ -372,9 +372,9 @@
 	case Full:
 		s.refusedUntil = now.Add(refusalPause)
 		s.recordRefusal()
-	case Gone:
+	case Replaced:
 		s.replaced = true
-	case Unreached:
+	case ConnectFailed:
 		fromZone := s.reachability(zone)
 		fromZone.connectFailures++
 		if fromZone.unreachable() {
@@ -407,8 +407,8 @@
 	s.restoreLimit()
 }
 
-// Keep discards the state of all replicas that are not in the list.
-func (b *Balance) Keep(list []Replica) {
+// Retain discards the state of all replicas that are not in the list.
+func (b *Balancer) Retain(list []Replica) {
 	retained := make(map[hingeids.ServerID]bool, len(list))
 	for _, r := range list {
 		retained[r.Server] = true
--- a/internal/decide/hingebalance/balance_test.go
+++ b/internal/decide/hingebalance/balance_test.go
@@ -15,7 +15,7 @@
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 // fromCancale is the default constraint of requests in these tests.
-var fromCancale = Ask{
+var fromCancale = Constraints{
 	Zone: "cancale",
 }
 
@@ -144,7 +144,7 @@
 			b.Done(now, e.id, "", e.o, e.took)
 			return true
 		})
-		r, _ := b.Choose(now, list, Ask{})
+		r, _ := b.Choose(now, list, Constraints{})
 		e := completion{
 			id:   r.Server,
 			took: 30 * time.Millisecond,
@@ -186,7 +186,7 @@
 			continue
 		}
 		attempts++
-		b.Done(now, r.Server, fromCancale.Zone, Unreached, 200*time.Millisecond)
+		b.Done(now, r.Server, fromCancale.Zone, ConnectFailed, 200*time.Millisecond)
 	}
 	if attempts > 20 {
 		t.Errorf("%d of 300 requests were sent to unreachable replicas, want at most 20", attempts)
@@ -224,7 +224,7 @@
 		r, _ := b.Choose(now, replicas(), fromCancale)
 		if r.Server == "app-1" {
 			failed++
-			b.Done(now, r.Server, fromCancale.Zone, Unreached, 200*time.Millisecond)
+			b.Done(now, r.Server, fromCancale.Zone, ConnectFailed, 200*time.Millisecond)
 			continue
 		}
 		b.Done(now, r.Server, fromCancale.Zone, Answered, 15*time.Millisecond)
@@ -266,7 +266,7 @@
 func TestReplacedReplicaGetsNothing(t *testing.T) {
 	b := New(1)
 	b.Choose(start, replicas(), fromCancale)
-	b.Done(start, "app-1", fromCancale.Zone, Gone, time.Millisecond)
+	b.Done(start, "app-1", fromCancale.Zone, Replaced, time.Millisecond)
 	got := make(map[hingeids.ServerID]bool)
 	for range 50 {
 		r, _ := b.Choose(start, replicas(), fromCancale)
@@ -286,7 +286,7 @@
 func TestSilentReplicaKeepsItsConnectionLimit(t *testing.T) {
 	b := New(1)
 	list := replicas()[:1]
-	list[0].Most = 10
+	list[0].MaxConnections = 10
 	got := 0
 	for range 30 {
 		if _, found := b.Choose(start, list, fromCancale); found == Chosen {
@@ -314,7 +314,7 @@
 }
 
 // fill chooses until no replica is found, and returns the number of chosen ones.
-func fill(b *Balance, now time.Time, list []Replica) int {
+func fill(b *Balancer, now time.Time, list []Replica) int {
 	for n := 0; ; n++ {
 		if _, found := b.Choose(now, list, fromCancale); found != Chosen {
 			return n
@@ -331,7 +331,7 @@
 		time.Second:           12,
 	} {
 		b := New(1)
-		b.SetHandOver(turnaround)
+		b.SetTurnaround(turnaround)
 		if got := fill(b, start, sixSlotReplica()); got != want {
 			t.Errorf("turnaround %v: %d requests in flight, want %d", turnaround, got, want)
 		}
@@ -375,9 +375,9 @@
 	silent := 0
 	for range 600 {
 		now = now.Add(5 * time.Millisecond)
-		r, found := b.Choose(now, list, Ask{
-			Zone:   "cancale",
-			Within: 150 * time.Millisecond,
+		r, found := b.Choose(now, list, Constraints{
+			Zone:       "cancale",
+			MaxLatency: 150 * time.Millisecond,
 		})
 		if found != Chosen {
 			continue
@@ -385,7 +385,7 @@
 		if r.Server == "app-1" {
 			// The caller releases the place without an outcome.
 			silent++
-			b.Expire("app-1")
+			b.Release("app-1")
 			continue
 		}
 		b.Done(now, "app-2", "cancale", Answered, 25*time.Millisecond)
@@ -402,13 +402,13 @@
 	list := sixSlotReplica()
 	for range connectFailureLimit {
 		b.Choose(start, list, fromCancale)
-		b.Done(start, "app-1", "cancale", Unreached, 100*time.Millisecond)
+		b.Done(start, "app-1", "cancale", ConnectFailed, 100*time.Millisecond)
 	}
 	now := start.Add(time.Millisecond)
-	if _, found := b.Choose(now, list, fromCancale); found != None {
+	if _, found := b.Choose(now, list, fromCancale); found != NoReplica {
 		t.Error("a replica was chosen that cancale can't reach")
 	}
-	if _, found := b.Choose(now, list, Ask{
+	if _, found := b.Choose(now, list, Constraints{
 		Zone: "roscoff",
 	}); found != Chosen {
 		t.Error("no replica was chosen for roscoff, which can reach it")
--- a/internal/decide/hingebalance/limit.go
+++ b/internal/decide/hingebalance/limit.go
@@ -24,8 +24,8 @@
 		inTransit := math.Ceil(slots * min((turnaround+networkTime).Seconds()/s.latency.Seconds(), 1))
 		limit = int(max(slots+inTransit-s.limitReduction, 1))
 	}
-	if r.Most > 0 {
-		limit = min(limit, r.Most)
+	if r.MaxConnections > 0 {
+		limit = min(limit, r.MaxConnections)
 	}
 	return limit
 }
@@ -42,7 +42,7 @@
 }
 
 // Rate returns how many requests a second the eligible replicas can answer.
-func (b *Balance) Rate(now time.Time, list []Replica) float64 {
+func (b *Balancer) Rate(now time.Time, list []Replica) float64 {
 	rate := 0.0
 	for _, r := range list {
 		s := b.state(r.Server)
@@ -68,19 +68,19 @@
 	return len(s.zones) > 0
 }
 
-// SetHandOver sets how long a slot is idle between the completion of a request and the start of the
+// SetTurnaround sets how long a slot is idle between the completion of a request and the start of the
 // next one.
-func (b *Balance) SetHandOver(d time.Duration) {
+func (b *Balancer) SetTurnaround(d time.Duration) {
 	b.turnaround = d
 }
 
-// TookAt returns the expected latency of a replica.
-func (b *Balance) TookAt(id hingeids.ServerID) time.Duration {
+// Latency returns the expected latency of a replica.
+func (b *Balancer) Latency(id hingeids.ServerID) time.Duration {
 	return b.state(id).latency
 }
 
-// Took returns the lowest expected latency among the replicas.
-func (b *Balance) Took(list []Replica) time.Duration {
+// MinLatency returns the lowest expected latency among the replicas.
+func (b *Balancer) MinLatency(list []Replica) time.Duration {
 	least := initialLatency
 	found := false
 	for _, r := range list {
--- a/internal/decide/hingebaseline/baseline.go
+++ b/internal/decide/hingebaseline/baseline.go
@@ -40,7 +40,7 @@
 	queueByPriority   bool
 	queue             []*hingemodel.Request
 	inFlight          map[*hingemodel.Request]bool
-	reports           []hingemodel.Report
+	reports           []hingemodel.LoadReport
 	lastTurn          int
 	rng               *rand.Rand
 }
@@ -48,7 +48,7 @@
 // chooser selects one of the n engines that start at first.
 type chooser func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID
 
-func newRouter(f hingemodel.Firm, c hingemodel.Cluster, seed uint64, choose chooser) *Router {
+func newRouter(f hingemodel.Workload, c hingemodel.Cluster, seed uint64, choose chooser) *Router {
 	return &Router{
 		prefills:     f.Prefill,
 		decodes:      f.Decode,
@@ -56,13 +56,13 @@
 		choose:       choose,
 		passPriority: true,
 		inFlight:     make(map[*hingemodel.Request]bool),
-		reports:      make([]hingemodel.Report, f.Prefill+f.Decode),
+		reports:      make([]hingemodel.LoadReport, f.Prefill+f.Decode),
 		rng:          rand.New(rand.NewPCG(seed, 3)),
 	}
 }
 
 // RoundRobin returns a baseline that uses engines in turn and ignores priorities.
-func RoundRobin(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
+func RoundRobin(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
 	r := newRouter(f, c, seed, roundRobin)
 	r.passPriority = false
 	return r
@@ -70,19 +70,19 @@
 
 // LeastLoad returns a baseline that uses the engine with the least load in its
 // latest report.
-func LeastLoad(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
+func LeastLoad(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
 	return newRouter(f, c, seed, leastLoad)
 }
 
 // TwoChoices returns a baseline that samples two engines and uses the one with
 // the lower reported load.
-func TwoChoices(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
+func TwoChoices(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
 	return newRouter(f, c, seed, twoChoices)
 }
 
 // PrefixAffinity returns a baseline that selects the prefill engine by the hash of
 // the prefix, and the decode engine as TwoChoices does.
-func PrefixAffinity(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
+func PrefixAffinity(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
 	return newRouter(f, c, seed, func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID {
 		if first > 0 {
 			return twoChoices(r, q, first, n)
@@ -92,7 +92,7 @@
 }
 
 // PriorityAffinity returns a PrefixAffinity baseline with a priority queue. Rule 6.
-func PriorityAffinity(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) *Router {
+func PriorityAffinity(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
 	r := PrefixAffinity(f, c, seed)
 	r.queueByPriority = true
 	return r
@@ -128,8 +128,8 @@
 	return l.Running + l.Queued + int(l.QueuedTokens)
 }
 
-// Arrive queues the request, or refuses it if the queue is full. Rule 2.
-func (r *Router) Arrive(now time.Time, q *hingemodel.Request, o *hingemodel.Orders) {
+// HandleArrival queues the request, or refuses it if the queue is full. Rule 2.
+func (r *Router) HandleArrival(now time.Time, q *hingemodel.Request, o *hingemodel.Actions) {
 	if len(r.queue) >= queueLimit {
 		o.Refuse(q, retryAfter)
 		return
@@ -138,8 +138,8 @@
 	r.dispatch(now, o)
 }
 
-// Happen continues, requeues or removes a request. Rule 5.
-func (r *Router) Happen(now time.Time, e hingemodel.Event, o *hingemodel.Orders) {
+// HandleEvent continues, requeues or removes a request. Rule 5.
+func (r *Router) HandleEvent(now time.Time, e hingemodel.Event, o *hingemodel.Actions) {
 	q := e.Request
 	switch e.Kind {
 	case hingemodel.PrefillDone:
@@ -153,20 +153,20 @@
 	}
 }
 
-// Report stores the latest report of an engine.
-func (r *Router) Report(now time.Time, l hingemodel.Report, o *hingemodel.Orders) {
+// HandleReport stores the latest report of an engine.
+func (r *Router) HandleReport(now time.Time, l hingemodel.LoadReport, o *hingemodel.Actions) {
 	r.reports[l.Engine] = l
 	r.dispatch(now, o)
 }
 
 // Tick dispatches queued requests.
-func (r *Router) Tick(now time.Time, o *hingemodel.Orders) {
+func (r *Router) Tick(now time.Time, o *hingemodel.Actions) {
 	r.dispatch(now, o)
 }
 
 // dispatch starts queued requests while there are decode slots for them. Rules 1
 // and 2.
-func (r *Router) dispatch(now time.Time, o *hingemodel.Orders) {
+func (r *Router) dispatch(now time.Time, o *hingemodel.Actions) {
 	for len(r.queue) > 0 && len(r.inFlight) < r.slots {
 		q := r.queue[0]
 		r.queue = r.queue[1:]
--- a/internal/decide/hingebaseline/baseline_test.go
+++ b/internal/decide/hingebaseline/baseline_test.go
@@ -10,7 +10,7 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingemodel"
 )
 
-var baselines = map[string]func(hingemodel.Firm, hingemodel.Cluster, uint64) *Router{
+var baselines = map[string]func(hingemodel.Workload, hingemodel.Cluster, uint64) *Router{
 	"roundRobin":       RoundRobin,
 	"leastLoad":        LeastLoad,
 	"twoChoices":       TwoChoices,
@@ -20,17 +20,17 @@
 
 func sampleRun(t *rapid.T) hingemodel.Run {
 	return hingemodel.Run{
-		Cluster: hingemodel.BriefCluster(),
-		Firm:    rapid.SampledFrom([]hingemodel.Firm{hingemodel.Shellfish(), hingemodel.Streaming()}).Draw(t, "firm"),
+		Cluster:  hingemodel.DefaultCluster(),
+		Workload: rapid.SampledFrom([]hingemodel.Workload{hingemodel.Shellfish(), hingemodel.Streaming()}).Draw(t, "firm"),
 		Phases: []hingemodel.Phase{
 			{
-				Lasts: 4 * time.Second,
-				Load:  rapid.Float64Range(0.1, 4).Draw(t, "load"),
+				Duration: 4 * time.Second,
+				Load:     rapid.Float64Range(0.1, 4).Draw(t, "load"),
 			},
 		},
-		Clients: hingemodel.Clients{
-			AsTold:   rapid.Float64Range(0, 1).Draw(t, "asTold"),
-			Attempts: rapid.IntRange(1, 4).Draw(t, "attempts"),
+		Clients: hingemodel.ClientRetries{
+			RetryAfterShare: rapid.Float64Range(0, 1).Draw(t, "asTold"),
+			Attempts:        rapid.IntRange(1, 4).Draw(t, "attempts"),
 		},
 		Seed: rapid.Uint64().Draw(t, "seed"),
 	}
@@ -43,8 +43,8 @@
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				run := sampleRun(t)
-				first := hingemodel.Play(run, newBaseline(run.Firm, run.Cluster, run.Seed))
-				again := hingemodel.Play(run, newBaseline(run.Firm, run.Cluster, run.Seed))
+				first := hingemodel.Simulate(run, newBaseline(run.Workload, run.Cluster, run.Seed))
+				again := hingemodel.Simulate(run, newBaseline(run.Workload, run.Cluster, run.Seed))
 				if diff := cmp.Diff(first.Classes, again.Classes); diff != "" {
 					t.Fatal(diff)
 				}
@@ -53,7 +53,7 @@
 						t.Fatalf("%s: %d requests arrived, %d have an outcome", class, o.Arrived, got)
 					}
 				}
-				if w := first.Wasted(); w < 0 || w > 1 {
+				if w := first.WastedShare(); w < 0 || w > 1 {
 					t.Fatalf("wasted share of prefill is %v, want a value from 0 to 1", w)
 				}
 			})
--- a/internal/decide/hingefleet/demand.go
+++ b/internal/decide/hingefleet/demand.go
@@ -9,9 +9,9 @@
 type Demand struct {
 	Prefill float64
 	Decode  float64
-	// Reads reports whether decode engines can prefill prompts of the mean size without making
+	// PrefillOnDecoders reports whether decode engines can prefill prompts of the mean size without making
 	// their streams late.
-	Reads bool
+	PrefillOnDecoders bool
 }
 
 // demandWindow is the time over which demand is averaged. It is longer than a typical stream, so
@@ -40,14 +40,14 @@
 	firstAt time.Time
 }
 
-func (d *demand) add(now time.Time, w Want) {
+func (d *demand) add(now time.Time, w StreamRequest) {
 	d.decay(now)
 	if d.firstAt.IsZero() {
 		d.firstAt = now
 	}
 	d.requests++
-	d.promptTokens += float64(w.Prompt)
-	d.decodeWork += (float64(w.Prompt) + float64(w.Expected)/2) * float64(w.Expected)
+	d.promptTokens += float64(w.PromptTokens)
+	d.decodeWork += (float64(w.PromptTokens) + float64(w.ExpectedTokens)/2) * float64(w.ExpectedTokens)
 }
 
 func (d *demand) decay(now time.Time) {
@@ -82,9 +82,9 @@
 		window = demandWindow.Seconds()
 	}
 	return Demand{
-		Prefill: f.demand.promptTokens / window / f.estimates.usualPrefillRate(),
-		Decode:  f.demand.decodeWork / f.estimates.usualDecodeRate() / window / (memory * typicalFill),
-		Reads:   f.canPrefillOnDecoders(),
+		Prefill:           f.demand.promptTokens / window / f.estimates.usualPrefillRate(),
+		Decode:            f.demand.decodeWork / f.estimates.usualDecodeRate() / window / (memory * typicalFill),
+		PrefillOnDecoders: f.canPrefillOnDecoders(),
 	}
 }
 
--- a/internal/decide/hingefleet/fleet.go
+++ b/internal/decide/hingefleet/fleet.go
@@ -67,28 +67,28 @@
 	Role   Role
 	Slots  hingeids.Slots
 	Memory hingeids.Tokens
-	// Event is the number of tokens in one event of a stream.
-	Event hingeids.Tokens
+	// EventTokens is the number of tokens in one event of a stream.
+	EventTokens hingeids.Tokens
 }
 
-// Want is a stream that requests engines.
-type Want struct {
+// StreamRequest is a stream that requests engines.
+type StreamRequest struct {
 	ID    StreamID
 	Owner hingeids.HostID
 	// Zone is the availability zone of the host that received the request.
 	Zone hingeids.Zone
-	// Prompt is the number of tokens to prefill, including those of an interrupted answer.
-	Prompt hingeids.Tokens
-	// Expected is the estimated number of tokens still to be generated.
-	Expected hingeids.Tokens
+	// PromptTokens is the number of tokens to prefill, including those of an interrupted answer.
+	PromptTokens hingeids.Tokens
+	// ExpectedTokens is the estimated number of tokens still to be generated.
+	ExpectedTokens hingeids.Tokens
 	// Arrived is when the caller's request arrived, Target the permitted time until its first
 	// event.
 	Arrived time.Time
 	Target  time.Duration
-	// Gap is the longest time between two events that counts as on time; zero means no limit.
-	Gap time.Duration
-	// Patience is how long after Arrived the caller waits for the first event.
-	Patience time.Duration
+	// MaxEventGap is the longest time between two events that counts as on time; zero means no limit.
+	MaxEventGap time.Duration
+	// MaxWait is how long after Arrived the caller waits for the first event.
+	MaxWait  time.Duration
 	Deadline time.Time
 	// Moved reports that an engine failed in the middle of the answer.
 	Moved bool
@@ -102,8 +102,8 @@
 	Priority int
 }
 
-// Grant names the engines assigned to a stream.
-type Grant struct {
+// Assignment names the engines assigned to a stream.
+type Assignment struct {
 	// Prefill is empty if the decode engine prefills the prompt itself (rule 7) or the KV cache
 	// already exists.
 	Prefill hingeids.ServerID
@@ -112,15 +112,15 @@
 
 // Decision is the outcome of a Want: either an assignment or a refusal.
 type Decision struct {
-	ID    StreamID
-	Owner hingeids.HostID
-	Grant Grant
+	ID         StreamID
+	Owner      hingeids.HostID
+	Assignment Assignment
 	// Refused reports that no engines were assigned; RetryAfter is then the recommended delay
 	// before the caller retries.
 	Refused    bool
 	RetryAfter time.Duration
-	// Short is the resource that was missing, if the request is refused.
-	Short Shortage
+	// Shortage is the resource that was missing, if the request is refused.
+	Shortage Shortage
 	// Waited is the time from the request's arrival to the decision, Peak the predicted peak
 	// memory of the decode engine in percent. Both are for logs.
 	Waited time.Duration
@@ -143,8 +143,8 @@
 	Decode   hingeids.ServerID `cbor:"2,keyasint"`
 	Prompt   hingeids.Tokens   `cbor:"3,keyasint"`
 	Expected hingeids.Tokens   `cbor:"4,keyasint"`
-	// Made is the number of tokens generated so far; zero before the first.
-	Made hingeids.Tokens `cbor:"5,keyasint,omitempty"`
+	// Generated is the number of tokens generated so far; zero before the first.
+	Generated hingeids.Tokens `cbor:"5,keyasint,omitempty"`
 }
 
 // engine is an engine with what was learned about it.
@@ -188,7 +188,7 @@
 	// reportCount numbers the reports, so that each stream records the last one that listed it.
 	reportCount uint64
 	lastExpiry  time.Time
-	queue       []*Want
+	queue       []*StreamRequest
 	// arrivals are the times of the requests within arrivalWindow, for rule 5.
 	arrivals      []time.Time
 	cachedRates   rates
@@ -267,12 +267,12 @@
 	return e.measuredRate.valueOr(f.estimates.usualDecodeRate())
 }
 
-// Streams returns the number of streams in flight, according to assignments and reports.
-func (f *Fleet) Streams() int {
+// StreamCount returns the number of streams in flight, according to assignments and reports.
+func (f *Fleet) StreamCount() int {
 	return len(f.streams)
 }
 
-// Waiting returns the number of queued requests.
-func (f *Fleet) Waiting() int {
+// QueueLength returns the number of queued requests.
+func (f *Fleet) QueueLength() int {
 	return len(f.queue)
 }
--- a/internal/decide/hingefleet/fleet_test.go
+++ b/internal/decide/hingefleet/fleet_test.go
@@ -181,16 +181,16 @@
 	return f
 }
 
-func requestOf(id StreamID, now time.Time) Want {
-	return Want{
-		ID:       id,
-		Owner:    "entry-1",
-		Prompt:   5000,
-		Expected: 5000,
-		Arrived:  now,
-		Target:   900 * time.Millisecond,
-		Patience: 3 * time.Second,
-		Deadline: now.Add(14 * time.Second),
+func requestOf(id StreamID, now time.Time) StreamRequest {
+	return StreamRequest{
+		ID:             id,
+		Owner:          "entry-1",
+		PromptTokens:   5000,
+		ExpectedTokens: 5000,
+		Arrived:        now,
+		Target:         900 * time.Millisecond,
+		MaxWait:        3 * time.Second,
+		Deadline:       now.Add(14 * time.Second),
 	}
 }
 
@@ -200,7 +200,7 @@
 	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
-	f.Report(now, "entry-1", []Progress{
+	f.HandleReport(now, "entry-1", []Progress{
 		{
 			ID:       "a",
 			Decode:   "decode-1",
@@ -209,11 +209,11 @@
 		},
 	})
 	f.Step(now.Add(2 * time.Second))
-	if f.Streams() != 1 {
+	if f.StreamCount() != 1 {
 		t.Fatal("streams were removed before their owner timed out")
 	}
 	f.Step(now.Add(3 * time.Second))
-	if f.Streams() != 0 {
+	if f.StreamCount() != 0 {
 		t.Fatal("streams remain after their owner timed out")
 	}
 }
@@ -224,16 +224,16 @@
 	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
-	f.Offer(now, requestOf("a", now))
+	f.Enqueue(now, requestOf("a", now))
 	if d := f.Step(now); len(d) != 1 || d[0].Refused {
 		t.Fatalf("stream isn't assigned: %+v", d)
 	}
-	f.Report(now, "entry-1", nil)
-	if f.Streams() != 1 {
+	f.HandleReport(now, "entry-1", nil)
+	if f.StreamCount() != 1 {
 		t.Fatal("an assignment that its owner hasn't received was removed")
 	}
 	f.Step(now.Add(2 * time.Second))
-	if f.Streams() != 0 {
+	if f.StreamCount() != 0 {
 		t.Fatal("an unreported assignment remains after its timeout")
 	}
 }
@@ -248,14 +248,14 @@
 	now := simStart
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		w := Want{
-			ID:       "x",
-			Prompt:   5500,
-			Expected: 3000,
-			Arrived:  now,
+		w := StreamRequest{
+			ID:             "x",
+			PromptTokens:   5500,
+			ExpectedTokens: 3000,
+			Arrived:        now,
 		}
-		f.Offer(now, w)
-		f.Offer(now.Add(newRequestAge), w)
+		f.Enqueue(now, w)
+		f.Enqueue(now.Add(newRequestAge), w)
 		f.queue = nil
 	}
 	// Ten requests a second: 55,000 prompt tokens, and 7,000 tokens held for two seconds each.
@@ -292,24 +292,24 @@
 				continue
 			}
 			running = append(running, Progress{
-				ID:       StreamID(fmt.Sprintf("%d/%d", i, n)),
-				Decode:   e.Server,
-				Prompt:   5200,
-				Expected: 5000,
-				Made:     hingeids.Tokens(300 * n),
+				ID:        StreamID(fmt.Sprintf("%d/%d", i, n)),
+				Decode:    e.Server,
+				Prompt:    5200,
+				Expected:  5000,
+				Generated: hingeids.Tokens(300 * n),
 			})
 		}
 	}
-	f.Report(now, "entry-1", running)
+	f.HandleReport(now, "entry-1", running)
 	for i := range waiting {
 		w := requestOf(StreamID(fmt.Sprint("waits", i)), now)
-		w.Prompt = simMemory
+		w.PromptTokens = simMemory
 		w.Moved = true
-		f.Offer(now, w)
+		f.Enqueue(now, w)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		f.Offer(now, requestOf("next", now))
+		f.Enqueue(now, requestOf("next", now))
 		f.Step(now)
 		f.Cancel("next")
 	}
--- a/internal/decide/hingefleet/fuzz_test.go
+++ b/internal/decide/hingefleet/fuzz_test.go
@@ -20,58 +20,58 @@
 		x := New()
 		x.SetEngines([]Engine{
 			{
-				Server: "prefill",
-				Role:   Prefill,
-				Slots:  8,
-				Memory: 24000,
-				Event:  65,
+				Server:      "prefill",
+				Role:        Prefill,
+				Slots:       8,
+				Memory:      24000,
+				EventTokens: 65,
 			},
 			{
-				Server: "decode",
-				Role:   Decode,
-				Slots:  8,
-				Memory: 24000,
-				Event:  65,
+				Server:      "decode",
+				Role:        Decode,
+				Slots:       8,
+				Memory:      24000,
+				EventTokens: 65,
 			},
 		})
 		now := time.Unix(1000, 0)
 		for i := range 5 {
-			w := Want{
-				ID:       StreamID(fmt.Sprint(i)),
-				Owner:    "entry",
-				Prompt:   5000,
-				Expected: 3000,
-				Arrived:  now,
-				Target:   900 * time.Millisecond,
-				Patience: 3 * time.Second,
-				Deadline: now.Add(14 * time.Second),
+			w := StreamRequest{
+				ID:             StreamID(fmt.Sprint(i)),
+				Owner:          "entry",
+				PromptTokens:   5000,
+				ExpectedTokens: 3000,
+				Arrived:        now,
+				Target:         900 * time.Millisecond,
+				MaxWait:        3 * time.Second,
+				Deadline:       now.Add(14 * time.Second),
 			}
 			if i%2 == 0 {
-				w.Prompt = hingeids.Tokens(prompt)
-				w.Expected = hingeids.Tokens(expected)
+				w.PromptTokens = hingeids.Tokens(prompt)
+				w.ExpectedTokens = hingeids.Tokens(expected)
 				w.Target = time.Duration(target)
-				w.Patience = time.Duration(maxWait)
+				w.MaxWait = time.Duration(maxWait)
 				w.Deadline = now.Add(time.Duration(remaining))
-				w.Gap = time.Duration(gap)
+				w.MaxEventGap = time.Duration(gap)
 				w.Moved = moved
 				w.Cached = cached
 			}
-			x.Offer(now, w)
+			x.Enqueue(now, w)
 			for _, d := range x.Step(now) {
-				x.Report(now, "entry", []Progress{
+				x.HandleReport(now, "entry", []Progress{
 					{
-						ID:       d.ID,
-						Decode:   d.Grant.Decode,
-						Prompt:   w.Prompt,
-						Expected: w.Expected,
-						Made:     hingeids.Tokens(expected),
+						ID:        d.ID,
+						Decode:    d.Assignment.Decode,
+						Prompt:    w.PromptTokens,
+						Expected:  w.ExpectedTokens,
+						Generated: hingeids.Tokens(expected),
 					},
 				})
-				x.Note(now, Note{
-					Server:  d.Grant.Decode,
-					Outcome: Worked,
-					Stream:  d.ID,
-					Made:    hingeids.Tokens(expected),
+				x.RecordOutcome(now, OutcomeReport{
+					Server:    d.Assignment.Decode,
+					Outcome:   Succeeded,
+					Stream:    d.ID,
+					Generated: hingeids.Tokens(expected),
 				})
 			}
 			now = now.Add(100 * time.Millisecond)
--- a/internal/decide/hingefleet/grant.go
+++ b/internal/decide/hingefleet/grant.go
@@ -7,7 +7,7 @@
 )
 
 // assign assigns engines to a request, or returns false if none have capacity.
-func (f *Fleet) assign(now time.Time, w *Want) (Decision, bool) {
+func (f *Fleet) assign(now time.Time, w *StreamRequest) (Decision, bool) {
 	limit := onTimeShare
 	if !w.Moved && !w.Cached && !f.onTime(now, w) {
 		limit = lateShare
@@ -18,8 +18,8 @@
 	r, found := f.candidate(now, w, limit, nil)
 	if !found {
 		f.failedAttempts = append(f.failedAttempts, failedAttempt{
-			prompt:   w.Prompt,
-			expected: w.Expected,
+			prompt:   w.PromptTokens,
+			expected: w.ExpectedTokens,
 			limit:    limit,
 			avoids:   len(w.Avoid) > 0,
 		})
@@ -30,21 +30,21 @@
 		if r, ok = f.decoderForPrompt(now, w, limit); !ok {
 			return Decision{}, false
 		}
-		g = Grant{
+		g = Assignment{
 			Decode: r.engine.Server,
 		}
-		firstToken = now.Add(decodePrefillFactor*f.estimates.prefillTime(w.Prompt) + prefillOverhead)
+		firstToken = now.Add(decodePrefillFactor*f.estimates.prefillTime(w.PromptTokens) + prefillOverhead)
 	}
 	if limit == lateShare {
 		f.lateOutcomes.record(now, true)
 	}
 	f.record(now, w, r.engine, g, firstToken)
 	return Decision{
-		ID:     w.ID,
-		Owner:  w.Owner,
-		Grant:  g,
-		Waited: now.Sub(w.Arrived),
-		Peak:   int(100 * r.share),
+		ID:         w.ID,
+		Owner:      w.Owner,
+		Assignment: g,
+		Waited:     now.Sub(w.Arrived),
+		Peak:       int(100 * r.share),
 	}, true
 }
 
@@ -59,12 +59,12 @@
 // ruledOut reports whether the current step already failed to find capacity for a smaller request,
 // or a prefill engine for another one. When the fleet is saturated, hundreds of requests are
 // queued, and evaluating every engine for each of them would be too expensive.
-func (f *Fleet) ruledOut(now time.Time, w *Want, limit float64) bool {
+func (f *Fleet) ruledOut(now time.Time, w *StreamRequest, limit float64) bool {
 	if f.prefillSaturated && !w.Cached && len(w.Avoid) == 0 && !f.nearDeadline(now, w) {
 		return true
 	}
 	for _, a := range f.failedAttempts {
-		if !a.avoids && w.Prompt >= a.prompt && w.Expected >= a.expected && limit <= a.limit {
+		if !a.avoids && w.PromptTokens >= a.prompt && w.ExpectedTokens >= a.expected && limit <= a.limit {
 			return true
 		}
 	}
@@ -72,15 +72,15 @@
 }
 
 // record enters an assignment into the state of its engines.
-func (f *Fleet) record(now time.Time, w *Want, decode *engine, g Grant, firstToken time.Time) {
+func (f *Fleet) record(now time.Time, w *StreamRequest, decode *engine, g Assignment, firstToken time.Time) {
 	f.removeStream(w.ID)
 	f.addStream(&stream{
 		id:           w.ID,
 		owner:        w.Owner,
 		prefill:      g.Prefill,
 		decode:       decode.Server,
-		prompt:       w.Prompt,
-		expected:     w.Expected,
+		prompt:       w.PromptTokens,
+		expected:     w.ExpectedTokens,
 		generatedAt:  firstToken,
 		assignedAt:   now,
 		prefillSince: prefillSinceOf(now, w, g),
@@ -91,13 +91,13 @@
 	}
 	if p := f.engines[g.Prefill]; p != nil {
 		p.health.lastAssigned = now
-		p.prefillQueue.add(now, w.ID, w.Prompt)
+		p.prefillQueue.add(now, w.ID, w.PromptTokens)
 	}
 }
 
 // prefillSinceOf returns the time from which the start of a stream is measured, or zero if it
 // doesn't start with a prefill on a prefill engine.
-func prefillSinceOf(now time.Time, w *Want, g Grant) time.Time {
+func prefillSinceOf(now time.Time, w *StreamRequest, g Assignment) time.Time {
 	if w.Cached || w.Moved || g.Prefill == "" {
 		return time.Time{}
 	}
@@ -106,8 +106,8 @@
 
 // planPrefill chooses the prefill engine for a decode engine and predicts when the first token is
 // generated. It returns false if no prefill engine is available in time.
-func (f *Fleet) planPrefill(now time.Time, w *Want, decode *engine) (Grant, time.Time, bool) {
-	g := Grant{
+func (f *Fleet) planPrefill(now time.Time, w *StreamRequest, decode *engine) (Assignment, time.Time, bool) {
+	g := Assignment{
 		Decode: decode.Server,
 	}
 	if w.Cached {
@@ -115,7 +115,7 @@
 	}
 	p, prefilledAt := f.fastestPrefill(now, w, decode.Zone)
 	if p == nil {
-		return Grant{}, time.Time{}, false
+		return Assignment{}, time.Time{}, false
 	}
 	g.Prefill = p.Server
 	return g, prefilledAt.Add(prefillOverhead), true
@@ -125,7 +125,7 @@
 // can do so in time (rule 7). Unless the request is about to miss its target, the engine must have
 // capacity for a second stream of this size: prefilling pauses the engine's streams, so that they
 // hold their memory longer.
-func (f *Fleet) decoderForPrompt(now time.Time, w *Want, limit float64) (candidate, bool) {
+func (f *Fleet) decoderForPrompt(now time.Time, w *StreamRequest, limit float64) (candidate, bool) {
 	urgent := f.nearDeadline(now, w) || !f.canPrefill(now, w)
 	r, found := f.candidate(now, w, limit, func(e *engine, share float64) bool {
 		return f.mayPrefill(now, w, e) && (urgent || f.estimates.prefillRate.samples > 0 && share+finalShare(w, e) <= limit)
@@ -135,16 +135,16 @@
 }
 
 // finalShare returns the share of an engine's memory that a stream holds when it finishes.
-func finalShare(w *Want, e *engine) float64 {
-	return share(w.Prompt+w.Expected, e)
+func finalShare(w *StreamRequest, e *engine) float64 {
+	return share(w.PromptTokens+w.ExpectedTokens, e)
 }
 
 // mayPrefill reports whether a decode engine may prefill a prompt beside its streams (rule 7).
-func (f *Fleet) mayPrefill(now time.Time, w *Want, decode *engine) bool {
+func (f *Fleet) mayPrefill(now time.Time, w *StreamRequest, decode *engine) bool {
 	if now.Sub(decode.lastPrefill) < decodePrefillRest*f.estimates.meanPrefillTime() {
 		return false
 	}
-	return w.Gap == 0 || f.pause(decode, f.estimates.prefillTime(w.Prompt)) < w.Gap || len(decode.streams) == 0
+	return w.MaxEventGap == 0 || f.pause(decode, f.estimates.prefillTime(w.PromptTokens)) < w.MaxEventGap || len(decode.streams) == 0
 }
 
 // pause returns the longest time between two events of an engine's streams while the engine
@@ -156,13 +156,13 @@
 // eventInterval returns the time between two events of an engine that isn't prefilling, including
 // their latency.
 func (f *Fleet) eventInterval(e *engine) time.Duration {
-	return durationOf(float64(e.Event)/f.decodeRateOf(e)) + eventLatency
+	return durationOf(float64(e.EventTokens)/f.decodeRateOf(e)) + eventLatency
 }
 
 // nearDeadline reports whether a request can still meet its target if a decode engine prefills its
 // prompt, but only within nearDeadlineWindow.
-func (f *Fleet) nearDeadline(now time.Time, w *Want) bool {
-	needed := decodePrefillFactor*f.estimates.prefillTime(w.Prompt) + prefillOverhead
+func (f *Fleet) nearDeadline(now time.Time, w *StreamRequest) bool {
+	needed := decodePrefillFactor*f.estimates.prefillTime(w.PromptTokens) + prefillOverhead
 	remaining := w.Arrived.Add(w.Target).Sub(now.Add(needed))
 	return !w.Moved && remaining > 0 && remaining < nearDeadlineWindow
 }
--- a/internal/decide/hingefleet/grant_test.go
+++ b/internal/decide/hingefleet/grant_test.go
@@ -19,8 +19,8 @@
 	first := requestOf("first", now)
 	moved := requestOf("moved", now)
 	moved.Moved = true
-	f.Offer(now, first)
-	f.Offer(now, moved)
+	f.Enqueue(now, first)
+	f.Enqueue(now, moved)
 	var got []StreamID
 	for _, d := range f.Step(now) {
 		if !d.Refused {
@@ -40,8 +40,8 @@
 	first := requestOf("first", now)
 	first.Priority = 1
 	urgent := requestOf("urgent", now.Add(time.Millisecond))
-	f.Offer(now, first)
-	f.Offer(now, urgent)
+	f.Enqueue(now, first)
+	f.Enqueue(now, urgent)
 	var got []StreamID
 	for _, d := range f.Step(now.Add(time.Millisecond)) {
 		if !d.Refused {
@@ -61,7 +61,7 @@
 	list := engines()
 	f.SetEngines(list[:2])
 	for i := range 6 {
-		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
+		f.Enqueue(now, requestOf(StreamID(fmt.Sprint(i)), now))
 	}
 	for _, d := range f.Step(now) {
 		if d.Refused {
@@ -75,8 +75,8 @@
 	assigned := 0
 	for range 20 {
 		for _, d := range f.Step(now) {
-			f.Note(now, Note{
-				Server: d.Grant.Prefill,
+			f.RecordOutcome(now, OutcomeReport{
+				Server: d.Assignment.Prefill,
 				Stream: d.ID,
 			})
 			assigned++
@@ -97,14 +97,14 @@
 	w := requestOf("a", now)
 	w.Cached = true
 	w.Avoid = []hingeids.ServerID{"decode-1"}
-	f.Offer(now, w)
+	f.Enqueue(now, w)
 	d := f.Step(now)
-	if len(d) != 1 || d[0].Grant.Decode != "decode-2" || d[0].Grant.Prefill != "" {
+	if len(d) != 1 || d[0].Assignment.Decode != "decode-2" || d[0].Assignment.Prefill != "" {
 		t.Fatalf("want decode-2 and no prefill engine: %+v", d)
 	}
 	w.ID = "b"
 	w.Avoid = []hingeids.ServerID{"decode-1", "decode-2"}
-	f.Offer(now, w)
+	f.Enqueue(now, w)
 	if d := f.Step(now); len(d) != 1 || !d[0].Refused {
 		t.Fatalf("want an immediate refusal: %+v", d)
 	}
@@ -131,16 +131,16 @@
 		now = now.Add(100 * time.Millisecond)
 		w := requestOf(StreamID(fmt.Sprint(i)), now)
 		w.Zone = hingeids.Zone(fmt.Sprint(random.IntN(3)))
-		f.Offer(now, w)
+		f.Enqueue(now, w)
 		d := f.Step(now)
 		if len(d) != 1 || d[0].Refused {
 			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
-		if zones[d[0].Grant.Decode] == w.Zone {
+		if zones[d[0].Assignment.Decode] == w.Zone {
 			inZone++
 		}
-		f.Note(now.Add(90*time.Millisecond), Note{
-			Server: d[0].Grant.Prefill,
+		f.RecordOutcome(now.Add(90*time.Millisecond), OutcomeReport{
+			Server: d[0].Assignment.Prefill,
 			Stream: w.ID,
 		})
 	}
@@ -161,13 +161,13 @@
 		now = now.Add(100 * time.Millisecond)
 		w := requestOf(StreamID(fmt.Sprint(i)), now)
 		w.Zone = "0"
-		f.Offer(now, w)
+		f.Enqueue(now, w)
 		d := f.Step(now)
 		if len(d) != 1 || d[0].Refused {
 			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
-		f.Note(now.Add(90*time.Millisecond), Note{
-			Server: d[0].Grant.Prefill,
+		f.RecordOutcome(now.Add(90*time.Millisecond), OutcomeReport{
+			Server: d[0].Assignment.Prefill,
 			Stream: w.ID,
 		})
 	}
@@ -184,9 +184,9 @@
 	f.SetEngines(list)
 	assigned := 0
 	for i := range 12 {
-		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
+		f.Enqueue(now, requestOf(StreamID(fmt.Sprint(i)), now))
 		for _, d := range f.Step(now) {
-			if d.Grant.Prefill != "" {
+			if d.Assignment.Prefill != "" {
 				assigned++
 			}
 		}
@@ -204,19 +204,19 @@
 	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "prefill",
-		Outcome: Unreached,
+		Outcome: Unreachable,
 	})
-	f.Offer(now, requestOf("a", now))
+	f.Enqueue(now, requestOf("a", now))
 	d := f.Step(now)
-	if len(d) != 1 || d[0].Refused || d[0].Grant.Prefill != "" {
+	if len(d) != 1 || d[0].Refused || d[0].Assignment.Prefill != "" {
 		t.Fatalf("want a decode engine and no prefill engine: %+v", d)
 	}
 	// A prefill engine that is usable again gets the prompts.
 	now = now.Add(minEjection)
-	f.Offer(now, requestOf("b", now))
-	if d := f.Step(now); len(d) != 1 || d[0].Grant.Prefill != "prefill" {
+	f.Enqueue(now, requestOf("b", now))
+	if d := f.Step(now); len(d) != 1 || d[0].Assignment.Prefill != "prefill" {
 		t.Fatalf("want the prefill engine: %+v", d)
 	}
 }
--- a/internal/decide/hingefleet/health.go
+++ b/internal/decide/hingefleet/health.go
@@ -33,11 +33,11 @@
 // that the engine refused for lack of capacity. Unreached means that the connection failed or
 // another server runs at the address, and Begun that an answer has started, whatever its result.
 const (
-	Worked Outcome = iota
+	Succeeded Outcome = iota
 	Failed
 	Full
-	Unreached
-	Begun
+	Unreachable
+	Started
 )
 
 // health is the health of an engine according to its recent outcomes (rule 6).
@@ -63,35 +63,35 @@
 	return !now.Before(h.unusableUntil) && (!h.suspect || now.Sub(h.lastAssigned) > probeTimeout)
 }
 
-// Note reports the outcome of a stream at an engine.
-type Note struct {
+// OutcomeReport reports the outcome of a stream at an engine.
+type OutcomeReport struct {
 	Server  hingeids.ServerID `cbor:"1,keyasint"`
 	Outcome Outcome           `cbor:"2,keyasint,omitempty"`
 	Stream  StreamID          `cbor:"3,keyasint,omitempty"`
-	// Made is the number of tokens of a complete answer.
-	Made hingeids.Tokens `cbor:"4,keyasint,omitempty"`
+	// Generated is the number of tokens of a complete answer.
+	Generated hingeids.Tokens `cbor:"4,keyasint,omitempty"`
 }
 
-// Note records the outcome of a stream at an engine. It ignores unknown engines.
-func (f *Fleet) Note(now time.Time, n Note) {
+// RecordOutcome records the outcome of a stream at an engine. It ignores unknown engines.
+func (f *Fleet) RecordOutcome(now time.Time, n OutcomeReport) {
 	e := f.engines[n.Server]
 	if e == nil {
 		return
 	}
 	if e.Role == Prefill {
-		e.prefillQueue.done(now, n.Stream, n.Outcome == Worked)
+		e.prefillQueue.done(now, n.Stream, n.Outcome == Succeeded)
 	}
-	if s := f.streams[n.Stream]; s != nil && e.Role == Decode && n.Outcome == Worked && n.Made > 0 {
-		f.estimates.observeLength(s.expected, n.Made)
+	if s := f.streams[n.Stream]; s != nil && e.Role == Decode && n.Outcome == Succeeded && n.Generated > 0 {
+		f.estimates.observeLength(s.expected, n.Generated)
 		// The owner's next report would remove the stream too, but only later: on engines that
 		// answer within 100 ms, its slot would stay blocked half as long again.
 		f.removeStream(n.Stream)
 	}
 	e.health.record(now, n.Outcome)
 	switch n.Outcome {
-	case Worked, Begun:
+	case Succeeded, Started:
 		f.zoneAnswered(now, e.Zone)
-	case Unreached:
+	case Unreachable:
 		f.suspectZone(now, e.Zone)
 	}
 }
@@ -134,18 +134,18 @@
 
 func (h *health) record(now time.Time, o Outcome) {
 	switch o {
-	case Worked:
+	case Succeeded:
 		h.failureShare -= failureWeight * h.failureShare
 		if now.After(h.unusableUntil) {
 			h.ejections = 0
 		}
 		h.markReachable()
-	case Begun:
+	case Started:
 		h.markReachable()
 	case Full:
 		h.unusableUntil = hingeclock.Later(h.unusableUntil, now.Add(min(minFullBackoff<<min(h.fullsInRow, 4), maxFullBackoff)))
 		h.fullsInRow++
-	case Unreached:
+	case Unreachable:
 		h.eject(now)
 		h.unreachable = true
 	case Failed:
--- a/internal/decide/hingefleet/health_test.go
+++ b/internal/decide/hingefleet/health_test.go
@@ -18,7 +18,7 @@
 		f := trainedFleet()
 		f.SetEngines(engines())
 		for _, o := range outcomes {
-			f.Note(now, Note{
+			f.RecordOutcome(now, OutcomeReport{
 				Server:  "decode-1",
 				Outcome: o,
 			})
@@ -28,8 +28,8 @@
 	got := []time.Duration{
 		ejectedFor(Failed),
 		ejectedFor(Failed, Failed),
-		ejectedFor(Failed, Worked, Worked, Failed),
-		ejectedFor(Unreached),
+		ejectedFor(Failed, Succeeded, Succeeded, Failed),
+		ejectedFor(Unreachable),
 		ejectedFor(Full),
 	}
 	want := []time.Duration{0, minEjection, 0, minEjection, minFullBackoff}
@@ -47,20 +47,20 @@
 	list[2].Zone = "another"
 	list[2].Memory = 100_000
 	f.SetEngines(list)
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-2",
-		Outcome: Unreached,
+		Outcome: Unreachable,
 	})
 	now = now.Add(minEjection)
 	assigned := func(ids ...StreamID) int {
 		for _, id := range ids {
 			w := requestOf(id, now)
 			w.Zone = "another"
-			f.Offer(now, w)
+			f.Enqueue(now, w)
 		}
 		n := 0
 		for _, d := range f.Step(now) {
-			if d.Grant.Decode == "decode-2" {
+			if d.Assignment.Decode == "decode-2" {
 				n++
 			}
 		}
@@ -68,11 +68,11 @@
 	}
 	got := []int{assigned("a", "b", "c")}
 	// Requests that still wait for a prefill engine aren't counted below.
-	f.Withdraw()
+	f.DrainQueue()
 	now = now.Add(probeTimeout / 2)
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-2",
-		Outcome: Begun,
+		Outcome: Started,
 		Stream:  "a",
 	})
 	got = append(got, assigned("d", "e"))
@@ -89,20 +89,20 @@
 	now := simStart
 	for range 4 {
 		for _, id := range []hingeids.ServerID{"decode-1", "decode-2"} {
-			f.Note(now, Note{
+			f.RecordOutcome(now, OutcomeReport{
 				Server:  id,
-				Outcome: Unreached,
+				Outcome: Unreachable,
 			})
 		}
 		now = f.engines["decode-1"].health.unusableUntil
 	}
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-1",
-		Outcome: Unreached,
+		Outcome: Unreachable,
 	})
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-2",
-		Outcome: Begun,
+		Outcome: Started,
 	})
 	if !f.engines["decode-1"].health.usable(now.Add(time.Millisecond)) {
 		t.Fatalf("engine is unusable for %v after its zone is back", f.engines["decode-1"].health.unusableUntil.Sub(now))
@@ -126,21 +126,21 @@
 		list = append(list, e)
 	}
 	f.SetEngines(list)
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-1",
-		Outcome: Unreached,
+		Outcome: Unreachable,
 	})
 	inZone := 0
 	for i := range 8 {
-		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
+		f.Enqueue(now, requestOf(StreamID(fmt.Sprint(i)), now))
 		for _, d := range f.Step(now) {
-			if d.Grant.Decode == "decode-3" {
+			if d.Assignment.Decode == "decode-3" {
 				inZone++
 			}
 		}
-		f.Note(now, Note{
+		f.RecordOutcome(now, OutcomeReport{
 			Server:  "decode-4",
-			Outcome: Worked,
+			Outcome: Succeeded,
 			Stream:  StreamID(fmt.Sprint(i)),
 		})
 	}
@@ -160,19 +160,19 @@
 	}
 	f.SetEngines(list)
 	for i := range 3 {
-		f.Offer(now, requestOf(StreamID(fmt.Sprint(i)), now))
-		if d := f.Step(now); len(d) != 1 || d[0].Grant.Prefill == "" || d[0].Grant.Decode == "" {
+		f.Enqueue(now, requestOf(StreamID(fmt.Sprint(i)), now))
+		if d := f.Step(now); len(d) != 1 || d[0].Assignment.Prefill == "" || d[0].Assignment.Decode == "" {
 			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
 		now = now.Add(100 * time.Millisecond)
-		f.Note(now, Note{
+		f.RecordOutcome(now, OutcomeReport{
 			Server:  "decode-1",
-			Outcome: Begun,
+			Outcome: Started,
 		})
 		now = now.Add(10 * time.Millisecond)
-		f.Note(now, Note{
+		f.RecordOutcome(now, OutcomeReport{
 			Server:  "decode-2",
-			Outcome: Unreached,
+			Outcome: Unreachable,
 		})
 	}
 }
@@ -185,7 +185,7 @@
 	now := simStart
 	var got []time.Duration
 	for range 5 {
-		f.Note(now, Note{
+		f.RecordOutcome(now, OutcomeReport{
 			Server:  "decode-1",
 			Outcome: Full,
 		})
@@ -193,11 +193,11 @@
 		got = append(got, backoff)
 		now = now.Add(backoff)
 	}
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-1",
-		Outcome: Begun,
+		Outcome: Started,
 	})
-	f.Note(now, Note{
+	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-1",
 		Outcome: Full,
 	})
--- a/internal/decide/hingefleet/memory.go
+++ b/internal/decide/hingefleet/memory.go
@@ -79,9 +79,9 @@
 
 // lowerBound returns a lower bound for an engine's peak with one more stream. It is exact if that
 // stream is still running at the peak, which is usual when memory is short.
-func (o forecast) lowerBound(w *Want) hingeids.Tokens {
-	if w.Expected >= o.untilPeak {
-		return o.peak + w.Prompt + o.untilPeak
+func (o forecast) lowerBound(w *StreamRequest) hingeids.Tokens {
+	if w.ExpectedTokens >= o.untilPeak {
+		return o.peak + w.PromptTokens + o.untilPeak
 	}
 	return o.peak
 }
@@ -121,8 +121,8 @@
 // margin returns the memory kept free for answers of an engine's streams, with one more, that
 // exceed their hints. It grows with the square root of their number and with the error of past
 // hints, so it is small where hints are accurate or answers short.
-func (f *Fleet) margin(e *engine, squares float64, w *Want) hingeids.Tokens {
-	squares += float64(w.Expected) * float64(w.Expected)
+func (f *Fleet) margin(e *engine, squares float64, w *StreamRequest) hingeids.Tokens {
+	squares += float64(w.ExpectedTokens) * float64(w.ExpectedTokens)
 	margin := marginDeviations * f.estimates.hintError() * math.Sqrt(squares)
 	return hingeids.Tokens(min(margin, maxMarginShare*float64(e.Memory)))
 }
--- a/internal/decide/hingefleet/paces_test.go
+++ b/internal/decide/hingefleet/paces_test.go
@@ -72,30 +72,30 @@
 	now := simStart
 	f.SetEngines(engines()[1:])
 	busy := requestOf("busy", now)
-	busy.Prompt = 1000
-	busy.Gap = time.Second
-	f.Offer(now, busy)
+	busy.PromptTokens = 1000
+	busy.MaxEventGap = time.Second
+	f.Enqueue(now, busy)
 	f.Step(now)
 	now = now.Add(time.Second)
-	f.Report(now, "entry-1", []Progress{
+	f.HandleReport(now, "entry-1", []Progress{
 		{
-			ID:       "busy",
-			Decode:   "decode-1",
-			Prompt:   1000,
-			Expected: 5000,
-			Made:     500,
+			ID:        "busy",
+			Decode:    "decode-1",
+			Prompt:    1000,
+			Expected:  5000,
+			Generated: 500,
 		},
 		{
-			ID:       "other",
-			Decode:   "decode-2",
-			Prompt:   1000,
-			Expected: 5000,
-			Made:     500,
+			ID:        "other",
+			Decode:    "decode-2",
+			Prompt:    1000,
+			Expected:  5000,
+			Generated: 500,
 		},
 	})
 	w := requestOf("w", now)
-	w.Gap = 200 * time.Millisecond
-	f.Offer(now, w)
+	w.MaxEventGap = 200 * time.Millisecond
+	f.Enqueue(now, w)
 	for _, d := range f.Step(now) {
 		if !d.Refused {
 			t.Fatalf("a decode engine with streams prefills a prompt: %+v", d)
@@ -113,7 +113,7 @@
 	for i := range 8 {
 		w := requestOf(StreamID(rune('a'+i)), now)
 		w.Arrived = now.Add(-1200 * time.Millisecond)
-		f.Offer(now, w)
+		f.Enqueue(now, w)
 	}
 	for _, d := range f.Step(now) {
 		if d.Refused {
@@ -130,7 +130,7 @@
 	f.SetEngines(engines()[:1])
 	f.Step(now)
 	now = now.Add(2 * discoveryTime)
-	f.Offer(now, requestOf("a", now))
+	f.Enqueue(now, requestOf("a", now))
 	if d := f.Step(now); len(d) != 1 || !d[0].Refused {
 		t.Fatalf("want an immediate refusal: %+v", d)
 	}
--- a/internal/decide/hingefleet/queue.go
+++ b/internal/decide/hingefleet/queue.go
@@ -19,9 +19,9 @@
 	maxRetryAfter = 4 * time.Second
 )
 
-// Offer queues a request; Step decides on it. A request younger than newRequestAge also counts as
+// Enqueue queues a request; Step decides on it. A request younger than newRequestAge also counts as
 // demand.
-func (f *Fleet) Offer(now time.Time, w Want) {
+func (f *Fleet) Enqueue(now time.Time, w StreamRequest) {
 	f.queue = append(f.queue, &w)
 	if now.Sub(w.Arrived) < newRequestAge && !w.Moved && !w.Cached {
 		f.observeRequest(w)
@@ -31,16 +31,16 @@
 }
 
 // observeRequest updates the estimates from a new request.
-func (f *Fleet) observeRequest(w Want) {
-	f.estimates.promptTokens.add(float64(w.Prompt), fleetWeight)
-	f.estimates.maxEventGap = w.Gap
-	if w.Gap > 0 && len(f.decoders) > 0 {
-		f.estimates.minDecodeRate = float64(f.decoders[0].Event) / w.Gap.Seconds()
+func (f *Fleet) observeRequest(w StreamRequest) {
+	f.estimates.promptTokens.add(float64(w.PromptTokens), fleetWeight)
+	f.estimates.maxEventGap = w.MaxEventGap
+	if w.MaxEventGap > 0 && len(f.decoders) > 0 {
+		f.estimates.minDecodeRate = float64(f.decoders[0].EventTokens) / w.MaxEventGap.Seconds()
 	}
 }
 
-// Withdraw removes all requests from the queue and returns their IDs.
-func (f *Fleet) Withdraw() []StreamID {
+// DrainQueue removes all requests from the queue and returns their IDs.
+func (f *Fleet) DrainQueue() []StreamID {
 	var out []StreamID
 	for _, w := range f.queue {
 		out = append(out, w.ID)
@@ -81,7 +81,7 @@
 
 // sortQueue orders the queue by rules 3 and 4.
 func (f *Fleet) sortQueue(now time.Time) {
-	rank := func(w *Want) int {
+	rank := func(w *StreamRequest) int {
 		switch {
 		case w.Moved || w.Cached:
 			return 0
@@ -91,20 +91,20 @@
 			return 2
 		}
 	}
-	slices.SortStableFunc(f.queue, func(a, b *Want) int {
+	slices.SortStableFunc(f.queue, func(a, b *StreamRequest) int {
 		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Priority, b.Priority), a.Arrived.Compare(b.Arrived))
 	})
 }
 
 // onTime reports whether a request that is assigned now can meet its target.
-func (f *Fleet) onTime(now time.Time, w *Want) bool {
-	return !now.Add(f.estimates.timeToFirstEvent(w.Prompt)).After(w.Arrived.Add(w.Target))
+func (f *Fleet) onTime(now time.Time, w *StreamRequest) bool {
+	return !now.Add(f.estimates.timeToFirstEvent(w.PromptTokens)).After(w.Arrived.Add(w.Target))
 }
 
 // maxTimeToStart returns the longest expected time from an assignment to the first event: the
 // maximum backlog, the request's own prefill and the overhead.
-func (f *Fleet) maxTimeToStart(w *Want) time.Duration {
-	return f.maxBacklog() + f.estimates.prefillTime(w.Prompt) + prefillOverhead
+func (f *Fleet) maxTimeToStart(w *StreamRequest) time.Duration {
+	return f.maxBacklog() + f.estimates.prefillTime(w.PromptTokens) + prefillOverhead
 }
 
 // prefillWait returns how long it takes until the prefill engines have finished as many prompts.
@@ -121,7 +121,7 @@
 
 // decide assigns or refuses a request, or returns false to keep it queued behind as many others
 // (rule 5).
-func (f *Fleet) decide(now time.Time, w *Want, ahead int, r rates) (Decision, bool) {
+func (f *Fleet) decide(now time.Time, w *StreamRequest, ahead int, r rates) (Decision, bool) {
 	if d, assigned := f.assign(now, w); assigned {
 		return d, true
 	}
@@ -144,18 +144,18 @@
 		Owner:      w.Owner,
 		Refused:    true,
 		RetryAfter: f.retryAfter(now, wait, r),
-		Short:      f.shortage(now),
+		Shortage:   f.shortage(now),
 		Waited:     now.Sub(w.Arrived),
 	}, true
 }
 
 // mayWait reports whether an unassigned request remains queued behind as many others, given the
 // expected wait (rule 5).
-func (f *Fleet) mayWait(now time.Time, w *Want, ahead int, wait time.Duration, r rates) bool {
+func (f *Fleet) mayWait(now time.Time, w *StreamRequest, ahead int, wait time.Duration, r rates) bool {
 	if f.onTime(now.Add(wait), w) {
 		return true
 	}
-	giveUpAt := w.Arrived.Add(w.Patience - f.maxTimeToStart(w))
+	giveUpAt := w.Arrived.Add(w.MaxWait - f.maxTimeToStart(w))
 	inTime := now.Add(wait).Before(giveUpAt)
 	switch {
 	case w.Moved || f.isLearning(now):
--- a/internal/decide/hingefleet/range_test.go
+++ b/internal/decide/hingefleet/range_test.go
@@ -15,7 +15,7 @@
 	engines       []Engine
 	used          map[hingeids.ServerID]hingeids.Tokens
 	counts        map[hingeids.ServerID]int
-	waiting       []Want
+	waiting       []StreamRequest
 	nextPrefiller int
 }
 
@@ -27,7 +27,7 @@
 	}
 }
 
-func (m *mostFree) offer(_ time.Time, w Want) { m.waiting = append(m.waiting, w) }
+func (m *mostFree) offer(_ time.Time, w StreamRequest) { m.waiting = append(m.waiting, w) }
 
 func (m *mostFree) step(now time.Time) []Decision {
 	var out []Decision
@@ -44,7 +44,7 @@
 	return out
 }
 
-func (m *mostFree) place(now time.Time, w Want) (Decision, bool) {
+func (m *mostFree) place(now time.Time, w StreamRequest) (Decision, bool) {
 	var best *Engine
 	var prefillers []hingeids.ServerID
 	for i, e := range m.engines {
@@ -56,7 +56,7 @@
 			best = &m.engines[i]
 		}
 	}
-	size := w.Prompt + w.Expected
+	size := w.PromptTokens + w.ExpectedTokens
 	if best == nil || best.Memory-m.used[best.Server] < size {
 		return Decision{
 			ID:      w.ID,
@@ -68,7 +68,7 @@
 	m.nextPrefiller++
 	return Decision{
 		ID: w.ID,
-		Grant: Grant{
+		Assignment: Assignment{
 			Prefill: prefillers[m.nextPrefiller%len(prefillers)],
 			Decode:  best.Server,
 		},
@@ -79,12 +79,12 @@
 	clear(m.used)
 	clear(m.counts)
 	for _, p := range list {
-		m.used[p.Decode] += p.Prompt + max(p.Expected, p.Made)
+		m.used[p.Decode] += p.Prompt + max(p.Expected, p.Generated)
 		m.counts[p.Decode]++
 	}
 }
 
-func (*mostFree) record(time.Time, Note) {}
+func (*mostFree) record(time.Time, OutcomeReport) {}
 
 // logUniform returns a random value from a range, uniform on a logarithmic scale.
 func logUniform(r *rand.Rand, least, most float64) float64 {
--- a/internal/decide/hingefleet/room.go
+++ b/internal/decide/hingefleet/room.go
@@ -43,7 +43,7 @@
 // (rules 2 and 6). The exact prediction is computed only for engines whose lower bound beats the
 // best engine so far. If accept isn't nil, it filters engines by their predicted share.
 func (f *Fleet) candidate(
-	now time.Time, w *Want, limit float64, accept func(e *engine, share float64) bool,
+	now time.Time, w *StreamRequest, limit float64, accept func(e *engine, share float64) bool,
 ) (candidate, bool) {
 	fastest := 0.0
 	for _, e := range f.decoders {
@@ -80,7 +80,7 @@
 const slowPenalty = 100
 
 // penalty returns the rank penalty of an engine, as a share of its memory.
-func (f *Fleet) penalty(e *engine, w *Want, fastest float64) float64 {
+func (f *Fleet) penalty(e *engine, w *StreamRequest, fastest float64) float64 {
 	rank := 0.0
 	if e.Zone != w.Zone {
 		rank += crossZoneTolerance
@@ -94,11 +94,11 @@
 // unsuitable reports whether a request must avoid an engine or couldn't finish there before its
 // deadline. The deadline isn't checked before decode rates are known, since they are learned only
 // from streams.
-func (f *Fleet) unsuitable(now time.Time, e *engine, w *Want) bool {
+func (f *Fleet) unsuitable(now time.Time, e *engine, w *StreamRequest) bool {
 	if slices.Contains(w.Avoid, e.Server) {
 		return true
 	}
-	duration := durationOf(float64(w.Expected) / f.decodeRateOf(e))
+	duration := durationOf(float64(w.ExpectedTokens) / f.decodeRateOf(e))
 	return f.estimates.decodeRate.samples > 0 && now.Add(duration).After(w.Deadline)
 }
 
@@ -108,10 +108,10 @@
 
 // predictShare returns the predicted peak of an engine with one more stream, as a share of its
 // memory.
-func (f *Fleet) predictShare(now time.Time, e *engine, o forecast, w *Want) float64 {
+func (f *Fleet) predictShare(now time.Time, e *engine, o forecast, w *StreamRequest) float64 {
 	list := append(f.loads(now, e), load{
-		held:      w.Prompt,
-		remaining: w.Expected,
+		held:      w.PromptTokens,
+		remaining: w.ExpectedTokens,
 	})
 	f.scratch = list
 	highest, _ := peak(list)
--- a/internal/decide/hingefleet/sim_test.go
+++ b/internal/decide/hingefleet/sim_test.go
@@ -69,10 +69,10 @@
 
 // placer is a placement policy under test.
 type placer interface {
-	offer(now time.Time, w Want)
+	offer(now time.Time, w StreamRequest)
 	step(now time.Time) []Decision
 	report(now time.Time, list []Progress)
-	record(now time.Time, n Note)
+	record(now time.Time, n OutcomeReport)
 }
 
 // fleetPlacer is the policy of this package.
@@ -80,21 +80,21 @@
 	*Fleet
 }
 
-func (o fleetPlacer) offer(now time.Time, w Want)           { o.Offer(now, w) }
+func (o fleetPlacer) offer(now time.Time, w StreamRequest)  { o.Enqueue(now, w) }
 func (o fleetPlacer) step(now time.Time) []Decision         { return o.Step(now) }
-func (o fleetPlacer) report(now time.Time, list []Progress) { o.Report(now, "entry", list) }
-func (o fleetPlacer) record(now time.Time, n Note)          { o.Note(now, n) }
+func (o fleetPlacer) report(now time.Time, list []Progress) { o.HandleReport(now, "entry", list) }
+func (o fleetPlacer) record(now time.Time, n OutcomeReport) { o.RecordOutcome(now, n) }
 
 // leastStreams is the policy to compare with: it assigns a request at once to the engine with the
 // fewest streams, up to its slots, regardless of memory.
 type leastStreams struct {
 	engines       []Engine
 	counts        map[hingeids.ServerID]int
-	waiting       []Want
+	waiting       []StreamRequest
 	nextPrefiller int
 }
 
-func (l *leastStreams) offer(_ time.Time, w Want) { l.waiting = append(l.waiting, w) }
+func (l *leastStreams) offer(_ time.Time, w StreamRequest) { l.waiting = append(l.waiting, w) }
 
 func (l *leastStreams) step(time.Time) []Decision {
 	var out []Decision
@@ -116,7 +116,7 @@
 		d := Decision{
 			ID:      w.ID,
 			Refused: best == "",
-			Grant: Grant{
+			Assignment: Assignment{
 				Prefill: prefillers[l.nextPrefiller%len(prefillers)],
 				Decode:  best,
 			},
@@ -137,7 +137,7 @@
 	}
 }
 
-func (l *leastStreams) record(time.Time, Note) {}
+func (l *leastStreams) record(time.Time, OutcomeReport) {}
 
 // loadPattern is a pattern of demand and the engines that serve it.
 type loadPattern struct {
@@ -207,12 +207,12 @@
 	var out []Engine
 	for i := range p.prefillers + p.decoders {
 		e := Engine{
-			Server: hingeids.ServerID(fmt.Sprintf("engine-%02d", i)),
-			Zone:   hingeids.Zone(fmt.Sprint(i % 3)),
-			Role:   Decode,
-			Slots:  p.kind.slots,
-			Memory: hingeids.Tokens(p.kind.memory),
-			Event:  p.kind.event,
+			Server:      hingeids.ServerID(fmt.Sprintf("engine-%02d", i)),
+			Zone:        hingeids.Zone(fmt.Sprint(i % 3)),
+			Role:        Decode,
+			Slots:       p.kind.slots,
+			Memory:      hingeids.Tokens(p.kind.memory),
+			EventTokens: p.kind.event,
 		}
 		if i < p.prefillers {
 			e.Role = Prefill
@@ -317,17 +317,17 @@
 	// The hint is correct at the median, with errors symmetric on a logarithmic scale.
 	x.hint = min(x.length*math.Exp(s.pattern.spread*s.random.NormFloat64()), k.longestAnswer())
 	s.active[x.id] = x
-	s.policy.offer(now, Want{
-		ID:       x.id,
-		Owner:    "entry",
-		Zone:     hingeids.Zone(fmt.Sprint(s.result.Requested % 3)),
-		Prompt:   hingeids.Tokens(x.prompt),
-		Expected: hingeids.Tokens(x.hint),
-		Arrived:  now,
-		Target:   simTarget,
-		Gap:      k.maxEventGap,
-		Patience: simMaxWait,
-		Deadline: now.Add(k.deadline),
+	s.policy.offer(now, StreamRequest{
+		ID:             x.id,
+		Owner:          "entry",
+		Zone:           hingeids.Zone(fmt.Sprint(s.result.Requested % 3)),
+		PromptTokens:   hingeids.Tokens(x.prompt),
+		ExpectedTokens: hingeids.Tokens(x.hint),
+		Arrived:        now,
+		Target:         simTarget,
+		MaxEventGap:    k.maxEventGap,
+		MaxWait:        simMaxWait,
+		Deadline:       now.Add(k.deadline),
 	})
 }
 
@@ -341,20 +341,20 @@
 		delete(s.active, d.ID)
 		return
 	}
-	x.decode = d.Grant.Decode
+	x.decode = d.Assignment.Decode
 	s.started++
 	x.started = s.started
 	e := s.engines[x.decode]
 	e.streams = append(e.streams, x)
 	begin := now.Add(10 * time.Millisecond)
-	if d.Grant.Prefill == "" {
+	if d.Assignment.Prefill == "" {
 		// A decode engine prefills at half the rate and generates almost nothing meanwhile.
 		s.result.DecodePrefilled++
 		e.freeAt = hingeclock.Later(begin, e.freeAt).Add(durationOf(2 * x.prompt / s.prefillRate(e)))
 		x.startsAt = e.freeAt
 		return
 	}
-	p := s.engines[d.Grant.Prefill]
+	p := s.engines[d.Assignment.Prefill]
 	p.freeAt = hingeclock.Later(begin, p.freeAt).Add(durationOf(x.prompt / s.prefillRate(p)))
 	x.prefill = p.id
 	x.prefilledAt = p.freeAt
@@ -373,9 +373,9 @@
 		for _, x := range s.engines[id].streams {
 			if !x.prefilledAt.IsZero() && !now.Before(x.prefilledAt) {
 				x.prefilledAt = time.Time{}
-				s.policy.record(now, Note{
+				s.policy.record(now, OutcomeReport{
 					Server:  x.prefill,
-					Outcome: Worked,
+					Outcome: Succeeded,
 					Stream:  x.id,
 				})
 			}
@@ -396,7 +396,7 @@
 		running++
 		if x.firstEvent.IsZero() {
 			if e.failing > 0 && s.random.Float64() < e.failing {
-				s.policy.record(now, Note{
+				s.policy.record(now, OutcomeReport{
 					Server:  e.id,
 					Outcome: Failed,
 					Stream:  x.id,
@@ -439,11 +439,11 @@
 
 func (s *sim) complete(now time.Time, e *simEngine, x *simStream) {
 	delete(s.active, x.id)
-	s.policy.record(now, Note{
-		Server:  e.id,
-		Outcome: Worked,
-		Stream:  x.id,
-		Made:    hingeids.Tokens(x.length),
+	s.policy.record(now, OutcomeReport{
+		Server:    e.id,
+		Outcome:   Succeeded,
+		Stream:    x.id,
+		Generated: hingeids.Tokens(x.length),
 	})
 	switch {
 	case now.Sub(x.arrived) > s.pattern.kind.deadline || x.firstEvent.Sub(x.arrived) > simMaxWait:
@@ -460,11 +460,11 @@
 	for _, id := range s.engineIDs {
 		for _, x := range s.engines[id].streams {
 			out = append(out, Progress{
-				ID:       x.id,
-				Decode:   x.decode,
-				Prompt:   hingeids.Tokens(x.prompt),
-				Expected: hingeids.Tokens(x.hint),
-				Made:     hingeids.Tokens(x.generated),
+				ID:        x.id,
+				Decode:    x.decode,
+				Prompt:    hingeids.Tokens(x.prompt),
+				Expected:  hingeids.Tokens(x.hint),
+				Generated: hingeids.Tokens(x.generated),
 			})
 		}
 	}
--- a/internal/decide/hingefleet/streams.go
+++ b/internal/decide/hingefleet/streams.go
@@ -104,9 +104,9 @@
 	}
 }
 
-// Report replaces what is known about an owner's streams (rule 8). Streams that the owner has
+// HandleReport replaces what is known about an owner's streams (rule 8). Streams that the owner has
 // reported before and no longer lists are removed; unreported assignments are kept.
-func (f *Fleet) Report(now time.Time, h hingeids.HostID, list []Progress) {
+func (f *Fleet) HandleReport(now time.Time, h hingeids.HostID, list []Progress) {
 	f.reportCount++
 	for _, p := range list {
 		f.applyProgress(now, h, p)
@@ -139,17 +139,17 @@
 		}
 		f.addStream(s)
 	}
-	if e := f.engines[p.Decode]; e != nil && p.Made > s.generated && s.generated > 0 {
-		f.observeDecodeRate(e, now.Sub(s.generatedAt), p.Made-s.generated)
+	if e := f.engines[p.Decode]; e != nil && p.Generated > s.generated && s.generated > 0 {
+		f.observeDecodeRate(e, now.Sub(s.generatedAt), p.Generated-s.generated)
 	}
 	s.lastReport = f.reportCount
 	s.prompt = p.Prompt
 	s.expected = p.Expected
 	s.assignedAt = time.Time{}
-	if p.Made > 0 {
+	if p.Generated > 0 {
 		f.observeStart(now, s)
 		f.removePrompt(s)
-		s.generated = p.Made
+		s.generated = p.Generated
 		s.generatedAt = now
 	}
 	f.engineStreams(s.decode).forecast.valid = false
--- a/internal/decide/hingegate/bench_test.go
+++ b/internal/decide/hingegate/bench_test.go
@@ -29,7 +29,7 @@
 		if i%3 == 0 {
 			a.Kind = hingeannounce.Prefill
 		}
-		g.Announce(a, 0)
+		g.HandleAnnouncement(a, 0)
 	}
 	advance = func() { now = now.Add(time.Second / 4 / time.Duration(engines)) }
 	for i := range engines * 2 / 3 * 15 {
@@ -39,12 +39,12 @@
 	return g, advance
 }
 
-func newRequestWithPrefix(n int) Ask {
+func newRequestWithPrefix(n int) Request {
 	a := newRequest(n)
 	a.Caller = hingeids.CallerID(fmt.Sprint(n % 7300))
-	a.Place.Prefix = make([]hingeplace.Block, 8)
-	for i := range a.Place.Prefix {
-		a.Place.Prefix[i] = hingeplace.Block{
+	a.Placement.Prefix = make([]hingeplace.Block, 8)
+	for i := range a.Placement.Prefix {
+		a.Placement.Prefix[i] = hingeplace.Block{
 			Hash:   uint64(n%50*100 + i),
 			Tokens: hingeids.Tokens(16 * (i + 1)),
 		}
@@ -54,15 +54,15 @@
 
 // startRequest takes a request through the gate until its decode engine is
 // bound.
-func startRequest(g *Gate, a Ask) {
+func startRequest(g *Gate, a Request) {
 	a.Arrived = g.now()
 	a.Deadline = a.Arrived.Add(5 * time.Second)
-	d, err := g.Enter(context.Background(), a)
+	d, err := g.Admit(context.Background(), a)
 	if err != nil {
 		panic(err)
 	}
 	if d.Action == hingeplace.Start {
-		if _, err := g.Ready(context.Background(), a.Place.ID, 64); err != nil {
+		if _, err := g.BindDecode(context.Background(), a.Placement.ID, 64); err != nil {
 			panic(err)
 		}
 	}
@@ -76,7 +76,7 @@
 		b.Run(fmt.Sprint("engines", engines), func(b *testing.B) {
 			g, advance := newLoadedGate(engines)
 			held := engines * 2 / 3 * 15
-			requests := make([]Ask, 4096)
+			requests := make([]Request, 4096)
 			for i := range requests {
 				requests[i] = newRequestWithPrefix(i + held)
 			}
@@ -84,9 +84,9 @@
 			i := 0
 			for b.Loop() {
 				a := requests[i%len(requests)]
-				a.Place.ID.Sequence = uint64(held + i)
+				a.Placement.ID.Sequence = uint64(held + i)
 				startRequest(g, a)
-				g.Leave(hingeids.RequestID{
+				g.Finish(hingeids.RequestID{
 					Sequence: uint64(i),
 				}, 30)
 				advance()
@@ -192,7 +192,7 @@
 		got := testing.AllocsPerRun(500, func() {
 			a := newRequestWithPrefix(held + n)
 			startRequest(g, a)
-			g.Leave(hingeids.RequestID{
+			g.Finish(hingeids.RequestID{
 				Sequence: uint64(n),
 			}, 30)
 			advance()
@@ -230,7 +230,7 @@
 					a.Kind = hingeannounce.Prefill
 					a.Load.Running = 0
 				}
-				g.Announce(a, 300*time.Millisecond)
+				g.HandleAnnouncement(a, 300*time.Millisecond)
 				advance()
 				i++
 			}
--- a/internal/decide/hingegate/gate.go
+++ b/internal/decide/hingegate/gate.go
@@ -32,16 +32,16 @@
 // first-token target.
 const pollInterval = 20 * time.Millisecond
 
-// Ask describes a request to Enter.
-type Ask struct {
-	Place hingeplace.Request
+// Request describes a request to Enter.
+type Request struct {
+	Placement hingeplace.Request
 	// Caller, Arrived, FirstToken and Deadline are as in hingeadmit.Request.
 	Caller     hingeids.CallerID
 	Arrived    time.Time
 	FirstToken time.Duration
 	Deadline   time.Time
-	// Again is set if the request was accepted before and must be placed again.
-	Again bool
+	// Resubmitted is set if the request was accepted before and must be placed again.
+	Resubmitted bool
 }
 
 // outcome is the result that a blocked Enter receives.
@@ -52,7 +52,7 @@
 
 // waiter is a request between Enter and Leave.
 type waiter struct {
-	request Ask
+	request Request
 	outcome chan outcome
 	// bound receives the decode engine; it is nil until Ready sets it.
 	bound chan hingeids.ServerID
@@ -113,11 +113,11 @@
 	g.advance(now)
 }
 
-// Enter blocks until the request is placed or refused. Its error is a
+// Admit blocks until the request is placed or refused. Its error is a
 // *hingeverdict.Error with the verdict NotRun; a refusal also has a retry
 // time. After an error the request has left the gate, and Leave need not be
 // called.
-func (g *Gate) Enter(ctx context.Context, a Ask) (hingeplace.Decision, error) {
+func (g *Gate) Admit(ctx context.Context, a Request) (hingeplace.Decision, error) {
 	w := &waiter{
 		request: a,
 		outcome: make(chan outcome, 1),
@@ -130,7 +130,7 @@
 		}
 		return p.decision, nil
 	case <-ctx.Done():
-		g.Leave(a.Place.ID, 0)
+		g.Finish(a.Placement.ID, 0)
 		return hingeplace.Decision{}, cancelled(ctx)
 	}
 }
@@ -141,7 +141,7 @@
 
 func (g *Gate) enqueue(now time.Time, w *waiter) {
 	r, f := g.request(now, &w.request)
-	if w.request.Again {
+	if w.request.Resubmitted {
 		g.record(now, hingeevents.RequestPlacedAgain, &w.request, nil)
 		g.queue.Requeue(now, r, f)
 	} else if err := g.queue.Offer(now, r, f); err != nil {
@@ -155,10 +155,10 @@
 }
 
 // request returns the admission request and the forecast for a.
-func (g *Gate) request(now time.Time, a *Ask) (hingeadmit.Request, hingeadmit.Forecast) {
-	p := &a.Place
+func (g *Gate) request(now time.Time, a *Request) (hingeadmit.Request, hingeadmit.Forecast) {
+	p := &a.Placement
 	if a.FirstToken > 0 {
-		p.FirstTokenBy = a.Arrived.Add(a.FirstToken)
+		p.FirstTokenDeadline = a.Arrived.Add(a.FirstToken)
 	}
 	firstToken, tokenGap, slots := g.view.Forecast(now, p)
 	forecast := hingeadmit.Forecast{
@@ -175,9 +175,9 @@
 		FirstToken: a.FirstToken,
 		TokenGap:   p.TokenGap,
 		Deadline:   a.Deadline,
-		Work:       g.view.Work(p),
-		Takes:      g.view.Hold(p),
-		Spread:     uint64(p.ID.Incarnation) ^ p.ID.Sequence,
+		Work:       g.view.SlotCost(p),
+		AnswerTime: g.view.SlotTime(p),
+		JitterSeed: uint64(p.ID.Incarnation) ^ p.ID.Sequence,
 	}
 	return admission, forecast
 }
@@ -185,7 +185,7 @@
 // advance refuses requests that can no longer meet their targets, binds KV
 // caches that are ready, and starts requests from the queue.
 func (g *Gate) advance(now time.Time) {
-	for _, expired := range g.queue.GiveUp(now) {
+	for _, expired := range g.queue.Expire(now) {
 		w := g.waiters[expired.Request.ID]
 		g.record(now, hingeevents.WaitGivenUp, &w.request, expired.Err)
 		w.outcome <- outcome{
@@ -193,7 +193,7 @@
 		}
 		delete(g.waiters, expired.Request.ID)
 	}
-	for _, id := range g.view.Ready() {
+	for _, id := range g.view.ReadyRequests() {
 		w := g.waiters[id]
 		if w == nil || w.bound == nil {
 			continue
@@ -211,28 +211,28 @@
 func (g *Gate) startNext(now time.Time) bool {
 	var d hingeplace.Decision
 	r, ok := g.queue.Next(now, func(r hingeadmit.Request) bool {
-		d = g.view.Place(now, &g.waiters[r.ID].request.Place)
+		d = g.view.Place(now, &g.waiters[r.ID].request.Placement)
 		return d.Action == hingeplace.Start || d.Action == hingeplace.Local
 	})
 	if !ok {
 		return false
 	}
 	w := g.waiters[r.ID]
-	g.view.Began(now, &w.request.Place, d)
+	g.view.HandleStart(now, &w.request.Placement, d)
 	w.outcome <- outcome{
 		decision: d,
 	}
 	return true
 }
 
-// Ready reports that the KV cache of a request is ready and blocks until its
+// BindDecode reports that the KV cache of a request is ready and blocks until its
 // decode engine is bound. found is the number of prompt tokens that the prefill
 // engine had cached. Its error is a *hingeverdict.Error and means that ctx is
 // done; the request remains in the gate until Leave.
-func (g *Gate) Ready(ctx context.Context, id hingeids.RequestID, found hingeids.Tokens) (hingeids.ServerID, error) {
+func (g *Gate) BindDecode(ctx context.Context, id hingeids.RequestID, found hingeids.Tokens) (hingeids.ServerID, error) {
 	bound := make(chan hingeids.ServerID, 1)
 	g.update(func(now time.Time) {
-		g.view.PrefillDone(now, id, found)
+		g.view.HandlePrefillDone(now, id, found)
 		if w := g.waiters[id]; w != nil {
 			w.bound = bound
 		}
@@ -240,16 +240,16 @@
 	return waitBound(ctx, bound)
 }
 
-// Full reports that the allocator of the decode engine refused the slot that
+// RetryBind reports that the allocator of the decode engine refused the slot that
 // Ready returned, and waits for another. Its error is as for Ready.
-func (g *Gate) Full(ctx context.Context, id hingeids.RequestID, s hingeids.ServerID) (hingeids.ServerID, error) {
+func (g *Gate) RetryBind(ctx context.Context, id hingeids.RequestID, s hingeids.ServerID) (hingeids.ServerID, error) {
 	bound := make(chan hingeids.ServerID, 1)
 	g.update(func(now time.Time) {
 		g.Recorder.Record(now, hingeevents.BoundSlotRefused, hingeevents.Fields{
 			Request: id,
 			Server:  s,
 		})
-		g.view.Full(now, s)
+		g.view.HandleSlotRefusal(now, s)
 		g.view.Unbind(now, id)
 		if w := g.waiters[id]; w != nil {
 			w.bound = bound
@@ -258,12 +258,12 @@
 	return waitBound(ctx, bound)
 }
 
-// Other returns a second engine at which a request bound by Ready or Full may
+// AlternativeEngine returns a second engine at which a request bound by Ready or Full may
 // wait for a slot.
-func (g *Gate) Other(id hingeids.RequestID) (hingeids.ServerID, bool) {
+func (g *Gate) AlternativeEngine(id hingeids.RequestID) (hingeids.ServerID, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.view.Other(g.now(), id)
+	return g.view.AlternativeEngine(g.now(), id)
 }
 
 // Rebind reports that the slot was granted at another engine.
@@ -280,23 +280,23 @@
 	}
 }
 
-// Leave reports that a request has finished with the given number of output
+// Finish reports that a request has finished with the given number of output
 // tokens, or with 0 if it was cancelled, failed or evicted. It releases
 // everything that the request held. To place the request again, call Enter
 // with Again set.
-func (g *Gate) Leave(id hingeids.RequestID, output hingeids.Tokens) {
+func (g *Gate) Finish(id hingeids.RequestID, output hingeids.Tokens) {
 	g.update(func(now time.Time) {
 		g.queue.Cancel(id)
-		g.view.Ended(now, id, output)
+		g.view.HandleCompletion(now, id, output)
 		delete(g.waiters, id)
 	})
 }
 
-// TokenGap reports the token gap measured on an engine's open streams.
-func (g *Gate) TokenGap(s hingeids.ServerID, gap time.Duration) {
+// HandleTokenGap reports the token gap measured on an engine's open streams.
+func (g *Gate) HandleTokenGap(s hingeids.ServerID, gap time.Duration) {
 	g.update(func(now time.Time) {
 		was := g.view.Slow(s)
-		g.view.TokenGap(now, s, gap)
+		g.view.HandleTokenGap(now, s, gap)
 		if is := g.view.Slow(s); is != was {
 			n := hingeevents.EngineTakenBack
 			if is {
@@ -311,9 +311,9 @@
 }
 
 // record records an event of a request in the queue.
-func (g *Gate) record(now time.Time, n hingeevents.Number, a *Ask, err *hingeverdict.Error) {
+func (g *Gate) record(now time.Time, n hingeevents.Number, a *Request, err *hingeverdict.Error) {
 	f := hingeevents.Fields{
-		Request: a.Place.ID,
+		Request: a.Placement.ID,
 		Caller:  a.Caller,
 		Took:    now.Sub(a.Arrived),
 	}
@@ -323,14 +323,14 @@
 	g.Recorder.Record(now, n, f)
 }
 
-// Cached handles a cache event of an engine.
-func (g *Gate) Cached(s hingeids.ServerID, b hingeplace.Block, stored bool) {
-	g.update(func(time.Time) { g.view.Cached(s, b, stored) })
+// HandleCacheEvent handles a cache event of an engine.
+func (g *Gate) HandleCacheEvent(s hingeids.ServerID, b hingeplace.Block, stored bool) {
+	g.update(func(time.Time) { g.view.HandleCacheEvent(s, b, stored) })
 }
 
-// Announce handles an announcement that was made lag ago.
-func (g *Gate) Announce(a hingeannounce.Announcement, lag time.Duration) {
-	g.update(func(now time.Time) { g.view.Announce(now, now.Add(-lag), a) })
+// HandleAnnouncement handles an announcement that was made lag ago.
+func (g *Gate) HandleAnnouncement(a hingeannounce.Announcement, lag time.Duration) {
+	g.update(func(now time.Time) { g.view.HandleAnnouncement(now, now.Add(-lag), a) })
 }
 
 // Configure changes the weights and the size of the KV cache per token.
@@ -338,9 +338,9 @@
 	g.update(func(time.Time) { g.view.Configure(w, cacheBytes) })
 }
 
-// Gone removes an engine that has left or failed.
-func (g *Gate) Gone(s hingeids.ServerID) {
-	g.update(func(time.Time) { g.view.Gone(s) })
+// RemoveEngine removes an engine that has left or failed.
+func (g *Gate) RemoveEngine(s hingeids.ServerID) {
+	g.update(func(time.Time) { g.view.RemoveEngine(s) })
 }
 
 // Waiting returns the number of requests in the queue.
--- a/internal/decide/hingegate/gate_test.go
+++ b/internal/decide/hingegate/gate_test.go
@@ -27,7 +27,7 @@
 func newGate(ctx context.Context) *Gate {
 	g := New(time.Now, hingeadmit.Defaults(), hingeplace.Defaults())
 	for _, kind := range []hingeannounce.Kind{hingeannounce.Prefill, hingeannounce.Decode} {
-		g.Announce(hingeannounce.Announcement{
+		g.HandleAnnouncement(hingeannounce.Announcement{
 			Server:      hingeids.ServerID(kind),
 			Incarnation: 1,
 			Kind:        kind,
@@ -40,10 +40,10 @@
 	return g
 }
 
-func newRequest(n int) Ask {
+func newRequest(n int) Request {
 	now := time.Now()
-	return Ask{
-		Place: hingeplace.Request{
+	return Request{
+		Placement: hingeplace.Request{
 			ID: hingeids.RequestID{
 				Sequence: uint64(n),
 			},
@@ -60,15 +60,15 @@
 }
 
 // serveRequest calls the gate in the order of the request path.
-func serveRequest(ctx context.Context, g *Gate, a Ask) error {
-	d, err := g.Enter(ctx, a)
+func serveRequest(ctx context.Context, g *Gate, a Request) error {
+	d, err := g.Admit(ctx, a)
 	if err != nil {
 		return err
 	}
-	defer g.Leave(a.Place.ID, 30)
+	defer g.Finish(a.Placement.ID, 30)
 	if d.Action == hingeplace.Start {
 		time.Sleep(40 * time.Millisecond)
-		if _, err := g.Ready(ctx, a.Place.ID, 0); err != nil {
+		if _, err := g.BindDecode(ctx, a.Placement.ID, 0); err != nil {
 			return err
 		}
 	}
@@ -116,7 +116,7 @@
 
 // A caller that disconnects in the queue, during prefill, while it waits for a
 // slot or during decode must not leak its slot.
-func TestCallersThatLeaveFreeWhatTheyHeld(t *testing.T) {
+func TestCancelledRequestsReleaseSlots(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		g := newGate(ctx)
@@ -147,10 +147,10 @@
 
 // A slow engine must be recorded once when it becomes slow and once when it
 // recovers, not with each measurement.
-func TestSlowEngineIsToldOnce(t *testing.T) {
+func TestSlowEngineIsRecordedOnce(t *testing.T) {
 	g := New(time.Now, hingeadmit.Defaults(), hingeplace.Defaults())
-	g.Recorder = hingeevents.NewRecorder(hingeids.Life{})
-	g.Announce(hingeannounce.Announcement{
+	g.Recorder = hingeevents.NewRecorder(hingeids.Instance{})
+	g.HandleAnnouncement(hingeannounce.Announcement{
 		Server:      "d",
 		Incarnation: 1,
 		Kind:        hingeannounce.Decode,
@@ -158,7 +158,7 @@
 	}, 0)
 	for _, gap := range []time.Duration{12, 40, 12, 12} {
 		for range 10 {
-			g.TokenGap("d", gap*time.Millisecond)
+			g.HandleTokenGap("d", gap*time.Millisecond)
 		}
 	}
 	var got []hingeevents.Number
@@ -173,20 +173,20 @@
 // After the decode engine's allocator refused a slot, the request must get
 // another slot as soon as one is free, and not be sent to the full engine at
 // once.
-func TestRefusedSlotIsAskedForAgain(t *testing.T) {
+func TestRefusedSlotIsRetriedLater(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		g := newGate(ctx)
 		a := newRequest(1)
-		if _, err := g.Enter(ctx, a); err != nil {
+		if _, err := g.Admit(ctx, a); err != nil {
 			t.Fatal(err)
 		}
-		s, err := g.Ready(ctx, a.Place.ID, 0)
+		s, err := g.BindDecode(ctx, a.Placement.ID, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		again, err := g.Full(ctx, a.Place.ID, s)
+		again, err := g.RetryBind(ctx, a.Placement.ID, s)
 		if err != nil || again != s {
 			t.Fatalf("bound to %q: %v", again, err)
 		}
--- a/internal/decide/hingemodel/engines.go
+++ b/internal/decide/hingemodel/engines.go
@@ -128,7 +128,7 @@
 // scheduleEviction schedules the eviction of a finished KV cache. Rule 3.
 func (m *model) scheduleEviction(r *Request) {
 	version := r.version
-	m.at(m.now.Add(m.run.Cluster.KeepCache), func() {
+	m.at(m.now.Add(m.run.Cluster.CacheRetention), func() {
 		if r.version != version || r.state != ready && r.state != waitingSlot {
 			return
 		}
@@ -159,7 +159,7 @@
 		p.cached += n
 		m.reportCacheEvent(PrefixStored, e, prefix, n)
 	}
-	for p.cached > m.run.Cluster.PrefixCache {
+	for p.cached > m.run.Cluster.PrefixCacheTokens {
 		oldest := p.recent[0]
 		p.recent = p.recent[1:]
 		p.cached -= p.cache[oldest]
@@ -173,7 +173,7 @@
 	if m.noise.IntN(10) == 0 {
 		return
 	}
-	m.at(m.now.Add(m.run.Cluster.ReportLag), func() {
+	m.at(m.now.Add(m.run.Cluster.ReportDelay), func() {
 		m.emit(Event{
 			Kind:   k,
 			Engine: e,
@@ -230,7 +230,7 @@
 	d := m.decodes[int(e)-len(m.prefills)]
 	r.engine, r.local = e, local
 	if d.held >= m.run.Cluster.Slots {
-		m.result.FullSlots++
+		m.result.FullEngineRequests++
 		r.state = waitingSlot
 		d.waiting = append(d.waiting, r)
 		return
@@ -327,11 +327,11 @@
 	m.result.PrefillTokens += r.computed
 	m.result.finished(r, tokenGap, m.now)
 	m.emit(Event{
-		Kind:    Finished,
-		Request: r,
-		Engine:  r.engine,
-		Gap:     tokenGap,
-		Output:  r.output,
+		Kind:     Finished,
+		Request:  r,
+		Engine:   r.engine,
+		TokenGap: tokenGap,
+		Output:   r.output,
 	})
 }
 
--- a/internal/decide/hingemodel/model.go
+++ b/internal/decide/hingemodel/model.go
@@ -37,73 +37,73 @@
 type Cluster struct {
 	// Slots is the number of slots of each decode engine.
 	Slots int
-	// GapBase and GapPerRequest determine the token gap of a decode engine. Rule 1.
-	GapBase       time.Duration
-	GapPerRequest time.Duration
+	// TokenGapBase and GapPerRequest determine the token gap of a decode engine. Rule 1.
+	TokenGapBase       time.Duration
+	TokenGapPerRequest time.Duration
 	// PrefillRate and LinkRate are in tokens per second.
 	PrefillRate float64
 	LinkRate    float64
-	// KeepCache is how long a finished KV cache stays at its prefill engine.
-	KeepCache time.Duration
-	// PrefixCache is the capacity of the prefix cache of each prefill engine.
-	PrefixCache hingeids.Tokens
-	// ReportEvery is the interval of load reports, ReportLag their delay.
-	ReportEvery time.Duration
-	ReportLag   time.Duration
+	// CacheRetention is how long a finished KV cache stays at its prefill engine.
+	CacheRetention time.Duration
+	// PrefixCacheTokens is the capacity of the prefix cache of each prefill engine.
+	PrefixCacheTokens hingeids.Tokens
+	// ReportInterval is the interval of load reports, ReportLag their delay.
+	ReportInterval time.Duration
+	ReportDelay    time.Duration
 }
 
-// BriefCluster returns the default cluster: twenty slots per decode engine,
+// DefaultCluster returns the default cluster: twenty slots per decode engine,
 // prefill that costs as much as many tens of output tokens, and eviction of a KV
 // cache in under a second.
-func BriefCluster() Cluster {
+func DefaultCluster() Cluster {
 	return Cluster{
-		Slots:         20,
-		GapBase:       12 * time.Millisecond,
-		GapPerRequest: 650 * time.Microsecond,
-		PrefillRate:   5000,
-		LinkRate:      25000,
-		KeepCache:     800 * time.Millisecond,
-		PrefixCache:   40000,
-		ReportEvery:   500 * time.Millisecond,
-		ReportLag:     300 * time.Millisecond,
+		Slots:              20,
+		TokenGapBase:       12 * time.Millisecond,
+		TokenGapPerRequest: 650 * time.Microsecond,
+		PrefillRate:        5000,
+		LinkRate:           25000,
+		CacheRetention:     800 * time.Millisecond,
+		PrefixCacheTokens:  40000,
+		ReportInterval:     500 * time.Millisecond,
+		ReportDelay:        300 * time.Millisecond,
 	}
 }
 
 func (c Cluster) tokenGap(held int) time.Duration {
-	return c.GapBase + time.Duration(held)*c.GapPerRequest
+	return c.TokenGapBase + time.Duration(held)*c.TokenGapPerRequest
 }
 
-// TickEvery is the interval of calls of Policy.Tick.
-const TickEvery = 20 * time.Millisecond
+// TickInterval is the interval of calls of Policy.Tick.
+const TickInterval = 20 * time.Millisecond
 
 // Slowdown makes one engine slower by Factor between two times since the start of
 // the run.
 type Slowdown struct {
-	Engine   EngineID
-	From, To time.Duration
-	Factor   float64
+	Engine     EngineID
+	Start, End time.Duration
+	Factor     float64
 }
 
-// Clients configures how refused callers retry.
-type Clients struct {
-	// AsTold is the share of refused requests that are retried after the given
+// ClientRetries configures how refused callers retry.
+type ClientRetries struct {
+	// RetryAfterShare is the share of refused requests that are retried after the given
 	// delay. The others are retried at once.
-	AsTold float64
+	RetryAfterShare float64
 	// Attempts is the maximum number of attempts for one request; 1 means no retry.
 	Attempts int
 }
 
 // Run is the configuration of one simulation run.
 type Run struct {
-	Cluster Cluster
-	Firm    Firm
-	Phases  []Phase
-	Slow    []Slowdown
-	Clients Clients
-	Seed    uint64
-	// Measure is the length of the warm-up. Requests that arrive during it aren't
+	Cluster  Cluster
+	Workload Workload
+	Phases   []Phase
+	Slow     []Slowdown
+	Clients  ClientRetries
+	Seed     uint64
+	// Warmup is the length of the warm-up. Requests that arrive during it aren't
 	// counted in the outcomes.
-	Measure time.Duration
+	Warmup time.Duration
 }
 
 // state is the stage of a request.
@@ -142,7 +142,7 @@
 	run      Run
 	now      time.Time
 	policy   Policy
-	actions  Orders
+	actions  Actions
 	calls    schedule
 	serial   uint64
 	source   *source
@@ -153,20 +153,20 @@
 	result   *Result
 }
 
-// Play simulates a run with a policy and returns the result. Engines 0 to
+// Simulate simulates a run with a policy and returns the result. Engines 0 to
 // Firm.Prefill-1 are prefill engines, the others are decode engines.
-func Play(r Run, p Policy) *Result {
+func Simulate(r Run, p Policy) *Result {
 	m := &model{
 		run:    r,
 		now:    epoch,
 		policy: p,
-		source: newSource(r.Seed, r.Firm),
+		source: newSource(r.Seed, r.Workload),
 		noise:  rand.New(rand.NewPCG(r.Seed, 2)),
 		result: newResult(r),
 	}
-	for i := range r.Firm.Prefill + r.Firm.Decode {
+	for i := range r.Workload.Prefill + r.Workload.Decode {
 		m.slow = append(m.slow, 1)
-		if i < r.Firm.Prefill {
+		if i < r.Workload.Prefill {
 			m.prefills = append(m.prefills, newPrefillEngine())
 		} else {
 			m.decodes = append(m.decodes, &decodeEngine{})
@@ -187,13 +187,13 @@
 func (m *model) scheduleInputs() {
 	end := m.sampleArrivals()
 	last := end + drainTime
-	m.every(0, TickEvery, last, func() { m.policy.Tick(m.now, &m.actions) })
+	m.every(0, TickInterval, last, func() { m.policy.Tick(m.now, &m.actions) })
 	for i := range m.slow {
-		m.every(time.Duration(i)*50*time.Millisecond, m.run.Cluster.ReportEvery, last, func() { m.report(EngineID(i)) })
+		m.every(time.Duration(i)*50*time.Millisecond, m.run.Cluster.ReportInterval, last, func() { m.report(EngineID(i)) })
 	}
 	for _, s := range m.run.Slow {
-		m.at(epoch.Add(s.From), func() { m.setSpeed(s.Engine, s.Factor) })
-		m.at(epoch.Add(s.To), func() { m.setSpeed(s.Engine, 1) })
+		m.at(epoch.Add(s.Start), func() { m.setSpeed(s.Engine, s.Factor) })
+		m.at(epoch.Add(s.End), func() { m.setSpeed(s.Engine, 1) })
 	}
 	m.result.end = epoch.Add(end)
 }
@@ -203,9 +203,9 @@
 func (m *model) sampleArrivals() time.Duration {
 	var list []*Request
 	at := time.Duration(0)
-	peak := m.run.Firm.PeakRate(m.run.Cluster)
+	peak := m.run.Workload.PeakRate(m.run.Cluster)
 	for _, p := range m.run.Phases {
-		end := at + p.Lasts
+		end := at + p.Duration
 		for t := at; ; {
 			t += time.Duration(m.source.rng.ExpFloat64() / (peak * p.Load) * float64(time.Second))
 			if t >= end {
@@ -243,7 +243,7 @@
 func (m *model) arrive(r *Request) {
 	m.result.arrived(r)
 	m.at(r.Deadline(), func() { m.expire(r) })
-	m.policy.Arrive(m.now, r, &m.actions)
+	m.policy.HandleArrival(m.now, r, &m.actions)
 }
 
 // expire cancels a request at its caller's deadline. Rule 7.
@@ -255,7 +255,7 @@
 	m.release(r)
 	r.state = closed
 	m.result.timedOut(r)
-	m.policy.Happen(m.now, Event{
+	m.policy.HandleEvent(m.now, Event{
 		Kind:    Cancelled,
 		Request: r,
 		Engine:  r.engine,
@@ -275,7 +275,7 @@
 	if !retry {
 		return
 	}
-	if m.noise.Float64() >= m.run.Clients.AsTold {
+	if m.noise.Float64() >= m.run.Clients.RetryAfterShare {
 		after = immediateRetryDelay
 	}
 	next := &Request{
@@ -337,7 +337,7 @@
 }
 
 func (m *model) emit(e Event) {
-	m.policy.Happen(m.now, e, &m.actions)
+	m.policy.HandleEvent(m.now, e, &m.actions)
 }
 
 func (m *model) setSpeed(e EngineID, factor float64) {
@@ -356,24 +356,24 @@
 
 // report measures the load of an engine and schedules its delivery. Rule 6.
 func (m *model) report(e EngineID) {
-	r := Report{
-		Engine: e,
-		Taken:  m.now,
+	r := LoadReport{
+		Engine:     e,
+		MeasuredAt: m.now,
 	}
 	if i := int(e) - len(m.prefills); i >= 0 {
 		d := m.decodes[i]
 		r.Running, r.Queued = d.held, len(d.waiting)
 		if len(d.running) > 0 {
 			m.emit(Event{
-				Kind:   TokenGap,
-				Engine: e,
-				Gap:    time.Duration(float64(time.Second) / m.tokenRate(e, d)),
+				Kind:     TokenGap,
+				Engine:   e,
+				TokenGap: time.Duration(float64(time.Second) / m.tokenRate(e, d)),
 			})
 		}
 	} else {
 		r.Running, r.Queued, r.QueuedTokens = m.prefills[e].load()
 	}
-	m.at(m.now.Add(m.run.Cluster.ReportLag), func() { m.policy.Report(m.now, r, &m.actions) })
+	m.at(m.now.Add(m.run.Cluster.ReportDelay), func() { m.policy.HandleReport(m.now, r, &m.actions) })
 }
 
 // timedCall is a scheduled call, at nanoseconds since epoch. Calls at the same
--- a/internal/decide/hingemodel/policy.go
+++ b/internal/decide/hingemodel/policy.go
@@ -10,14 +10,14 @@
 // an entry host sees: arrivals, events of requests and engines, and delayed load
 // reports. The methods add their actions to o. They aren't called concurrently.
 type Policy interface {
-	// Arrive handles a new request.
-	Arrive(now time.Time, r *Request, o *Orders)
-	// Happen handles an event of a request or an engine.
-	Happen(now time.Time, e Event, o *Orders)
-	// Report handles a load report, which was measured ReportLag ago.
-	Report(now time.Time, r Report, o *Orders)
+	// HandleArrival handles a new request.
+	HandleArrival(now time.Time, r *Request, o *Actions)
+	// HandleEvent handles an event of a request or an engine.
+	HandleEvent(now time.Time, e Event, o *Actions)
+	// HandleReport handles a load report, which was measured ReportLag ago.
+	HandleReport(now time.Time, r LoadReport, o *Actions)
 	// Tick is called every TickEvery.
-	Tick(now time.Time, o *Orders)
+	Tick(now time.Time, o *Actions)
 }
 
 // EngineID is the index of an engine: prefill engines come first, then decode
@@ -92,21 +92,21 @@
 
 // Event is an event of a request or, if Request is nil, of an engine.
 type Event struct {
-	Kind    EventKind
-	Request *Request
-	Engine  EngineID
-	Cached  hingeids.Tokens
-	Gap     time.Duration
-	Output  hingeids.Tokens
-	Prefix  int
-	Tokens  hingeids.Tokens
+	Kind     EventKind
+	Request  *Request
+	Engine   EngineID
+	Cached   hingeids.Tokens
+	TokenGap time.Duration
+	Output   hingeids.Tokens
+	Prefix   int
+	Tokens   hingeids.Tokens
 }
 
-// Report is an engine's report of its own load.
-type Report struct {
+// LoadReport is an engine's report of its own load.
+type LoadReport struct {
 	Engine EngineID
-	// Taken is the time of the measurement.
-	Taken time.Time
+	// MeasuredAt is the time of the measurement.
+	MeasuredAt time.Time
 	// Running is the number of occupied slots of a decode engine, or of running
 	// prefills.
 	Running int
@@ -134,14 +134,14 @@
 	after    time.Duration
 }
 
-// Orders collects the actions of a policy, which are executed in order after each
+// Actions collects the actions of a policy, which are executed in order after each
 // call.
-type Orders struct {
+type Actions struct {
 	pending []action
 }
 
 // Refuse refuses the request and asks the caller to retry after the delay.
-func (o *Orders) Refuse(r *Request, after time.Duration) {
+func (o *Actions) Refuse(r *Request, after time.Duration) {
 	o.pending = append(o.pending, action{
 		kind:    refuse,
 		request: r,
@@ -151,7 +151,7 @@
 
 // Prefill sends the request to a prefill engine, which works on the highest
 // priority first.
-func (o *Orders) Prefill(r *Request, e EngineID, priority int) {
+func (o *Actions) Prefill(r *Request, e EngineID, priority int) {
 	o.pending = append(o.pending, action{
 		kind:     prefill,
 		request:  r,
@@ -162,7 +162,7 @@
 
 // Local sends the request to a decode engine that also prefills it. At a full
 // engine the request waits for a slot.
-func (o *Orders) Local(r *Request, e EngineID) {
+func (o *Actions) Local(r *Request, e EngineID) {
 	o.pending = append(o.pending, action{
 		kind:    local,
 		request: r,
@@ -172,7 +172,7 @@
 
 // Transfer sends the request's KV cache to a decode engine. At a full engine the
 // request waits for a slot, and its KV cache may be evicted meanwhile.
-func (o *Orders) Transfer(r *Request, e EngineID, priority int) {
+func (o *Actions) Transfer(r *Request, e EngineID, priority int) {
 	o.pending = append(o.pending, action{
 		kind:     transfer,
 		request:  r,
--- a/internal/decide/hingemodel/result.go
+++ b/internal/decide/hingemodel/result.go
@@ -16,8 +16,8 @@
 	// TimedOut counts requests whose deadline passed, Refused those whose last
 	// attempt was refused, and Refusals all refused attempts.
 	TimedOut, Refused, Refusals int
-	// Held is the longest time from an arrival to its refusal.
-	Held time.Duration
+	// MaxRefusalDelay is the longest time from an arrival to its refusal.
+	MaxRefusalDelay time.Duration
 }
 
 // Result is the result of a run.
@@ -30,8 +30,8 @@
 	// CancelledTokens are the parts of it that were wasted by evictions, and by
 	// deadlines and refusals.
 	PrefillTokens, EvictedTokens, CancelledTokens float64
-	// FullSlots counts requests sent to a decode engine without a free slot.
-	FullSlots int
+	// FullEngineRequests counts requests sent to a decode engine without a free slot.
+	FullEngineRequests int
 	// Retries counts attempts after the first.
 	Retries int
 	// ByCaller counts the requests in target of each caller.
@@ -46,7 +46,7 @@
 	return &Result{
 		Classes:     make(map[string]*Outcome),
 		ByCaller:    make(map[hingeids.CallerID]int),
-		measureFrom: epoch.Add(r.Measure),
+		measureFrom: epoch.Add(r.Warmup),
 	}
 }
 
@@ -76,8 +76,8 @@
 	return float64(r.Tokens) / r.end.Sub(r.measureFrom).Seconds()
 }
 
-// Wasted returns the share of prefilled tokens that were wasted.
-func (r *Result) Wasted() float64 {
+// WastedShare returns the share of prefilled tokens that were wasted.
+func (r *Result) WastedShare() float64 {
 	if r.PrefillTokens == 0 {
 		return 0
 	}
@@ -104,7 +104,7 @@
 	}
 	o := r.Class(q.Class.Name)
 	o.Refusals++
-	o.Held = max(o.Held, now.Sub(q.Arrived))
+	o.MaxRefusalDelay = max(o.MaxRefusalDelay, now.Sub(q.Arrived))
 	if last {
 		o.Refused++
 	}
--- a/internal/decide/hingemodel/workload.go
+++ b/internal/decide/hingemodel/workload.go
@@ -30,9 +30,9 @@
 	Skew     float64
 }
 
-// Firm is a workload: the request classes of one installation, with the number of
+// Workload is a workload: the request classes of one installation, with the number of
 // its engines and callers.
-type Firm struct {
+type Workload struct {
 	Name    string
 	Classes []Class
 	// Prefill and Decode are numbers of engines.
@@ -45,8 +45,8 @@
 
 // Shellfish returns the workload of short quay queries and long dossiers, on nine
 // engines.
-func Shellfish() Firm {
-	return Firm{
+func Shellfish() Workload {
+	return Workload{
 		Name:    "shellfish",
 		Prefill: 3,
 		Decode:  6,
@@ -84,8 +84,8 @@
 
 // Streaming returns the workload of long eulogies and short captions, on nine
 // engines.
-func Streaming() Firm {
-	return Firm{
+func Streaming() Workload {
+	return Workload{
 		Name:    "streaming",
 		Prefill: 4,
 		Decode:  5,
@@ -123,7 +123,7 @@
 
 // Skewed returns a copy in which classes with many prefixes have longer and less
 // evenly popular ones, so that the amount of prefill depends on cache hits.
-func (f Firm) Skewed() Firm {
+func (f Workload) Skewed() Workload {
 	f.Name += "-skewed"
 	f.Classes = append([]Class(nil), f.Classes...)
 	for i := range f.Classes {
@@ -139,7 +139,7 @@
 
 // PeakRate returns the number of requests per second that saturates either the
 // decode slots or the prefill engines, at a prefix cache hit rate of 0.9.
-func (f Firm) PeakRate(c Cluster) float64 {
+func (f Workload) PeakRate(c Cluster) float64 {
 	var slotSeconds, prefillTokens float64
 	for _, k := range f.Classes {
 		slotSeconds += k.Share * float64(k.Output) * c.tokenGap(c.Slots).Seconds()
@@ -151,7 +151,7 @@
 
 // Phase is a part of a run with a constant arrival rate.
 type Phase struct {
-	Lasts time.Duration
+	Duration time.Duration
 	// Load is the arrival rate as a multiple of the peak rate.
 	Load float64
 }
@@ -160,13 +160,13 @@
 // policies get the same requests for the same seed.
 type source struct {
 	rng      *rand.Rand
-	workload Firm
+	workload Workload
 	zipf     [][]float64
 	serial   uint64
 	callers  []hingeids.CallerID
 }
 
-func newSource(seed uint64, f Firm) *source {
+func newSource(seed uint64, f Workload) *source {
 	s := &source{
 		rng:      rand.New(rand.NewPCG(seed, 1)),
 		workload: f,
@@ -206,7 +206,7 @@
 	unshared := float64(c.Prompt-c.PrefixTokens) * (0.5 + s.rng.Float64())
 	return &Request{
 		ID: hingeids.RequestID{
-			Life: hingeids.Life{
+			Instance: hingeids.Instance{
 				Host:        "cancale-1",
 				Incarnation: 1,
 			},
--- a/internal/decide/hingeplace/flight.go
+++ b/internal/decide/hingeplace/flight.go
@@ -33,8 +33,8 @@
 	transferTime time.Duration
 }
 
-// Began records that the caller carries out the decision d.
-func (v *View) Began(now time.Time, r *Request, d Decision) {
+// HandleStart records that the caller carries out the decision d.
+func (v *View) HandleStart(now time.Time, r *Request, d Decision) {
 	f := &inflightRequest{
 		request:      *r,
 		sentAt:       now,
@@ -62,9 +62,9 @@
 	}
 }
 
-// PrefillDone records that the KV cache is ready; found is the number of
+// HandlePrefillDone records that the KV cache is ready; found is the number of
 // prompt tokens that the engine had cached. Rule 3: it corrects the index.
-func (v *View) PrefillDone(now time.Time, id hingeids.RequestID, found hingeids.Tokens) {
+func (v *View) HandlePrefillDone(now time.Time, id hingeids.RequestID, found hingeids.Tokens) {
 	f := v.inflight[id]
 	if f == nil || f.prefill == nil || f.ready {
 		return
@@ -122,9 +122,9 @@
 	}
 }
 
-// Ready returns the requests whose KV cache is ready and that have no slot, in
+// ReadyRequests returns the requests whose KV cache is ready and that have no slot, in
 // the order in which they bind: by priority, then by waiting time.
-func (v *View) Ready() []hingeids.RequestID {
+func (v *View) ReadyRequests() []hingeids.RequestID {
 	var waiting []*inflightRequest
 	for _, f := range v.unbound {
 		if f.ready {
@@ -192,10 +192,10 @@
 	v.unbound = append(v.unbound, f)
 }
 
-// Other returns the second-best engine for a bound request. A slot that is
+// AlternativeEngine returns the second-best engine for a bound request. A slot that is
 // free by the reports may be in use by now, so a request waits for a slot at
 // two engines; see docs/design/04-slots-and-holds.md.
-func (v *View) Other(now time.Time, id hingeids.RequestID) (hingeids.ServerID, bool) {
+func (v *View) AlternativeEngine(now time.Time, id hingeids.RequestID) (hingeids.ServerID, bool) {
 	f := v.inflight[id]
 	if f == nil || f.decode == nil {
 		return "", false
@@ -267,10 +267,10 @@
 	return append(list[:0], list[len(list)/2:]...)
 }
 
-// Ended records that a request has finished with the given number of output
+// HandleCompletion records that a request has finished with the given number of output
 // tokens, or with 0 if it was cancelled or failed. It releases everything that
 // the request held.
-func (v *View) Ended(now time.Time, id hingeids.RequestID, output hingeids.Tokens) {
+func (v *View) HandleCompletion(now time.Time, id hingeids.RequestID, output hingeids.Tokens) {
 	f := v.inflight[id]
 	if f == nil {
 		return
@@ -288,17 +288,17 @@
 	}
 }
 
-// Evicted records that the KV cache was evicted: the request must be placed
+// HandleEviction records that the KV cache was evicted: the request must be placed
 // again.
-func (v *View) Evicted(now time.Time, id hingeids.RequestID) {
-	v.Ended(now, id, 0)
+func (v *View) HandleEviction(now time.Time, id hingeids.RequestID) {
+	v.HandleCompletion(now, id, 0)
 }
 
-// Work is the cost of a request as slot time: the time for which it would hold
+// SlotCost is the cost of a request as slot time: the time for which it would hold
 // a decode slot, or its share of the total prefill capacity, converted to slot
 // time, if that is more. Decode slots and prefill are alternately the
 // bottleneck, and the scarcer one determines the cost.
-func (v *View) Work(r *Request) time.Duration {
+func (v *View) SlotCost(r *Request) time.Duration {
 	v.index.mark(r.Prefix)
 	var hit hingeids.Tokens
 	var slots, rate float64
@@ -312,16 +312,16 @@
 			slots += float64(e.slots)
 		}
 	}
-	hold := v.Hold(r)
+	hold := v.SlotTime(r)
 	if rate <= 0 {
 		return hold
 	}
 	return max(hold, seconds(float64(r.Prompt-min(hit, r.Prompt))/rate*slots))
 }
 
-// Hold is how long a request is expected to hold a decode slot at the engines'
+// SlotTime is how long a request is expected to hold a decode slot at the engines'
 // present load.
-func (v *View) Hold(r *Request) time.Duration {
+func (v *View) SlotTime(r *Request) time.Duration {
 	var gap time.Duration
 	n := 0
 	for _, e := range v.engines {
--- a/internal/decide/hingeplace/index.go
+++ b/internal/decide/hingeplace/index.go
@@ -17,10 +17,10 @@
 	Tokens hingeids.Tokens
 }
 
-// Chain divides a prompt into blocks and hashes each leading part of it. It
+// HashBlocks divides a prompt into blocks and hashes each leading part of it. It
 // returns at most maxBlocks blocks, so that a very long prompt doesn't flood
 // the index, and none for a prompt shorter than one block.
-func Chain(prompt []byte, bytesPerToken, blockTokens, maxBlocks int) []Block {
+func HashBlocks(prompt []byte, bytesPerToken, blockTokens, maxBlocks int) []Block {
 	size := bytesPerToken * blockTokens
 	if size <= 0 {
 		return nil
@@ -131,9 +131,9 @@
 	}
 }
 
-// Cached handles a cache event of an engine: it stored the block, or dropped
+// HandleCacheEvent handles a cache event of an engine: it stored the block, or dropped
 // it.
-func (v *View) Cached(s hingeids.ServerID, b Block, stored bool) {
+func (v *View) HandleCacheEvent(s hingeids.ServerID, b Block, stored bool) {
 	e := v.byID[s]
 	if e == nil {
 		return
--- a/internal/decide/hingeplace/lengths.go
+++ b/internal/decide/hingeplace/lengths.go
@@ -157,7 +157,7 @@
 	l := v.classes[name]
 	if l == nil {
 		l = &lengthStats{
-			mean: float64(v.config.Output),
+			mean: float64(v.config.DefaultOutput),
 		}
 		v.classes[name] = l
 	}
--- a/internal/decide/hingeplace/place.go
+++ b/internal/decide/hingeplace/place.go
@@ -33,8 +33,8 @@
 	Cached hingeids.Tokens
 	// FirstToken is the predicted time from now to the first token.
 	FirstToken time.Duration
-	// Slot is the predicted probability that a slot is free in time.
-	Slot float64
+	// SlotProbability is the predicted probability that a slot is free in time.
+	SlotProbability float64
 
 	wait, prefillEnd, transferTime time.Duration
 }
@@ -69,8 +69,8 @@
 	if local.Action == Local && local.prefillEnd < remote.FirstToken {
 		return local
 	}
-	remote.Slot = v.slotProbability(now, r, free, v.maxWait(now, r, remote))
-	if remote.Slot >= v.startThreshold() && remote.wait <= v.config.PrefillAhead {
+	remote.SlotProbability = v.slotProbability(now, r, free, v.maxWait(now, r, remote))
+	if remote.SlotProbability >= v.startThreshold() && remote.wait <= v.config.MaxPrefillWait {
 		remote.Action = Start
 	}
 	return remote
@@ -81,11 +81,11 @@
 // Without the second limit, requests with short targets would start prefill
 // and be answered too late.
 func (v *View) maxWait(now time.Time, r *Request, d Decision) time.Duration {
-	cacheExpiry := d.prefillEnd + v.config.KeepCache
-	if r.FirstTokenBy.IsZero() {
+	cacheExpiry := d.prefillEnd + v.config.CacheRetention
+	if r.FirstTokenDeadline.IsZero() {
 		return cacheExpiry
 	}
-	remaining := r.FirstTokenBy.Sub(now) - (d.FirstToken - d.prefillEnd)
+	remaining := r.FirstTokenDeadline.Sub(now) - (d.FirstToken - d.prefillEnd)
 	return max(d.prefillEnd, min(cacheExpiry, remaining))
 }
 
@@ -174,7 +174,7 @@
 	if rate <= 0 {
 		return time.Hour
 	}
-	return seconds(float64(n) * float64(v.config.CacheBytes) / float64(rate))
+	return seconds(float64(n) * float64(v.config.CacheBytesPerToken) / float64(rate))
 }
 
 // freeSlots returns the number of free slots for a request and the engine
@@ -225,7 +225,7 @@
 	if e == nil || v.slotProbability(now, r, free, 0) < 1 {
 		return Decision{}
 	}
-	if r.Prompt > v.config.LocalLimit && v.hasPrefill() {
+	if r.Prompt > v.config.MaxLocalPrompt && v.hasPrefill() {
 		return Decision{}
 	}
 	// Prefill concurrent with decoding runs at half speed and halves the decode
@@ -233,11 +233,11 @@
 	prefillTime := 2 * float64(r.Prompt) * e.slowdown.gap / v.config.PrefillRate
 	held := float64(len(e.holding) + e.foreignHeld)
 	return Decision{
-		Action:     Local,
-		Decode:     e.id,
-		FirstToken: seconds(prefillTime),
-		Slot:       1,
-		prefillEnd: seconds(prefillTime * (1 + held/2)),
+		Action:          Local,
+		Decode:          e.id,
+		FirstToken:      seconds(prefillTime),
+		SlotProbability: 1,
+		prefillEnd:      seconds(prefillTime * (1 + held/2)),
 	}
 }
 
--- a/internal/decide/hingeplace/view.go
+++ b/internal/decide/hingeplace/view.go
@@ -61,26 +61,26 @@
 	GapBase       time.Duration
 	GapPerRequest time.Duration
 	PrefillRate   float64
-	// KeepCache is the minimum time for which an engine retains a finished KV
+	// CacheRetention is the minimum time for which an engine retains a finished KV
 	// cache.
-	KeepCache time.Duration
-	// CacheBytes is the size of the KV cache per prompt token.
-	CacheBytes hingeids.Bytes
+	CacheRetention time.Duration
+	// CacheBytesPerToken is the size of the KV cache per prompt token.
+	CacheBytesPerToken hingeids.Bytes
 	// LinkRate returns the transfer rate between two zones.
 	LinkRate func(from, to hingeids.Zone) hingeids.BytesPerSecond
-	// PrefillAhead is the maximum time for which a prefill may wait at its
+	// MaxPrefillWait is the maximum time for which a prefill may wait at its
 	// engine. It only has to keep the engine busy: requests that wait in the
 	// entry host's queue instead can still be sent elsewhere or cancelled at no
 	// cost.
-	PrefillAhead time.Duration
-	// LocalLimit is the longest prompt that may be prefilled on a decode engine
+	MaxPrefillWait time.Duration
+	// MaxLocalPrompt is the longest prompt that may be prefilled on a decode engine
 	// while there are prefill engines.
-	LocalLimit hingeids.Tokens
-	// Output is the expected output length of a class without samples.
-	Output hingeids.Tokens
-	// PrefixLimit bounds the entries in the index of cached prefixes, over all
+	MaxLocalPrompt hingeids.Tokens
+	// DefaultOutput is the expected output length of a class without samples.
+	DefaultOutput hingeids.Tokens
+	// MaxPrefixEntries bounds the entries in the index of cached prefixes, over all
 	// engines.
-	PrefixLimit int
+	MaxPrefixEntries int
 }
 
 // Defaults returns the settings for the reference engines.
@@ -90,18 +90,18 @@
 			Goodput:       1,
 			WastedPrefill: 0.5,
 		},
-		GapBase:       12 * time.Millisecond,
-		GapPerRequest: 650 * time.Microsecond,
-		PrefillRate:   5000,
-		KeepCache:     600 * time.Millisecond,
-		CacheBytes:    128 << 10,
+		GapBase:            12 * time.Millisecond,
+		GapPerRequest:      650 * time.Microsecond,
+		PrefillRate:        5000,
+		CacheRetention:     600 * time.Millisecond,
+		CacheBytesPerToken: 128 << 10,
 		LinkRate: func(_, _ hingeids.Zone) hingeids.BytesPerSecond {
 			return 3 << 30
 		},
-		PrefillAhead: 100 * time.Millisecond,
-		LocalLimit:   512,
-		Output:       150,
-		PrefixLimit:  1 << 16,
+		MaxPrefillWait:   100 * time.Millisecond,
+		MaxLocalPrompt:   512,
+		DefaultOutput:    150,
+		MaxPrefixEntries: 1 << 16,
 	}
 }
 
@@ -116,8 +116,8 @@
 	// Chain.
 	Prefix   []Block
 	TokenGap time.Duration
-	// FirstTokenBy is the deadline of the first token; zero is none.
-	FirstTokenBy time.Time
+	// FirstTokenDeadline is the deadline of the first token; zero is none.
+	FirstTokenDeadline time.Time
 	// Avoid is the set of engines that have failed this request.
 	Avoid map[hingeids.ServerID]bool
 }
@@ -191,7 +191,7 @@
 		config:   c,
 		byID:     make(map[hingeids.ServerID]*engine),
 		inflight: make(map[hingeids.RequestID]*inflightRequest),
-		index:    newIndex(c.PrefixLimit),
+		index:    newIndex(c.MaxPrefixEntries),
 		classes:  make(map[string]*lengthStats),
 	}
 }
@@ -200,18 +200,18 @@
 // Learned state of the engines is kept.
 func (v *View) Configure(w Weights, cacheBytes hingeids.Bytes) {
 	v.config.Weights = w
-	v.config.CacheBytes = cacheBytes
+	v.config.CacheBytesPerToken = cacheBytes
 }
 
-// Announce handles an engine's announcement. measuredAt is when its load was
+// HandleAnnouncement handles an engine's announcement. measuredAt is when its load was
 // measured, by the receiver's clock, and is earlier than now. Rule 1.
-func (v *View) Announce(now, measuredAt time.Time, a hingeannounce.Announcement) {
+func (v *View) HandleAnnouncement(now, measuredAt time.Time, a hingeannounce.Announcement) {
 	e := v.byID[a.Server]
 	if e != nil && e.incarnation > a.Incarnation {
 		return
 	}
 	if e == nil || e.incarnation < a.Incarnation {
-		v.Gone(a.Server)
+		v.RemoveEngine(a.Server)
 		e = &engine{
 			id:          a.Server,
 			incarnation: a.Incarnation,
@@ -222,7 +222,7 @@
 	}
 	e.zone, e.kind, e.slots = a.Zone, a.Kind, int(a.Slots)
 	if a.Leaving {
-		v.Gone(a.Server)
+		v.RemoveEngine(a.Server)
 		return
 	}
 	e.applyReport(now, measuredAt, a.Load)
@@ -291,9 +291,9 @@
 	return sum
 }
 
-// Gone removes an engine that has left or failed. The caller must finish or
+// RemoveEngine removes an engine that has left or failed. The caller must finish or
 // resend the requests that it holds.
-func (v *View) Gone(s hingeids.ServerID) {
+func (v *View) RemoveEngine(s hingeids.ServerID) {
 	e := v.byID[s]
 	if e == nil {
 		return
@@ -309,9 +309,9 @@
 	}
 }
 
-// Full records that an engine's allocator refused a slot. The engine is
+// HandleSlotRefusal records that an engine's allocator refused a slot. The engine is
 // treated as full for fullDuration.
-func (v *View) Full(now time.Time, s hingeids.ServerID) {
+func (v *View) HandleSlotRefusal(now time.Time, s hingeids.ServerID) {
 	if e := v.byID[s]; e != nil {
 		e.fullUntil = now.Add(fullDuration)
 	}
--- a/internal/decide/hingeplace/view_test.go
+++ b/internal/decide/hingeplace/view_test.go
@@ -31,10 +31,10 @@
 func newTestView(c Config, prefills, decodes int) *View {
 	v := NewView(c)
 	for i := range prefills {
-		v.Announce(start, start, announce(fmt.Sprintf("p%d", i), hingeannounce.Prefill, 0))
+		v.HandleAnnouncement(start, start, announce(fmt.Sprintf("p%d", i), hingeannounce.Prefill, 0))
 	}
 	for i := range decodes {
-		v.Announce(start, start, announce(fmt.Sprintf("d%d", i), hingeannounce.Decode, 0))
+		v.HandleAnnouncement(start, start, announce(fmt.Sprintf("d%d", i), hingeannounce.Decode, 0))
 	}
 	return v
 }
@@ -56,28 +56,28 @@
 func occupySlots(v *View, n int) {
 	for i := range n {
 		r := request(uint64(1000+i), 10)
-		v.Began(start, r, Decision{
+		v.HandleStart(start, r, Decision{
 			Action:  Start,
 			Prefill: "p0",
 		})
-		v.PrefillDone(start, r.ID, 0)
+		v.HandlePrefillDone(start, r.ID, 0)
 		v.Bind(start, r.ID)
 	}
 }
 
 // A report measured before the last requests were sent must not make a full
 // engine appear empty.
-func TestLateReportDoesNotHideWhatWasSentSince(t *testing.T) {
+func TestLateReportDoesNotHideLaterRequests(t *testing.T) {
 	v := newTestView(Defaults(), 1, 1)
 	occupySlots(v, 20)
 	now := start.Add(300 * time.Millisecond)
-	v.Announce(now, start.Add(-time.Second), announce("d0", hingeannounce.Decode, 0))
+	v.HandleAnnouncement(now, start.Add(-time.Second), announce("d0", hingeannounce.Decode, 0))
 	r := request(1, 100)
-	v.Began(now, r, Decision{
+	v.HandleStart(now, r, Decision{
 		Action:  Start,
 		Prefill: "p0",
 	})
-	v.PrefillDone(now, r.ID, 0)
+	v.HandlePrefillDone(now, r.ID, 0)
 	if s, ok := v.Bind(now, r.ID); ok {
 		t.Fatalf("bound to %s, which has no free slot", s)
 	}
@@ -85,19 +85,19 @@
 
 // Other entry hosts' requests, known only from reports, must be counted in
 // addition to this host's own.
-func TestOthersRequestsTakeSlots(t *testing.T) {
+func TestForeignRequestsOccupySlots(t *testing.T) {
 	v := newTestView(Defaults(), 1, 1)
 	occupySlots(v, 5)
 	now := start.Add(time.Second)
-	v.Announce(now, now.Add(-300*time.Millisecond), announce("d0", hingeannounce.Decode, 17))
+	v.HandleAnnouncement(now, now.Add(-300*time.Millisecond), announce("d0", hingeannounce.Decode, 17))
 	free := 0
 	for i := range 20 {
 		r := request(uint64(i), 100)
-		v.Began(now, r, Decision{
+		v.HandleStart(now, r, Decision{
 			Action:  Start,
 			Prefill: "p0",
 		})
-		v.PrefillDone(now, r.ID, 0)
+		v.HandlePrefillDone(now, r.ID, 0)
 		if _, ok := v.Bind(now, r.ID); ok {
 			free++
 		}
@@ -109,7 +109,7 @@
 
 // Prefill must not start while all slots are held by answers that have just
 // started: the KV cache would be evicted before a slot is free.
-func TestPrefillWaitsForASlotInSight(t *testing.T) {
+func TestPrefillWaitsForLikelySlot(t *testing.T) {
 	v := newTestView(Defaults(), 1, 1)
 	for i := range 100 {
 		v.class("batch").observe(float64(300 + 2*i))
@@ -117,7 +117,7 @@
 	occupySlots(v, 20)
 	var got []Action
 	for _, elapsed := range []time.Duration{time.Millisecond, 9 * time.Second} {
-		v.TokenGap(start.Add(elapsed), "d0", 25*time.Millisecond)
+		v.HandleTokenGap(start.Add(elapsed), "d0", 25*time.Millisecond)
 		got = append(got, v.Place(start.Add(elapsed), request(1, 3000)).Action)
 	}
 	if diff := cmp.Diff([]Action{Wait, Start}, got); diff != "" {
@@ -127,7 +127,7 @@
 
 // The threshold at which prefill starts must rise with the weight of wasted
 // prefill.
-func TestWeightsMoveOneThreshold(t *testing.T) {
+func TestStartThresholdRisesWithWastedPrefillWeight(t *testing.T) {
 	var last float64
 	for _, w := range []float64{0, 0.25, 0.5, 1, 4} {
 		c := Defaults()
@@ -146,7 +146,7 @@
 
 // Changed weights must apply without a restart: otherwise entry hosts would
 // place by different rules.
-func TestChangedWeightsAreInForceAtOnce(t *testing.T) {
+func TestChangedWeightsApplyAtOnce(t *testing.T) {
 	v := NewView(Defaults())
 	before := v.startThreshold()
 	v.Configure(Weights{
@@ -156,14 +156,14 @@
 	if after := v.startThreshold(); after <= before {
 		t.Errorf("threshold is %v, before the change it was %v", after, before)
 	}
-	if diff := cmp.Diff(hingeids.Bytes(64<<10), v.config.CacheBytes); diff != "" {
+	if diff := cmp.Diff(hingeids.Bytes(64<<10), v.config.CacheBytesPerToken); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // A long prompt must go to the engine that has its prefix cached, until that
 // engine reports that it dropped the prefix.
-func TestPrefillGoesWhereThePrefixIs(t *testing.T) {
+func TestPrefillPrefersCachedPrefix(t *testing.T) {
 	v := newTestView(Defaults(), 3, 1)
 	prefix := []Block{
 		{
@@ -171,21 +171,21 @@
 			Tokens: 2000,
 		},
 	}
-	v.Cached("p2", prefix[0], true)
+	v.HandleCacheEvent("p2", prefix[0], true)
 	r := request(1, 3000)
 	r.Prefix = prefix
 	got := v.Place(start, r)
 	if diff := cmp.Diff("p2 2000", fmt.Sprintf("%s %d", got.Prefill, got.Cached)); diff != "" {
 		t.Error(diff)
 	}
-	v.Cached("p2", prefix[0], false)
+	v.HandleCacheEvent("p2", prefix[0], false)
 	if got := v.Place(start, r); got.Cached != 0 {
 		t.Errorf("%d tokens are still expected in the cache", got.Cached)
 	}
 }
 
 // Without prefill engines, decode engines must prefill prompts of any length.
-func TestWithoutPrefillEnginesItIsDoneWhereItDecodes(t *testing.T) {
+func TestDecodeEnginesPrefillWithoutPrefillEngines(t *testing.T) {
 	v := newTestView(Defaults(), 0, 1)
 	got := v.Place(start, request(1, 3000))
 	if got.Action != Local || got.Decode != "d0" {
@@ -195,7 +195,7 @@
 
 // An engine whose token gap doubles must be given fewer requests, then none,
 // and must be used again once it has recovered.
-func TestSlowEngineIsGivenLessAndTakenBack(t *testing.T) {
+func TestSlowEngineLosesCapacityAndRecovers(t *testing.T) {
 	v := newTestView(Defaults(), 1, 2)
 	r := request(1, 100)
 	r.TokenGap = 40 * time.Millisecond
@@ -204,19 +204,19 @@
 	capacities := []int{capacity()}
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
-		v.TokenGap(now, "d0", 24*time.Millisecond)
+		v.HandleTokenGap(now, "d0", 24*time.Millisecond)
 	}
 	capacities = append(capacities, capacity())
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
-		v.TokenGap(now, "d0", 60*time.Millisecond)
+		v.HandleTokenGap(now, "d0", 60*time.Millisecond)
 	}
 	capacities = append(capacities, capacity())
 	now = now.Add(probeInterval)
 	capacities = append(capacities, capacity())
 	for range 20 {
 		now = now.Add(500 * time.Millisecond)
-		v.TokenGap(now, "d0", 12*time.Millisecond)
+		v.HandleTokenGap(now, "d0", 12*time.Millisecond)
 	}
 	capacities = append(capacities, capacity())
 	if diff := cmp.Diff([]int{20, 12, 0, 1, 20}, capacities); diff != "" {
@@ -226,7 +226,7 @@
 
 // In any order of events, no engine is assigned more requests than it has
 // slots, and each request is in exactly one place.
-func TestNoSlotIsOverGranted(t *testing.T) {
+func TestSlotsAreNotOverAssigned(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := newTestView(Defaults(), 2, 2)
 		now := start
@@ -243,17 +243,17 @@
 			case 0, 1:
 				r := request(uint64(n), hingeids.Tokens(rapid.IntRange(1, 4000).Draw(t, "prompt")))
 				if d := v.Place(now, r); d.Action == Start || d.Action == Local {
-					v.Began(now, r, d)
+					v.HandleStart(now, r, d)
 					ids = append(ids, r.ID)
 				}
 			case 2, 3:
-				v.PrefillDone(now, pickID(), 0)
+				v.HandlePrefillDone(now, pickID(), 0)
 			case 4:
-				for _, id := range v.Ready() {
+				for _, id := range v.ReadyRequests() {
 					v.Bind(now, id)
 				}
 			case 5:
-				v.Ended(now, pickID(), hingeids.Tokens(rapid.IntRange(0, 100).Draw(t, "output")))
+				v.HandleCompletion(now, pickID(), hingeids.Tokens(rapid.IntRange(0, 100).Draw(t, "output")))
 			case 6:
 				v.Unbind(now, pickID())
 			case 7:
@@ -263,7 +263,7 @@
 					a.Kind = hingeannounce.Prefill
 				}
 				a.Incarnation += hingeids.Incarnation(rapid.IntRange(0, 1).Draw(t, "restart"))
-				v.Announce(now, now.Add(-300*time.Millisecond), a)
+				v.HandleAnnouncement(now, now.Add(-300*time.Millisecond), a)
 			}
 			checkInvariants(t, v)
 		}
--- a/internal/decide/hingepoison/book.go
+++ b/internal/decide/hingepoison/book.go
@@ -56,35 +56,35 @@
 	doubtfulWait = time.Minute
 )
 
-// End is the crash of a server that had a request.
-type End struct {
-	Print   hingeids.Print    `cbor:"1,keyasint"`
-	Server  hingeids.ServerID `cbor:"2,keyasint"`
-	Service hingeids.Service  `cbor:"3,keyasint"`
-	Caller  hingeids.CallerID `cbor:"4,keyasint,omitempty"`
+// Crash is the crash of a server that had a request.
+type Crash struct {
+	Fingerprint hingeids.Fingerprint `cbor:"1,keyasint"`
+	Server      hingeids.ServerID    `cbor:"2,keyasint"`
+	Service     hingeids.Service     `cbor:"3,keyasint"`
+	Caller      hingeids.CallerID    `cbor:"4,keyasint,omitempty"`
 	// Ago is the time since the crash, Had how long the server had the request by then.
-	Ago time.Duration `cbor:"5,keyasint"`
-	Had time.Duration `cbor:"6,keyasint"`
+	Ago  time.Duration `cbor:"5,keyasint"`
+	Held time.Duration `cbor:"6,keyasint"`
 }
 
-// Pass is the completion of a suspected request.
-type Pass struct {
-	Print hingeids.Print `cbor:"1,keyasint"`
-	Ago   time.Duration  `cbor:"2,keyasint"`
+// Completion is the completion of a suspected request.
+type Completion struct {
+	Fingerprint hingeids.Fingerprint `cbor:"1,keyasint"`
+	Ago         time.Duration        `cbor:"2,keyasint"`
 }
 
-// Judgement is the result of Judge.
-type Judgement struct {
+// Decision is the result of Judge.
+type Decision struct {
 	// Refused says that the request must not run, RetryAfter when the caller may retry.
 	Refused    bool
 	RetryAfter time.Duration
-	// Settles says that the last crash is newer than SettleTime, so that reports about other requests on that server may be missing.
-	Settles bool
+	// Settling says that the last crash is newer than SettleTime, so that reports about other requests on that server may be missing.
+	Settling bool
 	// Suspect says that a completion of the request has to be reported.
 	Suspect bool
-	// Found says that the request has to be added to the list, Tried that it runs as a probe although it is listed.
-	Found bool
-	Tried bool
+	// Detected says that the request has to be added to the list, Tried that it runs as a probe although it is listed.
+	Detected bool
+	Probe    bool
 }
 
 // Listed is the state of a request in the list.
@@ -92,8 +92,8 @@
 	Record Record
 	// Wait is the time until the next probe; zero or less if it is allowed now.
 	Wait time.Duration
-	// There says that the list has the request as refused.
-	There bool
+	// Blocked says that the list has the request as refused.
+	Blocked bool
 	// Lifted says that an operator lifted the block, LiftedAgo how long ago.
 	Lifted    bool
 	LiftedAgo time.Duration
@@ -118,36 +118,36 @@
 	held time.Duration
 }
 
-// Book holds the crashes that were reported to a placer. It is not safe for concurrent use.
-type Book struct {
-	suspects map[hingeids.Print]*suspect
+// Detector holds the crashes that were reported to a placer. It is not safe for concurrent use.
+type Detector struct {
+	suspects map[hingeids.Fingerprint]*suspect
 	// onServer are the requests that each crashed server had.
-	onServer map[hingeids.ServerID][]hingeids.Print
+	onServer map[hingeids.ServerID][]hingeids.Fingerprint
 	// recent holds the crashes within rateWindow, by service and server.
 	recent map[hingeids.Service]map[hingeids.ServerID]time.Time
 }
 
-// NewBook returns a detector without reported crashes.
-func NewBook() *Book {
-	return &Book{
-		suspects: make(map[hingeids.Print]*suspect),
-		onServer: make(map[hingeids.ServerID][]hingeids.Print),
+// NewDetector returns a detector without reported crashes.
+func NewDetector() *Detector {
+	return &Detector{
+		suspects: make(map[hingeids.Fingerprint]*suspect),
+		onServer: make(map[hingeids.ServerID][]hingeids.Fingerprint),
 		recent:   make(map[hingeids.Service]map[hingeids.ServerID]time.Time),
 	}
 }
 
-// Tell records a crash that a host observed, and reports whether it wasn't known yet.
-func (b *Book) Tell(now time.Time, e End) bool {
+// HandleCrash records a crash that a host observed, and reports whether it wasn't known yet.
+func (b *Detector) HandleCrash(now time.Time, e Crash) bool {
 	at := now.Add(-e.Ago)
-	if e.Print == 0 || e.Ago > suspectTTL {
+	if e.Fingerprint == 0 || e.Ago > suspectTTL {
 		return false
 	}
-	s := b.suspects[e.Print]
+	s := b.suspects[e.Fingerprint]
 	if s == nil {
 		s = &suspect{
 			crashes: make(map[hingeids.ServerID]crash),
 		}
-		b.suspects[e.Print] = s
+		b.suspects[e.Fingerprint] = s
 	}
 	if _, known := s.crashes[e.Server]; known || !at.After(s.completedAt) {
 		return false
@@ -156,20 +156,20 @@
 	s.caller = e.Caller
 	s.crashes[e.Server] = crash{
 		at:   at,
-		held: e.Had,
+		held: e.Held,
 	}
 	b.recordRecent(e.Service, e.Server, at)
 	if at.After(s.lastCrash) {
 		s.lastCrash = at
 	}
-	b.onServer[e.Server] = append(b.onServer[e.Server], e.Print)
+	b.onServer[e.Server] = append(b.onServer[e.Server], e.Fingerprint)
 	b.bound()
 	return true
 }
 
-// Pass records a completion and drops the earlier crashes of the request (rule 4).
-func (b *Book) Pass(now time.Time, p Pass) {
-	s := b.suspects[p.Print]
+// HandleCompletion records a completion and drops the earlier crashes of the request (rule 4).
+func (b *Detector) HandleCompletion(now time.Time, p Completion) {
+	s := b.suspects[p.Fingerprint]
 	at := now.Add(-p.Ago)
 	if s == nil || !at.After(s.completedAt) {
 		return
@@ -177,13 +177,13 @@
 	s.completedAt = at
 	for id, x := range s.crashes {
 		if !x.at.After(at) {
-			b.remove(p.Print, s, id)
+			b.remove(p.Fingerprint, s, id)
 		}
 	}
 }
 
 // recordRecent records the crash of a server for the crash rate of its service.
-func (b *Book) recordRecent(service hingeids.Service, id hingeids.ServerID, at time.Time) {
+func (b *Detector) recordRecent(service hingeids.Service, id hingeids.ServerID, at time.Time) {
 	r := b.recent[service]
 	if r == nil {
 		r = make(map[hingeids.ServerID]time.Time)
@@ -194,45 +194,45 @@
 	}
 }
 
-// Judge decides on a request. servers counts the servers of its service; it is called only after enough crashes, since counting thousands is
+// Evaluate decides on a request. servers counts the servers of its service; it is called only after enough crashes, since counting thousands is
 // slow.
-func (b *Book) Judge(now time.Time, p hingeids.Print, l Listed, servers func() int) Judgement {
+func (b *Detector) Evaluate(now time.Time, p hingeids.Fingerprint, l Listed, servers func() int) Decision {
 	switch {
-	case l.There && l.Wait > 0:
-		return Judgement{
+	case l.Blocked && l.Wait > 0:
+		return Decision{
 			Refused:    true,
 			RetryAfter: l.Wait,
 		}
-	case l.There:
+	case l.Blocked:
 		return b.probe(now, p)
 	}
 	if l.Lifted {
-		b.Pass(now, Pass{
-			Print: p,
-			Ago:   l.LiftedAgo,
+		b.HandleCompletion(now, Completion{
+			Fingerprint: p,
+			Ago:         l.LiftedAgo,
 		})
 	}
 	s := b.suspects[p]
 	if s == nil || len(s.crashes) == 0 {
-		return Judgement{}
+		return Decision{}
 	}
 	count, chance := b.evidence(now, p, s, servers)
 	if count < minCrashes || chance >= maxChance {
-		return Judgement{
+		return Decision{
 			Suspect: true,
 		}
 	}
 	settles := now.Sub(s.lastCrash) < SettleTime
-	return Judgement{
+	return Decision{
 		Refused:    true,
 		RetryAfter: minWait,
-		Settles:    settles,
-		Found:      !settles,
+		Settling:   settles,
+		Detected:   !settles,
 	}
 }
 
 // evidence returns the number of crashes that no other request explains, and the probability that they are a coincidence (rule 3).
-func (b *Book) evidence(now time.Time, p hingeids.Print, s *suspect, servers func() int) (int, float64) {
+func (b *Detector) evidence(now time.Time, p hingeids.Fingerprint, s *suspect, servers func() int) (int, float64) {
 	count, chance := 0, 1.0
 	if len(s.crashes) < minCrashes {
 		return count, chance
@@ -249,14 +249,14 @@
 }
 
 // explainedByOther reports whether the crashed server had another request with more crashes.
-func (b *Book) explainedByOther(p hingeids.Print, s *suspect, id hingeids.ServerID) bool {
-	return slices.ContainsFunc(b.onServer[id], func(q hingeids.Print) bool {
+func (b *Detector) explainedByOther(p hingeids.Fingerprint, s *suspect, id hingeids.ServerID) bool {
+	return slices.ContainsFunc(b.onServer[id], func(q hingeids.Fingerprint) bool {
 		return q != p && len(b.suspects[q].crashes) > len(s.crashes)
 	})
 }
 
 // rate returns the crashes per server and second that don't involve the request, over rateWindow or shortWindow, whichever is higher.
-func (b *Book) rate(now time.Time, s *suspect, servers int) float64 {
+func (b *Detector) rate(now time.Time, s *suspect, servers int) float64 {
 	long, short := unseenCrashes, 0.0
 	for id, at := range b.recent[s.service] {
 		if _, own := s.crashes[id]; own || now.Sub(at) >= rateWindow {
@@ -271,7 +271,7 @@
 }
 
 // probe decides on a listed request whose wait is over (rule 5). Only one attempt may run at a time.
-func (b *Book) probe(now time.Time, p hingeids.Print) Judgement {
+func (b *Detector) probe(now time.Time, p hingeids.Fingerprint) Decision {
 	s := b.suspects[p]
 	if s == nil {
 		s = &suspect{
@@ -281,37 +281,37 @@
 		b.suspects[p] = s
 	}
 	if !s.probedAt.IsZero() && now.Sub(s.probedAt) < probeTimeout {
-		return Judgement{
+		return Decision{
 			Refused:    true,
 			RetryAfter: probeTimeout - now.Sub(s.probedAt),
 		}
 	}
 	s.probedAt = now
-	return Judgement{
+	return Decision{
 		Suspect: true,
-		Tried:   true,
+		Probe:   true,
 	}
 }
 
-// InVain returns the updated record of a listed request if the crash, which Tell reported as new, happened during its probe.
-func (b *Book) InVain(now, today time.Time, e End, l Listed) (Record, bool) {
-	s := b.suspects[e.Print]
-	if !l.There || s == nil || s.probedAt.IsZero() || now.Add(-e.Ago).Before(s.probedAt) {
+// FailedProbe returns the updated record of a listed request if the crash, which Tell reported as new, happened during its probe.
+func (b *Detector) FailedProbe(now, today time.Time, e Crash, l Listed) (Record, bool) {
+	s := b.suspects[e.Fingerprint]
+	if !l.Blocked || s == nil || s.probedAt.IsZero() || now.Add(-e.Ago).Before(s.probedAt) {
 		return Record{}, false
 	}
 	return l.Record.afterFailedProbe(today, e.Server), true
 }
 
-// Found returns the list record of a refused request that Judge reported as found. today is the wall-clock time, since the record is shared
+// NewRecord returns the list record of a refused request that Judge reported as found. today is the wall-clock time, since the record is shared
 // between hosts; now is the clock of the detector.
-func (b *Book) Found(now, today time.Time, p hingeids.Print) Record {
+func (b *Detector) NewRecord(now, today time.Time, p hingeids.Fingerprint) Record {
 	s := b.suspects[p]
 	r := Record{
-		Print:   p,
-		Service: s.service,
-		Caller:  s.caller,
-		Since:   today.UnixMilli(),
-		First:   today.UnixMilli(),
+		Fingerprint: p,
+		Service:     s.service,
+		Caller:      s.caller,
+		Since:       today.UnixMilli(),
+		First:       today.UnixMilli(),
 	}
 	for id, x := range s.crashes {
 		r.Servers = append(r.Servers, id)
@@ -319,14 +319,14 @@
 	}
 	slices.Sort(r.Servers)
 	r.Doubtful = b.isDoubtful(p, s)
-	r.Ended = len(r.Servers)
+	r.Crashes = len(r.Servers)
 	r.Servers = r.Servers[:min(len(r.Servers), maxServers)]
 	return r
 }
 
 // isDoubtful reports whether another request was at all the same crashes (rule 5).
-func (b *Book) isDoubtful(p hingeids.Print, s *suspect) bool {
-	shared := make(map[hingeids.Print]int)
+func (b *Detector) isDoubtful(p hingeids.Fingerprint, s *suspect) bool {
+	shared := make(map[hingeids.Fingerprint]int)
 	for id := range s.crashes {
 		for _, q := range b.onServer[id] {
 			shared[q]++
@@ -340,8 +340,8 @@
 	return false
 }
 
-// Step removes expired state. It is called periodically.
-func (b *Book) Step(now time.Time) {
+// RemoveExpired removes expired state. It is called periodically.
+func (b *Detector) RemoveExpired(now time.Time) {
 	for p, s := range b.suspects {
 		if now.Sub(s.lastCrash) > suspectTTL {
 			b.forget(p)
@@ -355,16 +355,16 @@
 }
 
 // Len returns the number of recorded requests.
-func (b *Book) Len() int {
+func (b *Detector) Len() int {
 	return len(b.suspects)
 }
 
 // bound enforces maxSuspects (rule 6). It removes a quarter at once to amortize the sorting.
-func (b *Book) bound() {
+func (b *Detector) bound() {
 	if len(b.suspects) <= maxSuspects {
 		return
 	}
-	order := slices.SortedFunc(maps.Keys(b.suspects), func(p, q hingeids.Print) int {
+	order := slices.SortedFunc(maps.Keys(b.suspects), func(p, q hingeids.Fingerprint) int {
 		x, y := b.suspects[p], b.suspects[q]
 		return cmp.Or(cmp.Compare(len(x.crashes), len(y.crashes)), x.lastCrash.Compare(y.lastCrash), cmp.Compare(p, q))
 	})
@@ -373,7 +373,7 @@
 	}
 }
 
-func (b *Book) forget(p hingeids.Print) {
+func (b *Detector) forget(p hingeids.Fingerprint) {
 	s := b.suspects[p]
 	for id := range s.crashes {
 		b.remove(p, s, id)
@@ -382,9 +382,9 @@
 }
 
 // remove deletes a crash of a request.
-func (b *Book) remove(p hingeids.Print, s *suspect, id hingeids.ServerID) {
+func (b *Detector) remove(p hingeids.Fingerprint, s *suspect, id hingeids.ServerID) {
 	delete(s.crashes, id)
-	rest := slices.DeleteFunc(b.onServer[id], func(q hingeids.Print) bool {
+	rest := slices.DeleteFunc(b.onServer[id], func(q hingeids.Fingerprint) bool {
 		return q == p
 	})
 	if len(rest) == 0 {
