--- a/internal/decide/hingepoison/book_test.go
+++ b/internal/decide/hingepoison/book_test.go
@@ -15,23 +15,23 @@
 // servers counts the servers of the tested service.
 func servers() int { return 9 }
 
-func newCrash(p hingeids.Print, server string, had time.Duration) End {
-	return End{
-		Print:   p,
-		Server:  hingeids.ServerID(server),
-		Service: "model",
-		Had:     had,
+func newCrash(p hingeids.Fingerprint, server string, had time.Duration) Crash {
+	return Crash{
+		Fingerprint: p,
+		Server:      hingeids.ServerID(server),
+		Service:     "model",
+		Held:        had,
 	}
 }
 
 // crashServers reports n crashes under a request, a second apart, with other requests on the same servers. It returns the time after the last.
-func crashServers(b *Book, now time.Time, p hingeids.Print, n int, others ...hingeids.Print) time.Time {
+func crashServers(b *Detector, now time.Time, p hingeids.Fingerprint, n int, others ...hingeids.Fingerprint) time.Time {
 	for i := range n {
 		id := fmt.Sprintf("engine-%d-%d", p, i)
 		for _, q := range others {
-			b.Tell(now, newCrash(q, id, 2*time.Second))
+			b.HandleCrash(now, newCrash(q, id, 2*time.Second))
 		}
-		b.Tell(now, newCrash(p, id, 100*time.Millisecond))
+		b.HandleCrash(now, newCrash(p, id, 100*time.Millisecond))
 		now = now.Add(time.Second)
 	}
 	return now
@@ -39,33 +39,33 @@
 
 // A crash that is reported twice must not count twice, or a request would be refused after two crashes.
 func TestCrashReportedTwiceCountsOnce(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	now := crashServers(b, begin, 7, 2)
-	if b.Tell(now, newCrash(7, "engine-7-1", 100*time.Millisecond)) {
+	if b.HandleCrash(now, newCrash(7, "engine-7-1", 100*time.Millisecond)) {
 		t.Error("a crash that was reported before counts as new")
 	}
-	if j := b.Judge(now, 7, Listed{}, servers); j.Refused || !j.Suspect {
+	if j := b.Evaluate(now, 7, Listed{}, servers); j.Refused || !j.Suspect {
 		t.Errorf("after two crashes: %+v", j)
 	}
 	now = crashServers(b, now, 7, 3)
-	if j := b.Judge(now, 7, Listed{}, servers); !j.Refused {
+	if j := b.Evaluate(now, 7, Listed{}, servers); !j.Refused {
 		t.Errorf("after three crashes: %+v", j)
 	}
 }
 
 // A stream that is retried on the same engines as a poison request is at as many crashes. It must not be refused for them.
 func TestCoincidentRequestsAreNotRefused(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	now := crashServers(b, begin, 7, 2, 8)
 	// One crash more under the cause alone explains those that both were at.
-	for i, p := range []hingeids.Print{7, 7, 8} {
-		b.Tell(now, newCrash(p, fmt.Sprint("other-", i), 100*time.Millisecond))
+	for i, p := range []hingeids.Fingerprint{7, 7, 8} {
+		b.HandleCrash(now, newCrash(p, fmt.Sprint("other-", i), 100*time.Millisecond))
 	}
 	now = now.Add(time.Second)
-	if j := b.Judge(now, 7, Listed{}, servers); !j.Refused {
+	if j := b.Evaluate(now, 7, Listed{}, servers); !j.Refused {
 		t.Errorf("the cause of the crashes: %+v", j)
 	}
-	if j := b.Judge(now, 8, Listed{}, servers); j.Refused {
+	if j := b.Evaluate(now, 8, Listed{}, servers); j.Refused {
 		t.Errorf("a request on the same servers: %+v", j)
 	}
 }
@@ -73,53 +73,53 @@
 // Where engines crash often for other reasons, a long stream that was at three crashes must not be refused, but a request under which they
 // crash at once must be.
 func TestMoreCrashesAreNeededWhereServersCrashOften(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	now := begin
 	for i := range 40 {
-		b.Tell(now, newCrash(hingeids.Print(100+i), fmt.Sprint("bad-", i), time.Second))
+		b.HandleCrash(now, newCrash(hingeids.Fingerprint(100+i), fmt.Sprint("bad-", i), time.Second))
 		now = now.Add(200 * time.Millisecond)
 	}
 	for i := range 3 {
-		b.Tell(now, newCrash(7, fmt.Sprint("long-", i), 3*time.Second))
-		b.Tell(now, newCrash(8, fmt.Sprint("short-", i), 20*time.Millisecond))
+		b.HandleCrash(now, newCrash(7, fmt.Sprint("long-", i), 3*time.Second))
+		b.HandleCrash(now, newCrash(8, fmt.Sprint("short-", i), 20*time.Millisecond))
 	}
 	now = now.Add(time.Second)
 	many := func() int { return 300 }
-	if j := b.Judge(now, 7, Listed{}, many); j.Refused {
+	if j := b.Evaluate(now, 7, Listed{}, many); j.Refused {
 		t.Errorf("a long stream: %+v", j)
 	}
-	if j := b.Judge(now, 8, Listed{}, many); !j.Refused {
+	if j := b.Evaluate(now, 8, Listed{}, many); !j.Refused {
 		t.Errorf("a request under which servers crash at once: %+v", j)
 	}
 }
 
 // A completion clears a request of earlier crashes, also of those that are reported after it.
 func TestCompletionClearsEarlierCrashes(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	now := crashServers(b, begin, 7, 2)
-	b.Pass(now, Pass{
-		Print: 7,
+	b.HandleCompletion(now, Completion{
+		Fingerprint: 7,
 	})
 	now = crashServers(b, now.Add(time.Second), 9, 1, 7)
 	// A host reports a crash from before the completion only now.
-	b.Tell(now, End{
-		Print:   7,
-		Server:  "engine-late",
-		Service: "model",
-		Ago:     10 * time.Second,
+	b.HandleCrash(now, Crash{
+		Fingerprint: 7,
+		Server:      "engine-late",
+		Service:     "model",
+		Ago:         10 * time.Second,
 	})
-	b.Tell(now, newCrash(7, "engine-new", 100*time.Millisecond))
-	if j := b.Judge(now, 7, Listed{}, servers); j.Refused {
+	b.HandleCrash(now, newCrash(7, "engine-new", 100*time.Millisecond))
+	if j := b.Evaluate(now, 7, Listed{}, servers); j.Refused {
 		t.Errorf("after two crashes since the completion: %+v", j)
 	}
 }
 
 // The requests on thousands of engines that lose power must not evict the one request with several crashes.
 func TestRequestsWithMostCrashesAreKept(t *testing.T) {
-	b := NewBook()
+	b := NewDetector()
 	now := crashServers(b, begin, 7, 3)
 	for i := range 2 * maxSuspects {
-		b.Tell(now, newCrash(hingeids.Print(1000+i), fmt.Sprint("dark-", i/20), time.Second))
+		b.HandleCrash(now, newCrash(hingeids.Fingerprint(1000+i), fmt.Sprint("dark-", i/20), time.Second))
 	}
 	if b.Len() > maxSuspects {
 		t.Errorf("%d requests are kept, more than maxSuspects", b.Len())
@@ -127,7 +127,7 @@
 	if n := len(b.suspects[7].crashes); n != 3 {
 		t.Errorf("%d crashes of the cause are kept, want 3", n)
 	}
-	b.Step(now.Add(2 * suspectTTL))
+	b.RemoveExpired(now.Add(2 * suspectTTL))
 	if b.Len() != 0 || len(b.onServer) != 0 || len(b.recent["model"]) != 0 {
 		t.Errorf("%d requests, %d servers and %d crashes remain after expiry", b.Len(), len(b.onServer), len(b.recent["model"]))
 	}
@@ -136,11 +136,11 @@
 // Each new placer must receive all facts of a host, but only once.
 func TestLedgerReportsToEachPlacerOnce(t *testing.T) {
 	var l Ledger
-	l.End(begin, newCrash(7, "engine-1", time.Second))
-	l.Pass(begin, 9)
+	l.AddCrash(begin, newCrash(7, "engine-1", time.Second))
+	l.AddCompletion(begin, 9)
 	report := func(to hingeids.HostID) (int, int) {
-		ends, passes := l.Untold(begin.Add(time.Second), to)
-		l.Told(to, len(ends), len(passes))
+		ends, passes := l.Unreported(begin.Add(time.Second), to)
+		l.MarkReported(to, len(ends), len(passes))
 		return len(ends), len(passes)
 	}
 	var got [][2]int
@@ -151,17 +151,17 @@
 	if diff := cmp.Diff([][2]int{{1, 1}, {0, 0}, {1, 1}, {0, 0}, {1, 1}}, got); diff != "" {
 		t.Error(diff)
 	}
-	l.End(begin, newCrash(7, "engine-2", time.Second))
-	if ends, _ := l.Untold(begin.Add(time.Second), "control-1"); len(ends) != 1 || ends[0].Ago != time.Second {
+	l.AddCrash(begin, newCrash(7, "engine-2", time.Second))
+	if ends, _ := l.Unreported(begin.Add(time.Second), "control-1"); len(ends) != 1 || ends[0].Ago != time.Second {
 		t.Errorf("%+v", ends)
 	}
 	for i := range 3 * maxKept {
-		l.End(begin, newCrash(hingeids.Print(i+1), "engine-3", time.Second))
+		l.AddCrash(begin, newCrash(hingeids.Fingerprint(i+1), "engine-3", time.Second))
 	}
-	if ends, _ := l.Untold(begin, "control-3"); len(ends) != maxKept {
+	if ends, _ := l.Unreported(begin, "control-3"); len(ends) != maxKept {
 		t.Errorf("%d crashes are kept, want maxKept", len(ends))
 	}
-	if ends, passes := l.Untold(begin.Add(2*suspectTTL), "control-4"); len(ends)+len(passes) != 0 {
+	if ends, passes := l.Unreported(begin.Add(2*suspectTTL), "control-4"); len(ends)+len(passes) != 0 {
 		t.Errorf("%d crashes and %d completions remain after expiry", len(ends), len(passes))
 	}
 }
@@ -170,12 +170,12 @@
 // failed one doubles the wait.
 func TestRefusedRequestIsProbedAfterAWait(t *testing.T) {
 	today := time.Unix(1_700_000_000, 0)
-	b := NewBook()
+	b := NewDetector()
 	now := crashServers(b, begin, 7, 3)
-	certain := b.Found(now, today, 7)
-	both := NewBook()
+	certain := b.NewRecord(now, today, 7)
+	both := NewDetector()
 	now = crashServers(both, begin, 7, 3, 8)
-	doubtful := both.Found(now, today, 7)
+	doubtful := both.NewRecord(now, today, 7)
 	var waits []time.Duration
 	for _, r := range []Record{doubtful, doubtful.afterFailedProbe(today, "engine-4"), certain, certain.afterFailedProbe(today, "engine-4")} {
 		waits = append(waits, r.Wait(today))
@@ -184,21 +184,21 @@
 		t.Error(diff)
 	}
 	listed := Listed{
-		Record: certain,
-		There:  true,
+		Record:  certain,
+		Blocked: true,
 	}
-	if j := b.Judge(now, 7, listed, servers); !j.Tried || j.Refused {
+	if j := b.Evaluate(now, 7, listed, servers); !j.Probe || j.Refused {
 		t.Errorf("after the wait: %+v", j)
 	}
-	if j := b.Judge(now.Add(time.Second), 7, listed, servers); j.Tried || !j.Refused {
+	if j := b.Evaluate(now.Add(time.Second), 7, listed, servers); j.Probe || !j.Refused {
 		t.Errorf("during a probe: %+v", j)
 	}
-	if r, failed := b.InVain(now.Add(time.Second), today, newCrash(7, "engine-5", 0), listed); !failed || r.Trials != 1 {
+	if r, failed := b.FailedProbe(now.Add(time.Second), today, newCrash(7, "engine-5", 0), listed); !failed || r.FailedProbes != 1 {
 		t.Errorf("a crash during the probe isn't recorded as a failed probe: %+v", r)
 	}
 	late := newCrash(7, "engine-5", 0)
 	late.Ago = time.Minute
-	if _, failed := b.InVain(now.Add(time.Second), today, late, listed); failed {
+	if _, failed := b.FailedProbe(now.Add(time.Second), today, late, listed); failed {
 		t.Error("a crash from before the probe counts as a failed probe")
 	}
 	// A wall clock that was set back must not prolong the wait.
@@ -212,43 +212,43 @@
 	l := &List{}
 	for i := range 2 * maxListed {
 		l = l.With(Record{
-			Print: hingeids.Print(1 + i*7919%4096),
-			Since: int64(i),
+			Fingerprint: hingeids.Fingerprint(1 + i*7919%4096),
+			Since:       int64(i),
 		})
 	}
 	if len(l.Records) != maxListed || l.Revision != 2*maxListed {
 		t.Errorf("%d records, revision %d", len(l.Records), l.Revision)
 	}
 	for _, r := range l.Records {
-		if got, found := l.Find(r.Print); !found || got.Print != r.Print || r.Since < maxListed {
+		if got, found := l.Find(r.Fingerprint); !found || got.Fingerprint != r.Fingerprint || r.Since < maxListed {
 			t.Errorf("record %+v is too old or isn't found", r)
 		}
 	}
 }
 
 func BenchmarkJudge(b *testing.B) {
-	k := NewBook()
+	k := NewDetector()
 	now := crashServers(k, begin, 7, 3, 8, 9, 10)
 	for i := range maxSuspects / 2 {
-		k.Tell(now, newCrash(hingeids.Print(1000+i), fmt.Sprint("dark-", i/20), time.Second))
+		k.HandleCrash(now, newCrash(hingeids.Fingerprint(1000+i), fmt.Sprint("dark-", i/20), time.Second))
 	}
 	b.Run("unknown", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			k.Judge(now, 6, Listed{}, servers)
+			k.Evaluate(now, 6, Listed{}, servers)
 		}
 	})
 	b.Run("refused", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			k.Judge(now, 7, Listed{}, servers)
+			k.Evaluate(now, 7, Listed{}, servers)
 		}
 	})
 	b.Run("listed", func(b *testing.B) {
 		l := &List{}
 		for i := range maxListed {
 			l = l.With(Record{
-				Print: hingeids.Print(i * 7),
+				Fingerprint: hingeids.Fingerprint(i * 7),
 			})
 		}
 		b.ReportAllocs()
--- a/internal/decide/hingepoison/ledger.go
+++ b/internal/decide/hingepoison/ledger.go
@@ -11,8 +11,8 @@
 
 // Ledger holds the crashes and completions that one host observed (rule 2). It is not safe for concurrent use.
 type Ledger struct {
-	crashes     reportLog[End]
-	completions reportLog[hingeids.Print]
+	crashes     reportLog[Crash]
+	completions reportLog[hingeids.Fingerprint]
 	// placer is the placer that receives the reports.
 	placer hingeids.HostID
 }
@@ -59,40 +59,40 @@
 	s.reported = min(s.reported+n, len(s.facts))
 }
 
-// End records a crash that this host observed.
-func (l *Ledger) End(now time.Time, e End) {
+// AddCrash records a crash that this host observed.
+func (l *Ledger) AddCrash(now time.Time, e Crash) {
 	l.crashes.add(now, e)
 }
 
-// Pass records the completion of a suspected request.
-func (l *Ledger) Pass(now time.Time, p hingeids.Print) {
+// AddCompletion records the completion of a suspected request.
+func (l *Ledger) AddCompletion(now time.Time, p hingeids.Fingerprint) {
 	l.completions.add(now, p)
 }
 
-// Untold returns the facts that the placer hasn't accepted yet; that is all of them if the placer has changed.
-func (l *Ledger) Untold(now time.Time, placer hingeids.HostID) ([]End, []Pass) {
+// Unreported returns the facts that the placer hasn't accepted yet; that is all of them if the placer has changed.
+func (l *Ledger) Unreported(now time.Time, placer hingeids.HostID) ([]Crash, []Completion) {
 	if placer != l.placer {
-		l.Forgotten()
+		l.ResetReported()
 		l.placer = placer
 	}
-	var crashes []End
+	var crashes []Crash
 	for _, f := range l.crashes.unreported(now) {
 		e := f.value
 		e.Ago += now.Sub(f.at)
 		crashes = append(crashes, e)
 	}
-	var completions []Pass
+	var completions []Completion
 	for _, f := range l.completions.unreported(now) {
-		completions = append(completions, Pass{
-			Print: f.value,
-			Ago:   now.Sub(f.at),
+		completions = append(completions, Completion{
+			Fingerprint: f.value,
+			Ago:         now.Sub(f.at),
 		})
 	}
 	return crashes, completions
 }
 
-// Told records that the placer accepted that many of the facts from Untold. It does nothing if the placer has changed since.
-func (l *Ledger) Told(placer hingeids.HostID, crashes, completions int) {
+// MarkReported records that the placer accepted that many of the facts from Untold. It does nothing if the placer has changed since.
+func (l *Ledger) MarkReported(placer hingeids.HostID, crashes, completions int) {
 	if placer != l.placer {
 		return
 	}
@@ -100,8 +100,8 @@
 	l.completions.markReported(completions)
 }
 
-// Forgotten records that the placer has lost its state, so that all facts are reported again.
-func (l *Ledger) Forgotten() {
+// ResetReported records that the placer has lost its state, so that all facts are reported again.
+func (l *Ledger) ResetReported() {
 	l.crashes.reported = 0
 	l.completions.reported = 0
 }
--- a/internal/decide/hingepoison/list.go
+++ b/internal/decide/hingepoison/list.go
@@ -18,17 +18,17 @@
 
 // Record is the list entry of a poison request, which all hosts and operators read.
 type Record struct {
-	Print   hingeids.Print    `cbor:"1,keyasint"`
-	Service hingeids.Service  `cbor:"2,keyasint"`
-	Caller  hingeids.CallerID `cbor:"3,keyasint,omitempty"`
+	Fingerprint hingeids.Fingerprint `cbor:"1,keyasint"`
+	Service     hingeids.Service     `cbor:"2,keyasint"`
+	Caller      hingeids.CallerID    `cbor:"3,keyasint,omitempty"`
 	// Servers names up to maxServers of the crashed servers, Ended is the number of crashes.
 	Servers []hingeids.ServerID `cbor:"4,keyasint,omitempty"`
-	Ended   int                 `cbor:"5,keyasint"`
+	Crashes int                 `cbor:"5,keyasint"`
 	// First is the time of the first crash, Since that of the refusal or the last failed probe, in Unix milliseconds.
 	First int64 `cbor:"6,keyasint"`
 	Since int64 `cbor:"7,keyasint"`
-	// Trials counts the failed probes.
-	Trials int `cbor:"8,keyasint,omitempty"`
+	// FailedProbes counts the failed probes.
+	FailedProbes int `cbor:"8,keyasint,omitempty"`
 	// Doubtful says that another request was at all the same crashes.
 	Doubtful bool `cbor:"9,keyasint,omitempty"`
 	// Lifted is when an operator lifted the block, in Unix milliseconds; zero if the request is refused. Earlier crashes don't count any
@@ -37,24 +37,24 @@
 }
 
 // Lift returns the record that lifts the block of a request.
-func Lift(today time.Time, p hingeids.Print) Record {
+func Lift(today time.Time, p hingeids.Fingerprint) Record {
 	return Record{
-		Print:  p,
-		Since:  today.UnixMilli(),
-		Lifted: today.UnixMilli(),
+		Fingerprint: p,
+		Since:       today.UnixMilli(),
+		Lifted:      today.UnixMilli(),
 	}
 }
 
 // String formats the record for the log.
 func (r Record) String() string {
 	return fmt.Sprintf("service %s, since %s, servers %v, doubtful %v, trials %d",
-		r.Service, time.UnixMilli(r.First).UTC().Format(time.RFC3339Nano), r.Servers, r.Doubtful, r.Trials)
+		r.Service, time.UnixMilli(r.First).UTC().Format(time.RFC3339Nano), r.Servers, r.Doubtful, r.FailedProbes)
 }
 
 // Wait returns the time until the next probe is allowed; zero or less if it is allowed now (rule 5). today is the wall-clock time.
 func (r Record) Wait(today time.Time) time.Duration {
-	wait := min(minWait<<min(r.Trials, 8), maxWait)
-	if r.Doubtful && r.Trials == 0 {
+	wait := min(minWait<<min(r.FailedProbes, 8), maxWait)
+	if r.Doubtful && r.FailedProbes == 0 {
 		wait = doubtfulWait
 	}
 	// If the wall clock was set back, the wait must not grow.
@@ -63,8 +63,8 @@
 
 // afterFailedProbe returns the record with one more failed probe.
 func (r Record) afterFailedProbe(today time.Time, server hingeids.ServerID) Record {
-	r.Trials++
-	r.Ended++
+	r.FailedProbes++
+	r.Crashes++
 	r.Since = today.UnixMilli()
 	if len(r.Servers) < maxServers {
 		r.Servers = append(slices.Clip(r.Servers), server)
@@ -80,7 +80,7 @@
 }
 
 // Find returns the record of a request, also if it is lifted.
-func (l *List) Find(p hingeids.Print) (Record, bool) {
+func (l *List) Find(p hingeids.Fingerprint) (Record, bool) {
 	i, found := l.search(p)
 	if !found {
 		return Record{}, false
@@ -89,7 +89,7 @@
 }
 
 // At returns the state of a request at a wall-clock time.
-func (l *List) At(today time.Time, p hingeids.Print) Listed {
+func (l *List) At(today time.Time, p hingeids.Fingerprint) Listed {
 	r, there := l.Find(p)
 	switch {
 	case !there:
@@ -101,9 +101,9 @@
 		}
 	}
 	return Listed{
-		Record: r,
-		Wait:   r.Wait(today),
-		There:  true,
+		Record:  r,
+		Wait:    r.Wait(today),
+		Blocked: true,
 	}
 }
 
@@ -114,16 +114,16 @@
 	})
 }
 
-func (l *List) search(p hingeids.Print) (int, bool) {
-	return slices.BinarySearchFunc(l.Records, p, func(r Record, p hingeids.Print) int {
-		return cmp.Compare(r.Print, p)
+func (l *List) search(p hingeids.Fingerprint) (int, bool) {
+	return slices.BinarySearchFunc(l.Records, p, func(r Record, p hingeids.Fingerprint) int {
+		return cmp.Compare(r.Fingerprint, p)
 	})
 }
 
 // With returns a copy of the list with the record, which replaces an older one of the same request.
 func (l *List) With(r Record) *List {
 	out := l.next()
-	i, found := out.search(r.Print)
+	i, found := out.search(r.Fingerprint)
 	if found {
 		out.Records[i] = r
 		return out
@@ -132,7 +132,7 @@
 	if len(out.Records) > maxListed {
 		oldest := 0
 		for i, x := range out.Records {
-			if cmp.Or(cmp.Compare(x.Since, out.Records[oldest].Since), cmp.Compare(x.Print, out.Records[oldest].Print)) < 0 {
+			if cmp.Or(cmp.Compare(x.Since, out.Records[oldest].Since), cmp.Compare(x.Fingerprint, out.Records[oldest].Fingerprint)) < 0 {
 				oldest = i
 			}
 		}
--- a/internal/decide/hingepoison/print.go
+++ b/internal/decide/hingepoison/print.go
@@ -7,9 +7,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// PrintOf returns the fingerprint of a request, which is the same for all resends: a hash of the body and of parts such as the caller and
+// FingerprintOf returns the fingerprint of a request, which is the same for all resends: a hash of the body and of parts such as the caller and
 // the path. The hash is cryptographic, so that a client can't craft a request with the fingerprint of another's. It is never zero.
-func PrintOf(body []byte, parts ...string) hingeids.Print {
+func FingerprintOf(body []byte, parts ...string) hingeids.Fingerprint {
 	h := sha256.New()
 	var length [8]byte
 	for _, part := range parts {
@@ -19,5 +19,5 @@
 	}
 	h.Write(body)
 	// Zero means no fingerprint.
-	return hingeids.Print(max(binary.BigEndian.Uint64(h.Sum(nil)), 1))
+	return hingeids.Fingerprint(max(binary.BigEndian.Uint64(h.Sum(nil)), 1))
 }
--- a/internal/decide/hingepoison/sim_test.go
+++ b/internal/decide/hingepoison/sim_test.go
@@ -67,7 +67,7 @@
 }
 
 type simStream struct {
-	fingerprint hingeids.Print
+	fingerprint hingeids.Fingerprint
 	host        int
 	poison      bool
 	engine      int
@@ -90,8 +90,8 @@
 type simFact struct {
 	at         time.Duration
 	host       int
-	crash      End
-	completion Pass
+	crash      Crash
+	completion Completion
 }
 
 type sim struct {
@@ -99,12 +99,12 @@
 	random       *rand.Rand
 	now          time.Duration
 	engine       []*simEngine
-	detectors    []*Book
+	detectors    []*Detector
 	ledgers      []*Ledger
 	facts        []simFact
 	arrivals     map[time.Duration][]*simStream
-	refused      map[hingeids.Print]bool
-	crashesOf    map[hingeids.Print]int
+	refused      map[hingeids.Fingerprint]bool
+	crashesOf    map[hingeids.Fingerprint]int
 	result       result
 	fingerprints uint64
 }
@@ -114,22 +114,22 @@
 		scenario:  d,
 		random:    rand.New(rand.NewPCG(d.seed, 3)),
 		arrivals:  make(map[time.Duration][]*simStream),
-		refused:   make(map[hingeids.Print]bool),
-		crashesOf: make(map[hingeids.Print]int),
+		refused:   make(map[hingeids.Fingerprint]bool),
+		crashesOf: make(map[hingeids.Fingerprint]int),
 	}
 	for range d.engines {
 		s.engine = append(s.engine, &simEngine{})
 	}
 	for range d.hosts {
-		b := NewBook()
-		b.Step(s.time())
+		b := NewDetector()
+		b.RemoveExpired(s.time())
 		s.detectors = append(s.detectors, b)
 		s.ledgers = append(s.ledgers, &Ledger{})
 	}
 	for p := range d.poisons {
 		for range d.callers {
 			s.resend(&simStream{
-				fingerprint: hingeids.Print(1_000_000_000 + p),
+				fingerprint: hingeids.Fingerprint(1_000_000_000 + p),
 				poison:      true,
 			}, time.Second)
 		}
@@ -163,7 +163,7 @@
 }
 
 // detector returns the detector that decides on requests of a host.
-func (s *sim) detector(host int) *Book {
+func (s *sim) detector(host int) *Detector {
 	if s.strategy == perHost {
 		return s.detectors[host]
 	}
@@ -182,7 +182,7 @@
 	for n := s.poisson(rate * tick.Seconds()); n > 0; n-- {
 		s.fingerprints++
 		s.arrivals[s.now] = append(s.arrivals[s.now], &simStream{
-			fingerprint: hingeids.Print(s.fingerprints),
+			fingerprint: hingeids.Fingerprint(s.fingerprints),
 			host:        s.random.IntN(s.hosts),
 		})
 	}
@@ -214,14 +214,14 @@
 }
 
 func (s *sim) loseState() {
-	s.detectors[0] = NewBook()
-	s.detectors[0].Step(s.time())
+	s.detectors[0] = NewDetector()
+	s.detectors[0].RemoveExpired(s.time())
 	if !s.reportAgain {
 		return
 	}
 	for h, l := range s.ledgers {
-		l.Forgotten()
-		crashes, completions := l.Untold(s.time(), "placer")
+		l.ResetReported()
+		crashes, completions := l.Unreported(s.time(), "placer")
 		for _, e := range crashes {
 			s.facts = append(s.facts, simFact{
 				at:    s.now + reportDelay,
@@ -241,29 +241,29 @@
 
 func (s *sim) deliver(f simFact) {
 	b := s.detector(f.host)
-	if f.crash.Print != 0 {
-		b.Tell(s.time(), f.crash)
+	if f.crash.Fingerprint != 0 {
+		b.HandleCrash(s.time(), f.crash)
 	}
-	if f.completion.Print != 0 {
-		b.Pass(s.time(), f.completion)
+	if f.completion.Fingerprint != 0 {
+		b.HandleCompletion(s.time(), f.completion)
 	}
 }
 
 // evaluate decides by the strategy whether a stream may run.
-func (s *sim) evaluate(x *simStream) Judgement {
+func (s *sim) evaluate(x *simStream) Decision {
 	b := s.detector(x.host)
 	switch s.strategy {
 	case noCounting:
-		return Judgement{}
+		return Decision{}
 	case crashCount, perHost:
 		if known := b.suspects[x.fingerprint]; known != nil && len(known.crashes) >= minCrashes {
-			return Judgement{
+			return Decision{
 				Refused: true,
 			}
 		}
-		return Judgement{}
+		return Decision{}
 	}
-	return b.Judge(s.time(), x.fingerprint, Listed{}, s.count)
+	return b.Evaluate(s.time(), x.fingerprint, Listed{}, s.count)
 }
 
 func (s *sim) place(x *simStream) {
@@ -334,13 +334,13 @@
 		e.streams = slices.Delete(e.streams, k, k+1)
 		k--
 		s.result.served++
-		if s.detector(x.host).Judge(s.time(), x.fingerprint, Listed{}, s.count).Suspect {
-			s.ledgers[x.host].Pass(s.time(), x.fingerprint)
+		if s.detector(x.host).Evaluate(s.time(), x.fingerprint, Listed{}, s.count).Suspect {
+			s.ledgers[x.host].AddCompletion(s.time(), x.fingerprint)
 			s.facts = append(s.facts, simFact{
 				at:   s.now + reportDelay,
 				host: x.host,
-				completion: Pass{
-					Print: x.fingerprint,
+				completion: Completion{
+					Fingerprint: x.fingerprint,
 				},
 			})
 		}
@@ -353,18 +353,18 @@
 	if e.downUntil > s.now {
 		return
 	}
-	if p, ok := cause.(hingeids.Print); ok {
+	if p, ok := cause.(hingeids.Fingerprint); ok {
 		s.crashesOf[p]++
 	}
 	streams := e.streams
 	e.streams = nil
 	for _, x := range streams {
-		f := End{
-			Print:  x.fingerprint,
-			Server: e.id(i),
-			Had:    s.now - x.startedAt,
+		f := Crash{
+			Fingerprint: x.fingerprint,
+			Server:      e.id(i),
+			Held:        s.now - x.startedAt,
 		}
-		s.ledgers[x.host].End(s.time(), f)
+		s.ledgers[x.host].AddCrash(s.time(), f)
 		s.facts = append(s.facts, simFact{
 			at:    s.now + reportDelay,
 			host:  x.host,
--- a/internal/decide/hingepolicy/hosts.go
+++ b/internal/decide/hingepolicy/hosts.go
@@ -50,7 +50,7 @@
 }
 
 // NewHosts returns n entry hosts.
-func NewHosts(n int, f hingemodel.Firm, c hingemodel.Cluster, w hingeplace.Weights) *Hosts {
+func NewHosts(n int, f hingemodel.Workload, c hingemodel.Cluster, w hingeplace.Weights) *Hosts {
 	h := &Hosts{}
 	shared := newAllocator(c.Slots)
 	for range n {
@@ -66,32 +66,32 @@
 	return h.hosts[q.ID.Sequence%uint64(len(h.hosts))]
 }
 
-// Arrive passes the request to its host.
-func (h *Hosts) Arrive(now time.Time, q *hingemodel.Request, o *hingemodel.Orders) {
-	h.hostOf(q).Arrive(now, q, o)
+// HandleArrival passes the request to its host.
+func (h *Hosts) HandleArrival(now time.Time, q *hingemodel.Request, o *hingemodel.Actions) {
+	h.hostOf(q).HandleArrival(now, q, o)
 }
 
-// Happen passes an event of a request to its host, and an event of an engine to
+// HandleEvent passes an event of a request to its host, and an event of an engine to
 // all hosts.
-func (h *Hosts) Happen(now time.Time, e hingemodel.Event, o *hingemodel.Orders) {
+func (h *Hosts) HandleEvent(now time.Time, e hingemodel.Event, o *hingemodel.Actions) {
 	if e.Request != nil {
-		h.hostOf(e.Request).Happen(now, e, o)
+		h.hostOf(e.Request).HandleEvent(now, e, o)
 		return
 	}
 	for _, p := range h.hosts {
-		p.Happen(now, e, o)
+		p.HandleEvent(now, e, o)
 	}
 }
 
-// Report passes the report to all hosts.
-func (h *Hosts) Report(now time.Time, r hingemodel.Report, o *hingemodel.Orders) {
+// HandleReport passes the report to all hosts.
+func (h *Hosts) HandleReport(now time.Time, r hingemodel.LoadReport, o *hingemodel.Actions) {
 	for _, p := range h.hosts {
-		p.Report(now, r, o)
+		p.HandleReport(now, r, o)
 	}
 }
 
 // Tick calls Tick of all hosts.
-func (h *Hosts) Tick(now time.Time, o *hingemodel.Orders) {
+func (h *Hosts) Tick(now time.Time, o *hingemodel.Actions) {
 	for _, p := range h.hosts {
 		p.Tick(now, o)
 	}
--- a/internal/decide/hingepolicy/loads_test.go
+++ b/internal/decide/hingepolicy/loads_test.go
@@ -11,7 +11,7 @@
 
 // mix is a workload with its weights.
 type mix struct {
-	firm    hingemodel.Firm
+	firm    hingemodel.Workload
 	weights hingeplace.Weights
 }
 
@@ -34,40 +34,40 @@
 const seeds = 2
 
 // steady returns a run with a constant load and a warm-up.
-func steady(f hingemodel.Firm, load float64, seed uint64) hingemodel.Run {
+func steady(f hingemodel.Workload, load float64, seed uint64) hingemodel.Run {
 	return hingemodel.Run{
-		Cluster: hingemodel.BriefCluster(),
-		Firm:    f,
-		Seed:    seed,
-		Measure: 40 * time.Second,
-		Clients: hingemodel.Clients{
+		Cluster:  hingemodel.DefaultCluster(),
+		Workload: f,
+		Seed:     seed,
+		Warmup:   40 * time.Second,
+		Clients: hingemodel.ClientRetries{
 			Attempts: 1,
 		},
 		Phases: []hingemodel.Phase{
 			{
-				Lasts: 80 * time.Second,
-				Load:  load,
+				Duration: 80 * time.Second,
+				Load:     load,
 			},
 		},
 	}
 }
 
 // playPolicy returns the figures of the policy under a constant load.
-func playPolicy(f hingemodel.Firm, w hingeplace.Weights, load float64) sums {
+func playPolicy(f hingemodel.Workload, w hingeplace.Weights, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
 		r := steady(f, load, uint64(seed+1))
-		out.add(hingemodel.Play(r, New(f, r.Cluster, w)), seeds)
+		out.add(hingemodel.Simulate(r, New(f, r.Cluster, w)), seeds)
 	}
 	return out
 }
 
 // playBaseline returns the figures of a baseline under a constant load.
-func playBaseline(f hingemodel.Firm, baseline newBaselineFunc, load float64) sums {
+func playBaseline(f hingemodel.Workload, baseline newBaselineFunc, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
 		r := steady(f, load, uint64(seed+1))
-		out.add(hingemodel.Play(r, baseline(f, r.Cluster, r.Seed)), seeds)
+		out.add(hingemodel.Simulate(r, baseline(f, r.Cluster, r.Seed)), seeds)
 	}
 	return out
 }
@@ -147,22 +147,22 @@
 			var before, after float64
 			for seed := range runs {
 				r := steady(hingemodel.Shellfish(), 1, uint64(seed+1))
-				r.Clients.AsTold, r.Clients.Attempts = asTold, attempts
+				r.Clients.RetryAfterShare, r.Clients.Attempts = asTold, attempts
 				r.Phases = []hingemodel.Phase{
 					{
-						Lasts: 30 * time.Second,
-						Load:  1,
+						Duration: 30 * time.Second,
+						Load:     1,
 					},
 					{
-						Lasts: 10 * time.Second,
-						Load:  10,
+						Duration: 10 * time.Second,
+						Load:     10,
 					},
 					{
-						Lasts: 30 * time.Second,
-						Load:  1,
+						Duration: 30 * time.Second,
+						Load:     1,
 					},
 				}
-				got := hingemodel.Play(r, New(r.Firm, r.Cluster, goodputFirst)).PerSecond
+				got := hingemodel.Simulate(r, New(r.Workload, r.Cluster, goodputFirst)).PerSecond
 				before += mean(got[10:30])
 				after += mean(got[45:70])
 				t.Log(got[:70])
@@ -195,7 +195,7 @@
 				three := make(sums)
 				for seed := range seeds {
 					r := steady(m.firm, load, uint64(seed+1))
-					three.add(hingemodel.Play(r, NewHosts(3, m.firm, r.Cluster, m.weights)), seeds)
+					three.add(hingemodel.Simulate(r, NewHosts(3, m.firm, r.Cluster, m.weights)), seeds)
 				}
 				for _, figure := range []string{"goodput", "tokenGoodput", "wasted", "quay.inTarget", "dossier.unanswered", "eulogy.unanswered", "dossier.answered", "eulogy.answered"} {
 					t.Logf("load %v: %s with one host %.4f, with three %.4f", load, figure, one[figure], three[figure])
--- a/internal/decide/hingepolicy/policy.go
+++ b/internal/decide/hingepolicy/policy.go
@@ -24,7 +24,7 @@
 // Policy is the policy of one entry host. It implements hingemodel.Policy and
 // isn't safe for concurrent use.
 type Policy struct {
-	firm              hingemodel.Firm
+	firm              hingemodel.Workload
 	cluster           hingemodel.Cluster
 	queue             *hingeadmit.Queue
 	view              *hingeplace.View
@@ -34,10 +34,10 @@
 }
 
 // New returns a policy of one entry host with the given weights.
-func New(f hingemodel.Firm, c hingemodel.Cluster, w hingeplace.Weights) *Policy {
+func New(f hingemodel.Workload, c hingemodel.Cluster, w hingeplace.Weights) *Policy {
 	p := hingeplace.Defaults()
 	p.Weights = w
-	p.CacheBytes = 1
+	p.CacheBytesPerToken = 1
 	p.LinkRate = func(_, _ hingeids.Zone) hingeids.BytesPerSecond {
 		return hingeids.BytesPerSecond(c.LinkRate)
 	}
@@ -62,16 +62,16 @@
 	return hingemodel.EngineID(n)
 }
 
-// Arrive offers a new request to the queue. Rule 1.
-func (p *Policy) Arrive(now time.Time, q *hingemodel.Request, o *hingemodel.Orders) {
+// HandleArrival offers a new request to the queue. Rule 1.
+func (p *Policy) HandleArrival(now time.Time, q *hingemodel.Request, o *hingemodel.Actions) {
 	r := &hingeplace.Request{
-		ID:           q.ID,
-		Class:        q.Class.Name,
-		Priority:     q.Class.Priority,
-		CanWait:      q.Class.CanWait,
-		Prompt:       q.Prompt,
-		TokenGap:     q.Class.TokenGap,
-		FirstTokenBy: q.Arrived.Add(q.Class.FirstToken),
+		ID:                 q.ID,
+		Class:              q.Class.Name,
+		Priority:           q.Class.Priority,
+		CanWait:            q.Class.CanWait,
+		Prompt:             q.Prompt,
+		TokenGap:           q.Class.TokenGap,
+		FirstTokenDeadline: q.Arrived.Add(q.Class.FirstToken),
 		Prefix: []hingeplace.Block{
 			{
 				Hash:   uint64(q.Prefix),
@@ -108,33 +108,33 @@
 		FirstToken: q.Class.FirstToken,
 		TokenGap:   q.Class.TokenGap,
 		Deadline:   q.Deadline(),
-		Work:       p.view.Work(r),
-		Takes:      p.view.Hold(r),
-		Spread:     q.ID.Sequence,
+		Work:       p.view.SlotCost(r),
+		AnswerTime: p.view.SlotTime(r),
+		JitterSeed: q.ID.Sequence,
 	}
 	return request, forecast
 }
 
-// Happen updates the state of the request or the engine and dispatches.
-func (p *Policy) Happen(now time.Time, e hingemodel.Event, o *hingemodel.Orders) {
+// HandleEvent updates the state of the request or the engine and dispatches.
+func (p *Policy) HandleEvent(now time.Time, e hingemodel.Event, o *hingemodel.Actions) {
 	switch e.Kind {
 	case hingemodel.PrefillDone:
-		p.view.PrefillDone(now, e.Request.ID, e.Cached)
+		p.view.HandlePrefillDone(now, e.Request.ID, e.Cached)
 	case hingemodel.Evicted:
 		p.requeueEvicted(now, e)
 	case hingemodel.Finished:
 		p.allocator.release(e.Request)
-		p.view.Ended(now, e.Request.ID, e.Output)
+		p.view.HandleCompletion(now, e.Request.ID, e.Output)
 		p.remove(e.Request.ID)
 	case hingemodel.Cancelled:
 		p.allocator.release(e.Request)
 		p.queue.Cancel(e.Request.ID)
-		p.view.Ended(now, e.Request.ID, 0)
+		p.view.HandleCompletion(now, e.Request.ID, 0)
 		p.remove(e.Request.ID)
 	case hingemodel.TokenGap:
-		p.view.TokenGap(now, serverOf(e.Engine), e.Gap)
+		p.view.HandleTokenGap(now, serverOf(e.Engine), e.TokenGap)
 	case hingemodel.PrefixStored, hingemodel.PrefixDropped:
-		p.view.Cached(serverOf(e.Engine), hingeplace.Block{
+		p.view.HandleCacheEvent(serverOf(e.Engine), hingeplace.Block{
 			Hash:   uint64(e.Prefix),
 			Tokens: e.Tokens,
 		}, e.Kind == hingemodel.PrefixStored)
@@ -144,7 +144,7 @@
 
 // requeueEvicted requeues a request whose KV cache was evicted. Rule 4.
 func (p *Policy) requeueEvicted(now time.Time, e hingemodel.Event) {
-	p.view.Evicted(now, e.Request.ID)
+	p.view.HandleEviction(now, e.Request.ID)
 	admit, forecast := p.admissionRequest(now, e.Request, p.placementRequests[e.Request.ID])
 	p.queue.Requeue(now, admit, forecast)
 }
@@ -154,8 +154,8 @@
 	delete(p.placementRequests, id)
 }
 
-// Report passes a load report to the placement as an announcement.
-func (p *Policy) Report(now time.Time, r hingemodel.Report, o *hingemodel.Orders) {
+// HandleReport passes a load report to the placement as an announcement.
+func (p *Policy) HandleReport(now time.Time, r hingemodel.LoadReport, o *hingemodel.Actions) {
 	a := hingeannounce.Announcement{
 		Server:      serverOf(r.Engine),
 		Incarnation: 1,
@@ -170,23 +170,23 @@
 	if int(r.Engine) < p.firm.Prefill {
 		a.Kind = hingeannounce.Prefill
 	}
-	p.view.Announce(now, r.Taken, a)
+	p.view.HandleAnnouncement(now, r.MeasuredAt, a)
 	p.dispatch(now, o)
 }
 
 // Tick refuses requests that have waited too long, and dispatches.
-func (p *Policy) Tick(now time.Time, o *hingemodel.Orders) {
+func (p *Policy) Tick(now time.Time, o *hingemodel.Actions) {
 	p.dispatch(now, o)
 }
 
 // dispatch refuses requests that have waited too long, then assigns free capacity.
 // Rules 2 and 3.
-func (p *Policy) dispatch(now time.Time, o *hingemodel.Orders) {
-	for _, g := range p.queue.GiveUp(now) {
+func (p *Policy) dispatch(now time.Time, o *hingemodel.Actions) {
+	for _, g := range p.queue.Expire(now) {
 		o.Refuse(p.requests[g.Request.ID], g.Err.RetryAfter)
 		p.remove(g.Request.ID)
 	}
-	for _, id := range p.view.Ready() {
+	for _, id := range p.view.ReadyRequests() {
 		p.bindSlot(now, id, o)
 	}
 	for {
@@ -205,7 +205,7 @@
 // bindSlot transfers a ready KV cache to an engine with a free slot. If another
 // host has taken the slot, the allocator refuses it and another engine is tried.
 // Rule 3.
-func (p *Policy) bindSlot(now time.Time, id hingeids.RequestID, o *hingemodel.Orders) {
+func (p *Policy) bindSlot(now time.Time, id hingeids.RequestID, o *hingemodel.Actions) {
 	for {
 		s, ok := p.view.Bind(now, id)
 		if !ok {
@@ -225,12 +225,12 @@
 	if p.allocator.grant(p.requests[id], engineOf(s)) {
 		return true
 	}
-	p.view.Full(now, s)
+	p.view.HandleSlotRefusal(now, s)
 	return false
 }
 
-func (p *Policy) start(now time.Time, r *hingeplace.Request, d hingeplace.Decision, o *hingemodel.Orders) {
-	p.view.Began(now, r, d)
+func (p *Policy) start(now time.Time, r *hingeplace.Request, d hingeplace.Decision, o *hingemodel.Actions) {
+	p.view.HandleStart(now, r, d)
 	if d.Action == hingeplace.Local {
 		o.Local(p.requests[r.ID], engineOf(d.Decode))
 		return
--- a/internal/decide/hingepolicy/script_test.go
+++ b/internal/decide/hingepolicy/script_test.go
@@ -75,33 +75,33 @@
 		setLong(f.Classes, s.Long)
 	}
 	r := hingemodel.Run{
-		Cluster: hingemodel.BriefCluster(),
-		Firm:    f,
-		Seed:    seed,
-		Measure: duration(s.Measure),
-		Clients: hingemodel.Clients{
-			AsTold:   s.AsTold,
-			Attempts: max(1, s.Attempts),
+		Cluster:  hingemodel.DefaultCluster(),
+		Workload: f,
+		Seed:     seed,
+		Warmup:   duration(s.Measure),
+		Clients: hingemodel.ClientRetries{
+			RetryAfterShare: s.AsTold,
+			Attempts:        max(1, s.Attempts),
 		},
 	}
 	for _, p := range s.Phases {
 		r.Phases = append(r.Phases, hingemodel.Phase{
-			Lasts: duration(p.Lasts),
-			Load:  p.Load,
+			Duration: duration(p.Lasts),
+			Load:     p.Load,
 		})
 	}
 	for _, x := range s.Slow {
 		r.Slow = append(r.Slow, hingemodel.Slowdown{
 			Engine: hingemodel.EngineID(x.Engine),
-			From:   duration(x.From),
-			To:     duration(x.To),
+			Start:  duration(x.From),
+			End:    duration(x.To),
 			Factor: x.Factor,
 		})
 	}
 	return r, w
 }
 
-type newBaselineFunc func(hingemodel.Firm, hingemodel.Cluster, uint64) *hingebaseline.Router
+type newBaselineFunc func(hingemodel.Workload, hingemodel.Cluster, uint64) *hingebaseline.Router
 
 // baselines are the four standard baselines and the one with a priority queue.
 var baselines = []struct {
@@ -142,15 +142,15 @@
 func (s sums) add(r *hingemodel.Result, seeds float64) {
 	s["goodput"] += r.Goodput() / seeds
 	s["tokenGoodput"] += r.TokenGoodput() / seeds
-	s["wasted"] += r.Wasted() / seeds
-	s["fullSlots"] += float64(r.FullSlots)
+	s["wasted"] += r.WastedShare() / seeds
+	s["fullSlots"] += float64(r.FullEngineRequests)
 	for name, o := range r.Classes {
 		s[name+".arrived"] += float64(o.Arrived)
 		s[name+".answered"] += float64(o.InTarget + o.Late)
 		s[name+".late"] += float64(o.Late)
 		s[name+".unanswered"] += float64(o.TimedOut)
 		s[name+".inTarget"] += float64(o.InTarget) / float64(o.Arrived) / seeds
-		s[name+".held"] = max(s[name+".held"], o.Held.Seconds())
+		s[name+".held"] = max(s[name+".held"], o.MaxRefusalDelay.Seconds())
 	}
 }
 
@@ -159,7 +159,7 @@
 	n := max(1, s.Seeds)
 	for seed := range n {
 		run, w := s.run(uint64(seed + 1))
-		r := hingemodel.Play(run, New(run.Firm, run.Cluster, w))
+		r := hingemodel.Simulate(run, New(run.Workload, run.Cluster, w))
 		out.add(r, float64(n))
 		// caller-0 is the caller to which GreedyShare applies.
 		for caller, k := range r.ByCaller {
@@ -173,7 +173,7 @@
 		got := make(sums)
 		for seed := range n {
 			run, _ := s.run(uint64(seed + 1))
-			got.add(hingemodel.Play(run, b.make(run.Firm, run.Cluster, run.Seed)), float64(n))
+			got.add(hingemodel.Simulate(run, b.make(run.Workload, run.Cluster, run.Seed)), float64(n))
 		}
 		best["any"] = max(best["any"], got["goodput"])
 		if b.standard {
--- a/internal/decide/hingequeue/bench_test.go
+++ b/internal/decide/hingequeue/bench_test.go
@@ -28,18 +28,18 @@
 			b.ResetTimer()
 			for i := range b.N {
 				now = now.Add(50 * time.Microsecond)
-				q.Offer(now, Want{
-					ID:       CallID(fmt.Sprint(i)),
-					Zone:     "cancale",
-					Due:      now.Add(150 * time.Millisecond),
-					Deadline: now.Add(time.Second),
+				q.Enqueue(now, CallRequest{
+					ID:           CallID(fmt.Sprint(i)),
+					Zone:         "cancale",
+					SoftDeadline: now.Add(150 * time.Millisecond),
+					Deadline:     now.Add(time.Second),
 				})
 				for _, d := range q.Step(now) {
-					q.End(now, End{
-						ID:     d.ID,
-						Server: d.Server,
-						Zone:   "cancale",
-						Took:   30 * time.Millisecond,
+					q.RecordCompletion(now, Completion{
+						ID:      d.ID,
+						Server:  d.Server,
+						Zone:    "cancale",
+						Elapsed: 30 * time.Millisecond,
 					})
 				}
 			}
--- a/internal/decide/hingequeue/queue.go
+++ b/internal/decide/hingequeue/queue.go
@@ -34,15 +34,15 @@
 // CallID identifies one attempt of a request at a replica.
 type CallID string
 
-// Want is a request that needs a replica.
-type Want struct {
+// CallRequest is a request that needs a replica.
+type CallRequest struct {
 	ID   CallID
 	Zone hingeids.Zone
-	// Due is the time after which the answer is late. Zero means Deadline.
-	Due      time.Time
-	Deadline time.Time
-	// Patience is the maximum wait that the caller announced, zero if it announced none.
-	Patience time.Duration
+	// SoftDeadline is the time after which the answer is late. Zero means Deadline.
+	SoftDeadline time.Time
+	Deadline     time.Time
+	// MaxWait is the maximum wait that the caller announced, zero if it announced none.
+	MaxWait time.Duration
 	// Avoid lists replicas that have already failed the request.
 	Avoid []hingeids.ServerID
 	// Priority orders requests that can be answered in time; 0 is the highest.
@@ -59,12 +59,12 @@
 	RetryAfter time.Duration
 }
 
-// End reports the completion of a request at a replica.
-type End struct {
+// Completion reports the completion of a request at a replica.
+type Completion struct {
 	ID      CallID               `cbor:"1,keyasint"`
 	Server  hingeids.ServerID    `cbor:"2,keyasint"`
 	Outcome hingebalance.Outcome `cbor:"3,keyasint"`
-	Took    time.Duration        `cbor:"4,keyasint"`
+	Elapsed time.Duration        `cbor:"4,keyasint"`
 	Zone    hingeids.Zone        `cbor:"5,keyasint,omitempty"`
 }
 
@@ -108,12 +108,12 @@
 
 // Queue is the queue of one service. It is not safe for concurrent use.
 type Queue struct {
-	balance  *hingebalance.Balance
+	balance  *hingebalance.Balancer
 	replicas []hingebalance.Replica
 	// onTime holds requests that can still be answered in time, by priority and due time; late the
 	// others, in the order in which they became late.
-	onTime   []Want
-	late     []Want
+	onTime   []CallRequest
+	late     []CallRequest
 	calls    map[CallID]call
 	arrivals arrivalRate
 	// maxWaits estimates how long callers had waited before their requests arrived.
@@ -140,7 +140,7 @@
 		return
 	}
 	q.replicas = list
-	q.balance.Keep(list)
+	q.balance.Retain(list)
 }
 
 // sameList reports whether two lists share their memory. Each change of the fleet makes a new list.
@@ -148,30 +148,30 @@
 	return len(x) == len(y) && (len(x) == 0 || &x[0] == &y[0])
 }
 
-// Offer adds a request to the queue. Step decides on it.
-func (q *Queue) Offer(now time.Time, w Want) {
+// Enqueue adds a request to the queue. Step decides on it.
+func (q *Queue) Enqueue(now time.Time, w CallRequest) {
 	q.arrivals.add(now)
-	if w.Due.IsZero() {
-		w.Due = w.Deadline
+	if w.SoftDeadline.IsZero() {
+		w.SoftDeadline = w.Deadline
 	}
-	w.Due = w.Due.Add(-q.maxWaits.elapsed(now, w.Due.Sub(now), w.Patience))
-	at, _ := slices.BinarySearchFunc(q.onTime, w, func(x, w Want) int {
-		return cmp.Or(cmp.Compare(x.Priority, w.Priority), x.Due.Compare(w.Due), -1)
+	w.SoftDeadline = w.SoftDeadline.Add(-q.maxWaits.elapsed(now, w.SoftDeadline.Sub(now), w.MaxWait))
+	at, _ := slices.BinarySearchFunc(q.onTime, w, func(x, w CallRequest) int {
+		return cmp.Or(cmp.Compare(x.Priority, w.Priority), x.SoftDeadline.Compare(w.SoftDeadline), -1)
 	})
 	q.onTime = slices.Insert(q.onTime, at, w)
 }
 
 // Cancel removes a request from the queue.
 func (q *Queue) Cancel(id CallID) {
-	matches := func(w Want) bool {
+	matches := func(w CallRequest) bool {
 		return w.ID == id
 	}
 	q.onTime = slices.DeleteFunc(q.onTime, matches)
 	q.late = slices.DeleteFunc(q.late, matches)
 }
 
-// Withdraw empties the queue and returns the ids of the removed requests.
-func (q *Queue) Withdraw() []CallID {
+// RemoveAll empties the queue and returns the ids of the removed requests.
+func (q *Queue) RemoveAll() []CallID {
 	var out []CallID
 	for _, w := range slices.Concat(q.onTime, q.late) {
 		out = append(out, w.ID)
@@ -180,8 +180,8 @@
 	return out
 }
 
-// Placed returns the replica of a request, if it has one.
-func (q *Queue) Placed(id CallID) (hingeids.ServerID, bool) {
+// AssignedReplica returns the replica of a request, if it has one.
+func (q *Queue) AssignedReplica(id CallID) (hingeids.ServerID, bool) {
 	c, ok := q.calls[id]
 	return c.server, ok
 }
@@ -191,19 +191,19 @@
 	return len(q.onTime) + len(q.late)
 }
 
-// End records the completion of a request, also of one whose replica another queue has chosen.
-func (q *Queue) End(now time.Time, e End) {
+// RecordCompletion records the completion of a request, also of one whose replica another queue has chosen.
+func (q *Queue) RecordCompletion(now time.Time, e Completion) {
 	if c, ok := q.calls[e.ID]; ok {
 		delete(q.calls, e.ID)
-		q.balance.Expire(c.server)
+		q.balance.Release(c.server)
 		if e.Outcome == hingebalance.Answered {
-			sample := max(now.Sub(c.placedAt)-e.Took, 0)
+			sample := max(now.Sub(c.placedAt)-e.Elapsed, 0)
 			q.turnaround += time.Duration(turnaroundWeight * float64(sample-q.turnaround))
-			q.balance.SetHandOver(q.turnaround)
+			q.balance.SetTurnaround(q.turnaround)
 		}
 	}
 	if e.Outcome != hingebalance.Unknown {
-		q.balance.Learn(now, e.Server, e.Zone, e.Outcome, e.Took)
+		q.balance.RecordOutcome(now, e.Server, e.Zone, e.Outcome, e.Elapsed)
 	}
 }
 
@@ -213,7 +213,7 @@
 	if q.Waiting() == 0 {
 		return nil
 	}
-	latency := q.balance.Took(q.replicas)
+	latency := q.balance.MinLatency(q.replicas)
 	q.demoteLate(now, latency)
 	var out []Decision
 	q.onTime, out = q.place(now, q.onTime, true, out)
@@ -230,7 +230,7 @@
 func (q *Queue) demoteLate(now time.Time, latency time.Duration) {
 	kept := q.onTime[:0]
 	for _, w := range q.onTime {
-		if now.Add(latency).After(w.Due) {
+		if now.Add(latency).After(w.SoftDeadline) {
 			q.late = append(q.late, w)
 			continue
 		}
@@ -241,16 +241,16 @@
 
 // place assigns replicas to requests in their order, appends the decisions to out, and returns the
 // requests that still wait.
-func (q *Queue) place(now time.Time, list []Want, inTime bool, out []Decision) ([]Want, []Decision) {
+func (q *Queue) place(now time.Time, list []CallRequest, inTime bool, out []Decision) ([]CallRequest, []Decision) {
 	kept := list[:0]
 	for i, w := range list {
-		constraints := hingebalance.Ask{
-			Zone:   w.Zone,
-			Avoid:  w.Avoid,
-			Within: w.Deadline.Sub(now),
+		constraints := hingebalance.Constraints{
+			Zone:       w.Zone,
+			Avoid:      w.Avoid,
+			MaxLatency: w.Deadline.Sub(now),
 		}
 		if inTime {
-			constraints.Within = w.Due.Sub(now)
+			constraints.MaxLatency = w.SoftDeadline.Sub(now)
 		}
 		r, found := q.balance.Choose(now, q.replicas, constraints)
 		switch found {
@@ -258,13 +258,13 @@
 			q.calls[w.ID] = call{
 				server:    r.Server,
 				placedAt:  now,
-				expiresAt: now.Add(max(completionTimeoutFactor*q.balance.TookAt(r.Server), minCompletionTimeout)),
+				expiresAt: now.Add(max(completionTimeoutFactor*q.balance.Latency(r.Server), minCompletionTimeout)),
 			}
 			out = append(out, Decision{
 				ID:     w.ID,
 				Server: r.Server,
 			})
-		case hingebalance.None:
+		case hingebalance.NoReplica:
 			out = append(out, refusal(w, minRetryAfter))
 		case hingebalance.Busy:
 			kept = append(kept, w)
@@ -284,7 +284,7 @@
 	spare := rate - q.arrivals.perSecond(now)
 	kept := q.onTime[:0]
 	for _, w := range q.onTime {
-		if start := now.Add(drainTime(len(kept)+1, rate)); start.Add(latencyMargin * latency).After(w.Due) {
+		if start := now.Add(drainTime(len(kept)+1, rate)); start.Add(latencyMargin * latency).After(w.SoftDeadline) {
 			q.late = append(q.late, w)
 			continue
 		}
@@ -313,7 +313,7 @@
 	return min(time.Duration(float64(n)/rate*float64(time.Second)), maxRetryAfter)
 }
 
-func refusal(w Want, wait time.Duration) Decision {
+func refusal(w CallRequest, wait time.Duration) Decision {
 	return Decision{
 		ID:         w.ID,
 		Refused:    true,
@@ -330,7 +330,7 @@
 	for id, c := range q.calls {
 		if now.After(c.expiresAt) {
 			delete(q.calls, id)
-			q.balance.Expire(c.server)
+			q.balance.Release(c.server)
 		}
 	}
 }
--- a/internal/decide/hingequeue/queue_test.go
+++ b/internal/decide/hingequeue/queue_test.go
@@ -105,7 +105,7 @@
 	"answered":  hingebalance.Answered,
 	"full":      hingebalance.Full,
 	"failed":    hingebalance.Failed,
-	"unreached": hingebalance.Unreached,
+	"unreached": hingebalance.ConnectFailed,
 	"unknown":   hingebalance.Unknown,
 }
 
@@ -115,15 +115,15 @@
 		s.queue.SetReplicas(replicas(words))
 	case "ask":
 		for _, id := range idRange(words[0]) {
-			s.queue.Offer(now, parseRequest(now, id, words[1:]))
+			s.queue.Enqueue(now, parseRequest(now, id, words[1:]))
 		}
 	case "end":
 		o := options(words[1:])
-		s.queue.End(now, End{
+		s.queue.RecordCompletion(now, Completion{
 			ID:      CallID(words[0]),
 			Server:  hingeids.ServerID(o["at"]),
 			Outcome: outcomes[words[3]],
-			Took:    milliseconds(words[len(words)-1]),
+			Elapsed: milliseconds(words[len(words)-1]),
 			Zone:    "cancale",
 		})
 	case "step":
@@ -172,16 +172,16 @@
 	return out
 }
 
-func parseRequest(now time.Time, id CallID, words []string) Want {
+func parseRequest(now time.Time, id CallID, words []string) CallRequest {
 	o := options(words)
-	w := Want{
-		ID:       id,
-		Zone:     hingeids.Zone(o["from"]),
-		Due:      now.Add(milliseconds(o["due"])),
-		Deadline: now.Add(milliseconds(o["left"])),
+	w := CallRequest{
+		ID:           id,
+		Zone:         hingeids.Zone(o["from"]),
+		SoftDeadline: now.Add(milliseconds(o["due"])),
+		Deadline:     now.Add(milliseconds(o["left"])),
 	}
 	if p := o["patience"]; p != "" {
-		w.Patience = milliseconds(p)
+		w.MaxWait = milliseconds(p)
 	}
 	if p := o["priority"]; p != "" {
 		w.Priority, _ = strconv.Atoi(p)
--- a/internal/decide/hingequeue/sim_test.go
+++ b/internal/decide/hingequeue/sim_test.go
@@ -260,7 +260,7 @@
 
 // localChooser has each host choose by its own observations.
 type localChooser struct {
-	hosts map[int]*hingebalance.Balance
+	hosts map[int]*hingebalance.Balancer
 }
 
 func (c *localChooser) choose(now time.Time, s *sim, r *request) {
@@ -272,10 +272,10 @@
 	own := make([]hingebalance.Replica, len(s.list))
 	for i, x := range s.list {
 		x.Slots = 0
-		x.Most = max(1800/s.hosts, 2)
+		x.MaxConnections = max(1800/s.hosts, 2)
 		own[i] = x
 	}
-	x, found := b.Choose(now, own, hingebalance.Ask{
+	x, found := b.Choose(now, own, hingebalance.Constraints{
 		Avoid: r.avoid,
 	})
 	if found != hingebalance.Chosen {
@@ -365,11 +365,11 @@
 		id := callID(r)
 		q.open[id] = r
 		q.queue.SetReplicas(s.list)
-		q.queue.Offer(now, Want{
-			ID:       id,
-			Due:      r.arrived.Add(target),
-			Deadline: r.arrived.Add(callerMaxWait),
-			Avoid:    r.avoid,
+		q.queue.Enqueue(now, CallRequest{
+			ID:           id,
+			SoftDeadline: r.arrived.Add(target),
+			Deadline:     r.arrived.Add(callerMaxWait),
+			Avoid:        r.avoid,
 		})
 		q.step(now, s)
 	})
@@ -400,14 +400,14 @@
 func (q *queueChooser) completed(
 	now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration,
 ) {
-	e := End{
+	e := Completion{
 		ID:      CallID(fmt.Sprint(r.number, "/", r.attempts-1)),
 		Server:  id,
 		Outcome: o,
-		Took:    took,
+		Elapsed: took,
 	}
 	s.schedule(now, q.delay, func(now time.Time) {
-		q.queue.End(now, e)
+		q.queue.RecordCompletion(now, e)
 		q.step(now, s)
 	})
 }
--- a/internal/decide/hingequeue/sizes_test.go
+++ b/internal/decide/hingequeue/sizes_test.go
@@ -118,7 +118,7 @@
 					name: "local",
 					make: func() chooser {
 						return &localChooser{
-							hosts: make(map[int]*hingebalance.Balance),
+							hosts: make(map[int]*hingebalance.Balancer),
 						}
 					},
 				},
--- a/internal/decide/hingequota/account.go
+++ b/internal/decide/hingequota/account.go
@@ -14,9 +14,9 @@
 	id ChargeID
 	// at is in nanoseconds since Book.Begin.
 	at   int64
-	cost hingeids.Units
+	cost hingeids.QuotaUnits
 	// cumulative is the sum of this entry and all earlier ones, including those that have left the window.
-	cumulative hingeids.Units
+	cumulative hingeids.QuotaUnits
 	reporter   hingeids.HostID
 }
 
@@ -26,28 +26,28 @@
 	usages []usage
 	first  int
 	// sum is the usage in the window; pending is the cost of admitted requests that have no server yet.
-	sum     hingeids.Units
-	pending hingeids.Units
+	sum     hingeids.QuotaUnits
+	pending hingeids.QuotaUnits
 	// expired is the sum of all usage that has left the window, on the same scale as usage.cumulative.
-	expired hingeids.Units
+	expired hingeids.QuotaUnits
 	// silentUsage holds expired usage of hosts that are silent, which still counts (rule 4).
-	silentUsage map[hingeids.HostID]hingeids.Units
-	silentSum   hingeids.Units
+	silentUsage map[hingeids.HostID]hingeids.QuotaUnits
+	silentSum   hingeids.QuotaUnits
 	// baseline is the usage that hosts reported to a non-leader, which their side of a partition may keep using (rule 5).
-	baseline hingeids.Units
+	baseline hingeids.QuotaUnits
 	// reserved is the cumulative usage that has to leave the window before every refused caller fits (rule 7).
-	reserved hingeids.Units
+	reserved hingeids.QuotaUnits
 	// reservedForgotten is the share of the forgotten usage that has to leave the window before every refused caller fits.
 	reservedForgotten float64
 	// requested and admitted are the costs of recent requests and of those admitted.
 	requested decayingSum
 	admitted  decayingSum
 	// quota is the one that the usage was last scaled to (rule 8).
-	quota hingeids.Units
+	quota hingeids.QuotaUnits
 }
 
 // used returns all usage that counts against the quota.
-func (a *account) used() hingeids.Units {
+func (a *account) used() hingeids.QuotaUnits {
 	return a.sum + a.pending + a.silentSum
 }
 
@@ -57,7 +57,7 @@
 }
 
 // usedBefore returns the usage in the window from before at.
-func (a *account) usedBefore(at int64) hingeids.Units {
+func (a *account) usedBefore(at int64) hingeids.QuotaUnits {
 	rest := a.usages[a.first:]
 	i := sort.Search(len(rest), func(i int) bool {
 		return rest[i].at >= at
@@ -69,7 +69,7 @@
 }
 
 // total is the cumulative sum through the newest entry.
-func (a *account) total() hingeids.Units {
+func (a *account) total() hingeids.QuotaUnits {
 	if len(a.usages) == 0 {
 		return a.expired
 	}
@@ -108,7 +108,7 @@
 
 func (a *account) keepSilent(u usage) {
 	if a.silentUsage == nil {
-		a.silentUsage = make(map[hingeids.HostID]hingeids.Units)
+		a.silentUsage = make(map[hingeids.HostID]hingeids.QuotaUnits)
 	}
 	a.silentUsage[u.reporter] += u.cost
 	a.silentSum += u.cost
@@ -132,12 +132,12 @@
 }
 
 // merge adds reported usages that aren't counted yet and returns their sum.
-func (a *account) merge(list []usage) hingeids.Units {
+func (a *account) merge(list []usage) hingeids.QuotaUnits {
 	known := make(map[ChargeID]bool, len(a.usages)-a.first)
 	for _, u := range a.usages[a.first:] {
 		known[u.id] = true
 	}
-	var sum hingeids.Units
+	var sum hingeids.QuotaUnits
 	for _, u := range list {
 		if !known[u.id] {
 			a.usages = append(a.usages, u)
@@ -162,7 +162,7 @@
 }
 
 // scale reduces the usage in proportion to a lowered quota (rule 8).
-func (a *account) scale(quota hingeids.Units) {
+func (a *account) scale(quota hingeids.QuotaUnits) {
 	previous := a.quota
 	a.quota = quota
 	if previous == 0 || quota >= previous {
@@ -171,22 +171,22 @@
 	factor := float64(quota) / float64(previous)
 	a.sum = 0
 	for i := a.first; i < len(a.usages); i++ {
-		a.usages[i].cost = hingeids.Units(factor * float64(a.usages[i].cost))
+		a.usages[i].cost = hingeids.QuotaUnits(factor * float64(a.usages[i].cost))
 		a.sum += a.usages[i].cost
 	}
 	a.silentSum = 0
 	for h, n := range a.silentUsage {
-		a.silentUsage[h] = hingeids.Units(factor * float64(n))
+		a.silentUsage[h] = hingeids.QuotaUnits(factor * float64(n))
 		a.silentSum += a.silentUsage[h]
 	}
-	a.baseline = hingeids.Units(factor * float64(a.baseline))
+	a.baseline = hingeids.QuotaUnits(factor * float64(a.baseline))
 	a.reserved = 0
 	a.rebuild()
 }
 
 // freeAt returns the time of the entry whose expiry frees shortfall units, after those reserved for earlier refusals, and the cumulative
 // usage that has expired by then. It returns false if the entries in the window don't suffice.
-func (a *account) freeAt(shortfall, cost hingeids.Units) (at int64, target hingeids.Units, found bool) {
+func (a *account) freeAt(shortfall, cost hingeids.QuotaUnits) (at int64, target hingeids.QuotaUnits, found bool) {
 	// A reservation matters only where it reaches beyond the shortfall of this request.
 	target = max(a.reserved+cost, a.expired+shortfall)
 	rest := a.usages[a.first:]
--- a/internal/decide/hingequota/book.go
+++ b/internal/decide/hingequota/book.go
@@ -42,9 +42,9 @@
 	return r.everReported && r.silent(now) && r.lastSeen.Sub(r.lastUsage) < window-silentAfter
 }
 
-// Book counts usage and decides on requests for all hosts that query it. It is not safe for concurrent use.
-type Book struct {
-	terms Terms
+// Limiter counts usage and decides on requests for all hosts that query it. It is not safe for concurrent use.
+type Limiter struct {
+	terms Params
 	hosts hosts
 	// startedAt is the time of Begin. leads says that the leader owns the limiter, which may then admit up to the whole of each quota.
 	startedAt time.Time
@@ -63,15 +63,15 @@
 	nearLimit map[hingeids.CallerID]time.Time
 }
 
-// NewBook returns a limiter that isn't counting yet; see Begin.
-func NewBook(t Terms) *Book {
-	return &Book{
+// NewLimiter returns a limiter that isn't counting yet; see Begin.
+func NewLimiter(t Params) *Limiter {
+	return &Limiter{
 		terms: t,
 	}
 }
 
-// Begin discards all usage and starts counting, as the leader or as a substitute that receives no leader's messages.
-func (b *Book) Begin(now time.Time, leads bool) {
+// Start discards all usage and starts counting, as the leader or as a substitute that receives no leader's messages.
+func (b *Limiter) Start(now time.Time, leads bool) {
 	b.startedAt = now
 	b.leads = leads
 	b.accounts = make(map[hingeids.CallerID]*account)
@@ -82,18 +82,18 @@
 	b.partitioned = 0
 }
 
-// End stops counting and discards all usage.
-func (b *Book) End() {
+// Stop stops counting and discards all usage.
+func (b *Limiter) Stop() {
 	b.accounts, b.reporters, b.nearLimit = nil, nil, nil
 }
 
-// Begun reports whether the limiter is counting, as the leader or as a substitute.
-func (b *Book) Begun(leads bool) bool {
+// Started reports whether the limiter is counting, as the leader or as a substitute.
+func (b *Limiter) Started(leads bool) bool {
 	return b.accounts != nil && b.leads == leads
 }
 
-// Hear records a message from a host and reports whether the host has to report all its usage (Tell).
-func (b *Book) Hear(now time.Time, h hingeids.HostID) (needsReport bool) {
+// Observe records a message from a host and reports whether the host has to report all its usage (Tell).
+func (b *Limiter) Observe(now time.Time, h hingeids.HostID) (needsReport bool) {
 	o := b.reporters[h]
 	if o == nil {
 		o = &reporter{
@@ -110,9 +110,9 @@
 	return !o.complete
 }
 
-// Tell accepts a host's report of all its usage within the window, oldest first. history is how far back the report goes.
-func (b *Book) Tell(now time.Time, h hingeids.HostID, usages []Use, history time.Duration) {
-	b.Hear(now, h)
+// HandleReport accepts a host's report of all its usage within the window, oldest first. history is how far back the report goes.
+func (b *Limiter) HandleReport(now time.Time, h hingeids.HostID, usages []Usage, history time.Duration) {
+	b.Observe(now, h)
 	byCustomer := make(map[hingeids.CallerID][]usage)
 	for _, u := range usages {
 		if u.Charge.Free() || u.Age > b.terms.Window {
@@ -149,18 +149,18 @@
 }
 
 // clearSilent removes the usage retained for a host while it was silent.
-func (b *Book) clearSilent(h hingeids.HostID) {
+func (b *Limiter) clearSilent(h hingeids.HostID) {
 	for _, a := range b.accounts {
 		a.clearSilent(h)
 	}
 }
 
 // since converts a time to that of usage.at.
-func (b *Book) since(now time.Time) int64 {
+func (b *Limiter) since(now time.Time) int64 {
 	return int64(now.Sub(b.startedAt))
 }
 
-func (b *Book) account(c hingeids.CallerID) *account {
+func (b *Limiter) account(c hingeids.CallerID) *account {
 	a := b.accounts[c]
 	if a == nil {
 		a = &account{}
@@ -171,9 +171,9 @@
 
 // Admit decides on a request; hosts is the number of hosts known now, and maxWait how long the caller waits at most. The cost of an
 // admitted request is pending until Settle.
-func (b *Book) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, maxWait time.Duration) Verdict {
+func (b *Limiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, maxWait time.Duration) Decision {
 	if c.Free() || !q.Bounded() {
-		return Verdict{
+		return Decision{
 			Admitted: true,
 		}
 	}
@@ -188,57 +188,57 @@
 		a.pending += c.Cost
 		a.admitted.add(now, float64(c.Cost))
 		b.recordNearLimit(now, c.Customer, a, quota)
-		return Verdict{
+		return Decision{
 			Admitted: true,
 		}
 	}
 	if a.used()+c.Cost <= quota {
-		return Verdict{
+		return Decision{
 			RetryAfter: b.knownAfter(now, c, a, quota, a.used()+c.Cost-limit, hosts),
 		}
 	}
 	b.nearLimit[c.Customer] = now
-	return Verdict{
+	return Decision{
 		Over:       true,
 		RetryAfter: b.retryAfter(now, a, c.Cost, limit, maxWait),
 	}
 }
 
 // limit returns the usage up to which the charge is admitted.
-func (b *Book) limit(now time.Time, c Charge, a *account, quota hingeids.Units, hosts int) hingeids.Units {
-	if now.Sub(b.startedAt) < graceTime && !c.Doubtful {
+func (b *Limiter) limit(now time.Time, c Charge, a *account, quota hingeids.QuotaUnits, hosts int) hingeids.QuotaUnits {
+	if now.Sub(b.startedAt) < graceTime && !c.NearLimit {
 		return quota
 	}
 	margin := float64(b.terms.margin(quota))
 	if !b.leads {
 		share := min(float64(len(b.reporters))/float64(max(hosts, 1)), 1)
-		budget := max(a.baseline, hingeids.Units(share*float64(quota)))
+		budget := max(a.baseline, hingeids.QuotaUnits(share*float64(quota)))
 		if now.Sub(b.startedAt) > partitionTime {
 			budget = 0
 		}
-		return min(budget+hingeids.Units(share*partitionMarginShare*margin), quota)
+		return min(budget+hingeids.QuotaUnits(share*partitionMarginShare*margin), quota)
 	}
 	missing, forgotten := b.unknown(now, hosts)
 	if missing+forgotten < maxUnknown && b.partitioned == 0 && b.stable(now) {
-		return quota + hingeids.Units(leaderMarginShare*margin)
+		return quota + hingeids.QuotaUnits(leaderMarginShare*margin)
 	}
 	unknown := max((missing+forgotten)*float64(quota)-unknownMarginShare*margin, 0)
 	silent := max(b.partitionedShare(hosts)*float64(quota)-float64(a.silentSum), 0)
-	return quota - hingeids.Units(unknown+silent)
+	return quota - hingeids.QuotaUnits(unknown+silent)
 }
 
 // stable reports whether a whole window has passed since the last change of placer and the last partition.
-func (b *Book) stable(now time.Time) bool {
+func (b *Limiter) stable(now time.Time) bool {
 	return now.Sub(hingeclock.Later(b.startedAt, b.partitionedAt)) > b.terms.Window
 }
 
 // partitionedShare returns the share of all hosts that are probably partitioned (rule 4).
-func (b *Book) partitionedShare(hosts int) float64 {
+func (b *Limiter) partitionedShare(hosts int) float64 {
 	return float64(b.partitioned) / float64(max(hosts, len(b.reporters), 1))
 }
 
 // countPartitioned counts the hosts that are probably partitioned. It takes time linear in the hosts and runs a few times a second.
-func (b *Book) countPartitioned(now time.Time) {
+func (b *Limiter) countPartitioned(now time.Time) {
 	b.partitioned = 0
 	for _, o := range b.reporters {
 		if o.partitioned(now, b.terms.Window) {
@@ -252,33 +252,33 @@
 
 // unknown returns the shares of the window's usage that aren't reported (rule 3): missing is that of hosts without a report, which may still
 // grow; forgotten is that of hosts which started within the window, and expires.
-func (b *Book) unknown(now time.Time, hosts int) (missing, forgotten float64) {
+func (b *Limiter) unknown(now time.Time, hosts int) (missing, forgotten float64) {
 	all := float64(max(hosts, b.reported, 1))
 	missing = 1 - float64(b.reported)/all
 	return missing, b.forgottenShare(hosts) * (1 - b.forgottenExpired(now))
 }
 
 // forgottenShare returns the share of a window's usage that hosts had no record of when they reported.
-func (b *Book) forgottenShare(hosts int) float64 {
+func (b *Limiter) forgottenShare(hosts int) float64 {
 	all := float64(max(hosts, b.reported, 1))
 	return (float64(b.reported) - b.history.Seconds()/b.terms.Window.Seconds()) / all
 }
 
 // forgottenExpired returns the share of the forgotten usage that has left the window.
-func (b *Book) forgottenExpired(now time.Time) float64 {
+func (b *Limiter) forgottenExpired(now time.Time) float64 {
 	elapsed := now.Sub(b.startedAt).Seconds() / b.terms.Window.Seconds()
 	return max(min(elapsed, 1)-forgottenHold, 0) / (1 - forgottenHold)
 }
 
 // forgottenExpiredAt returns the time at which a share of the forgotten usage has left the window.
-func (b *Book) forgottenExpiredAt(share float64) time.Time {
+func (b *Limiter) forgottenExpiredAt(share float64) time.Time {
 	elapsed := forgottenHold + (1-forgottenHold)*min(share, 1)
 	return b.startedAt.Add(time.Duration(elapsed * float64(b.terms.Window)))
 }
 
 // knownAfter returns the retry delay of a request that is refused only because of unknown usage. Forgotten usage is assumed to leave the
 // window at a constant rate, and callers refused earlier fit first.
-func (b *Book) knownAfter(now time.Time, c Charge, a *account, quota, shortfall hingeids.Units, hosts int) time.Duration {
+func (b *Limiter) knownAfter(now time.Time, c Charge, a *account, quota, shortfall hingeids.QuotaUnits, hosts int) time.Duration {
 	all := b.forgottenShare(hosts) * float64(quota)
 	if !b.leads || all <= 0 || b.forgottenExpired(now) >= 1 {
 		return unknownRetryAfter
@@ -288,7 +288,7 @@
 }
 
 // retryAfter returns the delay until the request fits (rule 7). It reserves nothing for a caller that can't wait that long.
-func (b *Book) retryAfter(now time.Time, a *account, cost, limit hingeids.Units, maxWait time.Duration) time.Duration {
+func (b *Limiter) retryAfter(now time.Time, a *account, cost, limit hingeids.QuotaUnits, maxWait time.Duration) time.Duration {
 	at, target, found := a.freeAt(a.used()+cost-limit, cost)
 	if !found {
 		return b.terms.Window
@@ -301,7 +301,7 @@
 }
 
 // Settle ends the pending state of an admitted request: it is counted if it was placed on a server, and dropped otherwise.
-func (b *Book) Settle(now time.Time, h hingeids.HostID, c Charge, placed bool) {
+func (b *Limiter) Settle(now time.Time, h hingeids.HostID, c Charge, placed bool) {
 	if c.Free() || b.accounts == nil {
 		return
 	}
@@ -325,21 +325,21 @@
 }
 
 // Return cancels the charge of a request that was placed on a server but did not run.
-func (b *Book) Return(c Charge) {
+func (b *Limiter) Return(c Charge) {
 	if a := b.accounts[c.Customer]; a != nil {
 		a.remove(c.ID)
 	}
 }
 
 // expire removes usage that has left the window.
-func (b *Book) expire(now time.Time, a *account) {
+func (b *Limiter) expire(now time.Time, a *account) {
 	a.expire(b.since(now)-int64(b.terms.Window), func(h hingeids.HostID) bool {
 		o := b.reporters[h]
 		return o != nil && o.silent(now)
 	})
 }
 
-func (b *Book) recordNearLimit(now time.Time, c hingeids.CallerID, a *account, quota hingeids.Units) {
+func (b *Limiter) recordNearLimit(now time.Time, c hingeids.CallerID, a *account, quota hingeids.QuotaUnits) {
 	used := float64(a.used())
 	// After a change of placer or a power loss callers retry all at once, so that the recent rate is no estimate.
 	settled := now.Sub(b.startedAt) > b.terms.Window
@@ -348,16 +348,16 @@
 	}
 }
 
-// Tight returns the customers near their limits, sorted, and whether enough hosts have reported for the list to be complete. During graceTime
+// NearLimit returns the customers near their limits, sorted, and whether enough hosts have reported for the list to be complete. During graceTime
 // it returns none: what is admitted then depends on the shares that hosts received earlier, and shares computed from it would add sampling
 // errors.
-func (b *Book) Tight(now time.Time, hosts int) (list []Tight, all bool) {
+func (b *Limiter) NearLimit(now time.Time, hosts int) (list []NearLimit, all bool) {
 	if now.Sub(b.startedAt) < graceTime {
 		return nil, false
 	}
-	out := make([]Tight, 0, len(b.nearLimit))
+	out := make([]NearLimit, 0, len(b.nearLimit))
 	for c := range b.nearLimit {
-		t := Tight{
+		t := NearLimit{
 			Customer: c,
 			Share:    1,
 		}
@@ -366,7 +366,7 @@
 		}
 		out = append(out, t)
 	}
-	slices.SortFunc(out, func(x, y Tight) int {
+	slices.SortFunc(out, func(x, y NearLimit) int {
 		return cmp.Compare(x.Customer, y.Customer)
 	})
 	missing, forgotten := b.unknown(now, b.hosts.count(now, hosts))
@@ -374,13 +374,13 @@
 }
 
 // fitsSoon returns the units of a customer's requests that will fit within the lookahead.
-func (b *Book) fitsSoon(now time.Time, a *account) float64 {
+func (b *Limiter) fitsSoon(now time.Time, a *account) float64 {
 	expiring := a.usedBefore(b.since(now) - int64(b.terms.Window) + int64(lookahead))
 	return max(float64(a.quota-a.used()+expiring), 0)
 }
 
-// Step removes expired state. The placer calls it a few times a second.
-func (b *Book) Step(now time.Time) {
+// RemoveExpired removes expired state. The placer calls it a few times a second.
+func (b *Limiter) RemoveExpired(now time.Time) {
 	for h, o := range b.reporters {
 		if now.Sub(o.lastSeen) > forgetAfter {
 			delete(b.reporters, h)
--- a/internal/decide/hingequota/book_test.go
+++ b/internal/decide/hingequota/book_test.go
@@ -20,19 +20,19 @@
 }
 
 // noMarginTerms have no margin.
-var noMarginTerms = Terms{
+var noMarginTerms = Params{
 	Window: 8 * time.Second,
 }
 
 // leaderLimiter returns a leader's limiter that has been counting for an hour.
-func leaderLimiter() *Book {
-	b := NewBook(noMarginTerms)
-	b.Begin(start.Add(-time.Hour), true)
-	b.Tell(start, "host-1", nil, time.Hour)
+func leaderLimiter() *Limiter {
+	b := NewLimiter(noMarginTerms)
+	b.Start(start.Add(-time.Hour), true)
+	b.HandleReport(start, "host-1", nil, time.Hour)
 	return b
 }
 
-func charge(id int, cost hingeids.Units) Charge {
+func charge(id int, cost hingeids.QuotaUnits) Charge {
 	return Charge{
 		ID:       ChargeID(id),
 		Customer: "quay",
@@ -41,9 +41,9 @@
 }
 
 // use submits a request of host-1 and places it if it is admitted.
-func (b *Book) use(now time.Time, c Charge, q hingecustomers.Quota) Verdict {
-	if b.Hear(now, "host-1") {
-		b.Tell(now, "host-1", nil, time.Hour)
+func (b *Limiter) use(now time.Time, c Charge, q hingecustomers.Quota) Decision {
+	if b.Observe(now, "host-1") {
+		b.HandleReport(now, "host-1", nil, time.Hour)
 	}
 	v := b.Admit(now, c, q, 1, time.Minute)
 	if v.Admitted {
@@ -98,7 +98,7 @@
 	b := leaderLimiter()
 	b.use(start, charge(1, 90), tenASecond)
 	now := start.Add(time.Second)
-	b.Tell(now, "host-1", nil, time.Hour)
+	b.HandleReport(now, "host-1", nil, time.Hour)
 	for i := range 5 {
 		if v := b.Admit(now, charge(2+i, 10), tenASecond, 1, time.Second); v.RetryAfter != 7*time.Second {
 			t.Fatalf("request %d: RetryAfter %v, want 7s", i, v.RetryAfter)
@@ -137,7 +137,7 @@
 		Rate:  3,
 		Burst: 6,
 	}
-	admitted := hingeids.Units(0)
+	admitted := hingeids.QuotaUnits(0)
 	now := start.Add(8 * time.Second)
 	for i := range 80 {
 		if b.use(now.Add(time.Duration(i)*100*time.Millisecond), charge(100+i, 1), lower).Admitted {
@@ -153,7 +153,7 @@
 func TestUsageReportedTwiceCountsOnce(t *testing.T) {
 	b := leaderLimiter()
 	b.use(start, charge(1, 40), tenASecond)
-	usages := []Use{
+	usages := []Usage{
 		{
 			Charge: charge(1, 40),
 			Age:    time.Second,
@@ -165,7 +165,7 @@
 	}
 	now := start.Add(time.Second)
 	for range 3 {
-		b.Tell(now, "host-1", usages, time.Hour)
+		b.HandleReport(now, "host-1", usages, time.Hour)
 	}
 	if !b.use(now, charge(3, 10), tenASecond).Admitted || b.use(now, charge(4, 10), tenASecond).Admitted {
 		t.Fatal("want 10 units free beside two charges of 40")
@@ -174,13 +174,13 @@
 
 // After all hosts have lost their usage records, a caller that retries after its RetryAfter must be admitted.
 func TestRetryAfterIsKeptAfterAPowerLoss(t *testing.T) {
-	b := NewBook(noMarginTerms)
-	b.Begin(start, true)
-	b.Tell(start, "host-1", nil, 0)
+	b := NewLimiter(noMarginTerms)
+	b.Start(start, true)
+	b.HandleReport(start, "host-1", nil, 0)
 	var delays []time.Duration
 	for i := range 3 {
 		c := charge(i, 10)
-		c.Doubtful = true
+		c.NearLimit = true
 		v := b.use(start, c, tenASecond)
 		if v.Admitted || v.Over {
 			t.Fatalf("request %d: %+v", i, v)
@@ -189,7 +189,7 @@
 	}
 	for i, after := range delays {
 		c := charge(100+i, 10)
-		c.Doubtful = true
+		c.NearLimit = true
 		if v := b.use(start.Add(after+10*time.Millisecond), c, tenASecond); !v.Admitted {
 			t.Errorf("retried after %v: %+v", after, v)
 		}
@@ -201,7 +201,7 @@
 	b := leaderLimiter()
 	requests := 0
 	for i := range 20 {
-		if b.Hear(start.Add(time.Duration(i)*2*time.Second), "host-1") {
+		if b.Observe(start.Add(time.Duration(i)*2*time.Second), "host-1") {
 			requests++
 		}
 	}
@@ -209,7 +209,7 @@
 		t.Fatalf("%d reports were requested from a host without usage", requests)
 	}
 	b.use(start.Add(40*time.Second), charge(1, 10), tenASecond)
-	if !b.Hear(start.Add(43*time.Second), "host-1") {
+	if !b.Observe(start.Add(43*time.Second), "host-1") {
 		t.Fatal("no report was requested from a host that fell silent with usage in the window")
 	}
 }
@@ -218,12 +218,12 @@
 // also stop using the share withheld for it once the leader has forgotten its hosts.
 func TestBothSidesOfALongPartitionStayWithinTheMargin(t *testing.T) {
 	const all, cut = 60, 20
-	leader, substitute := NewBook(modelTerms), NewBook(modelTerms)
+	leader, substitute := NewLimiter(modelTerms), NewLimiter(modelTerms)
 	q := modelQuota(18000)
 	bound := modelTerms.quota(q) + modelTerms.margin(modelTerms.quota(q))
 	begin := start.Add(-time.Minute)
-	leader.Begin(begin, true)
-	substitute.Begin(start, false)
+	leader.Start(begin, true)
+	substitute.Start(start, false)
 	var used []admission
 	id := 0
 	for at := -10 * time.Second; at < 3*time.Minute; at += 50 * time.Millisecond {
@@ -241,18 +241,18 @@
 					seen = cut
 				}
 			}
-			if limiter.Hear(now, host(i)) {
-				limiter.Tell(now, host(i), nil, time.Hour)
+			if limiter.Observe(now, host(i)) {
+				limiter.HandleReport(now, host(i), nil, time.Hour)
 			}
 			if at%time.Second == 0 {
-				limiter.Step(now)
+				limiter.RemoveExpired(now)
 			}
 			if i%10 != 0 {
 				continue
 			}
 			id++
 			c := charge(id, 9000)
-			c.Doubtful = true
+			c.NearLimit = true
 			if limiter.Admit(now, c, q, seen, time.Minute).Admitted {
 				limiter.Settle(now, host(i), c, true)
 				used = append(used, admission{
@@ -261,7 +261,7 @@
 				})
 			}
 		}
-		var sum hingeids.Units
+		var sum hingeids.QuotaUnits
 		for i := len(used) - 1; i >= 0 && at-used[i].at <= modelTerms.Window; i-- {
 			sum += used[i].cost
 		}
@@ -296,7 +296,7 @@
 					Customer: names[i%customers],
 					Cost:     200,
 				}
-				limiter.Hear(now, "host-1")
+				limiter.Observe(now, "host-1")
 				limiter.Admit(now, c, q, 560, time.Second)
 				limiter.Settle(now, "host-1", c, true)
 			}
--- a/internal/decide/hingequota/ledger.go
+++ b/internal/decide/hingequota/ledger.go
@@ -30,7 +30,7 @@
 }
 
 // NewLedger returns the ledger of a process that starts now.
-func NewLedger(now time.Time, t Terms) *Ledger {
+func NewLedger(now time.Time, t Params) *Ledger {
 	return &Ledger{
 		window:    t.Window,
 		since:     now,
@@ -72,12 +72,12 @@
 	return len(l.entries) == 0
 }
 
-// Uses returns the usage within the window, oldest first, and for how long before now the ledger is complete.
-func (l *Ledger) Uses(now time.Time) ([]Use, time.Duration) {
+// Usages returns the usage within the window, oldest first, and for how long before now the ledger is complete.
+func (l *Ledger) Usages(now time.Time) ([]Usage, time.Duration) {
 	l.expire(now)
-	out := make([]Use, 0, len(l.entries))
+	out := make([]Usage, 0, len(l.entries))
 	for _, u := range l.entries {
-		out = append(out, Use{
+		out = append(out, Usage{
 			Charge: u.charge,
 			Age:    now.Sub(u.at),
 		})
@@ -86,8 +86,8 @@
 }
 
 // used returns a customer's usage since a time.
-func (l *Ledger) used(c hingeids.CallerID, since time.Time) hingeids.Units {
-	var sum hingeids.Units
+func (l *Ledger) used(c hingeids.CallerID, since time.Time) hingeids.QuotaUnits {
+	var sum hingeids.QuotaUnits
 	for _, u := range l.entries {
 		if u.charge.Customer == c && !u.at.Before(since) {
 			sum += u.charge.Cost
@@ -96,8 +96,8 @@
 	return sum
 }
 
-// SetTight merges the placer's list of customers near their limits; all says that the list is complete.
-func (l *Ledger) SetTight(now time.Time, list []Tight, all bool) {
+// SetNearLimit merges the placer's list of customers near their limits; all says that the list is complete.
+func (l *Ledger) SetNearLimit(now time.Time, list []NearLimit, all bool) {
 	if all {
 		l.completeAt = now
 	}
@@ -130,8 +130,8 @@
 	return 1
 }
 
-// Doubts reports whether a customer may be near its limit, by the last list from the placer.
-func (l *Ledger) Doubts(now time.Time, c hingeids.CallerID) bool {
+// MayBeNearLimit reports whether a customer may be near its limit, by the last list from the placer.
+func (l *Ledger) MayBeNearLimit(now time.Time, c hingeids.CallerID) bool {
 	t, known := l.nearLimit[c]
 	return now.Sub(l.completeAt) > nearLimitTTL || known && now.Sub(t.at) <= l.window
 }
--- a/internal/decide/hingequota/lone.go
+++ b/internal/decide/hingequota/lone.go
@@ -7,56 +7,56 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Lone decides for an entry host that no placer answers. It applies rule 5 to a single host, except that with many hosts an even share of
+// LocalLimiter decides for an entry host that no placer answers. It applies rule 5 to a single host, except that with many hosts an even share of
 // the margin is smaller than one stream. A request that doesn't fit into the remaining share is therefore admitted with a probability
 // of the remaining share over its cost, so that all hosts together admit about what fits. It is not safe for concurrent use.
-type Lone struct {
-	terms  Terms
+type LocalLimiter struct {
+	terms  Params
 	ledger *Ledger
 	hosts  hosts
 	// since is the time of the first request that no placer answered, zero while one answers.
 	since time.Time
 	// baseline is the usage of each customer in the window before that time.
-	baseline map[hingeids.CallerID]hingeids.Units
+	baseline map[hingeids.CallerID]hingeids.QuotaUnits
 }
 
-// NewLone returns the decider of the host that owns the ledger, to which admitted requests are added.
-func NewLone(t Terms, l *Ledger) *Lone {
-	return &Lone{
+// NewLocalLimiter returns the decider of the host that owns the ledger, to which admitted requests are added.
+func NewLocalLimiter(t Params, l *Ledger) *LocalLimiter {
+	return &LocalLimiter{
 		terms:  t,
 		ledger: l,
 	}
 }
 
-// Heard records that a placer answered.
-func (l *Lone) Heard() {
+// PlacerAnswered records that a placer answered.
+func (l *LocalLimiter) PlacerAnswered() {
 	l.since = time.Time{}
 	l.baseline = nil
 }
 
 // Admit decides on a request and adds an admitted one to the ledger. hosts is the number of hosts known now, sample a random number in [0, 1)
 // for this request.
-func (l *Lone) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) Verdict {
+func (l *LocalLimiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) Decision {
 	if c.Free() || !q.Bounded() {
-		return Verdict{
+		return Decision{
 			Admitted: true,
 		}
 	}
 	if !l.fits(now, c, q, l.hosts.count(now, hosts), sample) {
-		return Verdict{
+		return Decision{
 			RetryAfter: unknownRetryAfter,
 		}
 	}
 	l.ledger.Add(now, c)
-	return Verdict{
+	return Decision{
 		Admitted: true,
 	}
 }
 
-func (l *Lone) fits(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) bool {
+func (l *LocalLimiter) fits(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) bool {
 	if l.since.IsZero() {
 		l.since = now
-		l.baseline = make(map[hingeids.CallerID]hingeids.Units)
+		l.baseline = make(map[hingeids.CallerID]hingeids.QuotaUnits)
 	}
 	if now.Sub(l.since) < graceTime {
 		return sample < l.ledger.share(now, c.Customer)
@@ -76,7 +76,7 @@
 
 // baselineOf returns a customer's usage in the window before the host lost its placer. It is computed at the first request after graceTime
 // from what the ledger still holds, so that it errs on the low side.
-func (l *Lone) baselineOf(c hingeids.CallerID) hingeids.Units {
+func (l *LocalLimiter) baselineOf(c hingeids.CallerID) hingeids.QuotaUnits {
 	b, known := l.baseline[c]
 	if !known {
 		for _, u := range l.ledger.entries {
--- a/internal/decide/hingequota/sim_test.go
+++ b/internal/decide/hingequota/sim_test.go
@@ -26,7 +26,7 @@
 type setup struct {
 	hosts     int
 	customers int
-	terms     Terms
+	terms     Params
 	quota     hingecustomers.Quota
 }
 
@@ -35,7 +35,7 @@
 	return hingecustomers.Quota{
 		Unit:  hingecustomers.Tokens,
 		Rate:  rate,
-		Burst: hingeids.Units(rate),
+		Burst: hingeids.QuotaUnits(rate),
 		Plain: 200,
 	}
 }
@@ -43,7 +43,7 @@
 // modelRates are the rates of small and large customers, with margins of a half and an eighth of the quota.
 var modelRates = []float64{18000, 236000}
 
-var modelTerms = Terms{
+var modelTerms = Params{
 	Window: 8 * time.Second,
 	Over:   0.1,
 	Slack:  73000,
@@ -124,10 +124,10 @@
 	setup
 	// zonePlacer says that partitioned hosts have a placer of their own.
 	zonePlacer    bool
-	leaderLimiter *Book
-	substitute    *Book
+	leaderLimiter *Limiter
+	substitute    *Limiter
 	ledgers       []*Ledger
-	local         []*Lone
+	local         []*LocalLimiter
 	// needsReport says that a host has to report all its usage, wasCut that it was partitioned at the last tick.
 	needsReport []bool
 	wasCut      []bool
@@ -138,7 +138,7 @@
 	leaderlessUntil time.Time
 	// zones are the placers of zones, which place while there is no leader; without any, hosts decide alone. leaderlessSince is when
 	// the last leader was lost.
-	zones           []*Book
+	zones           []*Limiter
 	leaderlessSince time.Time
 	// reportsEvery is the number of ticks between reports of a host; zero means that it reports at every tick. ticks counts them.
 	reportsEvery int
@@ -149,11 +149,11 @@
 	w := &fleet{
 		setup:         s,
 		zonePlacer:    zonePlacer,
-		leaderLimiter: NewBook(s.terms),
-		substitute:    NewBook(s.terms),
+		leaderLimiter: NewLimiter(s.terms),
+		substitute:    NewLimiter(s.terms),
 		random:        rand.New(rand.NewPCG(1, 2)),
 	}
-	w.leaderLimiter.Begin(now, true)
+	w.leaderLimiter.Start(now, true)
 	w.restart(now)
 	return w
 }
@@ -166,7 +166,7 @@
 	for i := range w.hosts {
 		l := NewLedger(now, w.terms)
 		w.ledgers = append(w.ledgers, l)
-		w.local = append(w.local, NewLone(w.terms, l))
+		w.local = append(w.local, NewLocalLimiter(w.terms, l))
 		w.needsReport[i] = true
 	}
 }
@@ -175,13 +175,13 @@
 
 func (w *fleet) admit(now time.Time, i int, c Charge, cut bool) bool {
 	sample := w.random.Float64()
-	c.Doubtful = w.ledgers[i].Doubts(now, c.Customer)
+	c.NearLimit = w.ledgers[i].MayBeNearLimit(now, c.Customer)
 	limiter := w.leaderLimiter
 	switch {
 	case now.Before(w.leaderlessUntil) && now.Sub(w.leaderlessSince) > noticeTime && len(w.zones) > 0:
 		limiter = w.zones[i%len(w.zones)]
-		if !limiter.Begun(false) {
-			limiter.Begin(now, false)
+		if !limiter.Started(false) {
+			limiter.Start(now, false)
 		}
 		w.report(now, i, limiter)
 	case now.Before(w.leaderlessUntil), cut && !w.zonePlacer:
@@ -191,8 +191,8 @@
 	case cut:
 		limiter = w.substitute
 	}
-	w.local[i].Heard()
-	w.needsReport[i] = limiter.Hear(now, host(i)) || w.needsReport[i]
+	w.local[i].PlacerAnswered()
+	w.needsReport[i] = limiter.Observe(now, host(i)) || w.needsReport[i]
 	if !limiter.Admit(now, c, w.quota, w.hosts, 5*time.Second).Admitted {
 		return false
 	}
@@ -211,10 +211,10 @@
 )
 
 // report sends the usage of a host to a placer that needs it.
-func (w *fleet) report(now time.Time, i int, limiter *Book) {
-	if limiter.Hear(now, host(i)) {
-		usages, history := w.ledgers[i].Uses(now)
-		limiter.Tell(now, host(i), usages, history)
+func (w *fleet) report(now time.Time, i int, limiter *Limiter) {
+	if limiter.Observe(now, host(i)) {
+		usages, history := w.ledgers[i].Usages(now)
+		limiter.HandleReport(now, host(i), usages, history)
 	}
 }
 
@@ -222,9 +222,9 @@
 	w.leaderlessSince = now
 	w.leaderlessUntil = now.Add(electionTime)
 	for _, z := range w.zones {
-		z.End()
+		z.Stop()
 	}
-	w.leaderLimiter.End()
+	w.leaderLimiter.Stop()
 	// A host reports to each new placer, even without usage.
 	for i := range w.needsReport {
 		w.needsReport[i] = true
@@ -232,7 +232,7 @@
 	if lost {
 		w.leaderlessUntil = now
 		w.restart(now)
-		w.leaderLimiter.Begin(now, true)
+		w.leaderLimiter.Start(now, true)
 	}
 }
 
@@ -240,8 +240,8 @@
 	if now.Before(w.leaderlessUntil) {
 		return
 	}
-	if !w.leaderLimiter.Begun(true) {
-		w.leaderLimiter.Begin(now, true)
+	if !w.leaderLimiter.Started(true) {
+		w.leaderLimiter.Start(now, true)
 	}
 	anyCut := false
 	w.ticks++
@@ -256,8 +256,8 @@
 			if !w.zonePlacer {
 				continue
 			}
-			if !w.substitute.Begun(false) {
-				w.substitute.Begin(now, false)
+			if !w.substitute.Started(false) {
+				w.substitute.Start(now, false)
 			}
 			limiter = w.substitute
 		}
@@ -265,20 +265,20 @@
 			continue
 		}
 		w.changed[i] = false
-		if limiter.Hear(now, host(i)) || w.needsReport[i] {
-			usages, history := w.ledgers[i].Uses(now)
-			limiter.Tell(now, host(i), usages, history)
+		if limiter.Observe(now, host(i)) || w.needsReport[i] {
+			usages, history := w.ledgers[i].Usages(now)
+			limiter.HandleReport(now, host(i), usages, history)
 			w.needsReport[i] = false
 		}
-		tight, all := limiter.Tight(now, w.hosts)
-		w.ledgers[i].SetTight(now, tight, all)
+		tight, all := limiter.NearLimit(now, w.hosts)
+		w.ledgers[i].SetNearLimit(now, tight, all)
 	}
 	if !anyCut {
-		w.substitute.End()
-	} else if w.substitute.Begun(false) {
-		w.substitute.Step(now)
+		w.substitute.Stop()
+	} else if w.substitute.Started(false) {
+		w.substitute.RemoveExpired(now)
 	}
-	w.leaderLimiter.Step(now)
+	w.leaderLimiter.RemoveExpired(now)
 }
 
 // scenario is a sequence of faults and load changes.
@@ -352,7 +352,7 @@
 			}
 			// One request in seven is a stream, the others are plain requests.
 			for _, kind := range []struct {
-				cost  hingeids.Units
+				cost  hingeids.QuotaUnits
 				share float64
 			}{
 				{
@@ -384,19 +384,19 @@
 	// admitted are the admitted requests; those from index first on are in the window. sum is their cost and peak its maximum.
 	admitted []admission
 	first    int
-	sum      hingeids.Units
-	peak     hingeids.Units
+	sum      hingeids.QuotaUnits
+	peak     hingeids.QuotaUnits
 	// below is the cost of requests that were admitted or fitted into the quota, refused the refused part of it.
-	below   hingeids.Units
-	refused hingeids.Units
+	below   hingeids.QuotaUnits
+	refused hingeids.QuotaUnits
 }
 
 type admission struct {
 	at   time.Duration
-	cost hingeids.Units
+	cost hingeids.QuotaUnits
 }
 
-func (d *customerRun) record(s setup, at time.Duration, cost hingeids.Units, admitted bool) {
+func (d *customerRun) record(s setup, at time.Duration, cost hingeids.QuotaUnits, admitted bool) {
 	for d.first < len(d.admitted) && at-d.admitted[d.first].at > s.terms.Window {
 		d.sum -= d.admitted[d.first].cost
 		d.first++
@@ -420,7 +420,7 @@
 
 func sum(s setup, runs []customerRun) result {
 	var r result
-	var refused, total hingeids.Units
+	var refused, total hingeids.QuotaUnits
 	bound := float64(s.terms.quota(s.quota) + s.terms.margin(s.terms.quota(s.quota)))
 	for c, d := range runs {
 		if c > 0 {
@@ -577,7 +577,7 @@
 					w := newFleet(s, simStart.Add(-2*s.terms.Window), false)
 					w.reportsEvery = 5
 					for range zones {
-						w.zones = append(w.zones, NewBook(s.terms))
+						w.zones = append(w.zones, NewLimiter(s.terms))
 					}
 					checkBound(t, s, x, simulate(s, x, w, seed))
 				}
--- a/internal/decide/hingequota/terms.go
+++ b/internal/decide/hingequota/terms.go
@@ -34,29 +34,29 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Terms are the parameters by which quotas are enforced, the same for all customers.
-type Terms struct {
+// Params are the parameters by which quotas are enforced, the same for all customers.
+type Params struct {
 	// Window is the length of the sliding window.
 	Window time.Duration
 	// Over and Slack define the margin above the quota: a share of the quota, plus a number of units.
 	Over  float64
-	Slack hingeids.Units
+	Slack hingeids.QuotaUnits
 }
 
-// StandardTerms are the defaults.
-var StandardTerms = Terms{
+// DefaultTerms are the defaults.
+var DefaultTerms = Params{
 	Window: 8 * time.Second,
 	Over:   0.1,
 }
 
 // quota returns the units that a customer may use in a window.
-func (t Terms) quota(q hingecustomers.Quota) hingeids.Units {
-	return hingeids.Units(q.Rate*t.Window.Seconds()) + q.Burst
+func (t Params) quota(q hingecustomers.Quota) hingeids.QuotaUnits {
+	return hingeids.QuotaUnits(q.Rate*t.Window.Seconds()) + q.Burst
 }
 
 // margin returns the units that may be used beyond the quota during failures.
-func (t Terms) margin(quota hingeids.Units) hingeids.Units {
-	return hingeids.Units(t.Over*float64(quota)) + t.Slack
+func (t Params) margin(quota hingeids.QuotaUnits) hingeids.QuotaUnits {
+	return hingeids.QuotaUnits(t.Over*float64(quota)) + t.Slack
 }
 
 // ChargeID identifies a request's charge on all hosts, so that repeated reports count once.
@@ -64,15 +64,15 @@
 
 // Charge is the cost of a request to its customer's quota. Without a customer it is free.
 type Charge struct {
-	ID       ChargeID          `cbor:"1,keyasint,omitempty"`
-	Customer hingeids.CallerID `cbor:"2,keyasint,omitempty"`
-	Cost     hingeids.Units    `cbor:"3,keyasint,omitempty"`
-	// Doubtful says that the customer may be near its limit, by the last list that its host received (rule 6).
-	Doubtful bool `cbor:"4,keyasint,omitempty"`
+	ID       ChargeID            `cbor:"1,keyasint,omitempty"`
+	Customer hingeids.CallerID   `cbor:"2,keyasint,omitempty"`
+	Cost     hingeids.QuotaUnits `cbor:"3,keyasint,omitempty"`
+	// NearLimit says that the customer may be near its limit, by the last list that its host received (rule 6).
+	NearLimit bool `cbor:"4,keyasint,omitempty"`
 }
 
-// Tight is a customer near its limit.
-type Tight struct {
+// NearLimit is a customer near its limit.
+type NearLimit struct {
 	Customer hingeids.CallerID `cbor:"1,keyasint"`
 	// Share is the share of its recent requests that was admitted, by cost.
 	Share float64 `cbor:"2,keyasint"`
@@ -83,14 +83,14 @@
 	return c.Customer == "" || c.Cost <= 0
 }
 
-// Use is a counted charge in a host's report.
-type Use struct {
+// Usage is a counted charge in a host's report.
+type Usage struct {
 	Charge Charge        `cbor:"1,keyasint"`
 	Age    time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Verdict is the result of Admit.
-type Verdict struct {
+// Decision is the result of Admit.
+type Decision struct {
 	Admitted bool
 	// Over says that the customer has used its quota. A refusal without it is due to unreported usage.
 	Over bool
--- a/internal/decide/hingeretry/budget.go
+++ b/internal/decide/hingeretry/budget.go
@@ -31,7 +31,7 @@
 
 // NewBudget returns a budget with the limits of a single host.
 func NewBudget(now time.Time) *Budget {
-	return NewBudgetOf(now, Limits{
+	return NewBudgetWithLimits(now, Limits{
 		PerRequest: retriesPerRequest,
 		Burst:      maxSavedRetries,
 		PerSecond:  retriesPerSecond,
@@ -42,8 +42,8 @@
 // half of the hosts of a fleet could renew a burst that was already spent.
 const initialShare = 0.5
 
-// NewBudgetOf returns a budget that holds half of its burst.
-func NewBudgetOf(now time.Time, l Limits) *Budget {
+// NewBudgetWithLimits returns a budget that holds half of its burst.
+func NewBudgetWithLimits(now time.Time, l Limits) *Budget {
 	return &Budget{
 		limits:    l,
 		tokens:    initialShare * l.Burst,
@@ -58,14 +58,14 @@
 	b.tokens = min(b.tokens, l.Burst)
 }
 
-// Request records a new request from a caller. It must not be called for retries.
-func (b *Budget) Request() {
+// RecordRequest records a new request from a caller. It must not be called for retries.
+func (b *Budget) RecordRequest() {
 	b.tokens = min(b.limits.Burst, b.tokens+b.limits.PerRequest)
 }
 
-// Take spends the given number of messages to servers, and reports whether the budget had as many
+// Spend spends the given number of messages to servers, and reports whether the budget had as many
 // left.
-func (b *Budget) Take(now time.Time, messages int) bool {
+func (b *Budget) Spend(now time.Time, messages int) bool {
 	if elapsed := now.Sub(b.updatedAt); elapsed > 0 {
 		b.tokens = min(b.limits.Burst, b.tokens+b.limits.PerSecond*elapsed.Seconds())
 		b.updatedAt = now
--- a/internal/decide/hingeretry/retry.go
+++ b/internal/decide/hingeretry/retry.go
@@ -33,10 +33,10 @@
 // sends the KV cache, which is still held, to another decode engine; Repeat places the request
 // again, with its prompt and the tokens already sent.
 const (
-	Answer Action = iota
+	ReturnError Action = iota
 	Resume
 	Transfer
-	Repeat
+	Retry
 )
 
 // String returns the name of the action.
@@ -48,34 +48,34 @@
 type Failure struct {
 	// Err is the error of the failed attempt, with its verdict.
 	Err *hingeverdict.Error
-	// Before is the highest verdict of the earlier attempts.
-	Before hingeverdict.Verdict
+	// EarlierVerdict is the highest verdict of the earlier attempts.
+	EarlierVerdict hingeverdict.Verdict
 	// Attempts counts the attempts, including the failed one, and Resumes how often this attempt
 	// was resumed.
 	Attempts, Resumes int
-	// Arrivals is the number of messages to servers that a retry adds beyond those every request is
+	// ExtraMessages is the number of messages to servers that a retry adds beyond those every request is
 	// allowed.
-	Arrivals    int
-	NeverRepeat bool
-	// Sent counts the tokens that the caller has received.
-	Sent hingeids.Tokens
-	// SameLife reports whether the engine is available as the instance that accepted the request,
+	ExtraMessages int
+	NeverRepeat   bool
+	// SentTokens counts the tokens that the caller has received.
+	SentTokens hingeids.Tokens
+	// SameInstance reports whether the engine is available as the instance that accepted the request,
 	// and can resume streams.
-	SameLife bool
+	SameInstance bool
 	// CacheUntil is the time until which the KV cache is held, zero if there is none; TransferTime
 	// is the duration of its transfer.
 	CacheUntil   time.Time
 	TransferTime time.Duration
-	// RepeatTime is the predicted duration of a retry until its last token.
-	RepeatTime time.Duration
-	Deadline   time.Time
+	// RetryTime is the predicted duration of a retry until its last token.
+	RetryTime time.Duration
+	Deadline  time.Time
 }
 
 // Decision is the next step for a failed request.
 type Decision struct {
 	Action Action
-	// From is the index of the next token that the caller needs.
-	From hingeids.Tokens
+	// NextToken is the index of the next token that the caller needs.
+	NextToken hingeids.Tokens
 	// Err is the error for the caller, set only with Answer.
 	Err *hingeverdict.Error
 }
@@ -89,31 +89,31 @@
 
 // Decide returns the next step for a failed request. A retry is spent from the budget.
 func Decide(now time.Time, f Failure, b *Budget) Decision {
-	if f.SameLife && f.Resumes < maxResumes && now.Before(f.Deadline) {
+	if f.SameInstance && f.Resumes < maxResumes && now.Before(f.Deadline) {
 		return Decision{
-			Action: Resume,
-			From:   f.Sent,
+			Action:    Resume,
+			NextToken: f.SentTokens,
 		}
 	}
-	if !mayRetry(f) || f.Attempts >= maxAttempts || now.Add(f.RepeatTime).After(f.Deadline) {
+	if !mayRetry(f) || f.Attempts >= maxAttempts || now.Add(f.RetryTime).After(f.Deadline) {
 		return answer(f)
 	}
-	if !b.Take(now, f.Arrivals) {
+	if !b.Spend(now, f.ExtraMessages) {
 		return answer(f)
 	}
-	next := Repeat
+	next := Retry
 	if now.Add(f.TransferTime).Before(f.CacheUntil) {
 		next = Transfer
 	}
 	return Decision{
-		Action: next,
-		From:   f.Sent,
+		Action:    next,
+		NextToken: f.SentTokens,
 	}
 }
 
 // mayRetry implements rule 2.
 func mayRetry(f Failure) bool {
-	return !f.NeverRepeat || worst(f.Before, f.Err.Verdict) == hingeverdict.NotRun
+	return !f.NeverRepeat || worst(f.EarlierVerdict, f.Err.Verdict) == hingeverdict.NotRun
 }
 
 // worst returns the verdict of a request with two attempts: one that ran once and was then refused
@@ -133,28 +133,28 @@
 // answer implements rule 5.
 func answer(f Failure) Decision {
 	e := *f.Err
-	e.Verdict = worst(f.Before, f.Err.Verdict)
+	e.Verdict = worst(f.EarlierVerdict, f.Err.Verdict)
 	if e.Cause == nil {
 		e.Cause = eris.New("all attempts failed")
 	}
 	return Decision{
-		Action: Answer,
-		From:   f.Sent,
-		Err:    &e,
+		Action:    ReturnError,
+		NextToken: f.SentTokens,
+		Err:       &e,
 	}
 }
 
-// Waiting describes a request that has not yet returned its first token.
-type Waiting struct {
+// PendingRequest describes a request that has not yet returned its first token.
+type PendingRequest struct {
 	NeverRepeat bool
-	// Since is when the request was sent, Expected the predicted time to its first token.
-	Since    time.Time
+	// SentAt is when the request was sent, Expected the predicted time to its first token.
+	SentAt   time.Time
 	Expected time.Duration
-	// FirstTokenBy is the target time of the first token, HedgeTime the predicted time to the first
+	// FirstTokenTarget is the target time of the first token, HedgeTime the predicted time to the first
 	// token of a second attempt.
-	FirstTokenBy time.Time
-	HedgeTime    time.Duration
-	Attempts     int
+	FirstTokenTarget time.Time
+	HedgeTime        time.Duration
+	Attempts         int
 }
 
 // hedgeFactor is the multiple of its predicted time after which a first token is hedged.
@@ -162,12 +162,12 @@
 
 // Hedge implements rule 6 and reports whether to start a second attempt. It helps if one engine is
 // slow or silent; if all are slow, the budget bounds the load that hedges add.
-func Hedge(now time.Time, w Waiting, b *Budget) bool {
-	if w.NeverRepeat || w.Attempts > 1 || now.Sub(w.Since) < hedgeFactor*w.Expected {
+func Hedge(now time.Time, w PendingRequest, b *Budget) bool {
+	if w.NeverRepeat || w.Attempts > 1 || now.Sub(w.SentAt) < hedgeFactor*w.Expected {
 		return false
 	}
-	if now.Add(w.HedgeTime).After(w.FirstTokenBy) {
+	if now.Add(w.HedgeTime).After(w.FirstTokenTarget) {
 		return false
 	}
-	return b.Take(now, 1)
+	return b.Spend(now, 1)
 }
--- a/internal/decide/hingeretry/retry_test.go
+++ b/internal/decide/hingeretry/retry_test.go
@@ -38,7 +38,7 @@
 		f, b := parseFailure(t, in)
 		d := Decide(start, f, b)
 		got := actions[d.Action]
-		if d.Action == Answer {
+		if d.Action == ReturnError {
 			got += " " + d.Err.Verdict.String()
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -51,14 +51,14 @@
 	words := strings.Fields(line)
 	b := NewBudget(start)
 	f := Failure{
-		Err:          hingeverdict.New(verdicts[words[0]], hingeverdict.CodeServerFailed, 0, nil),
-		Before:       verdicts[words[1]],
-		Attempts:     1,
-		Arrivals:     1,
-		Sent:         17,
-		TransferTime: 200 * time.Millisecond,
-		RepeatTime:   10 * time.Second,
-		Deadline:     start.Add(time.Minute),
+		Err:            hingeverdict.New(verdicts[words[0]], hingeverdict.CodeServerFailed, 0, nil),
+		EarlierVerdict: verdicts[words[1]],
+		Attempts:       1,
+		ExtraMessages:  1,
+		SentTokens:     17,
+		TransferTime:   200 * time.Millisecond,
+		RetryTime:      10 * time.Second,
+		Deadline:       start.Add(time.Minute),
 	}
 	for _, w := range words[2:] {
 		name, value, _ := strings.Cut(w, "=")
@@ -68,9 +68,9 @@
 		case "neverRepeat":
 			f.NeverRepeat = true
 		case "sameLife":
-			f.SameLife = true
+			f.SameInstance = true
 		case "arrivals":
-			f.Arrivals = n
+			f.ExtraMessages = n
 		case "resumes":
 			f.Resumes = n
 		case "attempts":
@@ -96,19 +96,19 @@
 			return hingeverdict.Verdict(rapid.IntRange(0, 2).Draw(t, name))
 		}
 		f := Failure{
-			Err:         hingeverdict.New(drawVerdict("now"), hingeverdict.CodeServerFailed, 0, nil),
-			Before:      drawVerdict("before"),
-			Attempts:    rapid.IntRange(1, 4).Draw(t, "attempts"),
-			NeverRepeat: true,
-			Deadline:    start.Add(time.Duration(rapid.IntRange(-1, 60).Draw(t, "deadline")) * time.Second),
-			CacheUntil:  start.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "cache")) * time.Second),
+			Err:            hingeverdict.New(drawVerdict("now"), hingeverdict.CodeServerFailed, 0, nil),
+			EarlierVerdict: drawVerdict("before"),
+			Attempts:       rapid.IntRange(1, 4).Draw(t, "attempts"),
+			NeverRepeat:    true,
+			Deadline:       start.Add(time.Duration(rapid.IntRange(-1, 60).Draw(t, "deadline")) * time.Second),
+			CacheUntil:     start.Add(time.Duration(rapid.IntRange(-1, 1).Draw(t, "cache")) * time.Second),
 		}
-		notRun := f.Before == hingeverdict.NotRun && f.Err.Verdict == hingeverdict.NotRun
+		notRun := f.EarlierVerdict == hingeverdict.NotRun && f.Err.Verdict == hingeverdict.NotRun
 		d := Decide(start, f, NewBudget(start))
-		if d.Action != Answer && !notRun {
-			t.Fatalf("verdict %v after %v: action %s, want answer", f.Err.Verdict, f.Before, actions[d.Action])
+		if d.Action != ReturnError && !notRun {
+			t.Fatalf("verdict %v after %v: action %s, want answer", f.Err.Verdict, f.EarlierVerdict, actions[d.Action])
 		}
-		if d.Action == Answer && d.Err.Verdict == hingeverdict.NotRun && !notRun {
+		if d.Action == ReturnError && d.Err.Verdict == hingeverdict.NotRun && !notRun {
 			t.Fatal("the verdict is NotRun although an attempt may have run")
 		}
 	})
@@ -120,11 +120,11 @@
 	b := NewBudget(start)
 	hedges := 0
 	for range 1000 {
-		b.Request()
-		if Hedge(start.Add(time.Second), Waiting{
-			Since:        start,
-			Expected:     100 * time.Millisecond,
-			FirstTokenBy: start.Add(time.Minute),
+		b.RecordRequest()
+		if Hedge(start.Add(time.Second), PendingRequest{
+			SentAt:           start,
+			Expected:         100 * time.Millisecond,
+			FirstTokenTarget: start.Add(time.Minute),
 		}, b) {
 			hedges++
 		}
--- a/internal/decide/hingeshift/shift.go
+++ b/internal/decide/hingeshift/shift.go
@@ -34,21 +34,21 @@
 
 // Config holds the durations that govern role changes.
 type Config struct {
-	// Change is how long a drained engine takes to change its role.
-	Change time.Duration
+	// ChangeTime is how long a drained engine takes to change its role.
+	ChangeTime time.Duration
 	// HoldFor and Rest are the durations of rule 4.
-	HoldFor, Rest time.Duration
-	// MostLast is the maximum expected duration of a demand.
-	MostLast time.Duration
+	HoldFor, Cooldown time.Duration
+	// MaxDemandDuration is the maximum expected duration of a demand.
+	MaxDemandDuration time.Duration
 }
 
 // Defaults returns a Config for engines whose requests last about ten seconds.
 func Defaults() Config {
 	return Config{
-		Change:   10 * time.Second,
-		HoldFor:  30 * time.Second,
-		Rest:     2 * time.Minute,
-		MostLast: 10 * time.Minute,
+		ChangeTime:        10 * time.Second,
+		HoldFor:           30 * time.Second,
+		Cooldown:          2 * time.Minute,
+		MaxDemandDuration: 10 * time.Minute,
 	}
 }
 
@@ -57,19 +57,19 @@
 	Server hingeids.ServerID
 	Kind   hingeannounce.Kind
 	Zone   hingeids.Zone
-	// Held counts the allocations of the engine, and Drain predicts how long they last.
-	Held  int
-	Drain time.Duration
+	// Allocations counts the allocations of the engine, and Drain predicts how long they last.
+	Allocations int
+	Drain       time.Duration
 }
 
 // Demand is the demand on each role, in engines.
 type Demand struct {
 	Prefill, Decode float64
-	// ReadCost is the number of decode engines that replace one prefill engine; zero if decode
+	// DecodePrefillCost is the number of decode engines that replace one prefill engine; zero if decode
 	// engines can't prefill.
-	ReadCost float64
-	// Present is the present demand, if Prefill and Decode include a reserve; nil if unknown.
-	Present *Load
+	DecodePrefillCost float64
+	// Current is the present demand, if Prefill and Decode include a reserve; nil if unknown.
+	Current *Load
 }
 
 // Load is the momentary demand on each role, in engines.
@@ -77,14 +77,14 @@
 	Prefill, Decode float64
 }
 
-// Shift is a decision to drain an engine and then change its role.
-type Shift struct {
+// RoleChange is a decision to drain an engine and then change its role.
+type RoleChange struct {
 	Server hingeids.ServerID
 	To     hingeannounce.Kind
 }
 
-// Shifter decides on the role changes of one pool. It is not safe for concurrent use.
-type Shifter struct {
+// Planner decides on the role changes of one pool. It is not safe for concurrent use.
+type Planner struct {
 	config Config
 	// target is the role that needs one more engine, and targetSince the time since which it does.
 	target      hingeannounce.Kind
@@ -97,15 +97,15 @@
 }
 
 // New returns a Shifter without observations.
-func New(c Config) *Shifter {
-	return &Shifter{
+func New(c Config) *Planner {
+	return &Planner{
 		config: c,
 	}
 }
 
-// Watch updates the hysteresis without deciding, for a caller that may not change roles yet. It
+// Observe updates the hysteresis without deciding, for a caller that may not change roles yet. It
 // returns the role that one more engine would help, and the gain in engines.
-func (s *Shifter) Watch(now time.Time, engines []Engine, d Demand) (hingeannounce.Kind, float64) {
+func (s *Planner) Observe(now time.Time, engines []Engine, d Demand) (hingeannounce.Kind, float64) {
 	to, gain := bestChange(engines, d)
 	if to != s.target {
 		s.target, s.targetSince = to, now
@@ -115,39 +115,39 @@
 
 // Decide returns the role change to start now, if there is one. The caller calls it about once a
 // second, drains the engine and then changes its role.
-func (s *Shifter) Decide(now time.Time, engines []Engine, d Demand) (Shift, bool) {
-	to, gain := s.Watch(now, engines, d)
+func (s *Planner) Decide(now time.Time, engines []Engine, d Demand) (RoleChange, bool) {
+	to, gain := s.Observe(now, engines, d)
 	if to == "" || now.Sub(s.targetSince) < s.config.HoldFor {
-		return Shift{}, false
+		return RoleChange{}, false
 	}
-	if !s.lastChange.IsZero() && now.Sub(s.lastChange) < s.config.Rest {
-		return Shift{}, false
+	if !s.lastChange.IsZero() && now.Sub(s.lastChange) < s.config.Cooldown {
+		return RoleChange{}, false
 	}
 	e := cheapest(engines, to)
-	demandDuration := min(now.Sub(s.targetSince), s.config.MostLast)
+	demandDuration := min(now.Sub(s.targetSince), s.config.MaxDemandDuration)
 	if gain*demandDuration.Seconds() < 2*s.cost(engines, e, to, d).Seconds() {
-		return Shift{}, false
+		return RoleChange{}, false
 	}
 	s.lastChange, s.targetSince = now, now
 	s.lastTarget, s.lastDemandDuration = to, demandDuration
-	return Shift{
+	return RoleChange{
 		Server: e.Server,
 		To:     to,
 	}, true
 }
 
-// More returns a further role change to make together with the last one. The engines must be given
+// DecideNext returns a further role change to make together with the last one. The engines must be given
 // as they are after that.
-func (s *Shifter) More(engines []Engine, d Demand) (Shift, bool) {
+func (s *Planner) DecideNext(engines []Engine, d Demand) (RoleChange, bool) {
 	to, gain := bestChange(engines, d)
 	if to == "" || to != s.lastTarget {
-		return Shift{}, false
+		return RoleChange{}, false
 	}
 	e := cheapest(engines, to)
 	if gain*s.lastDemandDuration.Seconds() < 2*s.cost(engines, e, to, d).Seconds() {
-		return Shift{}, false
+		return RoleChange{}, false
 	}
-	return Shift{
+	return RoleChange{
 		Server: e.Server,
 		To:     to,
 	}, true
@@ -158,26 +158,26 @@
 const spareCostFactor = 0.05
 
 // cost implements rule 3.
-func (s *Shifter) cost(engines []Engine, e Engine, to hingeannounce.Kind, d Demand) time.Duration {
-	cost := e.Drain + s.config.Change
-	if Spares(engines, to, d) {
+func (s *Planner) cost(engines []Engine, e Engine, to hingeannounce.Kind, d Demand) time.Duration {
+	cost := e.Drain + s.config.ChangeTime
+	if CanSpare(engines, to, d) {
 		cost = time.Duration(spareCostFactor * float64(cost))
 	}
 	return cost
 }
 
-// Spares reports whether the other role, which an engine would leave for the given one, can do
+// CanSpare reports whether the other role, which an engine would leave for the given one, can do
 // without the engine at the present demand. Requests that the given role has no capacity for don't
 // count.
-func Spares(engines []Engine, to hingeannounce.Kind, d Demand) bool {
-	if d.Present == nil {
+func CanSpare(engines []Engine, to hingeannounce.Kind, d Demand) bool {
+	if d.Current == nil {
 		return false
 	}
 	prefills, decodes := countRoles(engines)
 	if to == hingeannounce.Decode {
-		return float64(prefills-1) >= d.Present.Prefill*roleShare(decodes, d.Present.Decode)
+		return float64(prefills-1) >= d.Current.Prefill*roleShare(decodes, d.Current.Decode)
 	}
-	return float64(decodes-1) >= d.Present.Decode*roleShare(prefills, d.Present.Prefill)
+	return float64(decodes-1) >= d.Current.Decode*roleShare(prefills, d.Current.Prefill)
 }
 
 // roleShare returns the share of a role's demand that the given number of engines can process.
@@ -229,12 +229,12 @@
 	if d.Prefill == 0 || share*d.Prefill <= p {
 		return share
 	}
-	if d.ReadCost == 0 {
+	if d.DecodePrefillCost == 0 {
 		return p / d.Prefill
 	}
 	// Decode engines prefill the remaining prompts: share x Decode + ReadCost x (share x Prefill -
 	// p) = e.
-	return min((e+d.ReadCost*p)/(d.Decode+d.ReadCost*d.Prefill), 1)
+	return min((e+d.DecodePrefillCost*p)/(d.Decode+d.DecodePrefillCost*d.Prefill), 1)
 }
 
 // cheapest returns the engine of the other role with the shortest drain (rule 6).
--- a/internal/decide/hingeshift/shift_test.go
+++ b/internal/decide/hingeshift/shift_test.go
@@ -169,33 +169,33 @@
 	}
 	engines[3].Kind = hingeannounce.Prefill
 	d := Demand{
-		Prefill:  2.1,
-		Decode:   6.9,
-		ReadCost: 2,
-		Present: &Load{
+		Prefill:           2.1,
+		Decode:            6.9,
+		DecodePrefillCost: 2,
+		Current: &Load{
 			Prefill: 1,
 			Decode:  3.5,
 		},
 	}
 	s := New(Config{
-		Change:   6 * time.Second,
-		HoldFor:  time.Second,
-		Rest:     9 * time.Second,
-		MostLast: time.Minute,
+		ChangeTime:        6 * time.Second,
+		HoldFor:           time.Second,
+		Cooldown:          9 * time.Second,
+		MaxDemandDuration: time.Minute,
 	})
 	changed := 0
-	shift, ok := Shift{}, false
+	shift, ok := RoleChange{}, false
 	for t := time.Duration(0); t <= 2*time.Second && !ok; t += 500 * time.Millisecond {
 		shift, ok = s.Decide(start.Add(t), engines, d)
 	}
-	for ok && Spares(engines, shift.To, d) {
+	for ok && CanSpare(engines, shift.To, d) {
 		changed++
 		for i := range engines {
 			if engines[i].Server == shift.Server {
 				engines[i].Kind = shift.To
 			}
 		}
-		shift, ok = s.More(engines, d)
+		shift, ok = s.DecideNext(engines, d)
 	}
 	if changed != 2 {
 		t.Fatalf("%d engines changed at once, want 2", changed)
@@ -211,7 +211,7 @@
 	if got := servedShare(2, 7, d); got != 2.0/3 {
 		t.Errorf("served share without prefill on decode engines: %v, want 2/3", got)
 	}
-	d.ReadCost = 2
+	d.DecodePrefillCost = 2
 	// Decode needs 6 engines, and the prompts of the missing prefill engine need 2: the share is
 	// (7 + 2 x 2) / (6 + 2 x 3) = 11/12.
 	if got := servedShare(2, 7, d); got < 0.916 || got > 0.918 {
--- a/internal/ledger/hingeledger/claim.go
+++ b/internal/ledger/hingeledger/claim.go
@@ -92,11 +92,11 @@
 
 // command is one input of State. Rule 6.
 type command struct {
-	Verb   verb          `cbor:"1,keyasint"`
-	Time   int64         `cbor:"2,keyasint"`
-	Claim  Claim         `cbor:"3,keyasint"`
-	Answer []byte        `cbor:"4,keyasint,omitempty"`
-	Life   hingeids.Life `cbor:"5,keyasint"`
+	Verb   verb              `cbor:"1,keyasint"`
+	Time   int64             `cbor:"2,keyasint"`
+	Claim  Claim             `cbor:"3,keyasint"`
+	Answer []byte            `cbor:"4,keyasint,omitempty"`
+	Life   hingeids.Instance `cbor:"5,keyasint"`
 }
 
 // issuedPrefix marks issued keys. Callers' own keys that begin with it are taken
--- a/internal/ledger/hingeledger/group_test.go
+++ b/internal/ledger/hingeledger/group_test.go
@@ -149,7 +149,7 @@
 	return h.ledger.Claim(context.Background(), Claim{
 		Caller:  "depot",
 		Key:     key,
-		Request: hingeids.RequestID{Life: hingeids.Life{Host: h.id, Incarnation: 1}, Sequence: sequence},
+		Request: hingeids.RequestID{Instance: hingeids.Instance{Host: h.id, Incarnation: 1}, Sequence: sequence},
 		Until:   time.Now().Add(claimSpan).UnixNano(),
 	})
 }
--- a/internal/ledger/hingeledger/ledger_test.go
+++ b/internal/ledger/hingeledger/ledger_test.go
@@ -83,7 +83,7 @@
 		t.Fatalf("its own key: %v", err)
 	}
 	noQuorum := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeNoQuorum, ComesBack: true}
-	noKeeper := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeKeeperUnreachable, ComesBack: true}
+	noKeeper := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeKeyOwnerUnreachable, ComesBack: true}
 	free := &operation{caller: "depot", key: "lot-7"}
 	wantRefusal(t, w.request(free, inside, "body"), noQuorum)
 	wantRefusal(t, w.request(foreign, inside, "body"), noKeeper)
@@ -155,7 +155,7 @@
 		Caller:  op.caller,
 		Key:     op.key,
 		Digest:  a.claim.Digest,
-		Request: hingeids.RequestID{Life: hingeids.Life{Host: other.id, Incarnation: other.life}, Sequence: 99},
+		Request: hingeids.RequestID{Instance: hingeids.Instance{Host: other.id, Incarnation: other.life}, Sequence: 99},
 		Until:   a.claim.Until,
 	})
 	if err != nil {
--- a/internal/ledger/hingeledger/schedule_test.go
+++ b/internal/ledger/hingeledger/schedule_test.go
@@ -130,7 +130,7 @@
 		return
 	}
 	over := w.order[w.draw("over", len(w.order))]
-	_ = h.ledger.EndLife(context.Background(), hingeids.Life{Host: over.id, Incarnation: over.life})
+	_ = h.ledger.EndLife(context.Background(), hingeids.Instance{Host: over.id, Incarnation: over.life})
 }
 
 func (w *world) checkReplicasAgree() {
--- a/internal/ledger/hingeledger/script_test.go
+++ b/internal/ledger/hingeledger/script_test.go
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.apply(t, command{Verb: verbEndLife, Life: hingeids.Life{
+		return s.apply(t, command{Verb: verbEndLife, Life: hingeids.Instance{
 			Host: hingeids.HostID(words[1]), Incarnation: hingeids.Incarnation(life),
 		}})
 	}
--- a/internal/ledger/hingeledger/store_test.go
+++ b/internal/ledger/hingeledger/store_test.go
@@ -187,7 +187,7 @@
 			Until:  begin.Add(time.Hour).UnixNano(),
 			Keep:   testKeep,
 			Request: hingeids.RequestID{
-				Life:     hingeids.Life{Host: "cancale-1", Incarnation: 1},
+				Instance: hingeids.Instance{Host: "cancale-1", Incarnation: 1},
 				Sequence: sequence,
 			},
 		},
--- a/internal/link/hingelink/peer.go
+++ b/internal/link/hingelink/peer.go
@@ -147,7 +147,7 @@
 			if q.forget(p) {
 				return
 			}
-			hingeclock.Pause(ctx, redialPause)
+			hingeclock.Sleep(ctx, redialPause)
 			continue
 		}
 		wasUp = q.keep(ctx, p, d, wasUp)
@@ -178,7 +178,7 @@
 	}
 	p.set(nil, eris.Wrapf(cause, "host %s ended the connection", p.host))
 	q.recordAway(p, wasUp, cause)
-	hingeclock.Pause(ctx, redialPause)
+	hingeclock.Sleep(ctx, redialPause)
 	return false
 }
 
--- a/internal/link/hingelink/quic.go
+++ b/internal/link/hingelink/quic.go
@@ -114,7 +114,7 @@
 // NewInsecure makes the link of a host on a platform that gives its processes no keys: links are
 // encrypted with certificates made in memory, and whoever can send packets is believed.
 func NewInsecure(
-	self hingeids.Life, listen string, addressOf func(hingeids.HostID) (string, error), r *hingeevents.Recorder,
+	self hingeids.Instance, listen string, addressOf func(hingeids.HostID) (string, error), r *hingeevents.Recorder,
 ) (*QUIC, error) {
 	return NewQUIC(Config{
 		Self:        self.Host,
--- a/internal/link/hingelink/quic_test.go
+++ b/internal/link/hingelink/quic_test.go
@@ -36,7 +36,7 @@
 		Listen:      "127.0.0.1:0",
 		Insecure:    true,
 		AllowCut:    true,
-		Recorder: hingeevents.NewRecorder(hingeids.Life{
+		Recorder: hingeevents.NewRecorder(hingeids.Instance{
 			Host:        self,
 			Incarnation: life,
 		}),
--- a/internal/load/hingecompare/compare.go
+++ b/internal/load/hingecompare/compare.go
@@ -20,7 +20,7 @@
 
 // Options say what to compare.
 type Options struct {
-	Firm hingemodel.Firm
+	Firm hingemodel.Workload
 	// Loads are multiples of the firm's peak rate.
 	Loads []float64
 	Seeds int
@@ -47,7 +47,7 @@
 // contender is a way to decide.
 type contender struct {
 	name string
-	make func(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) hingemodel.Policy
+	make func(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy
 }
 
 // contenders are ours with the weights of both firms' examples, and the
@@ -91,16 +91,16 @@
 	}
 }
 
-func ours(w hingeplace.Weights) func(hingemodel.Firm, hingemodel.Cluster, uint64) hingemodel.Policy {
-	return func(f hingemodel.Firm, c hingemodel.Cluster, _ uint64) hingemodel.Policy {
+func ours(w hingeplace.Weights) func(hingemodel.Workload, hingemodel.Cluster, uint64) hingemodel.Policy {
+	return func(f hingemodel.Workload, c hingemodel.Cluster, _ uint64) hingemodel.Policy {
 		return hingepolicy.New(f, c, w)
 	}
 }
 
 func baseline(
-	b func(hingemodel.Firm, hingemodel.Cluster, uint64) *hingebaseline.Router,
-) func(hingemodel.Firm, hingemodel.Cluster, uint64) hingemodel.Policy {
-	return func(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) hingemodel.Policy {
+	b func(hingemodel.Workload, hingemodel.Cluster, uint64) *hingebaseline.Router,
+) func(hingemodel.Workload, hingemodel.Cluster, uint64) hingemodel.Policy {
+	return func(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy {
 		return b(f, c, seed)
 	}
 }
@@ -131,24 +131,24 @@
 	n := float64(o.Seeds)
 	for seed := range o.Seeds {
 		run := hingemodel.Run{
-			Cluster: hingemodel.BriefCluster(),
-			Firm:    o.Firm,
-			Seed:    uint64(seed + 1),
-			Measure: o.Lasts * 2 / 5,
-			Clients: hingemodel.Clients{
+			Cluster:  hingemodel.DefaultCluster(),
+			Workload: o.Firm,
+			Seed:     uint64(seed + 1),
+			Warmup:   o.Lasts * 2 / 5,
+			Clients: hingemodel.ClientRetries{
 				Attempts: 1,
 			},
 			Phases: []hingemodel.Phase{
 				{
-					Lasts: o.Lasts,
-					Load:  load,
+					Duration: o.Lasts,
+					Load:     load,
 				},
 			},
 		}
-		r := hingemodel.Play(run, c.make(run.Firm, run.Cluster, run.Seed))
+		r := hingemodel.Simulate(run, c.make(run.Workload, run.Cluster, run.Seed))
 		p.Goodput += r.Goodput() / n
 		p.TokenGoodput += r.TokenGoodput() / n
-		p.Wasted += r.Wasted() / n
+		p.Wasted += r.WastedShare() / n
 		for _, class := range r.Classes {
 			arrived += class.Arrived
 			refused += class.Refused
--- a/internal/load/hingeload/mix.go
+++ b/internal/load/hingeload/mix.go
@@ -122,7 +122,7 @@
 // completions takes a firm's completions from the engine model, so that both
 // measure the same work. The class named chat uses the chat route, by which the
 // rules tell it from the others.
-func completions(f hingemodel.Firm, share float64, chat string) []Class {
+func completions(f hingemodel.Workload, share float64, chat string) []Class {
 	var list []Class
 	for _, c := range f.Classes {
 		kind := Completion
--- a/internal/load/hingeprogram/model.go
+++ b/internal/load/hingeprogram/model.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func firmOf(name string) (hingemodel.Firm, error) {
+func firmOf(name string) (hingemodel.Workload, error) {
 	switch name {
 	case "shellfish":
 		return hingemodel.Shellfish(), nil
@@ -55,7 +55,7 @@
 	case "streaming":
 		return hingemodel.Streaming(), nil
 	}
-	return hingemodel.Firm{}, eris.Errorf("--firm %q: want shellfish, shellfish-skewed or streaming", name)
+	return hingemodel.Workload{}, eris.Errorf("--firm %q: want shellfish, shellfish-skewed or streaming", name)
 }
 
 // mostLoad bounds a run's arrivals, which all are drawn beforehand.
--- a/internal/membership/hingefollow/follow.go
+++ b/internal/membership/hingefollow/follow.go
@@ -238,12 +238,12 @@
 		a, err := f.ask(ctx, id, h)
 		now := f.settings.Clock()
 		if err != nil {
-			hingeclock.Pause(ctx, retryPause)
+			hingeclock.Sleep(ctx, retryPause)
 			continue
 		}
 		f.take(now, h, a)
 		if f.lacks(a.Version) {
-			hingeclock.Pause(ctx, briefWait)
+			hingeclock.Sleep(ctx, briefWait)
 			f.note(h, f.lacks(a.Version))
 		}
 	}
--- a/internal/membership/hingefollow/follow_test.go
+++ b/internal/membership/hingefollow/follow_test.go
@@ -148,7 +148,7 @@
 	}
 	c.documents.Store(&hingeversion.Document{})
 	c.poisons.Store(&hingepoison.List{})
-	c.source = NewSource(hingeids.Life{
+	c.source = NewSource(hingeids.Instance{
 		Host:        h,
 		Incarnation: life,
 	}, c.origin, c, time.Now, x.network.Link(h))
@@ -576,10 +576,10 @@
 		f, _ := x.follow("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
 		older := (&hingepoison.List{}).With(hingepoison.Record{
-			Print: 7,
+			Fingerprint: 7,
 		})
 		newer := older.With(hingepoison.Record{
-			Print: 8,
+			Fingerprint: 8,
 		})
 		began := time.Now()
 		x.all["control-2"].poisons.Store(newer)
--- a/internal/membership/hingefollow/source.go
+++ b/internal/membership/hingefollow/source.go
@@ -87,7 +87,7 @@
 
 // NewSource makes the source of a control host and sets its handler.
 func NewSource(
-	life hingeids.Life, o Origin, p Peers, clock func() time.Time, link hingelink.Link,
+	life hingeids.Instance, o Origin, p Peers, clock func() time.Time, link hingelink.Link,
 ) *Source {
 	s := &Source{
 		peers:     p,
@@ -242,7 +242,7 @@
 	defer stop()
 	if err := s.origin.Read(one); err != nil {
 		// The follower asks again; without the pause it would do so without a break.
-		hingeclock.Pause(ctx, retryPause)
+		hingeclock.Sleep(ctx, retryPause)
 		return false
 	}
 	return true
@@ -332,7 +332,7 @@
 		s.mu.Unlock()
 		if s.origin.Documents().Load().Version > q.Version || s.origin.Poisons().Load().Revision > q.Poisons ||
 			s.origin.Standing().Leader != leader {
-			hingeclock.Pause(ctx, leastGather)
+			hingeclock.Sleep(ctx, leastGather)
 			return
 		}
 		if news && !gathering {
--- a/internal/membership/hingemembers/driver_test.go
+++ b/internal/membership/hingemembers/driver_test.go
@@ -29,13 +29,13 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	group, ctx := errgroup.WithContext(ctx)
-	over := make(chan hingeids.Life, 1)
+	over := make(chan hingeids.Instance, 1)
 	all := make(map[hingeids.HostID]*Members)
 	record := make(Record)
 	for _, n := range names {
 		m := New(Config{
 			StateConfig: StateConfig{
-				Life: hingeids.Life{
+				Life: hingeids.Instance{
 					Host:        n,
 					Incarnation: 1,
 				},
@@ -44,7 +44,7 @@
 				Peers: peers,
 			},
 			Link: network.Link(n),
-			OnOver: func(ended hingeids.Life) {
+			OnOver: func(ended hingeids.Instance) {
 				over <- ended
 			},
 		})
--- a/internal/membership/hingemembers/facts.go
+++ b/internal/membership/hingemembers/facts.go
@@ -8,11 +8,11 @@
 
 // HostFact is what is known of one entry host.
 type HostFact struct {
-	Life    hingeids.Life `cbor:"1,keyasint"`
-	Version uint32        `cbor:"2,keyasint,omitempty"`
-	Suspect bool          `cbor:"3,keyasint,omitempty"`
-	Leaving bool          `cbor:"4,keyasint,omitempty"`
-	Over    bool          `cbor:"5,keyasint,omitempty"`
+	Life    hingeids.Instance `cbor:"1,keyasint"`
+	Version uint32            `cbor:"2,keyasint,omitempty"`
+	Suspect bool              `cbor:"3,keyasint,omitempty"`
+	Leaving bool              `cbor:"4,keyasint,omitempty"`
+	Over    bool              `cbor:"5,keyasint,omitempty"`
 }
 
 // join joins two facts of one host. It is commutative, associative and
@@ -35,8 +35,8 @@
 
 // Testimony says that the life By has promised not to renew the life Against.
 type Testimony struct {
-	By      hingeids.Life `cbor:"1,keyasint"`
-	Against hingeids.Life `cbor:"2,keyasint"`
+	By      hingeids.Instance `cbor:"1,keyasint"`
+	Against hingeids.Instance `cbor:"2,keyasint"`
 }
 
 // Recorded is what the configuration log says of a host's newest life.
@@ -50,7 +50,7 @@
 type Record map[hingeids.HostID]Recorded
 
 // Has reports whether a life is in the record and not over.
-func (r Record) Has(l hingeids.Life) bool {
+func (r Record) Has(l hingeids.Instance) bool {
 	return r[l.Host] == Recorded{
 		Incarnation: l.Incarnation,
 	}
@@ -58,7 +58,7 @@
 
 // IsOver reports whether the record shows that a life is over: it says so, or
 // it has a newer one of the same host.
-func (r Record) IsOver(l hingeids.Life) bool {
+func (r Record) IsOver(l hingeids.Instance) bool {
 	got := r[l.Host]
 	return got.Incarnation > l.Incarnation || got.Incarnation == l.Incarnation && got.Over
 }
--- a/internal/membership/hingemembers/members.go
+++ b/internal/membership/hingemembers/members.go
@@ -32,7 +32,7 @@
 	// OnOver is called, on a goroutine of its own, when this host learns that
 	// its life is over although it did not end it. It answers every caller
 	// finally; when it returns, a new life begins. The new life has to be recorded.
-	OnOver func(ended hingeids.Life)
+	OnOver func(ended hingeids.Instance)
 }
 
 // Members drives a State: one goroutine, the link's datagrams, and two cells for
@@ -149,7 +149,7 @@
 	return next
 }
 
-func (m *Members) endLife(l hingeids.Life) {
+func (m *Members) endLife(l hingeids.Instance) {
 	if m.config.OnOver != nil {
 		m.config.OnOver(l)
 	}
--- a/internal/membership/hingemembers/members_test.go
+++ b/internal/membership/hingemembers/members_test.go
@@ -41,7 +41,7 @@
 		killed.dead = true
 		s.run(s.now+3*time.Second, nil)
 		got := s.byName["host-0-0"].state.Overdue()
-		if diff := cmp.Diff([]hingeids.Life{killed.state.Life()}, got); diff != "" {
+		if diff := cmp.Diff([]hingeids.Instance{killed.state.Life()}, got); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
@@ -194,7 +194,7 @@
 func TestJoinIsTheSameInAnyOrder(t *testing.T) {
 	fact := rapid.Custom(func(t *rapid.T) HostFact {
 		return HostFact{
-			Life: hingeids.Life{
+			Life: hingeids.Instance{
 				Host:        "host-0-0",
 				Incarnation: hingeids.Incarnation(rapid.IntRange(1, 2).Draw(t, "incarnation")),
 			},
@@ -343,7 +343,7 @@
 	ending.state.End()
 	s.run(6*time.Second, nil)
 	got := s.byName["host-0-0"].state.Overdue()
-	if diff := cmp.Diff([]hingeids.Life{ending.state.Life()}, got); diff != "" {
+	if diff := cmp.Diff([]hingeids.Instance{ending.state.Life()}, got); diff != "" {
 		t.Error(diff)
 	}
 	if ending.state.DeclaredOver() {
--- a/internal/membership/hingemembers/probe.go
+++ b/internal/membership/hingemembers/probe.go
@@ -248,7 +248,7 @@
 }
 
 // takeRelayed takes that a peer answered another who probed it for us.
-func (s *State) takeRelayed(sent time.Time, about hingeids.Life) {
+func (s *State) takeRelayed(sent time.Time, about hingeids.Instance) {
 	p := s.byHost[about.Host]
 	if p != nil && p.fact.Life == about && sent.After(p.evidence) {
 		p.evidence = sent
--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -71,7 +71,7 @@
 	for _, p := range peers {
 		h := &simHost{
 			config: StateConfig{
-				Life:  hingeids.Life{Host: p.Host},
+				Life:  hingeids.Instance{Host: p.Host},
 				Zone:  p.Zone,
 				Voter: p.Voter,
 				Peers: peers,
@@ -107,7 +107,7 @@
 	})
 }
 
-func (s *simulation) recordLife(l hingeids.Life, over bool) {
+func (s *simulation) recordLife(l hingeids.Instance, over bool) {
 	next := make(Record)
 	for k, v := range s.record {
 		next[k] = v
--- a/internal/membership/hingemembers/standing.go
+++ b/internal/membership/hingemembers/standing.go
@@ -19,13 +19,13 @@
 )
 
 // mayRenew reports whether this host may renew a life's lease. Rules 8 and 9.
-func (s *State) mayRenew(l hingeids.Life) bool {
+func (s *State) mayRenew(l hingeids.Instance) bool {
 	return s.record.Has(s.life) && !s.record.IsOver(l) && !s.promised(l)
 }
 
 // promised reports whether this host has promised against a life, in whichever
 // life of its own.
-func (s *State) promised(against hingeids.Life) bool {
+func (s *State) promised(against hingeids.Instance) bool {
 	for a := range s.against {
 		if a.Against == against && a.By.Host == s.life.Host {
 			return true
@@ -90,15 +90,15 @@
 
 // lifeIsPast reports a life after which the record has a newer one. One that is
 // merely over keeps its testimonies, since a host whose record is behind asks.
-func (s *State) lifeIsPast(l hingeids.Life) bool {
+func (s *State) lifeIsPast(l hingeids.Instance) bool {
 	return s.record[l.Host].Incarnation > l.Incarnation
 }
 
 // Overdue gives the lives that do not stand, or have ended themselves, and that the
 // record may show as over, if the one who records it finds the testifying lives still in the same
 // record. Rule 8.
-func (s *State) Overdue() []hingeids.Life {
-	var out []hingeids.Life
+func (s *State) Overdue() []hingeids.Instance {
+	var out []hingeids.Instance
 	for _, p := range s.peers {
 		if p.known && s.record.Has(p.fact.Life) && (p.fact.Over || s.overdue(p)) {
 			out = append(out, p.fact.Life)
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -20,7 +20,7 @@
 
 // StateConfig says who a State is.
 type StateConfig struct {
-	Life hingeids.Life
+	Life hingeids.Instance
 	Zone hingeids.Zone
 	// Voter says that this host votes on the configuration log.
 	Voter bool
@@ -32,7 +32,7 @@
 
 // State is what one entry host knows and owes. It is not safe for concurrent use.
 type State struct {
-	life    hingeids.Life
+	life    hingeids.Instance
 	zone    hingeids.Zone
 	voter   bool
 	own     HostFact
@@ -105,13 +105,13 @@
 }
 
 // Life gives the life that this host leads now.
-func (s *State) Life() hingeids.Life {
+func (s *State) Life() hingeids.Instance {
 	return s.life
 }
 
 // NewLife ends this host's life and begins another, after the old one was
 // found to be over. The new incarnation is above every one heard of.
-func (s *State) NewLife(now time.Time) hingeids.Life {
+func (s *State) NewLife(now time.Time) hingeids.Instance {
 	s.seen = max(s.seen+1, hingeids.Incarnation(now.UnixNano()))
 	s.life.Incarnation = s.seen
 	s.own = HostFact{Life: s.life}
@@ -142,7 +142,7 @@
 	s.record = r
 	for host, got := range r {
 		s.takeHost(HostFact{
-			Life: hingeids.Life{
+			Life: hingeids.Instance{
 				Host:        host,
 				Incarnation: got.Incarnation,
 			},
--- a/internal/membership/hingemembers/view.go
+++ b/internal/membership/hingemembers/view.go
@@ -25,20 +25,20 @@
 
 // Host is an entry host as it looks from here.
 type Host struct {
-	Life  hingeids.Life
+	Life  hingeids.Instance
 	Zone  hingeids.Zone
 	State HostState
 }
 
 // View is what a host knew of all entry hosts at one time. Nobody changes it.
 type View struct {
-	Self hingeids.Life
+	Self hingeids.Instance
 	// Hosts are all entry hosts of the settings, this one first.
 	Hosts []Host
 	// StandsUntil is when this host's life lease ends; rule 7.
 	StandsUntil time.Time
 	// Overdue are lives that the record may show as over; rule 8.
-	Overdue []hingeids.Life
+	Overdue []hingeids.Instance
 	// Record is what the configuration log says of lives.
 	Record Record
 }
@@ -58,7 +58,7 @@
 	}
 	for _, p := range s.peers {
 		v.Hosts = append(v.Hosts, Host{
-			Life: hingeids.Life{
+			Life: hingeids.Instance{
 				Host:        p.Host,
 				Incarnation: p.fact.Life.Incarnation,
 			},
@@ -94,8 +94,8 @@
 }
 
 // Alive gives the lives in a zone that look alive, this host's own if it is.
-func (v *View) Alive(zone hingeids.Zone) []hingeids.Life {
-	var out []hingeids.Life
+func (v *View) Alive(zone hingeids.Zone) []hingeids.Instance {
+	var out []hingeids.Instance
 	for _, h := range v.Hosts {
 		if h.Zone == zone && h.State == Alive {
 			out = append(out, h.Life)
--- a/internal/membership/hingemembers/wire.go
+++ b/internal/membership/hingemembers/wire.go
@@ -21,13 +21,13 @@
 
 // Message is a datagram between entry hosts.
 type Message struct {
-	Kind messageKind   `cbor:"1,keyasint"`
-	From hingeids.Life `cbor:"2,keyasint"`
+	Kind messageKind       `cbor:"1,keyasint"`
+	From hingeids.Instance `cbor:"2,keyasint"`
 	// Origin is the life that wants to know, Round its round.
-	Origin hingeids.Life `cbor:"3,keyasint"`
-	Round  uint64        `cbor:"4,keyasint"`
+	Origin hingeids.Instance `cbor:"3,keyasint"`
+	Round  uint64            `cbor:"4,keyasint"`
 	// About is the life that acknowledged, or the host to probe.
-	About hingeids.Life `cbor:"5,keyasint"`
+	About hingeids.Instance `cbor:"5,keyasint"`
 	// Leased says that the acknowledgement renews the origin's life lease.
 	Leased  bool                 `cbor:"6,keyasint,omitempty"`
 	Digest  uint64               `cbor:"7,keyasint"`
@@ -38,7 +38,7 @@
 
 // Table is everything a host knows, exchanged whole. Rule 11.
 type Table struct {
-	From    hingeids.Life        `cbor:"1,keyasint"`
+	From    hingeids.Instance    `cbor:"1,keyasint"`
 	Hosts   []HostFact           `cbor:"2,keyasint"`
 	Against []Testimony          `cbor:"3,keyasint"`
 	Servers []hingeannounce.Aged `cbor:"4,keyasint"`
--- a/internal/membership/hingeworld/world.go
+++ b/internal/membership/hingeworld/world.go
@@ -43,12 +43,12 @@
 	}
 	for _, r := range records {
 		if !r.Usable() {
-			w.gone[r.Announcement.Server.InLife(r.Announcement.Incarnation)] = true
+			w.gone[r.Announcement.Server.WithIncarnation(r.Announcement.Incarnation)] = true
 		}
 	}
 	for _, r := range usable(t, records) {
 		a := r.Announcement
-		a.Server = a.Server.InLife(a.Incarnation)
+		a.Server = a.Server.WithIncarnation(a.Incarnation)
 		w.add(a)
 	}
 	w.version = w.named()
@@ -99,7 +99,7 @@
 		Slots:   a.Slots,
 	}
 	if w.table != nil {
-		r.Most = w.table.Services[a.Service].Connections
+		r.MaxConnections = w.table.Services[a.Service].Connections
 	}
 	w.replicas[a.Service] = append(w.replicas[a.Service], r)
 }
@@ -124,7 +124,7 @@
 	if w.table != nil {
 		if s := w.table.Services[a.Service]; s.Engine != nil {
 			e.Memory = s.Engine.Memory
-			e.Event = s.Engine.EventTokens
+			e.EventTokens = s.Engine.EventTokens
 			e.Slots = s.Engine.Slots
 		}
 	}
--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -81,12 +81,12 @@
 	fills map[int64]fill
 	waste map[string]int64
 	// ends are the servers that ended under requests, by print.
-	ends map[hingeids.Print]*Ends
+	ends map[hingeids.Fingerprint]*Ends
 }
 
 // Ends are the servers that ended under one request, over all its attempts.
 type Ends struct {
-	Print    hingeids.Print
+	Print    hingeids.Fingerprint
 	Customer hingeids.CallerID
 	Route    string
 	// Servers are those that ended, First and Last when the first and the last did.
@@ -109,7 +109,7 @@
 		requests: make(map[string]*Request),
 		fills:    make(map[int64]fill),
 		waste:    make(map[string]int64),
-		ends:     make(map[hingeids.Print]*Ends),
+		ends:     make(map[hingeids.Fingerprint]*Ends),
 	}
 }
 
--- a/internal/observe/hingeevents/events.go
+++ b/internal/observe/hingeevents/events.go
@@ -55,15 +55,15 @@
 	// Asked is the caller's own id of the request, where callers give one.
 	Asked string `json:"asked,omitempty"`
 	// Print is what the request has in common with all that are sent again.
-	Print    hingeids.Print    `json:"print,omitzero"`
-	Host     hingeids.HostID   `json:"host,omitempty"`
-	Server   hingeids.ServerID `json:"server,omitempty"`
-	Caller   hingeids.CallerID `json:"caller,omitempty"`
-	Zone     hingeids.Zone     `json:"zone,omitempty"`
-	Revision hingeids.Revision `json:"revision,omitempty"`
-	Fence    hingeids.Fence    `json:"fence,omitempty"`
-	Took     time.Duration     `json:"took,omitempty"`
-	Count    int64             `json:"count,omitempty"`
+	Print    hingeids.Fingerprint `json:"print,omitzero"`
+	Host     hingeids.HostID      `json:"host,omitempty"`
+	Server   hingeids.ServerID    `json:"server,omitempty"`
+	Caller   hingeids.CallerID    `json:"caller,omitempty"`
+	Zone     hingeids.Zone        `json:"zone,omitempty"`
+	Revision hingeids.Revision    `json:"revision,omitempty"`
+	Fence    hingeids.Fence       `json:"fence,omitempty"`
+	Took     time.Duration        `json:"took,omitempty"`
+	Count    int64                `json:"count,omitempty"`
 	// World is the version of what the process knew of the configuration and of servers.
 	World string `json:"world,omitempty"`
 	// Route names the route of a request; Late is what made its answer late, empty if it was on time.
@@ -89,10 +89,10 @@
 
 // Event is one thing that happened in one process.
 type Event struct {
-	Stamp  Stamp         `json:"stamp"`
-	Life   hingeids.Life `json:"life"`
-	Number Number        `json:"number"`
-	Fields Fields        `json:"fields"`
+	Stamp  Stamp             `json:"stamp"`
+	Life   hingeids.Instance `json:"life"`
+	Number Number            `json:"number"`
+	Fields Fields            `json:"fields"`
 }
 
 // keptEvents bounds the events a process keeps for the time line: at 200
@@ -102,7 +102,7 @@
 // Recorder stamps, logs and keeps the events of one process. It is safe for
 // use by many goroutines. A nil recorder records nothing.
 type Recorder struct {
-	life hingeids.Life
+	life hingeids.Instance
 	sink func(Event)
 	// today is the time of day, where those who record go by another clock.
 	today func() time.Time
@@ -117,7 +117,7 @@
 }
 
 // NewRecorder makes the recorder of one life of a process.
-func NewRecorder(life hingeids.Life) *Recorder {
+func NewRecorder(life hingeids.Instance) *Recorder {
 	return &Recorder{
 		life:   life,
 		kept:   make([]Event, 0, 256),
@@ -129,7 +129,7 @@
 // place of the log. They are stamped with the time of day that today gives: parts that go by
 // the boot clock hand in times that lie before every other stamp, and all their
 // events would seem to happen at the moment of the one before.
-func NewRecorderTo(life hingeids.Life, sink func(Event), today func() time.Time) *Recorder {
+func NewRecorderTo(life hingeids.Instance, sink func(Event), today func() time.Time) *Recorder {
 	r := NewRecorder(life)
 	r.sink = sink
 	r.today = today
@@ -209,9 +209,9 @@
 }
 
 // Life gives the life of the process whose events these are.
-func (r *Recorder) Life() hingeids.Life {
+func (r *Recorder) Life() hingeids.Instance {
 	if r == nil {
-		return hingeids.Life{}
+		return hingeids.Instance{}
 	}
 	return r.life
 }
--- a/internal/observe/hingeevents/events_test.go
+++ b/internal/observe/hingeevents/events_test.go
@@ -10,7 +10,7 @@
 // A process records more than it keeps. The oldest go, the order stays, and
 // it says so, or a time line would show its beginning as quiet.
 func TestOldestEventsAreDropped(t *testing.T) {
-	r := NewRecorder(hingeids.Life{
+	r := NewRecorder(hingeids.Instance{
 		Host: "cancale-1",
 	})
 	now := time.Unix(1000, 0)
@@ -41,7 +41,7 @@
 // Every request records several events. Once the process keeps as many as it
 // may, recording one more must not allocate, or traffic pays for it in pauses.
 func TestRecordingAllocatesNothing(t *testing.T) {
-	r := NewRecorder(hingeids.Life{
+	r := NewRecorder(hingeids.Instance{
 		Host: "cancale-1",
 	})
 	now := time.Unix(1000, 0)
@@ -59,7 +59,7 @@
 }
 
 func BenchmarkRecord(b *testing.B) {
-	r := NewRecorder(hingeids.Life{
+	r := NewRecorder(hingeids.Instance{
 		Host: "cancale-1",
 	})
 	now := time.Unix(1000, 0)
--- a/internal/observe/hingelines/lines_test.go
+++ b/internal/observe/hingelines/lines_test.go
@@ -34,7 +34,7 @@
 func TestLineSaysWhoWhatAndWhen(t *testing.T) {
 	out := &output{}
 	w := New(out)
-	r := hingeevents.NewRecorderTo(hingeids.Life{
+	r := hingeevents.NewRecorderTo(hingeids.Instance{
 		Host: "entry-1",
 	}, w.Take, time.Now)
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/observe/hingemetrics/metrics_test.go
+++ b/internal/observe/hingemetrics/metrics_test.go
@@ -53,7 +53,7 @@
 }
 
 func TestWrite(t *testing.T) {
-	r := hingeevents.NewRecorder(hingeids.Life{
+	r := hingeevents.NewRecorder(hingeids.Instance{
 		Host: "cancale-1",
 	})
 	m := New(r)
@@ -92,7 +92,7 @@
 // then hangs. The balancer stops sending requests in the first two cases; only
 // in the last one may a supervisor restart it.
 func TestHealth(t *testing.T) {
-	r := hingeevents.NewRecorder(hingeids.Life{})
+	r := hingeevents.NewRecorder(hingeids.Instance{})
 	now := time.Unix(1000, 0)
 	h := NewHealth(r, 10*time.Second, now, "configuration", "keys")
 	var got []string
--- a/internal/observe/hingetimeline/picture.go
+++ b/internal/observe/hingetimeline/picture.go
@@ -51,14 +51,14 @@
 type picture struct {
 	Timeline
 	b           strings.Builder
-	lane        map[hingeids.Life]int
+	lane        map[hingeids.Instance]int
 	first, last int64
 }
 
 func newPicture(t Timeline) *picture {
 	p := &picture{
 		Timeline: t,
-		lane:     make(map[hingeids.Life]int),
+		lane:     make(map[hingeids.Instance]int),
 	}
 	for i, l := range t.Lives {
 		p.lane[l] = i
@@ -85,7 +85,7 @@
 }
 
 func (p *picture) lanes() {
-	dropped := make(map[hingeids.Life]bool)
+	dropped := make(map[hingeids.Instance]bool)
 	for _, l := range p.Dropped {
 		dropped[l] = true
 	}
--- a/internal/observe/hingetimeline/text.go
+++ b/internal/observe/hingetimeline/text.go
@@ -47,9 +47,9 @@
 func (t Timeline) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	if err := encoder.Encode(struct {
-		Processes []hingeids.Life   `json:"processes"`
-		Dropped   []hingeids.Life   `json:"dropped"`
-		Missing   []hingeids.HostID `json:"missing"`
+		Processes []hingeids.Instance `json:"processes"`
+		Dropped   []hingeids.Instance `json:"dropped"`
+		Missing   []hingeids.HostID   `json:"missing"`
 	}{
 		Processes: notNil(t.Lives),
 		Dropped:   notNil(t.Dropped),
--- a/internal/observe/hingetimeline/timeline.go
+++ b/internal/observe/hingetimeline/timeline.go
@@ -23,7 +23,7 @@
 
 // Source is what one process keeps.
 type Source struct {
-	Life   hingeids.Life       `json:"life"`
+	Life   hingeids.Instance   `json:"life"`
 	Events []hingeevents.Event `json:"events"`
 	// Dropped says that the process has dropped its oldest events.
 	Dropped bool `json:"dropped,omitempty"`
@@ -33,9 +33,9 @@
 type Timeline struct {
 	Events []hingeevents.Event
 	// Lives are the processes, hosts by name and the lives of one host in turn.
-	Lives []hingeids.Life
+	Lives []hingeids.Instance
 	// Dropped are processes without their oldest events.
-	Dropped []hingeids.Life
+	Dropped []hingeids.Instance
 	// Missing are hosts that were asked and did not answer.
 	Missing []hingeids.HostID
 }
@@ -45,7 +45,7 @@
 	t := Timeline{
 		Missing: slices.Sorted(slices.Values(missing)),
 	}
-	seen := make(map[hingeids.Life]bool)
+	seen := make(map[hingeids.Instance]bool)
 	for _, s := range sources {
 		if seen[s.Life] {
 			continue
@@ -70,7 +70,7 @@
 	)
 }
 
-func compareLives(a, b hingeids.Life) int {
+func compareLives(a, b hingeids.Instance) int {
 	return cmp.Or(
 		cmp.Compare(a.Host, b.Host),
 		cmp.Compare(a.Incarnation, b.Incarnation),
@@ -78,15 +78,15 @@
 }
 
 // lives lists the processes, those without events among them.
-func lives(events []hingeevents.Event, sources []Source) []hingeids.Life {
-	seen := make(map[hingeids.Life]bool)
+func lives(events []hingeevents.Event, sources []Source) []hingeids.Instance {
+	seen := make(map[hingeids.Instance]bool)
 	for _, e := range events {
 		seen[e.Life] = true
 	}
 	for _, s := range sources {
 		seen[s.Life] = true
 	}
-	out := make([]hingeids.Life, 0, len(seen))
+	out := make([]hingeids.Instance, 0, len(seen))
 	for l := range seen {
 		out = append(out, l)
 	}
--- a/internal/observe/hingetimeline/timeline_test.go
+++ b/internal/observe/hingetimeline/timeline_test.go
@@ -16,8 +16,8 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-func life(host hingeids.HostID) hingeids.Life {
-	return hingeids.Life{
+func life(host hingeids.HostID) hingeids.Instance {
+	return hingeids.Instance{
 		Host:        host,
 		Incarnation: 1,
 	}
@@ -65,7 +65,7 @@
 
 func sample() (Timeline, hingeids.RequestID) {
 	request := hingeids.RequestID{
-		Life:     life("cancale-1"),
+		Instance: life("cancale-1"),
 		Sequence: 7,
 	}
 	at := func(host hingeids.HostID, ms int64, n hingeevents.Number, f hingeevents.Fields) hingeevents.Event {
--- a/internal/operate/hingeadmin/handler_test.go
+++ b/internal/operate/hingeadmin/handler_test.go
@@ -125,7 +125,7 @@
 // An operator asks for the last minute of a process that has dropped older
 // events. Nothing of that minute is missing, and it is not called so.
 func TestEventsSince(t *testing.T) {
-	r := hingeevents.NewRecorder(hingeids.Life{
+	r := hingeevents.NewRecorder(hingeids.Instance{
 		Host: "cancale-1",
 	})
 	for i := range 20000 {
--- a/internal/operate/hingecommand/command_test.go
+++ b/internal/operate/hingecommand/command_test.go
@@ -116,7 +116,7 @@
 func recordRequest(c *cluster, n int) {
 	f := hingeevents.Fields{
 		Request: hingeids.RequestID{
-			Life:     c.hosts[0].events.Life(),
+			Instance: c.hosts[0].events.Life(),
 			Sequence: uint64(n),
 		},
 	}
--- a/internal/operate/hingecommand/fake_test.go
+++ b/internal/operate/hingecommand/fake_test.go
@@ -56,7 +56,7 @@
 			cluster: c,
 			name:    name,
 			drained: make(chan struct{}, 16),
-			events: hingeevents.NewRecorder(hingeids.Life{
+			events: hingeevents.NewRecorder(hingeids.Instance{
 				Host:        name,
 				Incarnation: 1,
 			}),
@@ -126,7 +126,7 @@
 		}
 		if !cmp.Equal(old, x) {
 			return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
-				Code:   hingeverdict.CodeChangeOtherContent,
+				Code:   hingeverdict.CodeChangeIDReused,
 				Winner: c.accepted[i],
 			}
 		}
--- a/internal/path/hingecaller/badinput_test.go
+++ b/internal/path/hingecaller/badinput_test.go
@@ -70,7 +70,7 @@
 		Completions: b,
 		Ready:       func() bool { return true },
 		Gone:        func() {},
-		Recorder:    hingeevents.NewRecorder(hingeids.Life{}),
+		Recorder:    hingeevents.NewRecorder(hingeids.Instance{}),
 		Now:         time.Now,
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/internal/path/hingecaller/bench_test.go
+++ b/internal/path/hingecaller/bench_test.go
@@ -391,10 +391,10 @@
 	return 0
 }
 
-func (o one) Judge(context.Context, hingeids.Print, hingeids.Service) (bool, *hingeverdict.Error) {
+func (o one) Judge(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
 	return false, nil
 }
 
 func (o one) Broke(context.Context, hingedispatch.Broken) {}
 
-func (o one) Passed(hingeids.Print) {}
+func (o one) Passed(hingeids.Fingerprint) {}
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -65,7 +65,7 @@
 
 // Config is what a Server is made of.
 type Config struct {
-	Life   hingeids.Life
+	Life   hingeids.Instance
 	Limits hingesettings.Limits
 	// Gateway says that callers come through a gateway of the operators' own, which names the customer.
 	Gateway     bool
@@ -86,7 +86,7 @@
 	config   Config
 	web      *fasthttp.Server
 	sequence atomic.Uint64
-	life     atomic.Pointer[hingeids.Life]
+	life     atomic.Pointer[hingeids.Instance]
 	requests requests
 	// betweenLives says that this host's life is over and no other has begun.
 	betweenLives atomic.Bool
@@ -277,7 +277,7 @@
 
 func (s *Server) nextID() hingeids.RequestID {
 	return hingeids.RequestID{
-		Life:     *s.life.Load(),
+		Instance: *s.life.Load(),
 		Sequence: s.sequence.Add(1),
 	}
 }
--- a/internal/path/hingecaller/completion.go
+++ b/internal/path/hingecaller/completion.go
@@ -127,7 +127,7 @@
 		Deadline:     deadline,
 		Key:          hingeids.IdempotencyKey(ctx.Request.Header.Peek("Idempotency-Key")),
 		Digest:       hingeledger.DigestOf(fasthttp.MethodPost, path, ctx.PostBody()),
-		Print:        hingepoison.PrintOf(ctx.PostBody(), string(who.name), fasthttp.MethodPost, path),
+		Print:        hingepoison.FingerprintOf(ctx.PostBody(), string(who.name), fasthttp.MethodPost, path),
 	}, c.Stream, nil
 }
 
--- a/internal/path/hingecaller/lives.go
+++ b/internal/path/hingecaller/lives.go
@@ -45,7 +45,7 @@
 }
 
 // BeginLife names later requests by another life.
-func (s *Server) BeginLife(l hingeids.Life) {
+func (s *Server) BeginLife(l hingeids.Instance) {
 	if *s.life.Load() == l {
 		return
 	}
--- a/internal/path/hingecaller/service.go
+++ b/internal/path/hingecaller/service.go
@@ -63,7 +63,7 @@
 		Deadline: deadline,
 		Sent:     sent,
 		Answer:   &ctx.Response,
-		Print: hingepoison.PrintOf(sent.Body(), string(who.name), string(sent.Header.Method()),
+		Print: hingepoison.FingerprintOf(sent.Body(), string(who.name), string(sent.Header.Method()),
 			string(sent.RequestURI())),
 	})
 	if err != nil {
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -40,26 +40,26 @@
 	}
 	d := a.dispatcher
 	if !ours || a.refused || a.ctx.Err() != nil {
-		return hingeretry.Answer, a.worst(a.atDeadline(v))
+		return hingeretry.ReturnError, a.worst(a.atDeadline(v))
 	}
 	decision := d.decide(hingeretry.Failure{
-		Err:          v,
-		Before:       a.before,
-		Attempts:     a.attempts,
-		Arrivals:     1,
-		Resumes:      a.resumes,
-		NeverRepeat:  a.work.Class.NeverRepeat,
-		Sent:         a.sent(),
-		SameLife:     resumable && d.Gate.Lives(a.decoder),
-		CacheUntil:   a.cacheUntil(v),
-		TransferTime: transferTime,
-		Deadline:     a.work.Deadline,
+		Err:            v,
+		EarlierVerdict: a.before,
+		Attempts:       a.attempts,
+		ExtraMessages:  1,
+		Resumes:        a.resumes,
+		NeverRepeat:    a.work.Class.NeverRepeat,
+		SentTokens:     a.sent(),
+		SameInstance:   resumable && d.Gate.Lives(a.decoder),
+		CacheUntil:     a.cacheUntil(v),
+		TransferTime:   transferTime,
+		Deadline:       a.work.Deadline,
 	})
-	if decision.Action == hingeretry.Answer {
+	if decision.Action == hingeretry.ReturnError {
 		return decision.Action, a.worst(decision.Err)
 	}
-	if decision.Action == hingeretry.Repeat && a.workedOnce() {
-		return hingeretry.Answer, a.worst(v)
+	if decision.Action == hingeretry.Retry && a.workedOnce() {
+		return hingeretry.ReturnError, a.worst(v)
 	}
 	d.Meter.Retried(decision.Action.String())
 	if v.Verdict != hingeverdict.NotRun {
@@ -75,7 +75,7 @@
 // cacheUntil is until when the KV cache may be sent to another decode engine.
 // One that a decode engine may have begun to fetch is gone.
 func (a *Answer) cacheUntil(v *hingeverdict.Error) time.Time {
-	if a.cache == nil || v.Verdict != hingeverdict.NotRun || v.Code == hingeverdict.CodeCacheGone {
+	if a.cache == nil || v.Verdict != hingeverdict.NotRun || v.Code == hingeverdict.CodeCacheEvicted {
 		return time.Time{}
 	}
 	return a.cachedAt.Add(a.dispatcher.Limits.CacheKept)
@@ -279,7 +279,7 @@
 
 func isCacheGone(err error) bool {
 	var v *hingeverdict.Error
-	return errors.As(err, &v) && v.Code == hingeverdict.CodeCacheGone
+	return errors.As(err, &v) && v.Code == hingeverdict.CodeCacheEvicted
 }
 
 func (a *Answer) engineWork() hingeengine.Work {
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -58,7 +58,7 @@
 	Key    hingeids.IdempotencyKey
 	Digest [16]byte
 	// Print is what the request has in common with all that are sent again.
-	Print hingeids.Print
+	Print hingeids.Fingerprint
 }
 
 // claim names the work in the ledger.
@@ -242,7 +242,7 @@
 	if d.budget == nil {
 		d.budget = hingeretry.NewBudget(d.Now())
 	}
-	d.budget.Request()
+	d.budget.RecordRequest()
 }
 
 // decide asks hingeretry, under the lock of the budget.
@@ -261,8 +261,8 @@
 	}
 	switch v.Code {
 	case hingeverdict.CodeNoServer, hingeverdict.CodeServerRefused, hingeverdict.CodeServerFailed,
-		hingeverdict.CodeServerSilent, hingeverdict.CodeAnswerNotOurs, hingeverdict.CodeAnswerCut,
-		hingeverdict.CodeCacheGone:
+		hingeverdict.CodeServerTimeout, hingeverdict.CodeAnswerMismatch, hingeverdict.CodeAnswerTruncated,
+		hingeverdict.CodeCacheEvicted:
 		return v, true
 	default:
 		return v, false
--- a/internal/path/hingedispatch/poison.go
+++ b/internal/path/hingedispatch/poison.go
@@ -13,16 +13,16 @@
 type Poisons interface {
 	// Judge gives why a request mustn't run at a model's or a service's servers, nil if it may. Suspect says that a whole answer has to
 	// be told.
-	Judge(ctx context.Context, p hingeids.Print, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
+	Judge(ctx context.Context, p hingeids.Fingerprint, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
 	// Broke tells of a server that failed a request, after which it may have ended.
 	Broke(ctx context.Context, b Broken)
 	// Passed tells of a suspected request that was answered whole.
-	Passed(p hingeids.Print)
+	Passed(p hingeids.Fingerprint)
 }
 
 // Broken is an exchange that a server failed.
 type Broken struct {
-	Print   hingeids.Print
+	Print   hingeids.Fingerprint
 	Request hingeids.RequestID
 	Service hingeids.Service
 	Caller  hingeids.CallerID
--- a/internal/path/hingedispatch/poison_test.go
+++ b/internal/path/hingedispatch/poison_test.go
@@ -34,7 +34,7 @@
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, eris.New("it ended"))
 }
 
-func (e *ending) Judge(context.Context, hingeids.Print, hingeids.Service) (bool, *hingeverdict.Error) {
+func (e *ending) Judge(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
 	if e.ended >= 3 {
 		return false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodePoison, time.Hour, nil)
 	}
@@ -43,7 +43,7 @@
 
 func (e *ending) Broke(context.Context, Broken) { e.ended++ }
 
-func (e *ending) Passed(hingeids.Print) {}
+func (e *ending) Passed(hingeids.Fingerprint) {}
 
 func (e *ending) Called(*Call, time.Duration, error) {}
 
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -28,7 +28,7 @@
 	Sent   *fasthttp.Request
 	Answer *fasthttp.Response
 	// Print is what the call has in common with all that are sent again.
-	Print hingeids.Print
+	Print hingeids.Fingerprint
 }
 
 // Replicas are the live replicas of plain services.
--- a/internal/path/hingeengine/engine.go
+++ b/internal/path/hingeengine/engine.go
@@ -185,7 +185,7 @@
 	}
 	code := hingeverdict.CodeServerRefused
 	if answer.Error.Type == "kvCacheGone" {
-		code = hingeverdict.CodeCacheGone
+		code = hingeverdict.CodeCacheEvicted
 	}
 	return hingeverdict.New(verdict, code, 0,
 		eris.Errorf("server %s: status %d, %.100s", t.Server, status, answer.Error.Type))
@@ -209,7 +209,7 @@
 }
 
 func notOurs(t Target) error {
-	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
+	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
 		eris.Errorf("server %s: answer of another request", t.Server))
 }
 
--- a/internal/path/hingeengine/exchange.go
+++ b/internal/path/hingeengine/exchange.go
@@ -129,7 +129,7 @@
 		code = hingeverdict.CodeCancelled
 		err = context.Cause(x.ctx)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		code = hingeverdict.CodeServerSilent
+		code = hingeverdict.CodeServerTimeout
 	}
 	return hingeverdict.New(hingeverdict.MayHaveRun, code, 0, eris.Wrapf(err, "server %s", t.Server))
 }
--- a/internal/path/hingeengine/faults_test.go
+++ b/internal/path/hingeengine/faults_test.go
@@ -82,7 +82,7 @@
 }
 
 var ours = hingeids.RequestID{
-	Life: hingeids.Life{
+	Instance: hingeids.Instance{
 		Host:        "a-1",
 		Incarnation: 7,
 	},
--- a/internal/path/hingeproxy/budget.go
+++ b/internal/path/hingeproxy/budget.go
@@ -28,7 +28,7 @@
 func (p *Proxy) budget(s hingeids.Service) *hingeretry.Budget {
 	b := p.budgets[s]
 	if b == nil {
-		b = hingeretry.NewBudgetOf(p.settings.Clock(), p.limits())
+		b = hingeretry.NewBudgetWithLimits(p.settings.Clock(), p.limits())
 		p.budgets[s] = b
 	}
 	b.SetLimits(p.limits())
@@ -39,5 +39,5 @@
 func (p *Proxy) request(s hingeids.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.budget(s).Request()
+	p.budget(s).RecordRequest()
 }
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -88,7 +88,7 @@
 		r.relay.passed(now)
 		if r.begunAt != at.Decode {
 			r.begunAt = at.Decode
-			at.stream.Note(at.Decode, hingefleet.Begun)
+			at.stream.Note(at.Decode, hingefleet.Started)
 		}
 		if events == 1 {
 			p.settings.Recorder.Record(now, hingeevents.RequestFirstToken, hingeevents.Fields{
@@ -104,7 +104,7 @@
 		r.note(hingeverdict.Ran)
 		return nil
 	}
-	return p.decodeFailed(ctx, r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
+	return p.decodeFailed(ctx, r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, err))
 }
 
 // decodeFailed notes what a failed run may have done, and names the deadline where that ended it.
@@ -121,7 +121,7 @@
 	r.note(hingeverdict.Ran)
 	body, err := x.Body()
 	if err != nil {
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err)
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, err)
 	}
 	if r.relay.begun || r.route.MayRepeat() && r.runs < r.route.Attempts {
 		return hingeverdict.New(hingeverdict.Ran, hingeverdict.CodeServerFailed, 0,
--- a/internal/path/hingeproxy/ended.go
+++ b/internal/path/hingeproxy/ended.go
@@ -25,12 +25,12 @@
 		Route:  j.route.Name,
 	})
 	p.meter.ends.Inc()
-	e := hingepoison.End{
-		Print:   j.print,
-		Server:  id,
-		Service: j.service,
-		Caller:  j.caller(),
-		Had:     had,
+	e := hingepoison.Crash{
+		Fingerprint: j.print,
+		Server:      id,
+		Service:     j.service,
+		Caller:      j.caller(),
+		Held:        had,
 	}
 	j.ends = append(j.ends, e)
 	p.owner.Ended(e)
--- a/internal/path/hingeproxy/plain.go
+++ b/internal/path/hingeproxy/plain.go
@@ -67,7 +67,7 @@
 			p.deliver(j, answer)
 			return
 		}
-		if outcome == hingebalance.Unreached && unreached < mostUnreached {
+		if outcome == hingebalance.ConnectFailed && unreached < mostUnreached {
 			unreached++
 			continue
 		}
@@ -146,14 +146,14 @@
 		// The caller's leaving says nothing of the replica.
 		outcome = hingebalance.Unknown
 	}
-	p.owner.EndCall(j.service, c, hingequeue.End{
+	p.owner.EndCall(j.service, c, hingequeue.Completion{
 		ID:      id,
 		Server:  c.Server,
 		Outcome: outcome,
-		Took:    took,
+		Elapsed: took,
 		Zone:    p.settings.Zone,
 	})
-	if outcome != hingebalance.Unreached {
+	if outcome != hingebalance.ConnectFailed {
 		j.attempts++
 		j.arrivals++
 	}
@@ -203,7 +203,7 @@
 	}
 	body, err := x.Body()
 	if err != nil {
-		return nil, p.inTime(j, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
+		return nil, p.inTime(j, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, err))
 	}
 	return &whole{
 		server:   c.Server,
@@ -225,10 +225,10 @@
 func (p *Proxy) judge(j *job, a *http.Response, r Reply) error {
 	switch {
 	case r.ID != "" && r.ID != j.asked.ID:
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
 			eris.Errorf("the answer is for request %q", r.ID))
 	case r.Gone:
-		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerGone, 0,
+		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerReplaced, 0,
 			eris.New("another server has the address"))
 	case r.NotRun:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerRefused, 0,
@@ -238,10 +238,10 @@
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0,
 			eris.Errorf("status %d without the word that nothing ran", a.StatusCode))
 	case a.StatusCode < 300 && !r.Vouched:
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
 			eris.New("a success without the server's mark"))
 	case a.Header.Get("Content-Encoding") != "":
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
 			eris.New("an encoded body that nobody asked for"))
 	}
 	return nil
@@ -271,10 +271,10 @@
 	switch v.Code {
 	case hingeverdict.CodeServerRefused:
 		return hingebalance.Full
-	case hingeverdict.CodeServerGone:
-		return hingebalance.Gone
+	case hingeverdict.CodeServerReplaced:
+		return hingebalance.Replaced
 	}
-	return hingebalance.Unreached
+	return hingebalance.ConnectFailed
 }
 
 // deliver hands a server's answer to the caller.
--- a/internal/path/hingeproxy/prefill.go
+++ b/internal/path/hingeproxy/prefill.go
@@ -35,7 +35,7 @@
 	defer x.Close()
 	reply := p.dialect.Reply(x.Answer)
 	if reply.Gone {
-		return Cache{}, notRun(hingeverdict.CodeServerGone, eris.New("another server has the address"))
+		return Cache{}, notRun(hingeverdict.CodeServerReplaced, eris.New("another server has the address"))
 	}
 	if x.Answer.StatusCode != http.StatusOK || reply.ID != "" && reply.ID != r.asked.ID {
 		return Cache{}, notRun(hingeverdict.CodeServerRefused,
@@ -43,11 +43,11 @@
 	}
 	body, err := x.Body()
 	if err != nil {
-		return Cache{}, notRun(hingeverdict.CodeAnswerCut, err)
+		return Cache{}, notRun(hingeverdict.CodeAnswerTruncated, err)
 	}
 	cache, err := p.dialect.Cache(address, body)
 	if err != nil {
-		return Cache{}, notRun(hingeverdict.CodeAnswerNotOurs, err)
+		return Cache{}, notRun(hingeverdict.CodeAnswerMismatch, err)
 	}
 	return cache, nil
 }
--- a/internal/path/hingeproxy/print.go
+++ b/internal/path/hingeproxy/print.go
@@ -8,10 +8,10 @@
 )
 
 // printOf gives the print of a request, of nothing that is made anew for each attempt.
-func printOf(r *hingewire.Request, c *hingecustomers.Customer) hingeids.Print {
+func printOf(r *hingewire.Request, c *hingecustomers.Customer) hingeids.Fingerprint {
 	name := ""
 	if c != nil {
 		name = string(c.Name)
 	}
-	return hingepoison.PrintOf(r.Body, name, r.Method, hostName(r.Host), r.Target)
+	return hingepoison.FingerprintOf(r.Body, name, r.Method, hostName(r.Host), r.Target)
 }
--- a/internal/path/hingeproxy/proxy.go
+++ b/internal/path/hingeproxy/proxy.go
@@ -134,7 +134,7 @@
 
 // Settings of a proxy.
 type Settings struct {
-	Self   hingeids.Life
+	Self   hingeids.Instance
 	Zone   hingeids.Zone
 	Budget Budget
 	Clock  func() time.Time
@@ -195,9 +195,9 @@
 	// customer is whose request it is; nil if nobody's.
 	customer *hingecustomers.Customer
 	// print is what it has in common with all that are sent again.
-	print hingeids.Print
+	print hingeids.Fingerprint
 	// ends are the servers that ended under this attempt; suspect says that some have, under this or others.
-	ends    []hingepoison.End
+	ends    []hingepoison.Crash
 	suspect bool
 	// charge is what it counts for its customer's quota, counted says that it does.
 	charge   hingequota.Charge
--- a/internal/path/hingeproxy/proxy_test.go
+++ b/internal/path/hingeproxy/proxy_test.go
@@ -477,7 +477,7 @@
 		t.Fatalf("before its first event it waits %v", w.Waited)
 	}
 	r.relay.begun = true
-	d.proxy.moveOn(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, nil))
+	d.proxy.moveOn(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, nil))
 	if w := d.proxy.want(r); !w.Moved || w.Waited > time.Second || w.Patience != route.Patience {
 		t.Fatalf("moved %v, waits %v of %v", w.Moved, w.Waited, w.Patience)
 	}
--- a/internal/path/hingeproxy/repeat.go
+++ b/internal/path/hingeproxy/repeat.go
@@ -29,14 +29,14 @@
 		return false
 	}
 	d := hingeretry.Decide(p.settings.Clock(), hingeretry.Failure{
-		Err:         err,
-		Before:      j.ran,
-		Attempts:    j.attempts,
-		Arrivals:    costs,
-		NeverRepeat: !j.route.MayRepeat(),
-		Deadline:    j.deadline,
+		Err:            err,
+		EarlierVerdict: j.ran,
+		Attempts:       j.attempts,
+		ExtraMessages:  costs,
+		NeverRepeat:    !j.route.MayRepeat(),
+		Deadline:       j.deadline,
 	}, p.budget(j.service))
-	if d.Action != hingeretry.Repeat {
+	if d.Action != hingeretry.Retry {
 		return false
 	}
 	j.pay(costs)
@@ -54,7 +54,7 @@
 func (p *Proxy) take(j *job, arrivals int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.budget(j.service).Take(p.settings.Clock(), arrivals) {
+	if !p.budget(j.service).Spend(p.settings.Clock(), arrivals) {
 		return false
 	}
 	j.pay(arrivals)
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -267,7 +267,7 @@
 
 func (w *world) Quota(c hingeids.CallerID) hingecustomers.Quota { return w.Table().Quota(c) }
 
-func (w *world) Poison(hingeids.Print) hingepoison.Listed {
+func (w *world) Poison(hingeids.Fingerprint) hingepoison.Listed {
 	return hingepoison.Listed{}
 }
 
@@ -408,7 +408,7 @@
 		world: w,
 	}, nil, func() bool {
 		return true
-	}, time.Now, hingequota.StandardTerms)
+	}, time.Now, hingequota.DefaultTerms)
 	placer.Handle(network.Link("control-1"), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
@@ -427,9 +427,9 @@
 
 func newDoorAt(t *testing.T, w *world, network *hingefake.Network, host hingeids.HostID) *door {
 	t.Helper()
-	owner := hingeplacer.NewOwner(host, network.Link(host), w, time.Now, nil, hingequota.StandardTerms)
+	owner := hingeplacer.NewOwner(host, network.Link(host), w, time.Now, nil, hingequota.DefaultTerms)
 	p := New(Settings{
-		Self: hingeids.Life{
+		Self: hingeids.Instance{
 			Host:        host,
 			Incarnation: 1,
 		},
@@ -487,7 +487,7 @@
 func (d *door) spend(s hingeids.Service) {
 	d.proxy.mu.Lock()
 	defer d.proxy.mu.Unlock()
-	for d.proxy.budget(s).Take(time.Now(), 1) {
+	for d.proxy.budget(s).Spend(time.Now(), 1) {
 	}
 }
 
@@ -497,7 +497,7 @@
 	defer d.proxy.mu.Unlock()
 	b := *d.proxy.budget(s)
 	n := 0
-	for b.Take(time.Now(), 1) {
+	for b.Spend(time.Now(), 1) {
 		n++
 	}
 	return n
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -124,7 +124,7 @@
 // moveOn decides whether another attempt is made.
 func (p *Proxy) moveOn(r *run, err *hingeverdict.Error) bool {
 	switch err.Code {
-	case hingeverdict.CodeNoRoom, hingeverdict.CodeDeadline, hingeverdict.CodeOverQuota, hingeverdict.CodeQuotaUnknown,
+	case hingeverdict.CodeNoCapacity, hingeverdict.CodeDeadline, hingeverdict.CodeOverQuota, hingeverdict.CodeQuotaUnknown,
 		hingeverdict.CodePoison:
 		return false
 	}
@@ -197,7 +197,7 @@
 		return err
 	}
 	if placed.Prefill != "" {
-		placed.stream.Note(placed.Prefill, hingefleet.Worked)
+		placed.stream.Note(placed.Prefill, hingefleet.Succeeded)
 	}
 	made := r.made()
 	done := p.settings.Clock()
@@ -205,7 +205,7 @@
 	for {
 		err = p.decode(ctx, r, placed, ahead, cache)
 		if err == nil {
-			placed.stream.Note(placed.Decode, hingefleet.Worked)
+			placed.stream.Note(placed.Decode, hingefleet.Succeeded)
 			return nil
 		}
 		if context.Cause(ctx) == nil {
@@ -290,7 +290,7 @@
 	if a.Cause != hingeplacer.NoRoom {
 		return hingeverdict.New(hingeverdict.NotRun, codeOf(a.Cause, 0), a.RetryAfter, nil)
 	}
-	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoRoom, a.RetryAfter, eris.Errorf("short of %s", a.Short))
+	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCapacity, a.RetryAfter, eris.Errorf("short of %s", a.Short))
 }
 
 // blame keeps the rest of a request, and for a while other requests, away from an engine.
@@ -314,8 +314,8 @@
 // outcomeAt is what a failure says of the engine.
 func outcomeAt(err *hingeverdict.Error) hingefleet.Outcome {
 	switch err.Code {
-	case hingeverdict.CodeNoServer, hingeverdict.CodeServerGone:
-		return hingefleet.Unreached
+	case hingeverdict.CodeNoServer, hingeverdict.CodeServerReplaced:
+		return hingefleet.Unreachable
 	case hingeverdict.CodeServerRefused:
 		return hingefleet.Full
 	}
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -41,7 +41,7 @@
 
 // Options of a control host.
 type Options struct {
-	Life      hingeids.Life
+	Life      hingeids.Instance
 	Zone      hingeids.Zone
 	Link      string
 	AddressOf func(hingeids.HostID) (string, error)
@@ -60,7 +60,7 @@
 	ChecksFence bool
 	IssuerPause time.Duration
 	// Quotas are what customers' quotas are judged by.
-	Quotas   hingequota.Terms
+	Quotas   hingequota.Params
 	Recorder *hingeevents.Recorder
 }
 
@@ -119,16 +119,16 @@
 	if c.group, err = c.openGroup(ctx); err != nil {
 		return nil, err
 	}
-	c.source = hingefollow.NewSource(o.Life, c, c, hingeclock.Boot, c.link)
+	c.source = hingefollow.NewSource(o.Life, c, c, hingeclock.BootTime, c.link)
 	c.follower = hingefollow.New(hingefollow.Settings{
 		Self:  o.Life.Host,
 		Zone:  o.Zone,
-		Clock: hingeclock.Boot,
+		Clock: hingeclock.BootTime,
 		Took: func(now time.Time, records []hingeannounce.Record) {
 			c.source.Merge(now, records)
 		},
 	}, c.link, o.Seeds)
-	c.placer = hingeplacer.New(c, c, c.places, hingeclock.Boot, o.Quotas)
+	c.placer = hingeplacer.New(c, c, c.places, hingeclock.BootTime, o.Quotas)
 	c.placer.Handle(c.link, c.options.Recorder)
 	c.roles = newRoles(c, o.Engines(c.Address))
 	return c, nil
@@ -169,7 +169,7 @@
 		Voters:    o.Voters,
 		Election:  election,
 		Heartbeat: heartbeat,
-		Clock:     hingeclock.Boot,
+		Clock:     hingeclock.BootTime,
 		Today:     time.Now,
 		Seed:      uint64(o.Life.Incarnation),
 		Recorder:  o.Recorder,
@@ -205,7 +205,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			c.source.Step(hingeclock.Boot())
+			c.source.Step(hingeclock.BootTime())
 			c.entries.Store(int64(c.source.Entries()))
 		}
 	}
@@ -390,7 +390,7 @@
 // Askers gives the entry hosts that ask each of the other control hosts.
 func (c *Control) Askers() []hingefollow.Askers {
 	var out []hingefollow.Askers
-	now := hingeclock.Boot()
+	now := hingeclock.BootTime()
 	for _, x := range c.follower.State().Load().Control {
 		if now.Sub(x.HeardAt) < peerSilence {
 			out = append(out, x.Askers)
--- a/internal/serve/hingecontrol/operators.go
+++ b/internal/serve/hingecontrol/operators.go
@@ -30,15 +30,15 @@
 	case r.Target == poisonPath && r.Method == http.MethodGet:
 		o.list(w)
 	case one && r.Method == http.MethodPut:
-		o.change(ctx, w, name, func(p hingeids.Print) hingepoison.Record {
+		o.change(ctx, w, name, func(p hingeids.Fingerprint) hingepoison.Record {
 			return hingepoison.Record{
-				Print: p,
-				First: time.Now().UnixMilli(),
-				Since: time.Now().UnixMilli(),
+				Fingerprint: p,
+				First:       time.Now().UnixMilli(),
+				Since:       time.Now().UnixMilli(),
 			}
 		})
 	case one && r.Method == http.MethodDelete:
-		o.change(ctx, w, name, func(p hingeids.Print) hingepoison.Record {
+		o.change(ctx, w, name, func(p hingeids.Fingerprint) hingepoison.Record {
 			return hingepoison.Lift(time.Now(), p)
 		})
 	default:
@@ -48,13 +48,13 @@
 
 // record is a request on the list, as operators read it.
 type record struct {
-	Print   hingeids.Print      `json:"print"`
-	Service hingeids.Service    `json:"service,omitempty"`
-	Caller  hingeids.CallerID   `json:"caller,omitempty"`
-	Ended   int                 `json:"ended"`
-	Servers []hingeids.ServerID `json:"servers,omitempty"`
-	First   time.Time           `json:"first"`
-	Since   time.Time           `json:"since"`
+	Print   hingeids.Fingerprint `json:"print"`
+	Service hingeids.Service     `json:"service,omitempty"`
+	Caller  hingeids.CallerID    `json:"caller,omitempty"`
+	Ended   int                  `json:"ended"`
+	Servers []hingeids.ServerID  `json:"servers,omitempty"`
+	First   time.Time            `json:"first"`
+	Since   time.Time            `json:"since"`
 	// TriedInMs is when it is tried again; zero or less if it is due.
 	TriedInMs int64 `json:"triedInMs"`
 	Trials    int   `json:"trials,omitempty"`
@@ -67,15 +67,15 @@
 	var records []record
 	for _, r := range l.Refused() {
 		records = append(records, record{
-			Print:     r.Print,
+			Print:     r.Fingerprint,
 			Service:   r.Service,
 			Caller:    r.Caller,
-			Ended:     r.Ended,
+			Ended:     r.Crashes,
 			Servers:   r.Servers,
 			First:     time.UnixMilli(r.First).UTC(),
 			Since:     time.UnixMilli(r.Since).UTC(),
 			TriedInMs: r.Wait(now).Milliseconds(),
-			Trials:    r.Trials,
+			Trials:    r.FailedProbes,
 			Doubtful:  r.Doubtful,
 		})
 	}
@@ -88,8 +88,8 @@
 	})
 }
 
-func (o Operators) change(ctx context.Context, w *hingewire.Writer, name string, of func(hingeids.Print) hingepoison.Record) {
-	var p hingeids.Print
+func (o Operators) change(ctx context.Context, w *hingewire.Writer, name string, of func(hingeids.Fingerprint) hingepoison.Record) {
+	var p hingeids.Fingerprint
 	if err := p.UnmarshalText([]byte(name)); err != nil || p == 0 {
 		tellOperator(w, http.StatusBadRequest, "a print is sixteen hexadecimal digits")
 		return
--- a/internal/serve/hingecontrol/poison.go
+++ b/internal/serve/hingecontrol/poison.go
@@ -28,7 +28,7 @@
 }
 
 // Poison gives what the list says of a request.
-func (c *Control) Poison(p hingeids.Print) hingepoison.Listed {
+func (c *Control) Poison(p hingeids.Fingerprint) hingepoison.Listed {
 	return c.Poisons().Load().At(time.Now(), p)
 }
 
@@ -65,7 +65,7 @@
 // tried stays due, and is tried again.
 func (c *Control) notAgreed(r hingepoison.Record, err error) {
 	c.options.Recorder.Record(time.Now(), hingeevents.PoisonNotAgreed, hingeevents.Fields{
-		Print:  r.Print,
+		Print:  r.Fingerprint,
 		Detail: err.Error(),
 	})
 }
--- a/internal/serve/hingecontrol/roles.go
+++ b/internal/serve/hingecontrol/roles.go
@@ -51,7 +51,7 @@
 type roles struct {
 	control  *Control
 	orders   *hingeorders.Orders
-	shifters map[hingeids.Service]*hingeshift.Shifter
+	shifters map[hingeids.Service]*hingeshift.Planner
 	// changing are the engines under orders.
 	changing map[hingeids.ServerID]change
 	tenure   tenure
@@ -66,7 +66,7 @@
 func newRoles(c *Control, e hingeorders.Engines) *roles {
 	r := &roles{
 		control:  c,
-		shifters: make(map[hingeids.Service]*hingeshift.Shifter),
+		shifters: make(map[hingeids.Service]*hingeshift.Planner),
 		changing: make(map[hingeids.ServerID]change),
 	}
 	r.orders = hingeorders.New(hingeorders.Config{
@@ -76,7 +76,7 @@
 		Engines: e,
 		Lease:   issuer{group: c},
 		Events:  c.options.Recorder,
-		Clock:   hingeclock.Boot,
+		Clock:   hingeclock.BootTime,
 	})
 	return r
 }
@@ -105,7 +105,7 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			r.step(hingeclock.Boot())
+			r.step(hingeclock.BootTime())
 		}
 	}
 }
@@ -181,13 +181,13 @@
 	planned := hingeshift.Demand{
 		Prefill: scale * d.Prefill,
 		Decode:  scale * d.Decode,
-		Present: &hingeshift.Load{
+		Current: &hingeshift.Load{
 			Prefill: d.Prefill,
 			Decode:  d.Decode,
 		},
 	}
-	if d.Reads {
-		planned.ReadCost = readCost / prefillSlack
+	if d.PrefillOnDecoders {
+		planned.DecodePrefillCost = readCost / prefillSlack
 	}
 	return planned, true
 }
@@ -199,10 +199,10 @@
 	shifter := r.shifters[s]
 	if shifter == nil {
 		shifter = hingeshift.New(hingeshift.Config{
-			Change:   e.RoleTime,
-			HoldFor:  holdFor,
-			Rest:     rest,
-			MostLast: mostLast,
+			ChangeTime:        e.RoleTime,
+			HoldFor:           holdFor,
+			Cooldown:          rest,
+			MaxDemandDuration: mostLast,
 		})
 		r.shifters[s] = shifter
 	}
@@ -212,20 +212,20 @@
 		return
 	}
 	if !settled {
-		shifter.Watch(now, engines, planned)
+		shifter.Observe(now, engines, planned)
 		return
 	}
 	atOnce := max((len(list)-smallPool)/shiftAtOnce, 1)
 	shift, ok := shifter.Decide(now, engines, planned)
-	for n := 0; ok && (n < atOnce || hingeshift.Spares(engines, shift.To, planned)); n++ {
+	for n := 0; ok && (n < atOnce || hingeshift.CanSpare(engines, shift.To, planned)); n++ {
 		r.change(now, shift)
 		engines = r.standing(list)
-		shift, ok = shifter.More(engines, planned)
+		shift, ok = shifter.DecideNext(engines, planned)
 	}
 }
 
 // change puts an engine under orders.
-func (r *roles) change(now time.Time, shift hingeshift.Shift) {
+func (r *roles) change(now time.Time, shift hingeshift.RoleChange) {
 	role := hingefleet.Prefill
 	if shift.To == hingeannounce.Decode {
 		role = hingefleet.Decode
--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -36,7 +36,7 @@
 
 // Options of an entry host.
 type Options struct {
-	Life hingeids.Life
+	Life hingeids.Instance
 	Zone hingeids.Zone
 	// Listen is the address for callers.
 	Listen string
@@ -49,7 +49,7 @@
 	Parse  func(body []byte) (*hingeroutes.Table, error)
 	Budget hingeproxy.Budget
 	// Quotas are what customers' quotas are judged by.
-	Quotas hingequota.Terms
+	Quotas hingequota.Params
 	// Grace is how long the process may take to end.
 	Grace    time.Duration
 	Recorder *hingeevents.Recorder
@@ -107,19 +107,19 @@
 		Self:  o.Life.Host,
 		Zone:  o.Zone,
 		Entry: true,
-		Clock: hingeclock.Boot,
+		Clock: hingeclock.BootTime,
 		Took:  f.took,
 	}, f.link, o.Seeds)
-	f.owner = hingeplacer.NewOwner(o.Life.Host, f.link, f, hingeclock.Boot, o.Recorder, o.Quotas)
+	f.owner = hingeplacer.NewOwner(o.Life.Host, f.link, f, hingeclock.BootTime, o.Recorder, o.Quotas)
 	f.proxy = hingeproxy.New(hingeproxy.Settings{
 		Self:     o.Life,
 		Zone:     o.Zone,
 		Budget:   o.Budget,
-		Clock:    hingeclock.Boot,
-		Started:  hingeclock.Boot(),
+		Clock:    hingeclock.BootTime,
+		Started:  hingeclock.BootTime(),
 		Recorder: o.Recorder,
 	}, o.Dialect, f, f.owner)
-	f.server = hingewire.NewServer(f.proxy, f.limits, hingeclock.Boot)
+	f.server = hingewire.NewServer(f.proxy, f.limits, hingeclock.BootTime)
 	return f, nil
 }
 
@@ -245,7 +245,7 @@
 	}
 	f.draining = true
 	f.record(hingeevents.ProcessDraining, hingeevents.Fields{})
-	f.proxy.Drain(hingeclock.Boot())
+	f.proxy.Drain(hingeclock.BootTime())
 	f.server.Drain()
 }
 
@@ -261,7 +261,7 @@
 	ticker := time.NewTicker(drainLook)
 	defer ticker.Stop()
 	for {
-		now := hingeclock.Boot()
+		now := hingeclock.BootTime()
 		switch {
 		case !f.isDraining():
 		case since.IsZero():
--- a/internal/serve/hingefront/front_test.go
+++ b/internal/serve/hingefront/front_test.go
@@ -16,7 +16,7 @@
 // many entry hosts there are; an entry host writes none, and knows all the same.
 func TestEntryHostWritesNoLineOnWhatControlHostsTold(t *testing.T) {
 	lines := 0
-	life := hingeids.Life{
+	life := hingeids.Instance{
 		Host:        "entry-1",
 		Incarnation: 1,
 	}
--- a/internal/serve/hingefront/world.go
+++ b/internal/serve/hingefront/world.go
@@ -86,7 +86,7 @@
 }
 
 // Poison gives what the list says of a request, as a control host told it.
-func (f *Front) Poison(p hingeids.Print) hingepoison.Listed {
+func (f *Front) Poison(p hingeids.Fingerprint) hingepoison.Listed {
 	return f.follower.State().Load().Poisons.At(time.Now(), p)
 }
 
@@ -103,7 +103,7 @@
 // heard the control hosts of the own zone, then others.
 func (f *Front) Placers() []hingeids.HostID {
 	s := f.follower.State().Load()
-	now := hingeclock.Boot()
+	now := hingeclock.BootTime()
 	var leader, near, far []hingeids.HostID
 	if s.Leader != "" && now.Sub(s.HeardAt) < controlSilence {
 		leader = []hingeids.HostID{s.Leader}
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -83,7 +83,7 @@
 	if bytes := g.server.configuration.Load().models[m].CacheBytesPerToken; bytes > 0 {
 		return bytes
 	}
-	return hingeplace.Defaults().CacheBytes
+	return hingeplace.Defaults().CacheBytesPerToken
 }
 
 // reconfigure puts a revision's weights and sizes in force. It runs in the
@@ -100,7 +100,7 @@
 func (g *gates) config(m hingeids.Model) hingeplace.Config {
 	c := hingeplace.Defaults()
 	c.Weights = g.weights()
-	c.CacheBytes = g.cacheBytes(m)
+	c.CacheBytesPerToken = g.cacheBytes(m)
 	fallback := c.LinkRate
 	c.LinkRate = func(from, to hingeids.Zone) hingeids.BytesPerSecond {
 		for _, l := range g.server.configuration.Load().Inventory.Links {
@@ -135,12 +135,12 @@
 			continue
 		}
 		gate.told[s.Server] = s.Announcement
-		gate.Announce(s.Announcement, s.ReportAge(now))
+		gate.HandleAnnouncement(s.Announcement, s.ReportAge(now))
 	}
 	for id := range gate.told {
 		if !seen[id] {
 			delete(gate.told, id)
-			gate.Gone(id)
+			gate.RemoveEngine(id)
 		}
 	}
 }
@@ -199,22 +199,22 @@
 		return hingedispatch.Placement{}, noServer("model " + string(w.Model))
 	}
 	gate := g.of(w.Model)
-	ask := hingegate.Ask{
-		Place: hingeplace.Request{
+	ask := hingegate.Request{
+		Placement: hingeplace.Request{
 			ID:       e.ID,
 			Class:    w.Class.Name,
 			Priority: w.Class.Priority,
 			CanWait:  w.Class.CanWait,
 			Prompt:   w.PromptTokens,
-			Prefix:   hingeplace.Chain([]byte(w.Prompt), promptBytesPerToken, blockTokens, longestChain),
+			Prefix:   hingeplace.HashBlocks([]byte(w.Prompt), promptBytesPerToken, blockTokens, longestChain),
 			TokenGap: w.Class.TokenGap,
 			Avoid:    g.avoid(w.Model, e.Avoid),
 		},
-		Caller:     w.Caller,
-		Arrived:    w.Arrived,
-		FirstToken: w.Class.FirstToken,
-		Deadline:   w.Deadline,
-		Again:      e.Again,
+		Caller:      w.Caller,
+		Arrived:     w.Arrived,
+		FirstToken:  w.Class.FirstToken,
+		Deadline:    w.Deadline,
+		Resubmitted: e.Again,
 	}
 	for {
 		d, err := g.enter(ctx, gate, ask)
@@ -232,8 +232,8 @@
 				Prefill: &target,
 			}, nil
 		}
-		gate.Leave(e.ID, 0)
-		ask.Again = true
+		gate.Finish(e.ID, 0)
+		ask.Resubmitted = true
 	}
 }
 
@@ -246,9 +246,9 @@
 )
 
 // enter enters the gate, by the rule above.
-func (g *gates) enter(ctx context.Context, gate *modelGate, ask hingegate.Ask) (hingeplace.Decision, error) {
-	d, err := gate.Enter(ctx, ask)
-	if !ask.Place.CanWait || !isNoServer(err) {
+func (g *gates) enter(ctx context.Context, gate *modelGate, ask hingegate.Request) (hingeplace.Decision, error) {
+	d, err := gate.Admit(ctx, ask)
+	if !ask.Placement.CanWait || !isNoServer(err) {
 		return d, err
 	}
 	if g.forEngines.Add(1) > mostForEngines {
@@ -262,7 +262,7 @@
 			return d, err
 		case <-time.After(enginesEvery):
 		}
-		d, err = gate.Enter(ctx, ask)
+		d, err = gate.Admit(ctx, ask)
 	}
 	return d, err
 }
@@ -304,7 +304,7 @@
 	if s, ok := g.server.servers.Load().Find(id); ok {
 		return targetOf(s), true
 	}
-	gate.Gone(id)
+	gate.RemoveEngine(id)
 	return hingeengine.Target{}, false
 }
 
@@ -313,7 +313,7 @@
 	ctx context.Context, e hingedispatch.Entry, cached hingeids.Tokens,
 ) (hingeengine.Target, error) {
 	gate := g.of(e.Work.Model)
-	id, err := gate.Ready(ctx, e.ID, cached)
+	id, err := gate.BindDecode(ctx, e.ID, cached)
 	return g.bound(ctx, gate, e, id, err)
 }
 
@@ -322,7 +322,7 @@
 	ctx context.Context, e hingedispatch.Entry, refused hingeengine.Target,
 ) (hingeengine.Target, error) {
 	gate := g.of(e.Work.Model)
-	id, err := gate.Full(ctx, e.ID, refused.Server)
+	id, err := gate.RetryBind(ctx, e.ID, refused.Server)
 	return g.bound(ctx, gate, e, id, err)
 }
 
@@ -333,14 +333,14 @@
 		if target, ok := g.target(gate, id); ok {
 			return target, nil
 		}
-		id, err = gate.Full(ctx, e.ID, id)
+		id, err = gate.RetryBind(ctx, e.ID, id)
 	}
 	return hingeengine.Target{}, err
 }
 
 // Other names a second decode engine.
 func (g *gates) Other(e hingedispatch.Entry) (hingeengine.Target, bool) {
-	id, ok := g.of(e.Work.Model).Other(e.ID)
+	id, ok := g.of(e.Work.Model).AlternativeEngine(e.ID)
 	if !ok {
 		return hingeengine.Target{}, false
 	}
@@ -355,7 +355,7 @@
 
 // Leave says that the entry is over.
 func (g *gates) Leave(e hingedispatch.Entry, tokens int) {
-	g.of(e.Work.Model).Leave(e.ID, hingeids.Tokens(tokens))
+	g.of(e.Work.Model).Finish(e.ID, hingeids.Tokens(tokens))
 }
 
 // Failed takes an engine that can't be reached out of the gate until it
@@ -369,12 +369,12 @@
 	g.mu.Lock()
 	delete(gate.told, t.Server)
 	g.mu.Unlock()
-	gate.Gone(t.Server)
+	gate.RemoveEngine(t.Server)
 }
 
 // TokenGap tells of an engine's speed.
 func (g *gates) TokenGap(e hingedispatch.Entry, t hingeengine.Target, gap time.Duration) {
-	g.of(e.Work.Model).TokenGap(t.Server, gap)
+	g.of(e.Work.Model).HandleTokenGap(t.Server, gap)
 }
 
 // Lives tells whether a life of a server is the one that is there now.
--- a/internal/serve/hingeserver/holds.go
+++ b/internal/serve/hingeserver/holds.go
@@ -88,7 +88,7 @@
 }
 
 // Life is the life that this host leads now.
-func (h *holds) Life() hingeids.Life {
+func (h *holds) Life() hingeids.Instance {
 	return h.server.shared.members.Hosts().Load().Self
 }
 
--- a/internal/serve/hingeserver/lives.go
+++ b/internal/serve/hingeserver/lives.go
@@ -29,10 +29,10 @@
 }
 
 // began is the fact that a life began.
-func began(l hingeids.Life, now time.Time) hingeconfig.Change {
+func began(l hingeids.Instance, now time.Time) hingeconfig.Change {
 	return hingeconfig.Change{
 		ID: hingeconfig.ChangeID("lifeBegan." + hingeids.RequestID{
-			Life: l,
+			Instance: l,
 		}.String()),
 		Puts: map[hingeconfig.Path][]byte{
 			beganPath(l.Host): binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation)),
@@ -112,7 +112,7 @@
 // livesToEnd are the lives that the record may show as over: those that nobody
 // hears any more, and those that said so themselves when they left. Without the
 // second, what a host could not hand on at its end would be held for good.
-func livesToEnd(v *hingemembers.View) []hingeids.Life {
+func livesToEnd(v *hingemembers.View) []hingeids.Instance {
 	out := slices.Clone(v.Overdue)
 	for _, h := range v.Hosts {
 		if h.State == hingemembers.Over {
@@ -134,7 +134,7 @@
 
 // endLife answers every caller finally when others have declared this host's
 // life over: they may cancel what it holds from then on. A new life begins after.
-func (s *Server) endLife(ended hingeids.Life) {
+func (s *Server) endLife(ended hingeids.Instance) {
 	s.recorder.Record(time.Now(), hingeevents.LifeDeclaredOver, hingeevents.Fields{
 		Host: ended.Host,
 	})
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -45,16 +45,16 @@
 	done    chan struct{}
 
 	mu   sync.Mutex
-	book *hingepoison.Book
+	book *hingepoison.Detector
 	list *hingepoison.List
 	news poisonNews
 }
 
 // poisonNews is what one host tells others.
 type poisonNews struct {
-	Ends    []hingepoison.End    `cbor:"1,keyasint,omitempty"`
-	Passes  []hingepoison.Pass   `cbor:"2,keyasint,omitempty"`
-	Records []hingepoison.Record `cbor:"3,keyasint,omitempty"`
+	Ends    []hingepoison.Crash      `cbor:"1,keyasint,omitempty"`
+	Passes  []hingepoison.Completion `cbor:"2,keyasint,omitempty"`
+	Records []hingepoison.Record     `cbor:"3,keyasint,omitempty"`
 }
 
 func newPoisons(
@@ -69,7 +69,7 @@
 		gone:     gone,
 		dirty:    make(chan struct{}, 1),
 		done:     make(chan struct{}),
-		book:     hingepoison.NewBook(),
+		book:     hingepoison.NewDetector(),
 		list:     &hingepoison.List{},
 	}
 	link.HandleDatagram(methodPoison, p.heard)
@@ -108,11 +108,11 @@
 
 // Judge gives why a request mustn't run, nil if it may.
 func (p *poisons) Judge(
-	ctx context.Context, print hingeids.Print, s hingeids.Service,
+	ctx context.Context, print hingeids.Fingerprint, s hingeids.Service,
 ) (suspect bool, refused *hingeverdict.Error) {
 	j := p.judge(time.Now(), print, s)
-	if j.Settles {
-		hingeclock.Pause(ctx, hingepoison.SettleTime)
+	if j.Settling {
+		hingeclock.Sleep(ctx, hingepoison.SettleTime)
 		j = p.judge(time.Now(), print, s)
 	}
 	if !j.Refused {
@@ -122,18 +122,18 @@
 		eris.Errorf("print %v", print))
 }
 
-func (p *poisons) judge(now time.Time, print hingeids.Print, s hingeids.Service) hingepoison.Judgement {
+func (p *poisons) judge(now time.Time, print hingeids.Fingerprint, s hingeids.Service) hingepoison.Decision {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	l := p.list.At(now, print)
-	j := p.book.Judge(now, print, l, func() int {
+	j := p.book.Evaluate(now, print, l, func() int {
 		return p.servers(s)
 	})
-	if j.Tried {
+	if j.Probe {
 		p.record(hingeevents.PoisonTried, l.Record)
 	}
-	if j.Found {
-		r := p.book.Found(now, now, print)
+	if j.Detected {
+		r := p.book.NewRecord(now, now, print)
 		p.record(hingeevents.PoisonFound, r)
 		p.put(r)
 	}
@@ -150,16 +150,16 @@
 // Broke tells of a server that failed a request, after which it may have ended.
 func (p *poisons) Broke(ctx context.Context, b hingedispatch.Broken) {
 	verdict := verdictOf(b.Err)
-	if verdict != hingeverdict.CodeServerFailed && verdict != hingeverdict.CodeAnswerCut || p.gone(b.Target.Server) ||
+	if verdict != hingeverdict.CodeServerFailed && verdict != hingeverdict.CodeAnswerTruncated || p.gone(b.Target.Server) ||
 		!hingewire.Ended(ctx, b.Target.Address) {
 		return
 	}
-	e := hingepoison.End{
-		Print:   b.Print,
-		Server:  b.Target.Server.InLife(b.Target.Incarnation),
-		Service: b.Service,
-		Caller:  b.Caller,
-		Had:     b.Had,
+	e := hingepoison.Crash{
+		Fingerprint: b.Print,
+		Server:      b.Target.Server.WithIncarnation(b.Target.Incarnation),
+		Service:     b.Service,
+		Caller:      b.Caller,
+		Held:        b.Had,
 	}
 	now := time.Now()
 	p.recorder.Record(now, hingeevents.ServerEnded, hingeevents.Fields{
@@ -185,26 +185,26 @@
 }
 
 // tell takes an end. One under a trial is another reason to refuse the request. The caller holds the lock.
-func (p *poisons) tell(now time.Time, e hingepoison.End) {
-	if !p.book.Tell(now, e) {
+func (p *poisons) tell(now time.Time, e hingepoison.Crash) {
+	if !p.book.HandleCrash(now, e) {
 		return
 	}
-	if r, inVain := p.book.InVain(now, now, e, p.list.At(now, e.Print)); inVain {
+	if r, inVain := p.book.FailedProbe(now, now, e, p.list.At(now, e.Fingerprint)); inVain {
 		p.put(r)
 	}
 }
 
 // Passed tells of a suspected request that was answered whole.
-func (p *poisons) Passed(print hingeids.Print) {
+func (p *poisons) Passed(print hingeids.Fingerprint) {
 	now := time.Now()
-	x := hingepoison.Pass{
-		Print: print,
+	x := hingepoison.Completion{
+		Fingerprint: print,
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.book.Pass(now, x)
+	p.book.HandleCompletion(now, x)
 	p.news.Passes = append(p.news.Passes, x)
-	if l := p.list.At(now, print); l.There {
+	if l := p.list.At(now, print); l.Blocked {
 		p.record(hingeevents.PoisonAcquitted, l.Record)
 		p.put(hingepoison.Lift(now, print))
 	}
@@ -220,9 +220,9 @@
 
 func (p *poisons) record(n hingeevents.Number, r hingepoison.Record) {
 	p.recorder.Record(time.Now(), n, hingeevents.Fields{
-		Print:  r.Print,
+		Print:  r.Fingerprint,
 		Caller: r.Caller,
-		Count:  int64(r.Ended),
+		Count:  int64(r.Crashes),
 		Detail: r.String(),
 	})
 }
@@ -247,10 +247,10 @@
 		p.tell(now, e)
 	}
 	for _, x := range news.Passes {
-		p.book.Pass(now, x)
+		p.book.HandleCompletion(now, x)
 	}
 	for _, r := range news.Records {
-		if held, listed := p.list.Find(r.Print); !listed || held.Since < r.Since {
+		if held, listed := p.list.Find(r.Fingerprint); !listed || held.Since < r.Since {
 			p.list = p.list.With(r)
 		}
 	}
@@ -273,11 +273,11 @@
 			return nil
 		case <-p.dirty:
 		}
-		hingeclock.Pause(ctx, poisonGather)
+		hingeclock.Sleep(ctx, poisonGather)
 		p.mu.Lock()
 		news := p.news
 		p.news = poisonNews{}
-		p.book.Step(time.Now())
+		p.book.RemoveExpired(time.Now())
 		p.mu.Unlock()
 		for _, b := range news.messages() {
 			for _, h := range p.peers {
@@ -302,7 +302,7 @@
 			p.take(time.Now(), news)
 			return
 		}
-		hingeclock.Pause(ctx, askPause)
+		hingeclock.Sleep(ctx, askPause)
 	}
 }
 
--- a/internal/serve/hingeserver/poisons_test.go
+++ b/internal/serve/hingeserver/poisons_test.go
@@ -124,11 +124,11 @@
 	for i := range 3 {
 		now := time.Now()
 		all[i].mu.Lock()
-		e := hingepoison.End{
-			Print:   7,
-			Server:  hingeids.ServerID(fmt.Sprint("engine-", i)),
-			Service: "m",
-			Had:     100 * time.Millisecond,
+		e := hingepoison.Crash{
+			Fingerprint: 7,
+			Server:      hingeids.ServerID(fmt.Sprint("engine-", i)),
+			Service:     "m",
+			Held:        100 * time.Millisecond,
 		}
 		all[i].tell(now, e)
 		all[i].news.Ends = append(all[i].news.Ends, e)
@@ -158,8 +158,8 @@
 	first := startPoisons(t, network, names[0], names)
 	first.mu.Lock()
 	first.put(hingepoison.Record{
-		Print: 7,
-		Since: time.Now().UnixMilli(),
+		Fingerprint: 7,
+		Since:       time.Now().UnixMilli(),
 	})
 	first.mu.Unlock()
 	second := startPoisons(t, network, names[1], names)
@@ -173,23 +173,23 @@
 func TestNewsFitDatagrams(t *testing.T) {
 	var n poisonNews
 	for i := range 100 {
-		id := hingeids.ServerID(fmt.Sprintf("engine-with-a-long-name-of-a-zone-%d", i)).InLife(1_700_000_000_000_000_000)
-		n.Ends = append(n.Ends, hingepoison.End{
-			Print:   hingeids.Print(1<<63 + uint64(i)),
-			Server:  id,
-			Service: "a-model-with-a-long-name",
-			Caller:  "a-customer-with-a-long-name",
-			Ago:     time.Hour,
-			Had:     time.Hour,
+		id := hingeids.ServerID(fmt.Sprintf("engine-with-a-long-name-of-a-zone-%d", i)).WithIncarnation(1_700_000_000_000_000_000)
+		n.Ends = append(n.Ends, hingepoison.Crash{
+			Fingerprint: hingeids.Fingerprint(1<<63 + uint64(i)),
+			Server:      id,
+			Service:     "a-model-with-a-long-name",
+			Caller:      "a-customer-with-a-long-name",
+			Ago:         time.Hour,
+			Held:        time.Hour,
 		})
 		n.Records = append(n.Records, hingepoison.Record{
-			Print:   hingeids.Print(1<<63 + uint64(i)),
-			Service: "a-model-with-a-long-name",
-			Caller:  "a-customer-with-a-long-name",
-			Servers: []hingeids.ServerID{id, id, id, id},
-			Ended:   4,
-			First:   time.Now().UnixMilli(),
-			Since:   time.Now().UnixMilli(),
+			Fingerprint: hingeids.Fingerprint(1<<63 + uint64(i)),
+			Service:     "a-model-with-a-long-name",
+			Caller:      "a-customer-with-a-long-name",
+			Servers:     []hingeids.ServerID{id, id, id, id},
+			Crashes:     4,
+			First:       time.Now().UnixMilli(),
+			Since:       time.Now().UnixMilli(),
 		})
 	}
 	for _, b := range n.messages() {
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -38,7 +38,7 @@
 // Server is one entry host.
 type Server struct {
 	settings      hingesettings.Settings
-	life          hingeids.Life
+	life          hingeids.Instance
 	recorder      *hingeevents.Recorder
 	metrics       *hingemetrics.Metrics
 	configuration hingeboard.Cell[Configuration]
@@ -62,7 +62,7 @@
 // New makes an entry host that starts its life now, and opens its addresses
 // and its durable state.
 func New(o Options, now time.Time) (*Server, error) {
-	life := hingeids.Life{
+	life := hingeids.Instance{
 		Host:        o.Settings.Host,
 		Incarnation: hingeids.Incarnation(now.UnixNano()),
 	}
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -38,10 +38,10 @@
 // sharedConfig is what the shared parts are made of.
 type sharedConfig struct {
 	settings hingesettings.Settings
-	life     hingeids.Life
+	life     hingeids.Instance
 	recorder *hingeevents.Recorder
 	keepKeys func() time.Duration
-	onOver   func(ended hingeids.Life)
+	onOver   func(ended hingeids.Instance)
 	allowCut bool
 }
 
--- a/internal/serve/hingeserver/slots.go
+++ b/internal/serve/hingeserver/slots.go
@@ -24,7 +24,7 @@
 	client *hingeengine.Client
 	driver *hingeslots.Slots
 	told   []hingeslots.Engine
-	life   hingeids.Life
+	life   hingeids.Instance
 	// held are the slots that this host's requests hold.
 	mu   sync.Mutex
 	held map[hingeids.RequestID]struct{}
