--- a/internal/capacity/hingeslots/bench_test.go
+++ b/internal/capacity/hingeslots/bench_test.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	benchSettles  = 6 * time.Second
-	benchMeasures = 10 * time.Second
+	benchWarmUp   = 6 * time.Second
+	benchDuration = 10 * time.Second
 )
 
-// BenchmarkSlopes gives the slopes of docs/CAPACITY.md: messages that the hosts of
-// a zone send for an idle engine and for a request, by hosts and by engines. The
-// time is that of the whole simulation, all hosts one after the other.
+// BenchmarkSlopes measures the messages that the hosts of a zone send per idle
+// engine and per request, by number of hosts and engines. The reported time covers
+// the whole simulation, in which the hosts run one after the other.
 func BenchmarkSlopes(b *testing.B) {
 	for _, size := range []struct{ hosts, engines int }{
 		{hosts: 2, engines: 3},
@@ -36,35 +36,36 @@
 }
 
 func measureSize(b *testing.B, hosts, engines int) {
-	begun := time.Now()
-	idle := messagesOf(hosts, engines, 0, b)
-	spent := time.Since(begun)
-	s := messagesOf(hosts, engines, 5, b)
-	seconds := benchMeasures.Seconds()
+	start := time.Now()
+	idle := runZone(hosts, engines, 0, b)
+	elapsed := time.Since(start)
+	s := runZone(hosts, engines, 5, b)
+	seconds := benchDuration.Seconds()
 	b.ReportMetric(float64(idle.messages)/seconds/float64(engines), "idle-messages/s/engine")
 	b.ReportMetric(float64(idle.messages)/seconds/float64(hosts), "idle-messages/s/host")
-	all := (benchSettles + benchMeasures).Seconds()
-	b.ReportMetric(float64(spent.Microseconds())/all/float64(hosts), "idle-µs/s/host")
-	b.ReportMetric(float64(s.messages-idle.messages)/float64(len(s.got)), "messages/request")
+	total := (benchWarmUp + benchDuration).Seconds()
+	b.ReportMetric(float64(elapsed.Microseconds())/total/float64(hosts), "idle-µs/s/host")
+	b.ReportMetric(float64(s.messages-idle.messages)/float64(len(s.answered)), "messages/request")
 	b.ReportMetric(float64(idle.bytes)/float64(idle.messages), "idle-B/message")
-	b.ReportMetric(float64(len(s.got))/seconds, "granted/s")
+	b.ReportMetric(float64(len(s.answered))/seconds, "granted/s")
 }
 
-// messagesOf runs a zone with so many requests a second for each engine, from its
-// hosts in turn, and gives the simulation with the counts after it settled.
-func messagesOf(hosts, engines, rate int, b *testing.B) *simulation {
+// runZone simulates a zone with the given rate of requests per second and engine,
+// spread evenly over its hosts. It returns the simulation with the counts since
+// the end of the warm-up.
+func runZone(hosts, engines, rate int, b *testing.B) *simulation {
 	s := newSimulation(1, hosts, engines, 20, false)
-	s.run(benchSettles)
-	s.messages, s.measured = 0, true
-	clear(s.got)
+	s.run(benchWarmUp)
+	s.messages, s.countBytes = 0, true
+	clear(s.answered)
 	if rate == 0 {
-		s.run(benchSettles + benchMeasures)
+		s.run(benchWarmUp + benchDuration)
 		return s
 	}
-	all := rate * engines * int(benchMeasures/time.Second)
-	for i := range all {
-		s.want(s.hosts[s.names[i%hosts]], 0, hingeids.ServerID(fmt.Sprintf("engine-%d", i/hosts%engines)))
-		s.run(benchSettles + benchMeasures*time.Duration(i+1)/time.Duration(all))
+	total := rate * engines * int(benchDuration/time.Second)
+	for i := range total {
+		s.startRequest(s.hosts[s.names[i%hosts]], 0, hingeids.ServerID(fmt.Sprintf("engine-%d", i/hosts%engines)))
+		s.run(benchWarmUp + benchDuration*time.Duration(i+1)/time.Duration(total))
 	}
 	if len(s.problems) > 0 {
 		b.Fatal(s.problems[0])
@@ -75,7 +76,7 @@
 func wireSize(m Message) int {
 	body, err := cbor.Marshal(m)
 	if err != nil {
-		panic(err) // Only types that CBOR can't hold fail, and these are ours.
+		panic(err) // Only types that CBOR can't encode fail, and Message has none.
 	}
 	return len(body)
 }
--- a/internal/capacity/hingeslots/book.go
+++ b/internal/capacity/hingeslots/book.go
@@ -6,19 +6,20 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// book says which requests take up the slots of a pool. Rule 5.
-type book map[hingeids.RequestID]*entry
+// occupancy holds the requests that occupy the slots of a pool. Rule 5.
+type occupancy map[hingeids.RequestID]*reservation
 
-type entry struct {
+type reservation struct {
 	serial uint64
-	// startBy is when the request must have started, by this host's clock.
+	// startBy is the time by which the request must have started, on this host's
+	// clock.
 	startBy time.Time
 }
 
-func (b book) wire(now time.Time) []wireEntry {
-	out := make([]wireEntry, 0, len(b))
-	for id, e := range b {
-		out = append(out, wireEntry{
+func (o occupancy) toWire(now time.Time) []wireReservation {
+	out := make([]wireReservation, 0, len(o))
+	for id, e := range o {
+		out = append(out, wireReservation{
 			ID:     id,
 			Serial: e.serial,
 			Left:   max(e.startBy.Sub(now), 0),
@@ -27,34 +28,38 @@
 	return out
 }
 
-// readBook reads a book that came from another host, whose clock may be faster.
-func readBook(now time.Time, all []wireEntry) book {
-	b := make(book, len(all))
+// occupancyFromWire decodes an occupancy received from another host. Remaining
+// times are extended by the clock margin, since that host's clock may be faster.
+func occupancyFromWire(now time.Time, all []wireReservation) occupancy {
+	o := make(occupancy, len(all))
 	for _, w := range all {
-		b[w.ID] = &entry{
+		o[w.ID] = &reservation{
 			serial:  w.Serial,
-			startBy: now.Add(longer(w.Left)),
+			startBy: now.Add(addClockMargin(w.Left)),
 		}
 	}
-	return b
+	return o
 }
 
-// settle frees what the engine no longer holds. The engine was asked at the
-// given time; what may not have shown by then stays. Rule 6.
-func (b book) settle(asked time.Time, held map[hingeids.RequestID]bool) {
-	for id, e := range b {
-		if !held[id] && asked.After(e.startBy.Add(showWithin)) {
-			delete(b, id)
+// removeUnheld removes the requests that the engine no longer holds. The engine
+// was queried at queriedAt; requests that may not have been visible by then are
+// kept. Rule 6.
+func (o occupancy) removeUnheld(queriedAt time.Time, held map[hingeids.RequestID]bool) {
+	for id, e := range o {
+		if !held[id] && queriedAt.After(e.startBy.Add(visibilityDelay)) {
+			delete(o, id)
 		}
 	}
 }
 
-// longer lengthens a time that another host's clock may count more slowly.
-func longer(d time.Duration) time.Duration {
+// addClockMargin extends a duration that was measured by another host's clock,
+// which may be faster.
+func addClockMargin(d time.Duration) time.Duration {
 	return d + d/clockMargin
 }
 
-// shorter is the other side of longer.
-func shorter(d time.Duration) time.Duration {
+// subtractClockMargin shortens a duration that another host will measure with its
+// clock, which may be slower.
+func subtractClockMargin(d time.Duration) time.Duration {
 	return d - d/clockMargin
 }
--- a/internal/capacity/hingeslots/compare_test.go
+++ b/internal/capacity/hingeslots/compare_test.go
@@ -10,33 +10,33 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// comparison measures ways to give out slots: 7 hosts, 9 engines of 20 slots,
-// requests of 2 s on average, one engine three times slower, 95% of what all can
-// do. Load reports are up to half a second old in each way that uses them.
+// comparison measures strategies of slot allocation with 7 hosts, 9 engines of 20
+// slots, requests of 2 s on average, one engine that is three times slower, and a
+// load of 95% of the capacity. Load reports are up to half a second old.
 type comparison struct {
 	*simulation
-	// demand draws the work, so that it is the same for each way.
-	demand   *rand.Rand
-	way      wayToGive
-	busy     [9]int
-	inside   [9][]*job // queued inside an engine that was overfilled
-	reported [9]int
-	over     int
-	starts   int
-	waits    []time.Duration
-	busyTime time.Duration
+	// demand generates the requests, so that they are the same for each strategy.
+	demand      *rand.Rand
+	strategy    slotStrategy
+	busy        [9]int
+	engineQueue [9][]*job // requests queued inside an overfilled engine
+	reported    [9]int
+	overfilled  int
+	starts      int
+	waits       []time.Duration
+	busyTime    time.Duration
 }
 
 type job struct {
-	host   int
-	engine int
-	came   time.Duration
-	runs   time.Duration
-	begun  bool
-	id     hingeids.RequestID
+	host      int
+	engine    int
+	arrivedAt time.Duration
+	duration  time.Duration
+	started   bool
+	id        hingeids.RequestID
 }
 
-type wayToGive interface {
+type slotStrategy interface {
 	arrive(j *job)
 	finish(j *job)
 	waiting(engine int) int
@@ -57,31 +57,31 @@
 		return
 	}
 	if c.now > warmUp {
-		c.over++
+		c.overfilled++
 	}
-	c.inside[j.engine] = append(c.inside[j.engine], j)
+	c.engineQueue[j.engine] = append(c.engineQueue[j.engine], j)
 }
 
 func (c *comparison) begin(j *job) {
 	c.busy[j.engine]++
 	if c.now > warmUp {
-		c.waits = append(c.waits, c.now-j.came)
+		c.waits = append(c.waits, c.now-j.arrivedAt)
 	}
-	runs := j.runs
+	duration := j.duration
 	if j.engine == 0 {
-		runs *= 3
+		duration *= 3
 	}
-	c.after(runs, func() {
+	c.after(duration, func() {
 		c.busy[j.engine]--
-		if q := c.inside[j.engine]; len(q) > 0 {
-			c.inside[j.engine] = q[1:]
+		if q := c.engineQueue[j.engine]; len(q) > 0 {
+			c.engineQueue[j.engine] = q[1:]
 			c.begin(q[0])
 		}
-		c.way.finish(j)
+		c.strategy.finish(j)
 	})
 }
 
-// twoChoices takes the less loaded of two engines by the lagging reports.
+// twoChoices returns the less loaded of two random engines, by the load reports.
 func (c *comparison) twoChoices() int {
 	a, b := c.random.IntN(9), c.random.IntN(9)
 	if c.reported[b] < c.reported[a] {
@@ -90,20 +90,20 @@
 	return a
 }
 
-func (c *comparison) work() {
+func (c *comparison) scheduleArrival() {
 	c.after(time.Duration(c.demand.ExpFloat64()*float64(time.Second)/(0.95*(160.0/2+20.0/6))), func() {
-		c.way.arrive(&job{
-			host: c.demand.IntN(7),
-			came: c.now,
-			runs: time.Duration(c.demand.ExpFloat64() * float64(2*time.Second)),
+		c.strategy.arrive(&job{
+			host:      c.demand.IntN(7),
+			arrivedAt: c.now,
+			duration:  time.Duration(c.demand.ExpFloat64() * float64(2*time.Second)),
 		})
-		c.work()
+		c.scheduleArrival()
 	})
 }
 
 func (c *comparison) report() {
 	for e := range c.reported {
-		c.reported[e] = c.busy[e] + len(c.inside[e]) + c.way.waiting(e)
+		c.reported[e] = c.busy[e] + len(c.engineQueue[e]) + c.strategy.waiting(e)
 	}
 	c.after(500*time.Millisecond, c.report)
 }
@@ -117,36 +117,36 @@
 	c.after(10*time.Millisecond, c.sample)
 }
 
-// guessing sends at once.
-type guessing struct{ *comparison }
+// immediate sends requests without reserving a slot.
+type immediate struct{ *comparison }
 
-func (g guessing) arrive(j *job) {
+func (g immediate) arrive(j *job) {
 	j.engine = g.twoChoices()
 	g.send(j)
 }
-func (g guessing) finish(*job)     {}
-func (g guessing) waiting(int) int { return 0 }
+func (g immediate) finish(*job)     {}
+func (g immediate) waiting(int) int { return 0 }
 
-// fixed gives each host its part of each engine for good.
-type fixed struct {
+// staticShares gives each host a fixed share of each engine.
+type staticShares struct {
 	*comparison
 	free  [7][9]int
 	queue [7][]*job
 }
 
-func newFixed(c *comparison) *fixed {
-	f := &fixed{
+func newStaticShares(c *comparison) *staticShares {
+	f := &staticShares{
 		comparison: c,
 	}
 	for e := range 9 {
 		for h := range 7 {
-			f.free[h][e] = int(share(c.engines[engineID(e)].Engine, c.names, c.names[h]))
+			f.free[h][e] = int(poolSize(c.engines[engineID(e)].Engine, c.names, c.names[h]))
 		}
 	}
 	return f
 }
 
-func (f *fixed) arrive(j *job) {
+func (f *staticShares) arrive(j *job) {
 	free := f.free[j.host][:]
 	j.engine = slices.Index(free, slices.Max(free))
 	if free[j.engine] == 0 {
@@ -157,7 +157,7 @@
 	f.send(j)
 }
 
-func (f *fixed) finish(j *job) {
+func (f *staticShares) finish(j *job) {
 	q := f.queue[j.host]
 	if len(q) == 0 {
 		f.free[j.host][j.engine]++
@@ -167,22 +167,22 @@
 	q[0].engine = j.engine
 	f.send(q[0])
 }
-func (f *fixed) waiting(int) int { return 0 }
+func (f *staticShares) waiting(int) int { return 0 }
 
-// cached keeps released slots at the host that had them, until the manager of the
-// engine recalls them for another that waits; a lease is renewed every 2.5 s.
+// cached lets hosts keep released slots until the engine's manager recalls them
+// for waiting requests. Hosts renew their leases every 2.5 s.
 type cached struct {
 	*comparison
-	asked int
-	free  [9]int
-	idle  [7][9]int
-	queue [9][]*job
+	choices int
+	free    [9]int
+	idle    [7][9]int
+	queue   [9][]*job
 }
 
-func newCached(c *comparison, asked int) *cached {
+func newCached(c *comparison, choices int) *cached {
 	k := &cached{
 		comparison: c,
-		asked:      asked,
+		choices:    choices,
 	}
 	for e := range k.free {
 		k.free[e] = compareSlots
@@ -204,13 +204,13 @@
 		k.use(j, j.engine)
 		return
 	}
-	for range k.asked {
+	for range k.choices {
 		e := k.twoChoices()
 		k.messages++
 		k.after(k.delay(), func() {
 			if k.free[e] > 0 {
 				k.free[e]--
-				k.give(j, e)
+				k.grant(j, e)
 				return
 			}
 			k.queue[e] = append(k.queue[e], j)
@@ -219,24 +219,24 @@
 	}
 }
 
-func (k *cached) give(j *job, e int) {
+func (k *cached) grant(j *job, e int) {
 	k.messages++
 	k.after(k.delay(), func() {
 		k.use(j, e)
 	})
 }
 
-// use starts a request, or keeps the slot if another engine was faster.
+// use starts a request, or keeps the slot if another engine granted one first.
 func (k *cached) use(j *job, e int) {
-	if j.begun {
+	if j.started {
 		k.idle[j.host][e]++
 		return
 	}
-	j.begun, j.engine = true, e
+	j.started, j.engine = true, e
 	k.send(j)
 }
 
-// recall asks each host for its idle slots of an engine. Each answers.
+// recall requests each host's idle slots of an engine.
 func (k *cached) recall(e int) {
 	for h := range 7 {
 		k.messages += 2
@@ -245,7 +245,7 @@
 				j := k.queue[e][0]
 				k.queue[e] = k.queue[e][1:]
 				k.after(k.delay(), func() {
-					k.give(j, e)
+					k.grant(j, e)
 				})
 			}
 		})
@@ -261,7 +261,7 @@
 	k.after(100*time.Millisecond, k.recallAll)
 }
 
-// finish keeps the slot, for the host's own waiters on that engine first.
+// finish passes the slot to a request of the same host, or keeps it.
 func (k *cached) finish(j *job) {
 	q := k.queue[j.engine]
 	at := slices.IndexFunc(q, func(o *job) bool {
@@ -278,17 +278,18 @@
 }
 func (k *cached) waiting(e int) int { return len(k.queue[e]) }
 
-// lent is the State as it runs, with each request waiting at some engines.
-type lent struct {
+// delegated runs the State of this package, with each request waiting at several
+// engines.
+type delegated struct {
 	*comparison
-	asked int
-	jobs  map[hingeids.RequestID]*job
+	choices int
+	jobs    map[hingeids.RequestID]*job
 }
 
-func newLent(c *comparison, asked int) wayToGive {
-	l := lent{
+func newDelegated(c *comparison, choices int) slotStrategy {
+	l := delegated{
 		comparison: c,
-		asked:      asked,
+		choices:    choices,
 		jobs:       make(map[hingeids.RequestID]*job),
 	}
 	for _, h := range c.hosts {
@@ -296,7 +297,7 @@
 	}
 	c.onGrant = func(r Result) {
 		j := l.jobs[r.ID]
-		j.engine = slices.IndexFunc(c.ids(), func(id hingeids.ServerID) bool {
+		j.engine = slices.IndexFunc(c.engineIDs(), func(id hingeids.ServerID) bool {
 			return id == r.Engine
 		})
 		l.held(j)[j.id] = true
@@ -305,7 +306,7 @@
 	return l
 }
 
-func (c *comparison) ids() []hingeids.ServerID {
+func (c *comparison) engineIDs() []hingeids.ServerID {
 	var out []hingeids.ServerID
 	for e := range 9 {
 		out = append(out, engineID(e))
@@ -317,34 +318,34 @@
 	return hingeids.ServerID(fmt.Sprintf("engine-%d", e))
 }
 
-func (l lent) arrive(j *job) {
+func (l delegated) arrive(j *job) {
 	h := l.hosts[l.names[j.host]]
 	h.sequence++
 	j.id = hingeids.RequestID{
-		Life:     h.state.life,
+		Life:     h.state.instance,
 		Sequence: h.sequence,
 	}
 	l.jobs[j.id] = j
 	var engines []hingeids.ServerID
-	for range l.asked {
+	for range l.choices {
 		engines = append(engines, engineID(l.twoChoices()))
 	}
 	out, _ := h.state.Acquire(l.clock(h), engines, j.id, 0)
-	l.do(h, h.state, out)
+	l.apply(h, h.state, out)
 }
 
-func (l lent) held(j *job) map[hingeids.RequestID]bool {
+func (l delegated) held(j *job) map[hingeids.RequestID]bool {
 	return l.engines[engineID(j.engine)].held
 }
 
-func (l lent) finish(j *job) {
+func (l delegated) finish(j *job) {
 	h := l.hosts[l.names[j.host]]
 	delete(l.held(j), j.id)
 	delete(l.jobs, j.id)
-	l.do(h, h.state, h.state.Release(l.clock(h), j.id))
+	l.apply(h, h.state, h.state.Release(l.clock(h), j.id))
 }
 
-func (l lent) waiting(e int) int {
+func (l delegated) waiting(e int) int {
 	sum := 0
 	for _, h := range l.hosts {
 		sum += len(h.state.engines[engineID(e)].waiters)
@@ -352,31 +353,31 @@
 	return sum
 }
 
-// BenchmarkWays prints the table of docs/design/04-slots-and-holds.md.
+// BenchmarkWays compares strategies of slot allocation.
 func BenchmarkWays(b *testing.B) {
-	ways := []struct {
+	strategies := []struct {
 		name string
-		make func(c *comparison) wayToGive
+		make func(c *comparison) slotStrategy
 	}{
-		{name: "guessing", make: func(c *comparison) wayToGive { return guessing{comparison: c} }},
-		{name: "fixed", make: func(c *comparison) wayToGive { return newFixed(c) }},
-		{name: "lent1", make: func(c *comparison) wayToGive { return newLent(c, 1) }},
-		{name: "lent2", make: func(c *comparison) wayToGive { return newLent(c, 2) }},
-		{name: "cached1", make: func(c *comparison) wayToGive { return newCached(c, 1) }},
-		{name: "cached2", make: func(c *comparison) wayToGive { return newCached(c, 2) }},
+		{name: "guessing", make: func(c *comparison) slotStrategy { return immediate{comparison: c} }},
+		{name: "fixed", make: func(c *comparison) slotStrategy { return newStaticShares(c) }},
+		{name: "lent1", make: func(c *comparison) slotStrategy { return newDelegated(c, 1) }},
+		{name: "lent2", make: func(c *comparison) slotStrategy { return newDelegated(c, 2) }},
+		{name: "cached1", make: func(c *comparison) slotStrategy { return newCached(c, 1) }},
+		{name: "cached2", make: func(c *comparison) slotStrategy { return newCached(c, 2) }},
 	}
-	for _, w := range ways {
-		b.Run(w.name, func(b *testing.B) {
+	for _, strategy := range strategies {
+		b.Run(strategy.name, func(b *testing.B) {
 			for range b.N {
-				compare(b, w.make)
+				compare(b, strategy.make)
 			}
 		})
 	}
 }
 
-func compare(b *testing.B, begin func(c *comparison) wayToGive) {
+func compare(b *testing.B, newStrategy func(c *comparison) slotStrategy) {
 	var waits []time.Duration
-	var over, starts, messages int
+	var overfilled, starts, messages int
 	var busyTime time.Duration
 	for seed := range uint64(5) {
 		c := &comparison{
@@ -384,22 +385,22 @@
 			demand:     rand.New(rand.NewPCG(seed, 9)),
 		}
 		for _, h := range c.hosts {
-			h.dead = true // Only one way uses them, and the others send nothing of theirs.
+			h.dead = true // Only delegated uses the hosts; the others count their own messages.
 		}
-		c.way = begin(c)
+		c.strategy = newStrategy(c)
 		c.run(5 * time.Second)
-		c.work()
+		c.scheduleArrival()
 		c.report()
 		c.sample()
 		c.run(warmUp)
 		c.messages = 0
 		c.run(warmUp + measured)
 		waits = append(waits, c.waits...)
-		over, starts, messages = over+c.over, starts+c.starts, messages+c.messages
+		overfilled, starts, messages = overfilled+c.overfilled, starts+c.starts, messages+c.messages
 		busyTime += c.busyTime
 	}
 	slices.Sort(waits)
-	b.ReportMetric(100*float64(over)/float64(starts), "%overfull")
+	b.ReportMetric(100*float64(overfilled)/float64(starts), "%overfull")
 	b.ReportMetric(float64(waits[len(waits)/2].Milliseconds()), "ms-p50")
 	b.ReportMetric(float64(waits[len(waits)*99/100].Milliseconds()), "ms-p99")
 	b.ReportMetric(100*busyTime.Seconds()/(5*measured.Seconds()*180), "%busy")
--- a/internal/capacity/hingeslots/doc.go
+++ b/internal/capacity/hingeslots/doc.go
@@ -1,32 +1,40 @@
-// Package hingeslots says who may put a request on a decode engine, so that an
-// engine never gets more requests than it has slots, whatever is cut off and
-// however much hosts disagree on who lives. State is the pure part; Slots drives it.
+// Package hingeslots decides which host may send a request to a decode engine, so
+// that an engine never receives more requests than it has slots, even under network
+// partitions and when hosts disagree on which hosts are alive. State is the pure
+// part; Slots runs it.
 //
 //  1. An engine's slots are split into pools, one for each entry host of its zone.
-//     A pool belongs to the recorded life of its host; while the record shows
-//     that life as over, to the heir: the rendezvous choice among the zone's
-//     recorded lives.
-//  2. An owner uses its pool only while it stands (see hingemembers): a life
-//     that is recorded as over does not stand, so owner and heir never both do.
-//  3. The granter of an engine is the rendezvous choice among the zone's hosts
-//     that look alive. It asks every host of the zone for a loan of what it owns. Hosts
-//     may disagree on who the granter is: a pool is lent to one at a time.
-//  4. A loan is a lease. The borrower counts it from the sending of its question, the
-//     owner from its answer and longer by the clock margin; it never outlasts
-//     the owner's standing. Asking again renews it. A granter that no longer is
-//     one gives its loans back with their books.
-//  5. A pool's book says which requests take up its slots. It goes with the loan.
-//     A granter grants only what is free in a book whose loan it holds.
-//  6. A grant says by when the request must have started on the engine, counted by
-//     the holder from its own question, and never later than the loan's end. After
-//     that, and the time a request takes to show, the engine's own list of what it
-//     holds is the truth: an entry that it lacks is free.
-//  7. A pool is opened before its owner lends it: after a start, an inheritance, or a loan that
-//     ended without being given back. Whoever may have owned it before
-//     yields it; every loan and grant that may be out has ended by time; then what
-//     the engine holds, less what other pools' holders claim, is the new book. What
-//     nobody claims counts against each pool that opens: too many, never too few.
-//  8. A release frees a slot at once. It may be lost: rule 6 frees it later.
-//  9. Those who wait are ordered by priority, then by arrival. Their number is bounded, and
-//     a full queue refuses the lowest.
+//     A pool belongs to the recorded instance of its host. While the record shows
+//     that this instance has ended, the pool belongs to its successor: the
+//     rendezvous choice among the zone's recorded instances.
+//  2. An owner uses its pool only while it holds a valid lease (see hingemembers).
+//     An instance that is recorded as ended has no valid lease, so an owner and its
+//     successor never use the pool at the same time.
+//  3. The allocator of an engine is the rendezvous choice among the zone's hosts
+//     that appear alive. It requests from every host of the zone a delegation of the
+//     pools that the host owns. Hosts may disagree on the allocator: a pool is
+//     delegated to one host at a time.
+//  4. A delegation is a lease. Its holder counts it from the sending of the request,
+//     the owner from the sending of the answer and extended by the clock margin. It
+//     never outlasts the owner's own lease. Repeating the request renews it. A host
+//     that is no longer the allocator returns its delegations with their
+//     occupancies.
+//  5. A pool's occupancy lists the requests that occupy its slots. It is passed on
+//     with the delegation. An allocator grants only slots that are free in an
+//     occupancy whose delegation it holds.
+//  6. A grant carries the time within which the request must start on the engine,
+//     counted by the holder from its own request for the slot, and never later than
+//     the end of the delegation. After that time and the visibility delay, the
+//     engine's list of held requests is authoritative: an entry that is not in the
+//     list is free.
+//  7. A pool is opened before its owner delegates it: after a start, a succession, or
+//     a delegation that expired without being returned. Every possible earlier
+//     owner yields the pool, and all delegations and grants that may still exist
+//     expire. Then the new occupancy is what the engine holds, less what holders of
+//     slots from other pools claim. A request that nobody claims counts against each
+//     pool that opens: occupancies may be too large, never too small.
+//  8. A release frees a slot at once. If the message is lost, rule 6 frees the slot
+//     later.
+//  9. Waiting requests are ordered by priority, then by arrival. Their number is
+//     bounded; a full queue refuses the request of lowest priority.
 package hingeslots
--- a/internal/capacity/hingeslots/driver_test.go
+++ b/internal/capacity/hingeslots/driver_test.go
@@ -20,9 +20,8 @@
 	return nil, nil
 }
 
-// Two hosts share an engine of two slots over a fake network. Four callers come
-// at once: two get a slot, a third gets one when the first is released, and the
-// fourth gives up and is told that its request was not run.
+// Guards against errors of the driver: two hosts share an engine of two slots, and
+// a request that times out is reported as not run.
 func TestDriversShareAnEngine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := hingefake.NewNetwork()
@@ -72,9 +71,9 @@
 				t.Fatal(err)
 			}
 		}
-		brief, giveUp := context.WithTimeout(ctx, 200*time.Millisecond)
-		defer giveUp()
-		_, err := all["a"].Acquire(brief, []hingeids.ServerID{"engine-0"}, request("a", 2), 0)
+		shortCtx, cancelShort := context.WithTimeout(ctx, 200*time.Millisecond)
+		defer cancelShort()
+		_, err := all["a"].Acquire(shortCtx, []hingeids.ServerID{"engine-0"}, request("a", 2), 0)
 		if diff := cmp.Diff(hingeverdict.NotRun, hingeverdict.Of(err)); diff != "" {
 			t.Error(diff)
 		}
--- a/internal/capacity/hingeslots/granter.go
+++ b/internal/capacity/hingeslots/granter.go
@@ -8,86 +8,88 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// loan is a pool that this host may grant from.
-type loan struct {
+// delegation is a pool from which this host may grant slots.
+type delegation struct {
 	pool       hingeids.HostID
 	owner      hingeids.Life
 	serial     uint64
 	size       hingeids.Slots
 	validUntil time.Time
-	book       book
+	occupancy  occupancy
 }
 
-func (l *loan) free() int {
-	return int(l.size) - len(l.book)
+func (l *delegation) free() int {
+	return int(l.size) - len(l.occupancy)
 }
 
-// waiter is a request that waits for a slot.
+// waiter is a request queued for a slot.
 type waiter struct {
 	id       hingeids.RequestID
-	from     hingeids.Life
+	holder   hingeids.Life
 	priority int
 	arrival  uint64
-	// number is the holder's newest question, heard at heard.
-	number uint64
-	heard  time.Time
+	// number is the number of the holder's latest acquire message, received at
+	// lastSeen.
+	number   uint64
+	lastSeen time.Time
 }
 
-// borrow asks for loans while this host looks like the granter, and gives them
-// back when it no longer does. Rules 3 and 4.
-func (s *State) borrow(now time.Time, e *engineState) {
-	granter := s.granterOf(e) == s.life.Host
+// requestDelegations requests delegations while this host considers itself the
+// allocator, and returns them once it no longer does. Rules 3 and 4.
+func (s *State) requestDelegations(now time.Time, e *engineState) {
+	isAllocator := s.allocatorOf(e) == s.instance.Host
 	for _, h := range s.hosts {
-		l := e.loans[h]
+		l := e.delegations[h]
 		switch {
 		case l == nil:
 		case !now.Before(l.validUntil):
-			delete(e.loans, h)
-		case !granter:
-			delete(e.loans, h)
+			delete(e.delegations, h)
+		case !isAllocator:
+			delete(e.delegations, h)
 			s.send(e, l.owner.Host, Message{
-				Kind:   kindGiveBack,
+				Kind:   kindReturn,
 				Pool:   h,
 				Serial: l.serial,
-				Book:   l.book.wire(now),
+				Book:   l.occupancy.toWire(now),
 			})
 		}
 	}
-	if !granter || now.Before(e.borrowAt) {
+	if !isAllocator || now.Before(e.nextDelegationRequest) {
 		return
 	}
-	e.borrowAt = now.Add(borrowEvery)
-	number := s.ask(now)
+	e.nextDelegationRequest = now.Add(delegationInterval)
+	number := s.nextNumber(now)
 	for _, h := range s.hosts {
 		s.send(e, h, Message{
-			Kind:   kindBorrow,
+			Kind:   kindRequestDelegation,
 			Number: number,
-			Seen:   e.seenLoans(),
+			Seen:   e.seenDelegations(),
 		})
 	}
 }
 
-func (e *engineState) seenLoans() []seenLoan {
-	out := make([]seenLoan, 0, len(e.seen))
+func (e *engineState) seenDelegations() []seenDelegation {
+	out := make([]seenDelegation, 0, len(e.seen))
 	for h, l := range e.seen {
-		l.Live = e.loans[h] != nil
+		l.Live = e.delegations[h] != nil
 		out = append(out, l)
 	}
-	slices.SortFunc(out, func(a, b seenLoan) int {
+	slices.SortFunc(out, func(a, b seenDelegation) int {
 		return cmp.Compare(a.Pool, b.Pool)
 	})
 	return out
 }
 
-// takeLend takes a loan, or its renewal. A loan seen before and dropped since
-// is not taken again: its book is gone. Rule 4.
-func (s *State) takeLend(now time.Time, e *engineState, m Message) {
+// handleDelegation accepts a delegation or its renewal. A delegation that was
+// received before and has been dropped is not accepted again, since its occupancy
+// is lost. Rule 4.
+func (s *State) handleDelegation(now time.Time, e *engineState, m Message) {
 	sent, known := s.sentAt[m.Number]
 	until := sent.Add(m.For)
 	if !known || !now.Before(until) {
 		return
 	}
-	l := e.loans[m.Pool]
+	l := e.delegations[m.Pool]
 	if l != nil && l.owner == m.From && l.serial == m.Serial {
 		if until.After(l.validUntil) {
 			l.validUntil = until
@@ -97,50 +99,50 @@
 	if seen := e.seen[m.Pool]; seen.Owner == m.From && m.Serial <= seen.Serial {
 		return
 	}
-	e.seen[m.Pool] = seenLoan{
+	e.seen[m.Pool] = seenDelegation{
 		Pool:   m.Pool,
 		Serial: m.Serial,
 		Owner:  m.From,
 	}
-	e.loans[m.Pool] = &loan{
+	e.delegations[m.Pool] = &delegation{
 		pool:       m.Pool,
 		owner:      m.From,
 		serial:     m.Serial,
 		size:       m.Size,
 		validUntil: until,
-		book:       readBook(now, m.Book),
+		occupancy:  occupancyFromWire(now, m.Book),
 	}
 }
 
-func (s *State) takeAcquire(now time.Time, e *engineState, m Message) {
+func (s *State) handleAcquire(now time.Time, e *engineState, m Message) {
 	if m.Gone {
 		e.waiters = slices.DeleteFunc(e.waiters, func(w *waiter) bool {
 			return w.id == m.ID
 		})
 	}
-	for _, one := range m.Waits {
-		s.takeWait(now, e, m, one)
+	for _, pending := range m.Waits {
+		s.handleWait(now, e, m, pending)
 	}
 }
 
-// takeWait queues a request, or repeats a grant whose message was lost.
-func (s *State) takeWait(now time.Time, e *engineState, m Message, one wait) {
-	at := slices.IndexFunc(e.waiters, func(w *waiter) bool {
-		return w.id == one.ID
+// handleWait queues a request, or repeats a grant whose message was lost.
+func (s *State) handleWait(now time.Time, e *engineState, m Message, pending waitingRequest) {
+	index := slices.IndexFunc(e.waiters, func(w *waiter) bool {
+		return w.id == pending.ID
 	})
-	if at >= 0 {
-		e.waiters[at].number, e.waiters[at].heard = m.Number, now
+	if index >= 0 {
+		e.waiters[index].number, e.waiters[index].lastSeen = m.Number, now
 		return
 	}
 	w := &waiter{
-		id:       one.ID,
-		from:     m.From,
-		priority: one.Priority,
+		id:       pending.ID,
+		holder:   m.From,
+		priority: pending.Priority,
 		number:   m.Number,
-		heard:    now,
+		lastSeen: now,
 	}
 	for _, h := range s.hosts {
-		if l := e.loans[h]; l != nil && l.book[one.ID] != nil {
+		if l := e.delegations[h]; l != nil && l.occupancy[pending.ID] != nil {
 			s.grantFrom(now, e, l, w)
 			return
 		}
@@ -150,9 +152,9 @@
 	s.enqueue(e, w)
 }
 
-// enqueue bounds the queue. Under a burst the lowest of those who wait is
-// refused at once, while it can still go elsewhere, and not after a wait that
-// could only end in nothing. Rule 9.
+// enqueue adds a waiter and keeps the queue bounded. If the queue is full, the
+// waiter of lowest priority is refused at once, while it can still be placed
+// elsewhere. Rule 9.
 func (s *State) enqueue(e *engineState, w *waiter) {
 	at, _ := slices.BinarySearchFunc(e.waiters, w, func(a, b *waiter) int {
 		return cmp.Or(cmp.Compare(b.priority, a.priority), cmp.Compare(a.arrival, b.arrival))
@@ -163,16 +165,16 @@
 	}
 	last := e.waiters[maxWaiters]
 	e.waiters = e.waiters[:maxWaiters]
-	s.send(e, last.from.Host, Message{
+	s.send(e, last.holder.Host, Message{
 		Kind: kindRefuse,
 		ID:   last.id,
 	})
 }
 
-// grant gives what is free to those who wait, best first. Rule 5.
+// grant assigns the free slots to the waiters in queue order. Rule 5.
 func (s *State) grant(now time.Time, e *engineState) {
 	e.waiters = slices.DeleteFunc(e.waiters, func(w *waiter) bool {
-		return now.Sub(w.heard) > waiterLife
+		return now.Sub(w.lastSeen) > waiterTimeout
 	})
 	for len(e.waiters) > 0 {
 		l := s.mostFree(now, e)
@@ -184,11 +186,11 @@
 	}
 }
 
-func (s *State) mostFree(now time.Time, e *engineState) *loan {
-	var best *loan
+func (s *State) mostFree(now time.Time, e *engineState) *delegation {
+	var best *delegation
 	for _, h := range s.hosts {
-		l := e.loans[h]
-		if l == nil || l.free() <= 0 || l.starts(now) < leastStart {
+		l := e.delegations[h]
+		if l == nil || l.free() <= 0 || l.startTimeout(now) < minStartTimeout {
 			continue
 		}
 		if best == nil || l.free() > best.free() {
@@ -198,41 +200,41 @@
 	return best
 }
 
-// starts gives within what time a grant has to start. Rule 6.
-func (l *loan) starts(now time.Time) time.Duration {
-	return min(startWithin, shorter(l.validUntil.Sub(now)))
+// startTimeout returns the time within which a new grant must start. Rule 6.
+func (l *delegation) startTimeout(now time.Time) time.Duration {
+	return min(maxStartTimeout, subtractClockMargin(l.validUntil.Sub(now)))
 }
 
-func (s *State) grantFrom(now time.Time, e *engineState, l *loan, w *waiter) {
-	within := l.starts(now)
-	if within < leastStart {
+func (s *State) grantFrom(now time.Time, e *engineState, l *delegation, w *waiter) {
+	timeout := l.startTimeout(now)
+	if timeout < minStartTimeout {
 		return
 	}
 	e.serial++
-	l.book[w.id] = &entry{
+	l.occupancy[w.id] = &reservation{
 		serial:  e.serial,
-		startBy: now.Add(longer(within)),
+		startBy: now.Add(addClockMargin(timeout)),
 	}
-	s.send(e, w.from.Host, Message{
+	s.send(e, w.holder.Host, Message{
 		Kind:   kindGrant,
 		Number: w.number,
 		Pool:   l.pool,
 		Serial: e.serial,
-		For:    within,
+		For:    timeout,
 		ID:     w.id,
 	})
 }
 
-// takeRelease frees the slot of a grant. Rule 8.
-func (s *State) takeRelease(e *engineState, m Message) {
-	for _, l := range e.loans {
-		if g := l.book[m.ID]; g != nil && g.serial == m.Serial {
-			delete(l.book, m.ID)
+// handleRelease frees the slot of a grant. Rule 8.
+func (s *State) handleRelease(e *engineState, m Message) {
+	for _, l := range e.delegations {
+		if g := l.occupancy[m.ID]; g != nil && g.serial == m.Serial {
+			delete(l.occupancy, m.ID)
 		}
 	}
 	for _, p := range e.pools {
-		if g := p.book[m.ID]; g != nil && g.serial == m.Serial && p.open && p.lentTo == (hingeids.Life{}) {
-			delete(p.book, m.ID)
+		if g := p.occupancy[m.ID]; g != nil && g.serial == m.Serial && p.open && p.delegatedTo == (hingeids.Life{}) {
+			delete(p.occupancy, m.ID)
 		}
 	}
 }
--- a/internal/capacity/hingeslots/held.go
+++ b/internal/capacity/hingeslots/held.go
@@ -6,18 +6,19 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// askHeld asks the engine what it holds, if a book or an opening waits for that.
-func (s *State) askHeld(now time.Time, e *engineState) {
-	every := checkEvery
+// queryHeld requests the engine's list of held requests if an occupancy or an
+// opening needs it.
+func (s *State) queryHeld(now time.Time, e *engineState) {
+	interval := staleQueryInterval
 	if e.opening(now) {
-		every = askEvery
+		interval = queryInterval
 	} else if !e.stale(now) {
 		return
 	}
-	if now.Sub(e.askedAt) < every {
+	if now.Sub(e.queriedAt) < interval {
 		return
 	}
-	e.askedAt = now
+	e.queriedAt = now
 	s.out.AskHeld = append(s.out.AskHeld, e.Engine)
 }
 
@@ -32,30 +33,32 @@
 
 func (e *engineState) stale(now time.Time) bool {
 	for _, p := range e.pools {
-		if p.open && p.lentTo == (hingeids.Life{}) && p.book.stale(now) {
+		if p.open && p.delegatedTo == (hingeids.Life{}) && p.occupancy.stale(now) {
 			return true
 		}
 	}
-	for _, l := range e.loans {
-		if l.book.stale(now) {
+	for _, l := range e.delegations {
+		if l.occupancy.stale(now) {
 			return true
 		}
 	}
 	return false
 }
 
-// stale reports an entry that the engine should show by now.
-func (b book) stale(now time.Time) bool {
-	for _, e := range b {
-		if now.After(e.startBy.Add(showWithin)) {
+// stale reports whether an entry is past the time by which its request must be
+// visible at the engine.
+func (o occupancy) stale(now time.Time) bool {
+	for _, e := range o {
+		if now.After(e.startBy.Add(visibilityDelay)) {
 			return true
 		}
 	}
 	return false
 }
 
-// TakeHeld takes what an engine, asked at the given time, said it holds.
-func (s *State) TakeHeld(now, asked time.Time, of Engine, ids []hingeids.RequestID) Output {
+// TakeHeld processes the list of held requests that an engine returned to a query
+// sent at queriedAt.
+func (s *State) TakeHeld(now, queriedAt time.Time, of Engine, ids []hingeids.RequestID) Output {
 	e := s.engines[of.ID]
 	if e == nil || e.Engine != of {
 		return Output{}
@@ -65,10 +68,10 @@
 		held[id] = true
 	}
 	for _, p := range e.pools {
-		s.takeHeldFor(e, p, asked, held)
+		s.reconcile(e, p, queriedAt, held)
 	}
-	for _, l := range e.loans {
-		l.book.settle(asked, held)
+	for _, l := range e.delegations {
+		l.occupancy.removeUnheld(queriedAt, held)
 	}
 	return s.stepThese(now, e)
 }
--- a/internal/capacity/hingeslots/holder.go
+++ b/internal/capacity/hingeslots/holder.go
@@ -8,23 +8,23 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// request is a request of this host that waits for a slot or has one.
+// request is a request of this host that waits for a slot or holds one.
 type request struct {
-	// order is when it came, among this host's.
-	order    uint64
-	priority int
-	askedTo  hingeids.HostID
-	askedAt  time.Time
-	granted  bool
-	pool     hingeids.HostID
-	granter  hingeids.HostID
-	serial   uint64
+	// sequence orders this host's requests by arrival.
+	sequence  uint64
+	priority  int
+	sentTo    hingeids.HostID
+	lastSent  time.Time
+	granted   bool
+	pool      hingeids.HostID
+	allocator hingeids.HostID
+	serial    uint64
 }
 
-// Acquire asks for a slot on any one of some engines. It waits at all of them, so
-// that a choice made from a load report that was out of date costs little; the
-// first that grants serves, the others are given up. The answer is a Result. It
-// reports false if none of the engines is known.
+// Acquire requests a slot on any one of the given engines. The request waits at
+// all of them, so that a choice based on an outdated load report costs little; the
+// first grant is used and the other waits are withdrawn. The outcome is reported
+// as a Result. Acquire returns false if none of the engines is known.
 func (s *State) Acquire(
 	now time.Time, engines []hingeids.ServerID, id hingeids.RequestID, priority int,
 ) (Output, bool) {
@@ -37,15 +37,16 @@
 		known = append(known, e)
 		s.number++
 		e.requests[id] = &request{
-			order:    s.number,
+			sequence: s.number,
 			priority: priority,
 		}
 	}
 	return s.stepThese(now, known...), len(known) > 0
 }
 
-// Release gives a slot back, or gives up waiting. It may only be called once
-// the engine holds nothing for the request, or if it was never sent there.
+// Release returns a slot, or withdraws a waiting request. It may only be called
+// once the engine holds nothing for the request, or if the request was never sent
+// there.
 func (s *State) Release(now time.Time, id hingeids.RequestID) Output {
 	var known []*engineState
 	for _, e := range s.ordered {
@@ -55,15 +56,15 @@
 		}
 		known = append(known, e)
 		delete(e.requests, id)
-		s.letGo(e, id, r)
+		s.releaseAt(e, id, r)
 	}
 	return s.stepThese(now, known...)
 }
 
-func (s *State) letGo(e *engineState, id hingeids.RequestID, r *request) {
+func (s *State) releaseAt(e *engineState, id hingeids.RequestID, r *request) {
 	if !r.granted {
-		if r.askedTo != "" {
-			s.send(e, r.askedTo, Message{
+		if r.sentTo != "" {
+			s.send(e, r.sentTo, Message{
 				Kind: kindAcquire,
 				ID:   id,
 				Gone: true,
@@ -76,29 +77,30 @@
 		Serial: r.serial,
 		ID:     id,
 	}
-	s.send(e, r.granter, release)
-	if now := s.granterOf(e); now != r.granter && now != "" {
-		s.send(e, now, release) // The book may have moved there.
+	s.send(e, r.allocator, release)
+	if current := s.allocatorOf(e); current != r.allocator && current != "" {
+		s.send(e, current, release) // The pool may have been delegated to the current allocator since.
 	}
 }
 
-// hold asks the granter again for what still waits.
-func (s *State) hold(now time.Time, e *engineState) {
-	granter := s.granterOf(e)
-	if granter == "" {
+// requestSlots sends the waiting requests to the allocator, again for those that
+// it has not answered within acquireInterval.
+func (s *State) requestSlots(now time.Time, e *engineState) {
+	allocator := s.allocatorOf(e)
+	if allocator == "" {
 		return
 	}
-	var waits []wait
+	var waits []waitingRequest
 	for _, id := range e.waiting() {
 		r := e.requests[id]
-		if r.askedTo == granter && now.Sub(r.askedAt) < acquireEvery {
+		if r.sentTo == allocator && now.Sub(r.lastSent) < acquireInterval {
 			continue
 		}
-		if r.askedTo != "" && r.askedTo != granter {
-			s.letGo(e, id, r)
+		if r.sentTo != "" && r.sentTo != allocator {
+			s.releaseAt(e, id, r)
 		}
-		r.askedTo, r.askedAt = granter, now
-		waits = append(waits, wait{
+		r.sentTo, r.lastSent = allocator, now
+		waits = append(waits, waitingRequest{
 			ID:       id,
 			Priority: r.priority,
 		})
@@ -106,23 +108,23 @@
 	if len(waits) == 0 {
 		return
 	}
-	number := s.ask(now)
-	for some := range slices.Chunk(waits, waitsInOne) {
-		s.send(e, granter, Message{
+	number := s.nextNumber(now)
+	for chunk := range slices.Chunk(waits, maxWaitsPerMessage) {
+		s.send(e, allocator, Message{
 			Kind:   kindAcquire,
 			Number: number,
-			Waits:  some,
+			Waits:  chunk,
 		})
 	}
 }
 
-// waitsInOne is how many waiting requests are asked for in one message. While
-// queues are full a host asks for all of its own several times a second; one
-// message each would then outnumber all others.
-const waitsInOne = 8
+// maxWaitsPerMessage is the maximum number of waiting requests in one message. A
+// host repeats all of its waits several times a second while queues are full; one
+// message each would dominate the traffic.
+const maxWaitsPerMessage = 8
 
-// waiting gives this host's requests without a slot in the order they came, so
-// that those that come together are queued in that order.
+// waiting returns this host's requests without a slot in order of arrival, so that
+// the allocator queues them in that order.
 func (e *engineState) waiting() []hingeids.RequestID {
 	var out []hingeids.RequestID
 	for id, r := range e.requests {
@@ -131,23 +133,23 @@
 		}
 	}
 	slices.SortFunc(out, func(a, b hingeids.RequestID) int {
-		return cmp.Compare(e.requests[a].order, e.requests[b].order)
+		return cmp.Compare(e.requests[a].sequence, e.requests[b].sequence)
 	})
 	return out
 }
 
-// takeGrant takes a slot, or gives it back if the request waits no more or has
-// another. A grant that comes too late is left: the granter repeats it.
+// handleGrant accepts a slot, or returns it if the request no longer waits or
+// already has another slot. An expired grant is ignored; the allocator repeats it.
 //
-// A grant to an earlier life of this host is left too: that life may have sent
-// its request to the engine, and a release would free a slot that is taken up.
-func (s *State) takeGrant(now time.Time, e *engineState, m Message) {
-	if m.ID.Life != s.life {
+// A grant to an earlier instance of this host is ignored too: that instance may
+// have sent its request to the engine, and a release would free an occupied slot.
+func (s *State) handleGrant(now time.Time, e *engineState, m Message) {
+	if m.ID.Life != s.instance {
 		return
 	}
 	r := e.requests[m.ID]
 	if r == nil || r.granted && r.serial != m.Serial {
-		s.giveBack(e, r, m)
+		s.returnUnused(e, r, m)
 		return
 	}
 	sent, known := s.sentAt[m.Number]
@@ -156,8 +158,8 @@
 		return
 	}
 	r.granted = true
-	r.pool, r.granter, r.serial = m.Pool, m.From.Host, m.Serial
-	s.letOthersGo(e, m.ID)
+	r.pool, r.allocator, r.serial = m.Pool, m.From.Host, m.Serial
+	s.releaseOthers(e, m.ID)
 	s.out.Results = append(s.out.Results, Result{
 		ID:      m.ID,
 		Engine:  e.ID,
@@ -166,21 +168,22 @@
 	})
 }
 
-// letOthersGo gives up waiting at the other engines.
-func (s *State) letOthersGo(granted *engineState, id hingeids.RequestID) {
+// releaseOthers withdraws the request at all engines but the one that granted it.
+func (s *State) releaseOthers(granted *engineState, id hingeids.RequestID) {
 	for _, e := range s.ordered {
 		if r := e.requests[id]; r != nil && e != granted {
 			delete(e.requests, id)
-			s.letGo(e, id, r)
+			s.releaseAt(e, id, r)
 		}
 	}
 }
 
-// giveBack returns a grant that isn't used. One repeated by the same granter
-// from the same pool is the slot that the request already has.
-func (s *State) giveBack(e *engineState, r *request, m Message) {
+// returnUnused releases a grant that isn't used. A repeated grant from the same
+// pool is the slot that the request already has; only its serial and allocator are
+// updated.
+func (s *State) returnUnused(e *engineState, r *request, m Message) {
 	if r != nil && r.pool == m.Pool {
-		r.serial, r.granter = m.Serial, m.From.Host
+		r.serial, r.allocator = m.Serial, m.From.Host
 		return
 	}
 	s.send(e, m.From.Host, Message{
@@ -190,9 +193,9 @@
 	})
 }
 
-// takeRefuse gives up waiting at an engine whose queue is full; the request is
-// refused once none is left.
-func (s *State) takeRefuse(e *engineState, m Message) {
+// handleRefusal withdraws a request at an engine whose queue is full. The request
+// fails once no engine is left.
+func (s *State) handleRefusal(e *engineState, m Message) {
 	r := e.requests[m.ID]
 	if r == nil || r.granted {
 		return
--- a/internal/capacity/hingeslots/members.go
+++ b/internal/capacity/hingeslots/members.go
@@ -5,7 +5,7 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingemembers"
 )
 
-// ViewOf gives what slots need of the members' view of a zone.
+// ViewOf returns the part of the membership view that slot allocation needs.
 func ViewOf(m *hingemembers.View, zone hingeids.Zone) View {
 	v := View{
 		Recorded:    make(map[hingeids.HostID]hingeids.Incarnation),
--- a/internal/capacity/hingeslots/owner.go
+++ b/internal/capacity/hingeslots/owner.go
@@ -6,30 +6,33 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// pool is a pool that this host owns. It is opening, open or lent.
+// pool is a pool that this host owns. It is opening, open, or delegated.
 type pool struct {
 	size hingeids.Slots
-	// host is whose pool it is, this host's own or an inherited one.
-	host   hingeids.HostID
-	open   bool
-	book   book
-	serial uint64
-	// opening
-	notBefore time.Time
-	yields    map[hingeids.HostID]bool
-	claims    map[hingeids.RequestID]hingeids.HostID
-	askAt     time.Time
-	// askedFrom is the number before the first question of this opening: answers
-	// to earlier ones don't count.
-	askedFrom uint64
-	// lent
-	lentTo    hingeids.Life
-	lentUntil time.Time
-	// mustYield says that another may have owned it before: all others must yield.
-	mustYield bool
+	// host is the host whose share the pool is: this host, or one that it
+	// succeeded.
+	host      hingeids.HostID
+	open      bool
+	occupancy occupancy
+	serial    uint64
+	// Fields of an opening.
+	notBefore        time.Time
+	yields           map[hingeids.HostID]bool
+	claims           map[hingeids.RequestID]hingeids.HostID
+	nextYieldRequest time.Time
+	// afterNumber is the last message number before this opening. Answers to
+	// messages up to that number are ignored.
+	afterNumber uint64
+	// Fields of a delegation.
+	delegatedTo    hingeids.Life
+	delegatedUntil time.Time
+	// needsYields is set if another host may have owned the pool before, so that
+	// all other hosts have to yield it.
+	needsYields bool
 }
 
-// ownerOf gives the life that owns a pool by the record as known here. Rule 1.
+// ownerOf returns the instance that owns a pool according to this host's copy of
+// the record. Rule 1.
 func (s *State) ownerOf(e *engineState, h hingeids.HostID) hingeids.Life {
 	if i, ok := s.view.Recorded[h]; ok {
 		return hingeids.Life{
@@ -43,32 +46,32 @@
 			recorded = append(recorded, o)
 		}
 	}
-	heir := rendezvous(recorded, string(e.ID), string(h))
+	successor := rendezvous(recorded, string(e.ID), string(h))
 	return hingeids.Life{
-		Host:        heir,
-		Incarnation: s.view.Recorded[heir],
+		Host:        successor,
+		Incarnation: s.view.Recorded[successor],
 	}
 }
 
-// own takes up pools that became this host's, drops those that are no longer,
-// and goes on with openings.
-func (s *State) own(now time.Time, e *engineState) {
+// updatePools adds the pools that this host has come to own, drops those that it
+// no longer owns, and continues openings.
+func (s *State) updatePools(now time.Time, e *engineState) {
 	for _, h := range s.hosts {
 		p := e.pools[h]
-		mine := s.ownerOf(e, h) == s.life
+		owned := s.ownerOf(e, h) == s.instance
 		switch {
-		case mine && p == nil:
-			e.pools[h] = s.begin(now, e, h)
-		case !mine && p != nil && !p.isLent(now):
-			delete(e.pools, h) // One that is lent stays until its loan is over: only then is it yielded.
+		case owned && p == nil:
+			e.pools[h] = s.newPool(now, e, h)
+		case !owned && p != nil && !p.isDelegated(now):
+			delete(e.pools, h) // A delegated pool is kept until the delegation ends; it may not be yielded earlier.
 		}
-		if p = e.pools[h]; p != nil && mine {
-			s.goOnOpening(now, e, p)
+		if p = e.pools[h]; p != nil && owned {
+			s.continueOpening(now, e, p)
 		}
 	}
 }
 
-// openEngines are the engines of which this host has an open pool.
+// openEngines returns the engines of which this host has an open pool.
 func (s *State) openEngines() map[Engine]bool {
 	out := make(map[Engine]bool)
 	for _, e := range s.engines {
@@ -81,75 +84,76 @@
 	return out
 }
 
-func (s *State) begin(now time.Time, e *engineState, h hingeids.HostID) *pool {
+func (s *State) newPool(now time.Time, e *engineState, h hingeids.HostID) *pool {
 	p := &pool{
-		size:      share(e.Engine, s.hosts, h),
-		host:      h,
-		book:      make(book),
-		mustYield: true,
+		size:        poolSize(e.Engine, s.hosts, h),
+		host:        h,
+		occupancy:   make(occupancy),
+		needsYields: true,
 	}
-	p.reopen(now.Add(longer(quarantine)), s.number)
+	p.startOpening(now.Add(addClockMargin(openingDelay)), s.number)
 	return p
 }
 
-// reopen begins an opening: nothing before the given time. Rule 7.
-func (p *pool) reopen(notBefore time.Time, askedFrom uint64) {
+// startOpening begins an opening, which can't complete before notBefore. Rule 7.
+func (p *pool) startOpening(notBefore time.Time, afterNumber uint64) {
 	p.open = false
-	p.askedFrom = askedFrom
-	p.notBefore = notBefore.Add(showWithin)
+	p.afterNumber = afterNumber
+	p.notBefore = notBefore.Add(visibilityDelay)
 	p.yields = make(map[hingeids.HostID]bool)
 	p.claims = make(map[hingeids.RequestID]hingeids.HostID)
-	p.lentTo = hingeids.Life{}
+	p.delegatedTo = hingeids.Life{}
 }
 
-func (p *pool) isLent(now time.Time) bool {
-	return p.lentTo != hingeids.Life{} && now.Before(p.lentUntil)
+func (p *pool) isDelegated(now time.Time) bool {
+	return p.delegatedTo != hingeids.Life{} && now.Before(p.delegatedUntil)
 }
 
-// goOnOpening asks others to yield and to claim. A loan that ended without being
-// given back starts an opening: its book is out of date.
-func (s *State) goOnOpening(now time.Time, e *engineState, p *pool) {
+// continueOpening requests yields and claims from the other hosts. A delegation
+// that expired without being returned starts an opening, since the pool's
+// occupancy is out of date.
+func (s *State) continueOpening(now time.Time, e *engineState, p *pool) {
 	if p.open {
-		if p.lentTo == (hingeids.Life{}) || p.isLent(now) {
+		if p.delegatedTo == (hingeids.Life{}) || p.isDelegated(now) {
 			return
 		}
-		p.reopen(now, s.number)
+		p.startOpening(now, s.number)
 	}
-	if now.Before(p.askAt) || s.yielded(p) {
+	if now.Before(p.nextYieldRequest) || s.allYielded(p) {
 		return
 	}
-	p.askAt = now.Add(askEvery)
-	number := s.ask(now)
+	p.nextYieldRequest = now.Add(queryInterval)
+	number := s.nextNumber(now)
 	for _, h := range s.hosts {
-		if h == s.life.Host || p.yields[h] {
+		if h == s.instance.Host || p.yields[h] {
 			continue
 		}
 		s.send(e, h, Message{
-			Kind:   kindAskYield,
+			Kind:   kindRequestYield,
 			Number: number,
 			Pool:   p.host,
 		})
 	}
 }
 
-// yielded reports that every other recorded host has answered.
-func (s *State) yielded(p *pool) bool {
+// allYielded reports whether every other recorded host has yielded the pool.
+func (s *State) allYielded(p *pool) bool {
 	for h := range s.view.Recorded {
-		if h != s.life.Host && !p.yields[h] {
+		if h != s.instance.Host && !p.yields[h] {
 			return false
 		}
 	}
 	return true
 }
 
-// takeAskYield gives up a pool to whom the record shows as its owner, once no
-// loan of it is out, and claims what this host holds from other pools.
-func (s *State) takeAskYield(now time.Time, e *engineState, m Message) {
+// handleYieldRequest yields a pool to its recorded owner, unless the pool is still
+// delegated, and claims the slots that this host holds from any pool.
+func (s *State) handleYieldRequest(now time.Time, e *engineState, m Message) {
 	if s.ownerOf(e, m.Pool) != m.From {
-		return // One of us has an older record; it asks again.
+		return // One of the two hosts has an outdated record; the sender repeats the request.
 	}
 	if p := e.pools[m.Pool]; p != nil {
-		if p.isLent(now) {
+		if p.isDelegated(now) {
 			return
 		}
 		delete(e.pools, m.Pool)
@@ -170,11 +174,11 @@
 	s.send(e, m.From.Host, answer)
 }
 
-// takeYield takes that a host does not own a pool, and what it claims. The
-// engine is asked only after that and the time that a request takes to show.
-func (s *State) takeYield(now time.Time, e *engineState, m Message) {
+// handleYield records that a host does not own a pool, and its claims. Only an
+// engine query sent after that and the visibility delay can complete the opening.
+func (s *State) handleYield(now time.Time, e *engineState, m Message) {
 	p := e.pools[m.Pool]
-	if p == nil || p.open || m.Number <= p.askedFrom || p.yields[m.From.Host] {
+	if p == nil || p.open || m.Number <= p.afterNumber || p.yields[m.From.Host] {
 		return
 	}
 	if s.view.Recorded[m.From.Host] != m.From.Incarnation {
@@ -184,22 +188,23 @@
 	for _, c := range m.Claim {
 		p.claims[c.ID] = c.Pool
 	}
-	if after := now.Add(showWithin); p.mustYield && after.After(p.notBefore) {
+	if after := now.Add(visibilityDelay); p.needsYields && after.After(p.notBefore) {
 		p.notBefore = after
 	}
 }
 
-// takeHeldFor opens a pool, or frees what is gone. Rules 6 and 7.
-func (s *State) takeHeldFor(
-	e *engineState, p *pool, asked time.Time, held map[hingeids.RequestID]bool,
+// reconcile opens a pool or frees the slots of completed requests, by the list of
+// requests that the engine held at queriedAt. Rules 6 and 7.
+func (s *State) reconcile(
+	e *engineState, p *pool, queriedAt time.Time, held map[hingeids.RequestID]bool,
 ) {
 	if p.open {
-		if p.lentTo == (hingeids.Life{}) {
-			p.book.settle(asked, held)
+		if p.delegatedTo == (hingeids.Life{}) {
+			p.occupancy.removeUnheld(queriedAt, held)
 		}
 		return
 	}
-	if !asked.After(p.notBefore) || p.mustYield && !s.yielded(p) {
+	if !queriedAt.After(p.notBefore) || p.needsYields && !s.allYielded(p) {
 		return
 	}
 	for id, r := range e.requests {
@@ -207,77 +212,79 @@
 			p.claims[id] = r.pool
 		}
 	}
-	p.book = make(book)
+	p.occupancy = make(occupancy)
 	for id := range held {
 		if pool, claimed := p.claims[id]; !claimed || pool == p.host {
-			// An answer to an earlier question may still come, and would not show it.
-			p.book[id] = &entry{
-				startBy: asked,
+			// A response to an earlier query may still arrive; it would lack this
+			// request.
+			p.occupancy[id] = &reservation{
+				startBy: queriedAt,
 			}
 		}
 	}
 	p.open = true
-	p.mustYield = false
+	p.needsYields = false
 }
 
-// takeBorrow lends every open pool to who asks, or renews its loans. Rule 4.
-func (s *State) takeBorrow(now time.Time, e *engineState, m Message) {
-	seen := make(map[hingeids.HostID]seenLoan, len(m.Seen))
+// handleDelegationRequest delegates every open pool to the sender, or renews its
+// delegations. Rule 4.
+func (s *State) handleDelegationRequest(now time.Time, e *engineState, m Message) {
+	seen := make(map[hingeids.HostID]seenDelegation, len(m.Seen))
 	for _, l := range m.Seen {
-		if l.Owner == s.life {
+		if l.Owner == s.instance {
 			seen[l.Pool] = l
 		}
 	}
-	lasts := min(loanLease, shorter(s.view.StandsUntil.Sub(now)))
-	if lasts <= 0 {
-		return // Rule 2.
+	duration := min(delegationLease, subtractClockMargin(s.view.StandsUntil.Sub(now)))
+	if duration <= 0 {
+		return // The lease has expired: rule 2.
 	}
 	for _, h := range s.hosts {
 		p := e.pools[h]
-		if p == nil || !p.open || s.ownerOf(e, h) != s.life {
+		if p == nil || !p.open || s.ownerOf(e, h) != s.instance {
 			continue
 		}
-		if p.lentTo != (hingeids.Life{}) && p.lentTo != m.From {
+		if p.delegatedTo != (hingeids.Life{}) && p.delegatedTo != m.From {
 			continue
 		}
-		s.lend(now, e, p, m, seen[h], lasts)
+		s.delegate(now, e, p, m, seen[h], duration)
 	}
 }
 
-func (s *State) lend(
-	now time.Time, e *engineState, p *pool, m Message, seen seenLoan, lasts time.Duration,
+func (s *State) delegate(
+	now time.Time, e *engineState, p *pool, m Message, seen seenDelegation, duration time.Duration,
 ) {
 	answer := Message{
-		Kind:   kindLend,
+		Kind:   kindDelegate,
 		Number: m.Number,
 		Pool:   p.host,
-		For:    lasts,
+		For:    duration,
 		Size:   p.size,
 	}
-	if p.lentTo == (hingeids.Life{}) {
+	if p.delegatedTo == (hingeids.Life{}) {
 		e.serial++
 		p.serial = e.serial
-		p.lentTo = m.From
-		p.lentUntil = now
-	} else if !p.isLent(now) || seen.Serial == p.serial && !seen.Live {
-		return // The borrower's book is gone: the loan has to end, and the pool to be opened.
+		p.delegatedTo = m.From
+		p.delegatedUntil = now
+	} else if !p.isDelegated(now) || seen.Serial == p.serial && !seen.Live {
+		return // The delegate has lost the occupancy: the delegation has to expire and the pool to be reopened.
 	}
 	answer.Serial = p.serial
 	if seen.Serial != p.serial {
-		answer.Book = p.book.wire(now) // The borrower never got this loan.
+		answer.Book = p.occupancy.toWire(now) // The delegate has not received this delegation.
 	}
-	if until := now.Add(longer(lasts)); until.After(p.lentUntil) {
-		p.lentUntil = until
+	if until := now.Add(addClockMargin(duration)); until.After(p.delegatedUntil) {
+		p.delegatedUntil = until
 	}
 	s.send(e, m.From.Host, answer)
 }
 
-// takeGiveBack takes a pool back with its book.
-func (s *State) takeGiveBack(now time.Time, e *engineState, m Message) {
+// handleReturn takes a delegated pool back, with its occupancy.
+func (s *State) handleReturn(now time.Time, e *engineState, m Message) {
 	p := e.pools[m.Pool]
-	if p == nil || !p.open || p.lentTo != m.From || p.serial != m.Serial || !p.isLent(now) {
+	if p == nil || !p.open || p.delegatedTo != m.From || p.serial != m.Serial || !p.isDelegated(now) {
 		return
 	}
-	p.book = readBook(now, m.Book)
-	p.lentTo = hingeids.Life{}
+	p.occupancy = occupancyFromWire(now, m.Book)
+	p.delegatedTo = hingeids.Life{}
 }
--- a/internal/capacity/hingeslots/share.go
+++ b/internal/capacity/hingeslots/share.go
@@ -10,7 +10,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Engine is a decode engine of this host's zone.
+// Engine is a decode engine in this host's zone.
 type Engine struct {
 	ID          hingeids.ServerID
 	Incarnation hingeids.Incarnation
@@ -27,28 +27,30 @@
 	return d.Sum64()
 }
 
-// lifeWeight gives a number below half of all, from which a life can count.
-func lifeWeight(l hingeids.Life, key string) uint64 {
+// instanceSeed returns the first number of an instance's sequence. It is below
+// half of the range, so that the sequence doesn't overflow.
+func instanceSeed(l hingeids.Life, key string) uint64 {
 	return weight(string(l.Host), strconv.FormatUint(uint64(l.Incarnation), 36), key) >> 1
 }
 
-// rendezvous chooses the host of the highest weight under a key; the empty host
-// if there is none. When a host goes, only what it was chosen for moves.
+// rendezvous returns the host with the highest weight under the key, or the empty
+// host if there is none. When a host is removed, only the keys that it was chosen
+// for move.
 func rendezvous(hosts []hingeids.HostID, key ...string) hingeids.HostID {
 	var best hingeids.HostID
-	var most uint64
+	var bestWeight uint64
 	for _, h := range hosts {
-		if w := weight(append(key, string(h))...); best == "" || w > most {
-			best, most = h, w
+		if w := weight(append(key, string(h))...); best == "" || w > bestWeight {
+			best, bestWeight = h, w
 		}
 	}
 	return best
 }
 
-// share gives the size of a host's pool: an even part of the slots. The rest
-// goes one each to the hosts of highest weight, so that it is not the same
-// host that has more of every engine.
-func share(e Engine, hosts []hingeids.HostID, h hingeids.HostID) hingeids.Slots {
+// poolSize returns the size of a host's pool: an even share of the engine's slots.
+// The remainder is distributed by the hosts' weights under the engine, so that no
+// host has the larger share of every engine.
+func poolSize(e Engine, hosts []hingeids.HostID, h hingeids.HostID) hingeids.Slots {
 	ranked := slices.Clone(hosts)
 	slices.SortFunc(ranked, func(a, b hingeids.HostID) int {
 		return cmp.Compare(weight(string(e.ID), string(b)), weight(string(e.ID), string(a)))
@@ -64,8 +66,8 @@
 	return size
 }
 
-// Responsible chooses one of the hosts to watch over an engine. It is the
-// engine's granter, as long as the hosts given are those that look alive.
+// Responsible chooses the host that is responsible for an engine. It is the
+// engine's allocator if hosts are the hosts that appear alive.
 func Responsible(hosts []hingeids.HostID, engine hingeids.ServerID) hingeids.HostID {
 	return rendezvous(hosts, string(engine))
 }
--- a/internal/capacity/hingeslots/sim_test.go
+++ b/internal/capacity/hingeslots/sim_test.go
@@ -11,56 +11,57 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simulation runs the States of one zone in simulated time against engines that
-// say what they hold, with a record and standing as hingemembers gives them.
+// simulation runs the States of one zone in simulated time against simulated
+// engines, with a record and leases that behave like those of hingemembers.
 type simulation struct {
-	random  *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	serial  int
-	loss    float64
-	delayed time.Duration
-	hosts   map[hingeids.HostID]*simHost
-	names   []hingeids.HostID
-	engines map[hingeids.ServerID]*simEngine
-	cuts    map[[2]hingeids.HostID]bool
-	record  map[hingeids.HostID]simRecord
-	// away hosts can't renew their standing.
-	away map[hingeids.HostID]bool
-	// onGrant, if set, takes what is granted, in place of the engines here.
+	random        *rand.Rand
+	now           time.Duration
+	queue         eventQueue
+	serial        int
+	loss          float64
+	maxExtraDelay time.Duration
+	hosts         map[hingeids.HostID]*simHost
+	names         []hingeids.HostID
+	engines       map[hingeids.ServerID]*simEngine
+	cuts          map[[2]hingeids.HostID]bool
+	record        map[hingeids.HostID]simRecord
+	// isolated hosts receive no record and can't renew their leases.
+	isolated map[hingeids.HostID]bool
+	// onGrant, if set, receives the results in place of the simulated engines.
 	onGrant func(r Result)
-	// problems are broken invariants.
+	// problems lists the violated invariants.
 	problems []string
 	messages int
-	// got are the requests that have been granted a slot.
-	got map[hingeids.RequestID]bool
-	// bytes counts what is sent, only if it is measured.
-	measured bool
-	bytes    int
+	// answered holds the requests that were granted a slot or refused.
+	answered map[hingeids.RequestID]bool
+	// bytes is the size of the sent messages; it is only updated if countBytes is
+	// set.
+	countBytes bool
+	bytes      int
 }
 
 type simRecord struct {
 	incarnation hingeids.Incarnation
-	over        bool
+	ended       bool
 }
 
 type simHost struct {
-	id      hingeids.HostID
-	state   *State
-	rate    float64
-	dead    bool
-	renewed time.Duration
-	view    View
-	// live are the requests that wait or have a slot.
-	live     map[hingeids.RequestID]bool
+	id        hingeids.HostID
+	state     *State
+	rate      float64
+	dead      bool
+	renewedAt time.Duration
+	view      View
+	// active holds the requests that wait for a slot or have one.
+	active   map[hingeids.RequestID]bool
 	sequence uint64
 }
 
 type simEngine struct {
 	Engine
 	held map[hingeids.RequestID]bool
-	// most is the highest number held since it was reset.
-	most int
+	// maxHeld is the highest number of held requests since the last reset.
+	maxHeld int
 }
 
 type simEvent struct {
@@ -85,13 +86,13 @@
 
 func newSimulation(seed uint64, hosts, engines int, slots hingeids.Slots, rates bool) *simulation {
 	s := &simulation{
-		random:  rand.New(rand.NewPCG(seed, 2)),
-		hosts:   make(map[hingeids.HostID]*simHost),
-		engines: make(map[hingeids.ServerID]*simEngine),
-		cuts:    make(map[[2]hingeids.HostID]bool),
-		record:  make(map[hingeids.HostID]simRecord),
-		away:    make(map[hingeids.HostID]bool),
-		got:     make(map[hingeids.RequestID]bool),
+		random:   rand.New(rand.NewPCG(seed, 2)),
+		hosts:    make(map[hingeids.HostID]*simHost),
+		engines:  make(map[hingeids.ServerID]*simEngine),
+		cuts:     make(map[[2]hingeids.HostID]bool),
+		record:   make(map[hingeids.HostID]simRecord),
+		isolated: make(map[hingeids.HostID]bool),
+		answered: make(map[hingeids.RequestID]bool),
 	}
 	for i := range engines {
 		e := &simEngine{
@@ -128,18 +129,18 @@
 	s.record[h.id] = simRecord{
 		incarnation: r.incarnation + 1,
 	}
-	life := hingeids.Life{
+	instance := hingeids.Life{
 		Host:        h.id,
 		Incarnation: r.incarnation + 1,
 	}
-	h.state = NewState(life, s.names)
-	h.dead, h.sequence, h.renewed = false, 0, s.now
-	h.live = make(map[hingeids.RequestID]bool)
+	h.state = NewState(instance, s.names)
+	h.dead, h.sequence, h.renewedAt = false, 0, s.now
+	h.active = make(map[hingeids.RequestID]bool)
 	h.view = View{
 		Alive: s.names,
 	}
 	h.state.SetEngines(s.clock(h), s.announced())
-	s.spreadRecord()
+	s.distributeRecord()
 	s.tick(h, h.state)
 }
 
@@ -151,8 +152,9 @@
 	return engines
 }
 
-// spreadEngines brings what is announced to each host after a time of its own.
-func (s *simulation) spreadEngines() {
+// distributeEngines delivers the announced engines to each host after a random
+// delay.
+func (s *simulation) distributeEngines() {
 	for _, n := range s.names {
 		h := s.hosts[n]
 		s.after(s.delay()*10, func() {
@@ -161,14 +163,14 @@
 	}
 }
 
-// spreadRecord brings the record to each host after a time of its own, and never
-// an older one after a newer one.
-func (s *simulation) spreadRecord() {
+// distributeRecord delivers the record to each host after a random delay. Each
+// host reads the record on delivery, so an older one never replaces a newer one.
+func (s *simulation) distributeRecord() {
 	for _, n := range s.names {
 		h := s.hosts[n]
 		state := h.state
 		s.after(s.delay()*10, func() {
-			if h.state == state && !s.away[n] {
+			if h.state == state && !s.isolated[n] {
 				h.view.Recorded = s.currentRecord()
 			}
 		})
@@ -178,30 +180,30 @@
 func (s *simulation) currentRecord() map[hingeids.HostID]hingeids.Incarnation {
 	recorded := make(map[hingeids.HostID]hingeids.Incarnation)
 	for h, r := range s.record {
-		if !r.over {
+		if !r.ended {
 			recorded[h] = r.incarnation
 		}
 	}
 	return recorded
 }
 
-// Standing as in hingemembers: a lease from the last renewal, and a life is over
-// only when that is past by any clock.
+// An instance's lease runs from its last renewal. The instance is recorded as
+// ended only after the lease has expired by any clock.
 const (
-	simLease = 1500 * time.Millisecond
-	simOver  = 1700 * time.Millisecond
+	simLease  = 1500 * time.Millisecond
+	simExpiry = 1700 * time.Millisecond
 )
 
-// recordOver records lives that have not been renewed.
-func (s *simulation) recordOver() {
+// recordEnded records the end of instances that have not renewed their lease.
+func (s *simulation) recordEnded() {
 	for _, n := range s.names {
 		h, r := s.hosts[n], s.record[n]
-		if !r.over && s.now-h.renewed > simOver {
+		if !r.ended && s.now-h.renewedAt > simExpiry {
 			s.record[n] = simRecord{
 				incarnation: r.incarnation,
-				over:        true,
+				ended:       true,
 			}
-			s.spreadRecord()
+			s.distributeRecord()
 		}
 	}
 }
@@ -212,8 +214,8 @@
 
 func (s *simulation) delay() time.Duration {
 	d := time.Duration(500+s.random.IntN(3000)) * time.Microsecond
-	if s.delayed > 0 && s.random.IntN(4) == 0 {
-		d += time.Duration(s.random.Int64N(int64(s.delayed)))
+	if s.maxExtraDelay > 0 && s.random.IntN(4) == 0 {
+		d += time.Duration(s.random.Int64N(int64(s.maxExtraDelay)))
 	}
 	return d
 }
@@ -236,33 +238,33 @@
 	s.now = until
 }
 
-// tick steps a host each stepEvery while it lives, and renews its standing.
+// tick steps a host every stepInterval while it is alive, and renews its lease.
 func (s *simulation) tick(h *simHost, state *State) {
 	if h.state != state {
 		return
 	}
 	if !h.dead {
-		if !s.away[h.id] && !s.record[h.id].over {
-			h.renewed = s.now
+		if !s.isolated[h.id] && !s.record[h.id].ended {
+			h.renewedAt = s.now
 			h.view.StandsUntil = s.clock(h).Add(simLease)
 		}
-		if s.record[h.id].over && !s.away[h.id] {
-			s.start(h) // It learned that its life is over.
+		if s.record[h.id].ended && !s.isolated[h.id] {
+			s.start(h) // The host has received the record that its instance has ended.
 			return
 		}
 		state.SetView(h.view)
-		s.do(h, state, state.Step(s.clock(h)))
+		s.apply(h, state, state.Step(s.clock(h)))
 	}
-	s.recordOver()
-	s.after(stepEvery, func() {
+	s.recordEnded()
+	s.after(stepInterval, func() {
 		s.tick(h, state)
 	})
 }
 
-func (s *simulation) do(h *simHost, state *State, out Output) {
+func (s *simulation) apply(h *simHost, state *State, out Output) {
 	for _, o := range out.Send {
 		s.messages++
-		if s.measured {
+		if s.countBytes {
 			s.bytes += wireSize(o.Message)
 		}
 		s.deliver(h, o)
@@ -271,7 +273,7 @@
 		}
 	}
 	for _, e := range out.AskHeld {
-		s.askHeld(h, state, e)
+		s.queryHeld(h, state, e)
 	}
 	for _, r := range out.Results {
 		s.result(h, state, r)
@@ -286,13 +288,13 @@
 	s.after(s.delay(), func() {
 		if !to.dead {
 			state := to.state
-			s.do(to, state, state.Receive(s.clock(to), o.Message))
+			s.apply(to, state, state.Receive(s.clock(to), o.Message))
 		}
 	})
 }
 
-func (s *simulation) askHeld(h *simHost, state *State, of Engine) {
-	asked := s.clock(h)
+func (s *simulation) queryHeld(h *simHost, state *State, of Engine) {
+	queriedAt := s.clock(h)
 	s.after(s.delay(), func() {
 		var ids []hingeids.RequestID
 		for id := range s.engines[of.ID].held {
@@ -300,45 +302,46 @@
 		}
 		s.after(s.delay(), func() {
 			if h.state == state && !h.dead {
-				s.do(h, state, state.TakeHeld(s.clock(h), asked, of, ids))
+				s.apply(h, state, state.TakeHeld(s.clock(h), queriedAt, of, ids))
 			}
 		})
 	})
 }
 
-// want begins a request that will run for the given time once it has a slot.
-func (s *simulation) want(h *simHost, priority int, engines ...hingeids.ServerID) {
+// startRequest requests a slot on any one of the given engines.
+func (s *simulation) startRequest(h *simHost, priority int, engines ...hingeids.ServerID) {
 	if h.dead {
 		return
 	}
 	h.sequence++
 	id := hingeids.RequestID{
-		Life:     h.state.life,
+		Life:     h.state.instance,
 		Sequence: h.sequence,
 	}
-	h.live[id] = true
+	h.active[id] = true
 	out, _ := h.state.Acquire(s.clock(h), engines, id, priority)
-	s.do(h, h.state, out)
+	s.apply(h, h.state, out)
 }
 
 func (s *simulation) release(h *simHost, state *State, id hingeids.RequestID) {
-	delete(h.live, id)
-	s.do(h, state, state.Release(s.clock(h), id))
+	delete(h.active, id)
+	s.apply(h, state, state.Release(s.clock(h), id))
 }
 
-// result starts a granted request after some time, if it still may.
+// result sends a granted request after a random delay, unless its grant has
+// expired.
 func (s *simulation) result(h *simHost, state *State, r Result) {
 	if s.onGrant != nil {
 		s.onGrant(r)
 		return
 	}
-	waiting := h.live[r.ID]
-	if r.Granted && s.got[r.ID] {
-		s.problems = append(s.problems, fmt.Sprintf("at %v %v was granted a second slot", s.now, r.ID))
+	waiting := h.active[r.ID]
+	if r.Granted && s.answered[r.ID] {
+		s.problems = append(s.problems, fmt.Sprintf("at %v request %v was granted a second slot", s.now, r.ID))
 	}
-	s.got[r.ID] = true
+	s.answered[r.ID] = true
 	if !r.Granted || !waiting {
-		delete(h.live, r.ID)
+		delete(h.active, r.ID)
 		return
 	}
 	s.after(s.delay(), func() {
@@ -358,19 +361,19 @@
 	})
 }
 
-// begin puts a request on its engine, which is where a slot granted twice shows.
+// begin starts a request on its engine and records if the engine is overfilled.
 func (s *simulation) begin(h *simHost, state *State, r Result) {
 	e := s.engines[r.Engine]
 	e.held[r.ID] = true
-	e.most = max(e.most, len(e.held))
+	e.maxHeld = max(e.maxHeld, len(e.held))
 	if len(e.held) > int(e.Slots) {
-		s.problems = append(s.problems, fmt.Sprintf("at %v %s holds %d of %d", s.now, e.ID, len(e.held), e.Slots))
+		s.problems = append(s.problems, fmt.Sprintf("at %v engine %s holds %d requests in %d slots", s.now, e.ID, len(e.held), e.Slots))
 	}
-	runs := time.Duration(200+s.random.IntN(1800)) * time.Millisecond
-	s.after(runs, func() {
+	duration := time.Duration(200+s.random.IntN(1800)) * time.Millisecond
+	s.after(duration, func() {
 		if h.dead || h.state != state {
 			s.after(time.Duration(s.random.IntN(3000))*time.Millisecond, func() {
-				delete(e.held, r.ID) // Its holder is gone: another cancels it.
+				delete(e.held, r.ID) // Another host cancels the request of a holder that has crashed.
 			})
 			return
 		}
--- a/internal/capacity/hingeslots/slots.go
+++ b/internal/capacity/hingeslots/slots.go
@@ -17,38 +17,40 @@
 
 const methodDatagram hingelink.Method = "slots.datagram"
 
-// heldTimeout bounds a question to an engine or a message that goes as a call.
-const heldTimeout = 2 * time.Second
+// callTimeout bounds a query to an engine, and a message that is sent as a call.
+const callTimeout = 2 * time.Second
 
-// retryFull is when a caller refused by a full queue may come back: about the
-// time in which a full queue drains by a quarter.
-const retryFull = 2 * time.Second
+// queueFullRetryDelay is the retry delay for a request that was refused by a full
+// queue. A full queue drains by about a quarter in this time.
+const queueFullRetryDelay = 2 * time.Second
 
-// Engines asks engines what they hold. It is implemented by the path to engines.
+// Engines queries engines for the requests they hold. Its methods are called
+// concurrently.
 type Engines interface {
-	// Held gives the ids of all requests for which the engine holds memory, from a
-	// state of the engine not older than the call.
+	// Held returns the IDs of all requests for which the engine holds memory. The
+	// list must not be older than the call.
 	Held(ctx context.Context, engine hingeids.ServerID) ([]hingeids.RequestID, error)
 }
 
-// Config says whose slots these are and what they work with.
+// Config holds the identity of a host and the dependencies of its Slots.
 type Config struct {
 	Life hingeids.Life
-	// Hosts are the entry hosts of this host's zone from the settings, itself among them.
+	// Hosts are all entry hosts of this host's zone from the settings, including
+	// this one.
 	Hosts   []hingeids.HostID
 	Link    hingelink.Link
 	Engines Engines
 	Events  *hingeevents.Recorder
-	// Clock reads the present time; time.Now if nil.
+	// Clock returns the current time. It defaults to time.Now.
 	Clock func() time.Time
 }
 
-// Grant is the right to put one request on one engine.
+// Grant is the permission to send one request to one engine.
 type Grant struct {
 	Request hingeids.RequestID
 	Engine  hingeids.ServerID
-	// StartBy is when the request must have been sent; check Startable at the last
-	// moment. One that can't start in time is released and asked for anew.
+	// StartBy is the time before which the request must be sent; check Startable
+	// just before sending. A grant that can't be used in time has to be released.
 	StartBy time.Time
 }
 
@@ -57,7 +59,8 @@
 	return now.Before(g.StartBy)
 }
 
-// Slots drives a State.
+// Slots runs a State and exchanges its messages. Its methods are safe for
+// concurrent use.
 type Slots struct {
 	config  Config
 	state   *State
@@ -69,7 +72,7 @@
 	ctx     context.Context
 }
 
-// New makes the slots of one process and sets its handlers on the link.
+// New returns the Slots of a process and registers their handlers on the link.
 func New(c Config) *Slots {
 	if c.Clock == nil {
 		c.Clock = time.Now
@@ -89,7 +92,7 @@
 	return s
 }
 
-// Run works until the context ends.
+// Run processes messages until the context is canceled.
 func (s *Slots) Run(ctx context.Context) error {
 	s.loop.Post(func(time.Time) {
 		s.ctx = ctx
@@ -97,12 +100,12 @@
 	return s.loop.Run(ctx)
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (s *Slots) Done() <-chan struct{} {
 	return s.loop.Done()
 }
 
-// SetEngines takes the decode engines of this host's zone.
+// SetEngines sets the decode engines of this host's zone.
 func (s *Slots) SetEngines(engines []Engine) {
 	s.loop.Post(func(now time.Time) {
 		s.engines = engines
@@ -110,8 +113,8 @@
 	})
 }
 
-// SetView takes what the members know. It has to come at least twice in the time
-// of a life lease, since it carries this host's standing.
+// SetView sets the membership view. It has to be called at least twice per lease
+// duration, since the view carries the end of this host's lease.
 func (s *Slots) SetView(v View) {
 	s.loop.Post(func(time.Time) {
 		s.view = v
@@ -119,15 +122,16 @@
 	})
 }
 
-// HasOpened reports whether a pool of this engine, in this life of it, was ever
-// open at this host. Before that there is nothing to grant, and a request placed
-// there would lose its KV cache waiting.
+// HasOpened reports whether a pool of this engine incarnation was ever open at
+// this host. Until then there are no slots to grant, and a request placed there
+// would lose its KV cache while it waits.
 func (s *Slots) HasOpened(e Engine) bool {
 	opened := s.opened.Load()
 	return opened != nil && (*opened)[e]
 }
 
-// publishOpened publishes which engines have opened, when one more has.
+// publishOpened publishes the set of engines with a pool that was ever open, if it
+// has changed.
 func (s *Slots) publishOpened() {
 	before := s.opened.Load()
 	now := s.state.openEngines()
@@ -144,8 +148,8 @@
 	s.opened.Store(&now)
 }
 
-// SetLife begins a new life, after the old one was found to be over. Whatever the
-// old one held or waited for is no longer this host's.
+// SetLife starts a new instance after the previous one has ended. All slots and
+// waiting requests of the previous instance are dropped.
 func (s *Slots) SetLife(l hingeids.Life) {
 	s.loop.Post(func(now time.Time) {
 		s.state = NewState(l, s.config.Hosts)
@@ -160,8 +164,9 @@
 	})
 }
 
-// Acquire waits for a slot on any one of some engines; two are enough. Its errors
-// are *hingeverdict.Error with NotRun: without a grant nothing was sent to an engine.
+// Acquire waits for a slot on any one of the given engines; two are enough. Its
+// errors are *hingeverdict.Error with NotRun, since nothing is sent to an engine
+// without a grant.
 func (s *Slots) Acquire(
 	ctx context.Context, engines []hingeids.ServerID, id hingeids.RequestID, priority int,
 ) (Grant, error) {
@@ -175,18 +180,18 @@
 				ID: id,
 			}
 		}
-		s.do(now, out)
+		s.apply(now, out)
 	})
 	if !posted {
-		return Grant{}, notRun(hingeverdict.CodeShuttingDown, 0, "slots have ended")
+		return Grant{}, notRun(hingeverdict.CodeShuttingDown, 0, "slot allocation has stopped")
 	}
 	select {
 	case r := <-answer:
 		if !r.Granted && r.Engine == "" {
-			return Grant{}, notRun(hingeverdict.CodeNotReady, retryFull, "none of the engines is known here now")
+			return Grant{}, notRun(hingeverdict.CodeNotReady, queueFullRetryDelay, "none of the requested engines is available on this host")
 		}
 		if !r.Granted {
-			return Grant{}, notRun(hingeverdict.CodeQueueFull, retryFull, "too many wait for a slot")
+			return Grant{}, notRun(hingeverdict.CodeQueueFull, queueFullRetryDelay, "the slot queues of the requested engines are full")
 		}
 		return Grant{
 			Request: id,
@@ -195,34 +200,36 @@
 		}, nil
 	case <-ctx.Done():
 		s.Release(id)
-		return Grant{}, notRun(hingeverdict.CodeDeadline, 0, "no slot in time")
+		return Grant{}, notRun(hingeverdict.CodeDeadline, 0, "no slot was granted before the deadline")
 	case <-s.loop.Done():
-		return Grant{}, notRun(hingeverdict.CodeShuttingDown, 0, "slots have ended")
+		return Grant{}, notRun(hingeverdict.CodeShuttingDown, 0, "slot allocation has stopped")
 	}
 }
 
-func notRun(c hingeverdict.Code, retry time.Duration, why string) error {
-	return hingeverdict.New(hingeverdict.NotRun, c, retry, eris.New(why))
+func notRun(c hingeverdict.Code, retry time.Duration, reason string) error {
+	return hingeverdict.New(hingeverdict.NotRun, c, retry, eris.New(reason))
 }
 
-// Release gives a slot back, or gives up waiting. Call it only once the engine
-// has said that it holds nothing for the request any more, or if the request was
-// never sent to it; else the slot is granted again while it is still taken up.
+// Release returns a slot, or withdraws a waiting request. It must only be called
+// once the engine has confirmed that it holds nothing more for the request, or if
+// the request was never sent. Otherwise the slot would be granted again while it
+// is occupied.
 func (s *Slots) Release(id hingeids.RequestID) {
 	s.loop.Post(func(now time.Time) {
 		delete(s.waiting, id)
-		s.do(now, s.state.Release(now, id))
+		s.apply(now, s.state.Release(now, id))
 	})
 }
 
-// Step is the controller's turn in the loop.
+// Step performs the periodic work and returns the time of the next step. It is
+// called by the loop.
 func (s *Slots) Step(now time.Time) time.Time {
-	s.do(now, s.state.Step(now))
+	s.apply(now, s.state.Step(now))
 	s.publishOpened()
-	return now.Add(stepEvery)
+	return now.Add(stepInterval)
 }
 
-func (s *Slots) do(now time.Time, out Output) {
+func (s *Slots) apply(now time.Time, out Output) {
 	for _, o := range out.Send {
 		s.send(o)
 	}
@@ -237,7 +244,7 @@
 		}
 	}
 	for _, e := range out.AskHeld {
-		go s.askHeld(s.ctx, now, e)
+		go s.queryHeld(s.ctx, now, e)
 	}
 }
 
@@ -248,20 +255,21 @@
 	return hingeevents.SlotRefused
 }
 
-// send sends a datagram, or a call where a book makes it too large for one.
+// send sends a message as a datagram, or as a call if it is too large for a
+// datagram.
 func (s *Slots) send(o Outgoing) {
 	body, err := cbor.Marshal(o.Message)
 	if err != nil {
-		panic(err) // Only types that CBOR can't hold fail, and these are ours.
+		panic(err) // Only types that CBOR can't encode fail, and Message has none.
 	}
 	if len(body) <= hingelink.MaxDatagram {
 		s.config.Link.Send(o.To, methodDatagram, body)
 		return
 	}
 	go func(ctx context.Context) {
-		ctx, cancel := context.WithTimeout(ctx, heldTimeout)
+		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		_, _ = s.config.Link.Call(ctx, o.To, methodDatagram, body) // Lost like a datagram.
+		_, _ = s.config.Link.Call(ctx, o.To, methodDatagram, body) // A failed call is treated like a lost datagram.
 	}(s.ctx)
 }
 
@@ -271,18 +279,18 @@
 		return
 	}
 	s.loop.Post(func(now time.Time) {
-		s.do(now, s.state.Receive(now, m))
+		s.apply(now, s.state.Receive(now, m))
 	})
 }
 
-func (s *Slots) askHeld(ctx context.Context, asked time.Time, e Engine) {
-	ctx, cancel := context.WithTimeout(ctx, heldTimeout)
+func (s *Slots) queryHeld(ctx context.Context, queriedAt time.Time, e Engine) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	ids, err := s.config.Engines.Held(ctx, e.ID)
 	if err != nil {
-		return // It is asked again; until then nothing is taken to be free.
+		return // The query is repeated; until it succeeds no slot is freed.
 	}
 	s.loop.Post(func(now time.Time) {
-		s.do(now, s.state.TakeHeld(now, asked, e, ids))
+		s.apply(now, s.state.TakeHeld(now, queriedAt, e, ids))
 	})
 }
--- a/internal/capacity/hingeslots/slots_test.go
+++ b/internal/capacity/hingeslots/slots_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// load begins requests at random hosts for a while, more than the slots can take.
+// load starts requests at random hosts for a while, more than there are slots.
 func (s *simulation) load(d, every time.Duration) {
 	end := s.now + d
 	for s.now < end {
@@ -20,7 +20,7 @@
 		for range 1 + s.random.IntN(2) {
 			engines = append(engines, hingeids.ServerID(fmt.Sprintf("engine-%d", s.random.IntN(len(s.engines)))))
 		}
-		s.want(h, s.random.IntN(3), engines...)
+		s.startRequest(h, s.random.IntN(3), engines...)
 		s.run(s.now + every)
 	}
 }
@@ -38,7 +38,7 @@
 		}
 		sum := hingeids.Slots(0)
 		for _, h := range ids {
-			sum += share(e, ids, h)
+			sum += poolSize(e, ids, h)
 		}
 		if diff := cmp.Diff(e.Slots, sum); diff != "" {
 			t.Fatal(diff)
@@ -46,52 +46,50 @@
 	})
 }
 
-// Everything works: under more demand than slots every slot is used, by
-// whichever host asks, and none twice.
-func TestAllSlotsAreUsed(t *testing.T) {
+// Guards against unused slots and double grants under overload without faults.
+func TestOverloadUsesAllSlots(t *testing.T) {
 	s := newSimulation(1, 3, 2, 7, true)
 	s.run(5 * time.Second)
-	s.wantAllUsed(t)
+	s.checkAllUsed(t)
 	if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// wantAllUsed checks that demand above the slots fills every one of them.
-func (s *simulation) wantAllUsed(t interface{ Fatalf(string, ...any) }) {
+// checkAllUsed checks that overload fills every slot.
+func (s *simulation) checkAllUsed(t interface{ Fatalf(string, ...any) }) {
 	for _, e := range s.engines {
-		e.most = 0
+		e.maxHeld = 0
 	}
 	s.load(3*time.Second, 20*time.Millisecond)
 	for id, e := range s.engines {
-		if e.most != int(e.Slots) {
-			t.Fatalf("at %v %s holds %d of %d under full demand", s.now, id, e.most, e.Slots)
+		if e.maxHeld != int(e.Slots) {
+			t.Fatalf("at %v engine %s held at most %d requests in %d slots under overload", s.now, id, e.maxHeld, e.Slots)
 		}
 	}
 }
 
-// The granter of an engine is killed under load. The others take over what it
-// granted and, once its life is over, its own pool; callers wait a few seconds and
-// no slot is given twice.
-func TestKilledGranterIsSurvived(t *testing.T) {
+// Guards against lost or doubly granted slots after an engine's allocator is
+// killed under load.
+func TestSurvivesKilledAllocator(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSimulation(seed, 3, 1, 8, true)
 		s.run(5 * time.Second)
 		s.load(2*time.Second, 50*time.Millisecond)
-		granter := s.hosts[rendezvous(s.names, "engine-0")]
-		granter.dead = true
+		allocator := s.hosts[rendezvous(s.names, "engine-0")]
+		allocator.dead = true
 		s.run(s.now + 1500*time.Millisecond)
-		s.lookAlive()
+		s.updateAlive()
 		s.load(5*time.Second, 50*time.Millisecond)
-		s.wantAllUsed(t)
+		s.checkAllUsed(t)
 		if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
 }
 
-// lookAlive gives every host the right view of who lives.
-func (s *simulation) lookAlive() {
+// updateAlive gives every host the correct list of hosts that are alive.
+func (s *simulation) updateAlive() {
 	var alive []hingeids.HostID
 	for _, n := range s.names {
 		if !s.hosts[n].dead {
@@ -103,9 +101,9 @@
 	}
 }
 
-// The path between two hosts of a zone is cut, both ways, and each thinks the
-// other dead, so both grant slots of one engine. Each may only grant its own.
-func TestTwoGrantersNeverShareASlot(t *testing.T) {
+// Guards against double grants during a network partition, in which both hosts act
+// as the allocator of one engine.
+func TestTwoAllocatorsNeverGrantTheSameSlot(t *testing.T) {
 	for seed := range uint64(10) {
 		s := newSimulation(seed, 2, 1, 6, true)
 		s.run(5 * time.Second)
@@ -115,21 +113,21 @@
 		s.hosts["host-0"].view.Alive = []hingeids.HostID{"host-0"}
 		s.hosts["host-1"].view.Alive = []hingeids.HostID{"host-1"}
 		s.load(8*time.Second, 50*time.Millisecond)
-		s.wantAllUsed(t)
+		s.checkAllUsed(t)
 		if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
 }
 
-// A burst fills the queue: those of the lowest priority are refused at once,
-// those of the highest are not, and the queue stays bounded.
-func TestFullQueueRefusesTheLowest(t *testing.T) {
+// Guards against an unbounded queue and refusals in the wrong order during a
+// burst.
+func TestFullQueueRefusesLowestPriority(t *testing.T) {
 	s := newSimulation(1, 1, 1, 2, false)
 	s.run(5 * time.Second)
 	h := s.hosts["host-0"]
 	for i := range 3 * maxWaiters {
-		s.want(h, i%3, "engine-0")
+		s.startRequest(h, i%3, "engine-0")
 	}
 	counts := make(map[int]int)
 	for _, w := range h.state.engines["engine-0"].waiters {
@@ -140,10 +138,9 @@
 	}
 }
 
-// Hosts are killed, restarted and cut from each other and from the record, they
-// see different hosts alive, messages are lost, doubled and late, clocks differ. An
-// engine may never get more requests than it has slots; and when all is well
-// again, all slots come back into use.
+// Guards against overfilled engines and lost slots under random crashes, restarts,
+// partitions, outdated views, clock drift, and lost, duplicated and delayed
+// messages.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 4).Draw(t, "hosts"), 2, 5, true)
@@ -152,9 +149,9 @@
 			s.fault(t)
 			s.load(time.Duration(rapid.IntRange(50, 2500).Draw(t, "wait"))*time.Millisecond, 40*time.Millisecond)
 		}
-		s.mend()
+		s.repair()
 		s.run(s.now + 12*time.Second)
-		s.wantAllUsed(t)
+		s.checkAllUsed(t)
 		if len(s.problems) > 0 {
 			t.Fatal(s.problems[0])
 		}
@@ -175,10 +172,10 @@
 	case "heal":
 		clear(s.cuts)
 	case "away":
-		s.away[h.id] = true
+		s.isolated[h.id] = true
 	case "back":
-		clear(s.away)
-		s.spreadRecord()
+		clear(s.isolated)
+		s.distributeRecord()
 	case "view":
 		h.view.Alive = rapid.SliceOfDistinct(rapid.SampledFrom(s.names), rapid.ID[hingeids.HostID]).Draw(t, "alive")
 	case "loss":
@@ -187,38 +184,37 @@
 		e := s.engines[rapid.SampledFrom([]hingeids.ServerID{"engine-0", "engine-1"}).Draw(t, "engine")]
 		e.Incarnation++
 		clear(e.held)
-		s.spreadEngines()
+		s.distributeEngines()
 	case "flap":
-		h.state.SetEngines(s.clock(h), nil) // Its announcements were late; at the next look it is back.
+		h.state.SetEngines(s.clock(h), nil) // The engine's announcements are late; it is known again at the next update.
 		h.state.SetEngines(s.clock(h), s.announced())
 	case "late":
-		s.delayed = 400 * time.Millisecond
+		s.maxExtraDelay = 400 * time.Millisecond
 	}
 }
 
-func (s *simulation) mend() {
+func (s *simulation) repair() {
 	clear(s.cuts)
-	clear(s.away)
-	s.loss, s.delayed = 0, 0
+	clear(s.isolated)
+	s.loss, s.maxExtraDelay = 0, 0
 	for _, n := range s.names {
 		if s.hosts[n].dead {
 			s.start(s.hosts[n])
 		}
 	}
-	s.spreadRecord()
-	s.lookAlive()
+	s.distributeRecord()
+	s.updateAlive()
 }
 
-// A host is restarted while a grant to its earlier life is on its way. That life
-// may have sent its request, so the new one must not give the slot back. Found
-// by random schedules.
-func TestGrantToAnEarlierLifeIsNotGivenBack(t *testing.T) {
+// Guards against releasing a slot that was granted to an earlier instance of the
+// host. That instance may have sent its request to the engine.
+func TestGrantToEarlierInstanceIsNotReleased(t *testing.T) {
 	s := newSimulation(1, 1, 1, 2, false)
 	h := s.hosts["host-0"]
 	s.start(h)
 	out := h.state.Receive(s.clock(h), Message{
 		Kind:        kindGrant,
-		From:        h.state.life,
+		From:        h.state.instance,
 		Engine:      "engine-0",
 		Incarnation: 1,
 		ID: hingeids.RequestID{
@@ -230,14 +226,14 @@
 		},
 	})
 	if len(out.Send)+len(out.Results)+len(h.state.local) > 0 {
-		t.Errorf("it did %+v", out)
+		t.Errorf("a grant to an earlier instance caused the output %+v", out)
 	}
 }
 
-// An engine's answers overtake each other: the later question opens a pool, then
-// the answer to the earlier one comes, which does not show a request begun in
-// between. Its slot must stay taken. Found by random schedules.
-func TestOvertakenAnswerFreesNothing(t *testing.T) {
+// Guards against freeing an occupied slot when an engine's responses arrive out of
+// order: the response to the earlier query lacks a request that started in
+// between.
+func TestReorderedHeldReportFreesNothing(t *testing.T) {
 	s := newSimulation(1, 1, 1, 2, false)
 	s.run(time.Second)
 	h := s.hosts["host-0"]
@@ -251,37 +247,36 @@
 		},
 	}
 	earlier := s.clock(h).Add(100 * time.Millisecond)
-	later := earlier.Add(askEvery)
+	later := earlier.Add(queryInterval)
 	h.state.TakeHeld(later, later, e, []hingeids.RequestID{id})
 	h.state.TakeHeld(later, earlier, e, nil)
 	p := h.state.engines["engine-0"].pools["host-0"]
-	if !p.open || p.book[id] == nil {
-		t.Errorf("open %v, book %v", p.open, p.book)
+	if !p.open || p.occupancy[id] == nil {
+		t.Errorf("pool open: %v, want true; occupancy %v lacks the held request", p.open, p.occupancy)
 	}
 }
 
-// A host is restarted while loans to its earlier life are on their way. The new
-// life numbers its questions too; it must not take an answer for one of its own,
-// or it would count a loan that nobody lent it from too late a time.
-func TestLoanToAnEarlierLifeIsNotTaken(t *testing.T) {
+// Guards against matching a message to an earlier instance with a number of the
+// current one, which would extend a delegation beyond its lease.
+func TestDelegationToEarlierInstanceIsIgnored(t *testing.T) {
 	s := newSimulation(1, 1, 1, 2, false)
 	h := s.hosts["host-0"]
 	s.start(h)
 	s.run(3 * time.Second)
 	for number := range uint64(1000) {
 		h.state.Receive(s.clock(h), Message{
-			Kind:        kindLend,
+			Kind:        kindDelegate,
 			From:        hingeids.Life{Host: "host-9"},
 			Engine:      "engine-0",
 			Incarnation: 1,
 			Number:      number,
 			Pool:        "host-9",
 			Serial:      1,
-			For:         loanLease,
+			For:         delegationLease,
 			Size:        2,
 		})
 	}
-	if l := h.state.engines["engine-0"].loans["host-9"]; l != nil {
-		t.Errorf("it took the loan %+v", l)
+	if l := h.state.engines["engine-0"].delegations["host-9"]; l != nil {
+		t.Errorf("accepted the delegation %+v to an earlier instance", l)
 	}
 }
--- a/internal/capacity/hingeslots/state.go
+++ b/internal/capacity/hingeslots/state.go
@@ -8,77 +8,84 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Times of loans and grants. A loan outlasts three lost renewals; it bounds how
-// long a pool is idle when its granter dies, together with showWithin.
+// Timing of delegations and grants. A delegation survives the loss of three
+// renewals; together with visibilityDelay it bounds how long a pool is unused
+// after its allocator has crashed.
 const (
-	loanLease   = 1500 * time.Millisecond
-	borrowEvery = 400 * time.Millisecond
-	// clockMargin is one part in so many: each clock may be wrong by a twentieth.
+	delegationLease    = 1500 * time.Millisecond
+	delegationInterval = 400 * time.Millisecond
+	// clockMargin is a divisor: a duration is corrected by a tenth, which allows
+	// each clock an error of a twentieth.
 	clockMargin = 10
-	// startWithin is how long a holder has to start a granted request. The request
-	// goes out at once; the time covers a busy holder.
-	startWithin = time.Second
-	// leastStart is the shortest such time worth a grant.
-	leastStart = 100 * time.Millisecond
-	// showWithin is how long a request that was sent may take to show in what the
-	// engine says it holds.
-	showWithin = 500 * time.Millisecond
-	// quarantine outlasts every loan and life lease that an earlier life gave.
-	quarantine = loanLease + loanLease/clockMargin
-	// askEvery paces questions to an engine whose pools open, and to hosts that
-	// have to yield; checkEvery those about grants that should have shown.
-	askEvery   = 500 * time.Millisecond
-	checkEvery = time.Second
-	// acquireEvery paces a holder's question; waiters not asked for in
-	// waiterLife are dropped, since their holder is gone.
-	acquireEvery = 300 * time.Millisecond
-	waiterLife   = 1200 * time.Millisecond
-	stepEvery    = 100 * time.Millisecond
+	// maxStartTimeout is the longest time that a holder has to start a granted
+	// request. Requests are sent at once; the time allows for a busy holder.
+	maxStartTimeout = time.Second
+	// minStartTimeout is the shortest start timeout with which a slot is granted.
+	minStartTimeout = 100 * time.Millisecond
+	// visibilityDelay is how long a request that was sent may take to appear in
+	// the engine's list of held requests.
+	visibilityDelay = 500 * time.Millisecond
+	// openingDelay exceeds every delegation and lease that was issued for an
+	// earlier instance.
+	openingDelay = delegationLease + delegationLease/clockMargin
+	// queryInterval is the interval of queries to an engine with opening pools,
+	// and of yield requests. staleQueryInterval is that of queries about grants
+	// that should be visible at the engine.
+	queryInterval      = 500 * time.Millisecond
+	staleQueryInterval = time.Second
+	// acquireInterval is how often a holder repeats a waiting request. A waiter
+	// that was not repeated within waiterTimeout is removed.
+	acquireInterval = 300 * time.Millisecond
+	waiterTimeout   = 1200 * time.Millisecond
+	stepInterval    = 100 * time.Millisecond
 )
 
-// forgetEngine is how long an engine is kept that is no longer announced.
-const forgetEngine = 10 * time.Minute
+// engineRetention is how long the state of an engine that is no longer announced
+// is kept.
+const engineRetention = 10 * time.Minute
 
-// maxWaiters bounds the queue of one engine: at 20 slots and some seconds a
-// request, those behind it would wait longer than a caller does.
+// maxWaiters bounds the queue of one engine. With 20 slots and requests of a few
+// seconds, requests further back would wait longer than callers do.
 const maxWaiters = 256
 
-// View is what the members know, as far as slots need it.
+// View is the part of the membership view that slot allocation needs.
 type View struct {
-	// Alive are the zone's hosts that look alive. Only a guess.
+	// Alive are the zone's hosts that appear alive. It may be wrong or outdated.
 	Alive []hingeids.HostID
-	// Recorded gives the zone's recorded lives that are not over.
+	// Recorded holds the zone's recorded instances that have not ended.
 	Recorded map[hingeids.HostID]hingeids.Incarnation
-	// StandsUntil is when this host's standing ends.
+	// StandsUntil is the time at which this host's lease expires.
 	StandsUntil time.Time
 }
 
-// Result tells the holder how its request fares.
+// Result is the outcome of a request for a slot.
 type Result struct {
 	ID     hingeids.RequestID
 	Engine hingeids.ServerID
-	// Granted says that the request may go out, if it starts before StartBy;
-	// else it was refused because the queue was full.
+	// Granted is set if the request may be sent, provided that it starts before
+	// StartBy. Otherwise the request was refused, because the queues are full or,
+	// if Engine is empty, because an engine restarted.
 	Granted bool
 	StartBy time.Time
 }
 
-// Output is what a step asks for.
+// Output holds the messages, results and queries that result from a call.
 type Output struct {
 	Send    []Outgoing
 	Results []Result
-	// AskHeld are engines to ask what they hold; the answer goes to TakeHeld.
+	// AskHeld are engines to query for the requests they hold. The response is
+	// passed to TakeHeld.
 	AskHeld []Engine
 }
 
-// State is one host's part in the slots of its zone: owner of pools, granter of
-// engines and holder of grants. It is not safe for concurrent use.
+// State is one host's part in the slot allocation of its zone: owner of pools,
+// allocator of engines, and holder of grants. It is not safe for concurrent use.
 type State struct {
-	life    hingeids.Life
-	hosts   []hingeids.HostID
-	view    View
-	engines map[hingeids.ServerID]*engineState
-	// ordered are the engines by name.
+	instance hingeids.Life
+	hosts    []hingeids.HostID
+	view     View
+	engines  map[hingeids.ServerID]*engineState
+	// ordered holds the engines sorted by ID.
 	ordered []*engineState
 	number  uint64
 	sentAt  map[uint64]time.Time
@@ -88,39 +95,39 @@
 
 type engineState struct {
 	Engine
-	// announced is when the engine was last announced.
-	announced time.Time
-	pools     map[hingeids.HostID]*pool
-	loans     map[hingeids.HostID]*loan
-	seen      map[hingeids.HostID]seenLoan
-	waiters   []*waiter
-	requests  map[hingeids.RequestID]*request
-	serial    uint64
-	arrivals  uint64
-	borrowAt  time.Time
-	askedAt   time.Time
+	// announced is the time at which the engine was last announced.
+	announced             time.Time
+	pools                 map[hingeids.HostID]*pool
+	delegations           map[hingeids.HostID]*delegation
+	seen                  map[hingeids.HostID]seenDelegation
+	waiters               []*waiter
+	requests              map[hingeids.RequestID]*request
+	serial                uint64
+	arrivals              uint64
+	nextDelegationRequest time.Time
+	queriedAt             time.Time
 }
 
-// NewState makes the state of a life of a host; hosts are its zone's entry
-// hosts from the settings, this one among them.
-func NewState(life hingeids.Life, hosts []hingeids.HostID) *State {
+// NewState returns the state of a host instance. The hosts are all entry hosts of
+// its zone from the settings, including this one.
+func NewState(instance hingeids.Life, hosts []hingeids.HostID) *State {
 	sorted := slices.Clone(hosts)
 	slices.Sort(sorted)
 	return &State{
-		life: life,
-		// An answer to an earlier life must not pass for one to this: the numbers of
-		// lives are far apart.
-		number:  lifeWeight(life, ""),
+		instance: instance,
+		// An answer to an earlier instance must not match a number of this one, so
+		// each instance starts at a different number.
+		number:  instanceSeed(instance, ""),
 		hosts:   sorted,
 		engines: make(map[hingeids.ServerID]*engineState),
 		sentAt:  make(map[uint64]time.Time),
 	}
 }
 
-// SetEngines takes which decode engines the zone has. An engine with a new
-// incarnation has lost all it held, and is begun anew. One that is not announced
-// for a while is kept with all that is known of it: what this host forgot of its
-// own requests it would give back while they run.
+// SetEngines sets the decode engines of the zone. An engine with a new incarnation
+// holds no requests, so its state is reset. The state of an engine that is no
+// longer announced is kept for engineRetention and while it has requests. Without
+// it, this host would return grants whose requests still run.
 func (s *State) SetEngines(now time.Time, engines []Engine) {
 	for _, e := range engines {
 		old := s.engines[e.ID]
@@ -128,11 +135,11 @@
 			old.announced = now
 			continue
 		}
-		s.refuseAll(old)
-		s.engines[e.ID] = s.beginEngine(now, e)
+		s.failWaiting(old)
+		s.engines[e.ID] = s.newEngineState(now, e)
 	}
 	for id, e := range s.engines {
-		if now.Sub(e.announced) > forgetEngine && len(e.requests) == 0 {
+		if now.Sub(e.announced) > engineRetention && len(e.requests) == 0 {
 			delete(s.engines, id)
 		}
 	}
@@ -145,56 +152,57 @@
 	})
 }
 
-func (s *State) beginEngine(now time.Time, e Engine) *engineState {
+func (s *State) newEngineState(now time.Time, e Engine) *engineState {
 	return &engineState{
-		Engine:    e,
-		announced: now,
-		pools:     make(map[hingeids.HostID]*pool),
-		loans:     make(map[hingeids.HostID]*loan),
-		seen:      make(map[hingeids.HostID]seenLoan),
-		requests:  make(map[hingeids.RequestID]*request),
-		// Serials of different granters must differ, or a release meant for one
-		// could free what another granted.
-		serial: lifeWeight(s.life, string(e.ID)),
+		Engine:      e,
+		announced:   now,
+		pools:       make(map[hingeids.HostID]*pool),
+		delegations: make(map[hingeids.HostID]*delegation),
+		seen:        make(map[hingeids.HostID]seenDelegation),
+		requests:    make(map[hingeids.RequestID]*request),
+		// Serials of different allocators must differ. Otherwise a release meant
+		// for one allocator could free a slot granted by another.
+		serial: instanceSeed(s.instance, string(e.ID)),
 	}
 }
 
-// refuseAll tells those who wait at an engine that it has restarted. Their wait
-// at other engines ends too, so that they are placed anew.
-func (s *State) refuseAll(e *engineState) {
+// failWaiting fails the requests that wait at an engine that has restarted, and
+// withdraws them at other engines, so that they are placed again.
+func (s *State) failWaiting(e *engineState) {
 	if e == nil {
 		return
 	}
 	for _, id := range e.waiting() {
-		s.letOthersGo(e, id)
+		s.releaseOthers(e, id)
 		s.out.Results = append(s.out.Results, Result{
 			ID: id,
 		})
 	}
 }
 
-// SetView takes what the members know now.
+// SetView sets the current membership view.
 func (s *State) SetView(v View) {
 	s.view = v
 }
 
-// granterOf gives the granter as it looks from here. Rule 3.
-func (s *State) granterOf(e *engineState) hingeids.HostID {
+// allocatorOf returns the engine's allocator according to this host's view. Rule
+// 3.
+func (s *State) allocatorOf(e *engineState) hingeids.HostID {
 	return rendezvous(s.view.Alive, string(e.ID))
 }
 
-// Step does what is due. It should be called each stepEvery.
+// Step performs all periodic work. It should be called every stepInterval.
 func (s *State) Step(now time.Time) Output {
-	s.forgetNumbers(now)
+	s.removeExpiredNumbers(now)
 	return s.stepThese(now, s.ordered...)
 }
 
 func (s *State) stepThese(now time.Time, engines ...*engineState) Output {
 	for _, e := range engines {
-		s.own(now, e)
-		s.borrow(now, e)
-		s.hold(now, e)
-		s.askHeld(now, e)
+		s.updatePools(now, e)
+		s.requestDelegations(now, e)
+		s.requestSlots(now, e)
+		s.queryHeld(now, e)
 	}
 	s.deliverLocal(now)
 	for _, e := range engines {
@@ -206,49 +214,49 @@
 	return out
 }
 
-// Receive takes a datagram.
+// Receive handles a message from another host.
 func (s *State) Receive(now time.Time, m Message) Output {
 	e := s.engines[m.Engine]
 	if e == nil {
 		return Output{}
 	}
-	s.take(now, m)
+	s.handle(now, m)
 	return s.stepThese(now, e)
 }
 
-func (s *State) take(now time.Time, m Message) {
+func (s *State) handle(now time.Time, m Message) {
 	e := s.engines[m.Engine]
 	if e == nil || e.Incarnation != m.Incarnation {
 		return
 	}
 	switch m.Kind {
-	case kindBorrow:
-		s.takeBorrow(now, e, m)
-	case kindLend:
-		s.takeLend(now, e, m)
-	case kindGiveBack:
-		s.takeGiveBack(now, e, m)
-	case kindAskYield:
-		s.takeAskYield(now, e, m)
+	case kindRequestDelegation:
+		s.handleDelegationRequest(now, e, m)
+	case kindDelegate:
+		s.handleDelegation(now, e, m)
+	case kindReturn:
+		s.handleReturn(now, e, m)
+	case kindRequestYield:
+		s.handleYieldRequest(now, e, m)
 	case kindYield:
-		s.takeYield(now, e, m)
+		s.handleYield(now, e, m)
 	case kindAcquire:
-		s.takeAcquire(now, e, m)
+		s.handleAcquire(now, e, m)
 	case kindGrant:
-		s.takeGrant(now, e, m)
+		s.handleGrant(now, e, m)
 	case kindRefuse:
-		s.takeRefuse(e, m)
+		s.handleRefusal(e, m)
 	case kindRelease:
-		s.takeRelease(e, m)
+		s.handleRelease(e, m)
 	}
 }
 
-// send sends to another host, or to this one without the link.
+// send queues a message to another host, or to this host without using the link.
 func (s *State) send(e *engineState, to hingeids.HostID, m Message) {
-	m.From = s.life
+	m.From = s.instance
 	m.Engine = e.ID
 	m.Incarnation = e.Incarnation
-	if to == s.life.Host {
+	if to == s.instance.Host {
 		s.local = append(s.local, m)
 		return
 	}
@@ -262,21 +270,23 @@
 	for len(s.local) > 0 {
 		m := s.local[0]
 		s.local = s.local[1:]
-		s.take(now, m)
+		s.handle(now, m)
 	}
 }
 
-// ask numbers a question, so that its answer can be counted from its sending.
-func (s *State) ask(now time.Time) uint64 {
+// nextNumber returns a new message number and records its time, so that a lease in
+// the answer can be counted from the sending of the message.
+func (s *State) nextNumber(now time.Time) uint64 {
 	s.number++
 	s.sentAt[s.number] = now
 	return s.number
 }
 
-// forgetNumbers drops questions whose answer would be too late to use.
-func (s *State) forgetNumbers(now time.Time) {
+// removeExpiredNumbers forgets messages whose answers would arrive too late to be
+// used.
+func (s *State) removeExpiredNumbers(now time.Time) {
 	for n, at := range s.sentAt {
-		if now.Sub(at) > 2*loanLease {
+		if now.Sub(at) > 2*delegationLease {
 			delete(s.sentAt, n)
 		}
 	}
--- a/internal/capacity/hingeslots/wire.go
+++ b/internal/capacity/hingeslots/wire.go
@@ -9,10 +9,10 @@
 type messageKind uint8
 
 const (
-	kindBorrow messageKind = iota + 1
-	kindLend
-	kindGiveBack
-	kindAskYield
+	kindRequestDelegation messageKind = iota + 1
+	kindDelegate
+	kindReturn
+	kindRequestYield
 	kindYield
 	kindAcquire
 	kindGrant
@@ -20,62 +20,61 @@
 	kindRelease
 )
 
-// Message goes between the entry hosts of one zone. Which fields count depends
-// on its kind.
+// Message is a message between entry hosts of one zone. Its kind determines which
+// fields are set.
 type Message struct {
 	Kind   messageKind       `cbor:"1,keyasint"`
 	From   hingeids.Life     `cbor:"2,keyasint"`
 	Engine hingeids.ServerID `cbor:"3,keyasint"`
-	// Incarnation is the engine's.
+	// Incarnation is the incarnation of the engine.
 	Incarnation hingeids.Incarnation `cbor:"4,keyasint"`
-	// Number is the sender's of a question, echoed in its answer.
+	// Number identifies a message of the sender and is returned in the answer.
 	Number uint64          `cbor:"5,keyasint,omitempty"`
 	Pool   hingeids.HostID `cbor:"6,keyasint,omitempty"`
-	// Serial numbers loans of a pool, or grants of a granter.
+	// Serial numbers the delegations of a pool, or the grants of an allocator.
 	Serial uint64 `cbor:"7,keyasint,omitempty"`
-	// For is how long a loan lasts, or within what time a grant must start.
+	// For is the duration of a delegation, or the start timeout of a grant.
 	For   time.Duration      `cbor:"8,keyasint,omitempty"`
 	Size  hingeids.Slots     `cbor:"9,keyasint,omitempty"`
-	Book  []wireEntry        `cbor:"10,keyasint,omitempty"`
-	Seen  []seenLoan         `cbor:"11,keyasint,omitempty"`
+	Book  []wireReservation  `cbor:"10,keyasint,omitempty"`
+	Seen  []seenDelegation   `cbor:"11,keyasint,omitempty"`
 	Claim []claim            `cbor:"12,keyasint,omitempty"`
 	ID    hingeids.RequestID `cbor:"13,keyasint,omitzero"`
-	Waits []wait             `cbor:"14,keyasint,omitempty"`
-	// Gone says that the request waits no more.
+	Waits []waitingRequest   `cbor:"14,keyasint,omitempty"`
+	// Gone is set if the request no longer waits.
 	Gone bool `cbor:"15,keyasint,omitempty"`
 }
 
-// wireEntry is an entry of a book on its way.
-type wireEntry struct {
+// wireReservation is the encoded form of a reservation.
+type wireReservation struct {
 	ID     hingeids.RequestID `cbor:"1,keyasint"`
 	Serial uint64             `cbor:"2,keyasint,omitempty"`
-	// Left is how long the request may still take to start.
+	// Left is the time that the request still has to start.
 	Left time.Duration `cbor:"3,keyasint,omitempty"`
 }
 
-// seenLoan is the newest loan of a pool that a borrower got.
-type seenLoan struct {
+// seenDelegation is the newest delegation of a pool that the sender has received.
+type seenDelegation struct {
 	Pool   hingeids.HostID `cbor:"1,keyasint"`
 	Serial uint64          `cbor:"2,keyasint"`
 	Owner  hingeids.Life   `cbor:"3,keyasint"`
-	// Live says that the borrower still has it.
+	// Live is set if the sender still holds the delegation.
 	Live bool `cbor:"4,keyasint,omitempty"`
 }
 
-// wait is a request that waits for a slot.
-type wait struct {
+type waitingRequest struct {
 	ID hingeids.RequestID `cbor:"1,keyasint"`
-	// Priority orders waiters: the higher goes first.
+	// Priority orders waiting requests; a higher priority is served first.
 	Priority int `cbor:"2,keyasint,omitempty"`
 }
 
-// claim says from which pool a holder's request was granted.
+// claim names the pool from which a holder's request was granted.
 type claim struct {
 	ID   hingeids.RequestID `cbor:"1,keyasint"`
 	Pool hingeids.HostID    `cbor:"2,keyasint"`
 }
 
-// Outgoing is a datagram to send.
+// Outgoing is a message to send to another host.
 type Outgoing struct {
 	To      hingeids.HostID
 	Message Message
