--- a/internal/capacity/hingeorders/driver.go
+++ b/internal/capacity/hingeorders/driver.go
@@ -12,39 +12,43 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// ErrStaleFence is what Engines.Send gives when the engine says that it has seen a
-// higher fencing number; ErrRefused when it refuses for another reason.
+// Errors that Engines.Send returns: ErrStaleFence if the engine reports that it
+// has seen a higher fencing number, and ErrRefused if it refuses the order for
+// another reason.
 var (
 	ErrStaleFence = eris.New("the engine has seen a higher fencing number")
 	ErrRefused    = eris.New("the engine refused the order")
 )
 
-// Engines reaches engines. It is implemented by the path to engines.
+// Engines queries engines and sends them orders. Its methods are called
+// concurrently.
 type Engines interface {
-	// State reads what an engine is, not from before the call.
+	// State returns the state of an engine, which must not be older than the call.
 	State(ctx context.Context, engine hingeids.ServerID) (Actual, error)
-	// Send gives an order. When the context ends it must close the connection, so
-	// that the order reaches the engine no more.
+	// Send sends an order. When the context is canceled it must close the
+	// connection, so that the order can't reach the engine afterwards.
 	Send(ctx context.Context, engine hingeids.ServerID, fence hingeids.Fence, o Order) error
 }
 
-// Issuer is the lease of the configuration log.
+// Issuer provides the leader lease of the configuration log, whose holder may
+// issue orders.
 type Issuer interface {
-	// Holder gives the term and end of the lease if this host holds it.
+	// Holder returns the term and the expiry of the lease if this host holds it.
 	Holder(now time.Time) (fence hingeids.Fence, until time.Time, ok bool)
 }
 
-// Config says what orders work with.
+// Config holds the settings and dependencies of Orders.
 type Config struct {
 	Settings
 	Engines Engines
 	Lease   Issuer
 	Events  *hingeevents.Recorder
-	// Clock reads the present time; time.Now if nil.
+	// Clock returns the current time. It defaults to time.Now.
 	Clock func() time.Time
 }
 
-// Orders drives a State.
+// Orders runs a State and sends its orders. Its methods are safe for concurrent
+// use.
 type Orders struct {
 	config Config
 	state  *State
@@ -52,10 +56,9 @@
 	ctx    context.Context
 }
 
-// stepEvery paces the driver.
-const stepEvery = 200 * time.Millisecond
+const stepInterval = 200 * time.Millisecond
 
-// New makes the orders of one process.
+// New returns the Orders of a process.
 func New(c Config) *Orders {
 	if c.Clock == nil {
 		c.Clock = time.Now
@@ -69,7 +72,7 @@
 	return o
 }
 
-// Run works until the context ends.
+// Run processes orders until the context is canceled.
 func (o *Orders) Run(ctx context.Context) error {
 	o.loop.Post(func(time.Time) {
 		o.ctx = ctx
@@ -77,33 +80,34 @@
 	return o.loop.Run(ctx)
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (o *Orders) Done() <-chan struct{} {
 	return o.loop.Done()
 }
 
-// SetStoreRate takes another rate of the weight store, zero for no limit.
+// SetStoreRate sets the rate of the weight store; zero means no limit.
 func (o *Orders) SetStoreRate(r hingeids.BytesPerSecond) {
 	o.loop.Post(func(time.Time) {
 		o.state.SetStoreRate(r)
 	})
 }
 
-// SetWants takes what engines should be, the most urgent first.
+// SetWants sets the desired states of engines, in order of decreasing urgency.
 func (o *Orders) SetWants(w []Want) {
 	o.loop.Post(func(time.Time) {
 		o.state.SetWants(w)
 	})
 }
 
-// SetEngines takes which engines are announced.
+// SetEngines sets the announced engines.
 func (o *Orders) SetEngines(engines []Engine) {
 	o.loop.Post(func(now time.Time) {
 		o.state.SetEngines(now, engines)
 	})
 }
 
-// Step is the controller's turn in the loop.
+// Step issues the orders that are possible now and returns the time of the next
+// step. It is called by the loop.
 func (o *Orders) Step(now time.Time) time.Time {
 	fence, until, held := o.config.Lease.Holder(now)
 	out := o.state.Step(now, Lease{
@@ -112,24 +116,24 @@
 		Until: until,
 	})
 	for _, e := range out.Look {
-		go o.look(o.ctx, now, e)
+		go o.query(o.ctx, now, e)
 	}
 	for _, s := range out.Send {
 		o.record(now, hingeevents.OrderSent, s)
 		go o.send(o.ctx, s)
 	}
-	return now.Add(stepEvery)
+	return now.Add(stepInterval)
 }
 
-func (o *Orders) look(ctx context.Context, lookedAt time.Time, e Engine) {
-	ctx, cancel := context.WithTimeout(ctx, lookEvery)
+func (o *Orders) query(ctx context.Context, queriedAt time.Time, e Engine) {
+	ctx, cancel := context.WithTimeout(ctx, queryInterval)
 	defer cancel()
 	a, err := o.config.Engines.State(ctx, e.ID)
 	if err != nil {
-		return // It is looked at again.
+		return // The query is repeated.
 	}
 	o.loop.Post(func(now time.Time) {
-		o.state.TakeActual(now, lookedAt, e, a)
+		o.state.TakeActual(now, queriedAt, e, a)
 	})
 }
 
--- a/internal/capacity/hingeorders/orders.go
+++ b/internal/capacity/hingeorders/orders.go
@@ -1,24 +1,28 @@
-// Package hingeorders has engines load models, versions and adapters and change
-// their role, as the operators' configuration wants. State is the pure part;
-// Orders drives it.
+// Package hingeorders sends engines orders to load models, versions and adapters
+// and to change their role, as the operators' configuration requires. State is the
+// pure part; Orders runs it.
 //
-//  1. Only the holder of the lease issues orders, with the lease's term as their fencing
-//     number. An engine that checks refuses one with a lower number than it has seen.
-//  2. An order is over within the order time: it is answered, or its connection is
-//     closed and it reaches the engine no more. None is sent that might not be
-//     over before the lease is.
-//  3. A new holder leaves an engine that doesn't check alone for one order time, longer by the clock
-//     margin: by then the last order of the holder before is over.
-//  4. It then looks at the engine's state before its first order, and again after
-//     each order. What an order without an answer did is seen, never assumed.
-//  5. One order at a time goes to an engine. The next waits until that one is over,
-//     so that an earlier order never takes effect after a later one.
-//  6. Loads of weights start one after the other, each when the store has had the time for
-//     those before it: loads that share the store's rate would all end late.
-//     A load that is seen under way, whoever ordered it, is counted.
-//  7. An engine that says that the fencing number is old knows of a newer holder:
-//     nothing more is sent under this lease.
-//  8. An engine that refuses for another reason is left alone for a while.
+//  1. Only the holder of the lease issues orders. Their fencing number is the term of
+//     the lease. An engine that checks fencing numbers refuses an order with a lower
+//     number than it has seen.
+//  2. An order completes or expires within the order timeout: it is answered, or its
+//     connection is closed and it can no longer reach the engine. No order is sent
+//     that might outlast the lease.
+//  3. A new holder sends nothing to an engine that doesn't check fencing numbers for
+//     one order timeout, extended by the clock margin. By then the previous holder's
+//     last order has expired.
+//  4. The holder then queries the engine's state before its first order, and again
+//     after each order. The effect of an unanswered order is never assumed.
+//  5. An engine is sent one order at a time. The next order waits until the previous
+//     one has completed or expired, so that an earlier order never takes effect after
+//     a later one.
+//  6. Loads of weights start one after the other, each when the store has had time to
+//     serve the loads before it: loads that share the store's rate would all finish
+//     late. A load that an engine reports is counted, whoever ordered it.
+//  7. An engine that reports a stale fencing number has seen a newer holder. Nothing
+//     more is sent under this lease.
+//  8. An engine that refuses an order for another reason is sent no orders until a
+//     backoff has passed.
 package hingeorders
 
 import (
@@ -29,37 +33,41 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Lease is the right to issue orders.
+// Lease is the permission to issue orders.
 type Lease struct {
-	// Held says that this host holds it, with Fence as its term, until Until.
+	// Held is set if this host holds the lease, with Fence as its term, until
+	// Until.
 	Held  bool
 	Fence hingeids.Fence
 	Until time.Time
 }
 
-// Settings are the times and rates that orders keep to.
+// Settings are the limits that apply to orders.
 type Settings struct {
-	// OrderTime bounds an order, from its sending until it can't take effect.
+	// OrderTime is the time after its sending at which an order can no longer take
+	// effect.
 	OrderTime time.Duration
-	// StoreRate is the rate of the weight store; zero for no limit.
+	// StoreRate is the rate of the weight store; zero means no limit.
 	StoreRate hingeids.BytesPerSecond
 }
 
 const (
-	lookEvery = time.Second
-	// lookAgain is how often an engine is looked at that is as it should be.
-	lookAgain = 15 * time.Second
-	// refusedPause keeps a refusing engine from being asked in a loop.
-	refusedPause = 5 * time.Second
-	// clockMargin is one part in so many: each clock may be wrong by a twentieth.
+	queryInterval = time.Second
+	// steadyQueryInterval is the query interval of an engine whose state is known
+	// and that isn't loading.
+	steadyQueryInterval = 15 * time.Second
+	// refusalBackoff is the minimum time between a refusal and the next order.
+	refusalBackoff = 5 * time.Second
+	// clockMargin is a divisor: a duration is extended by a tenth, which allows
+	// each clock an error of a twentieth.
 	clockMargin = 10
 )
 
-func longer(d time.Duration) time.Duration {
+func addClockMargin(d time.Duration) time.Duration {
 	return d + d/clockMargin
 }
 
-// Sending is an order to be sent now, under its fencing number.
+// Sending is an order to be sent at once, with its fencing number.
 type Sending struct {
 	Engine Engine
 	Fence  hingeids.Fence
@@ -67,17 +75,18 @@
 	Order  Order
 }
 
-// Output is what a step asks for.
+// Output holds the queries and orders that result from a step.
 type Output struct {
-	// Look are engines whose state is to be read, for TakeActual.
+	// Look are engines to query for their state. The response is passed to
+	// TakeActual.
 	Look []Engine
 	Send []Sending
 }
 
-// Outcome is how an order ended.
+// Outcome is the result of sending an order.
 type Outcome uint8
 
-// The outcomes. Unanswered may have taken effect or not.
+// The outcomes. An unanswered order may or may not have taken effect.
 const (
 	Unanswered Outcome = iota
 	Taken
@@ -85,35 +94,37 @@
 	StaleFence
 )
 
-// State plans orders. It is not safe for concurrent use.
+// State decides which orders to issue. It is not safe for concurrent use.
 type State struct {
 	settings Settings
 	fence    hingeids.Fence
-	// stale says that a newer holder is known to exist.
-	stale   bool
-	wants   []Want
-	engines map[hingeids.ServerID]*engineState
-	number  uint64
-	// storeFree is when the store has served all loads begun.
-	storeFree time.Time
+	// replaced is set if a newer holder of the lease is known to exist.
+	replaced bool
+	desired  []Want
+	engines  map[hingeids.ServerID]*engineState
+	number   uint64
+	// storeFreeAt is the time at which the store has served all loads started so
+	// far.
+	storeFreeAt time.Time
 }
 
 type engineState struct {
 	Engine
-	// quietUntil is before when nothing is done with the engine.
-	quietUntil time.Time
-	lookedAt   time.Time
-	known      bool
-	actual     Actual
-	inFlight   *flight
+	// blockedUntil is the time before which the engine is neither queried nor sent
+	// orders.
+	blockedUntil time.Time
+	queriedAt    time.Time
+	known        bool
+	actual       Actual
+	inFlight     *inflightOrder
 }
 
-type flight struct {
-	number uint64
-	overBy time.Time
+type inflightOrder struct {
+	number    uint64
+	expiresAt time.Time
 }
 
-// NewState makes a state that wants nothing.
+// NewState returns a State without engines and desired states.
 func NewState(s Settings) *State {
 	return &State{
 		settings: s,
@@ -121,118 +132,121 @@
 	}
 }
 
-// SetStoreRate takes another rate of the weight store, zero for no limit.
+// SetStoreRate sets the rate of the weight store; zero means no limit.
 func (s *State) SetStoreRate(r hingeids.BytesPerSecond) {
 	s.settings.StoreRate = r
 }
 
-// SetWants takes what engines should be, the most urgent first.
+// SetWants sets the desired states of engines, in order of decreasing urgency.
 func (s *State) SetWants(w []Want) {
-	s.wants = w
+	s.desired = w
 }
 
-// SetEngines takes which engines there are. A new incarnation is looked at anew.
+// SetEngines sets the announced engines. The state of an engine with a new
+// incarnation is reset.
 func (s *State) SetEngines(now time.Time, engines []Engine) {
-	there := make(map[hingeids.ServerID]bool)
+	announced := make(map[hingeids.ServerID]bool)
 	for _, e := range engines {
-		there[e.ID] = true
+		announced[e.ID] = true
 		if old := s.engines[e.ID]; old == nil || old.Engine != e {
-			s.engines[e.ID] = s.begin(now, e, false)
+			s.engines[e.ID] = s.newEngineState(now, e, false)
 		}
 	}
 	for id := range s.engines {
-		if !there[id] {
+		if !announced[id] {
 			delete(s.engines, id)
 		}
 	}
 }
 
-// begin leaves an engine alone until every order that may be on its way to it is
-// over. Under a new lease an engine that checks needs no wait: rule 1. One that was
-// not announced for a moment does, since orders of one lease have one number. Rule 5.
-func (s *State) begin(now time.Time, e Engine, underNewLease bool) *engineState {
-	quiet := now
+// newEngineState returns the state of an engine that is blocked until all orders
+// that may still reach it have expired. Under a new lease an engine that checks
+// fencing numbers needs no wait: rule 1. An engine that is announced again under
+// the same lease does, since all orders of a lease have the same fencing number:
+// rule 5.
+func (s *State) newEngineState(now time.Time, e Engine, underNewLease bool) *engineState {
+	until := now
 	if !underNewLease || !e.ChecksFence {
-		quiet = now.Add(longer(s.settings.OrderTime))
+		until = now.Add(addClockMargin(s.settings.OrderTime))
 	}
 	return &engineState{
-		Engine:     e,
-		quietUntil: quiet,
+		Engine:       e,
+		blockedUntil: until,
 	}
 }
 
-// Step does what is due under the lease.
+// Step returns the queries and orders that are possible under the lease.
 func (s *State) Step(now time.Time, l Lease) Output {
 	var out Output
 	if !l.Held || !now.Before(l.Until) {
 		return out
 	}
 	if l.Fence != s.fence {
-		s.takeOver(now, l.Fence)
+		s.startTerm(now, l.Fence)
 	}
-	if s.stale {
+	if s.replaced {
 		return out
 	}
-	for _, e := range s.ordered() {
-		s.endFlight(now, e)
-		if s.lookDue(now, e) {
-			e.lookedAt = now
+	for _, e := range s.sortedEngines() {
+		s.expireInflight(now, e)
+		if s.needsQuery(now, e) {
+			e.queriedAt = now
 			out.Look = append(out.Look, e.Engine)
 		}
 	}
-	for _, w := range s.wants {
+	for _, w := range s.desired {
 		if e := s.engines[w.Engine]; e != nil && e.ready(now) {
-			s.order(now, l, e, w, &out)
+			s.issueOrder(now, l, e, w, &out)
 		}
 	}
 	return out
 }
 
-func (s *State) takeOver(now time.Time, f hingeids.Fence) {
-	s.fence, s.stale, s.storeFree = f, false, time.Time{}
+func (s *State) startTerm(now time.Time, f hingeids.Fence) {
+	s.fence, s.replaced, s.storeFreeAt = f, false, time.Time{}
 	for id, e := range s.engines {
-		s.engines[id] = s.begin(now, e.Engine, true)
+		s.engines[id] = s.newEngineState(now, e.Engine, true)
 	}
 }
 
-// endFlight ends an order whose time is over. Rules 2 and 5.
-func (s *State) endFlight(now time.Time, e *engineState) {
-	if e.inFlight != nil && !now.Before(e.inFlight.overBy) {
+// expireInflight removes an order that can no longer take effect. Rules 2 and 5.
+func (s *State) expireInflight(now time.Time, e *engineState) {
+	if e.inFlight != nil && !now.Before(e.inFlight.expiresAt) {
 		e.inFlight, e.known = nil, false
 	}
 }
 
-func (s *State) lookDue(now time.Time, e *engineState) bool {
-	if e.inFlight != nil || now.Before(e.quietUntil) {
+func (s *State) needsQuery(now time.Time, e *engineState) bool {
+	if e.inFlight != nil || now.Before(e.blockedUntil) {
 		return false
 	}
-	every := lookEvery
+	interval := queryInterval
 	if e.known && !e.actual.Loading {
-		every = lookAgain
+		interval = steadyQueryInterval
 	}
-	return now.Sub(e.lookedAt) >= every
+	return now.Sub(e.queriedAt) >= interval
 }
 
 func (e *engineState) ready(now time.Time) bool {
-	return e.known && e.inFlight == nil && !e.actual.Loading && !now.Before(e.quietUntil)
+	return e.known && e.inFlight == nil && !e.actual.Loading && !now.Before(e.blockedUntil)
 }
 
-func (s *State) order(now time.Time, l Lease, e *engineState, w Want, out *Output) {
-	o, needed := next(w, e.actual)
+func (s *State) issueOrder(now time.Time, l Lease, e *engineState, w Want, out *Output) {
+	o, needed := nextOrder(w, e.actual)
 	if !needed {
 		return
 	}
-	over := now.Add(longer(s.settings.OrderTime))
-	if over.After(l.Until) {
-		return // Rule 2.
+	expiry := now.Add(addClockMargin(s.settings.OrderTime))
+	if expiry.After(l.Until) {
+		return // The order might outlast the lease: rule 2.
 	}
-	if !s.reserve(now, o.Bytes) {
+	if !s.reserveStore(now, o.Bytes) {
 		return
 	}
 	s.number++
-	e.inFlight = &flight{
-		number: s.number,
-		overBy: over,
+	e.inFlight = &inflightOrder{
+		number:    s.number,
+		expiresAt: expiry,
 	}
 	out.Send = append(out.Send, Sending{
 		Engine: e.Engine,
@@ -242,15 +256,16 @@
 	})
 }
 
-// reserve takes the store's time for a load, if it is free. Rule 6.
-func (s *State) reserve(now time.Time, b hingeids.Bytes) bool {
+// reserveStore reserves the store for a load, and returns false if the store is
+// busy. Rule 6.
+func (s *State) reserveStore(now time.Time, b hingeids.Bytes) bool {
 	if b == 0 || s.settings.StoreRate == 0 {
 		return true
 	}
-	if now.Before(s.storeFree) {
+	if now.Before(s.storeFreeAt) {
 		return false
 	}
-	s.storeFree = now.Add(s.fetchTime(b))
+	s.storeFreeAt = now.Add(s.fetchTime(b))
 	return true
 }
 
@@ -261,27 +276,28 @@
 	return time.Duration(float64(b) / float64(s.settings.StoreRate) * float64(time.Second))
 }
 
-// TakeActual takes an engine's state, read not before lookedAt. One read while
-// an order was on its way tells nothing.
-func (s *State) TakeActual(now, lookedAt time.Time, of Engine, a Actual) {
+// TakeActual processes the state that an engine returned to a query sent at
+// queriedAt. A state read while an order was in flight is ignored, since it may
+// predate the order.
+func (s *State) TakeActual(now, queriedAt time.Time, of Engine, a Actual) {
 	e := s.engines[of.ID]
-	if e == nil || e.Engine != of || e.inFlight != nil || lookedAt.Before(e.quietUntil) || lookedAt.Before(e.lookedAt) {
+	if e == nil || e.Engine != of || e.inFlight != nil || queriedAt.Before(e.blockedUntil) || queriedAt.Before(e.queriedAt) {
 		return
 	}
 	e.known, e.actual = true, a
-	if free := now.Add(s.fetchTime(a.BytesLeft)); a.Loading && free.After(s.storeFree) {
-		s.storeFree = free
+	if freeAt := now.Add(s.fetchTime(a.BytesLeft)); a.Loading && freeAt.After(s.storeFreeAt) {
+		s.storeFreeAt = freeAt
 	}
 }
 
-// TakeOutcome takes how an order ended. One without an answer is over only when
-// its time is.
+// TakeOutcome processes the outcome of an order. An unanswered order stays in
+// flight until it expires.
 func (s *State) TakeOutcome(now time.Time, sent Sending, o Outcome) {
 	if sent.Fence != s.fence {
 		return
 	}
 	if o == StaleFence {
-		s.stale = true // Rule 7.
+		s.replaced = true // Rule 7.
 		return
 	}
 	e := s.engines[sent.Engine.ID]
@@ -289,13 +305,13 @@
 		return
 	}
 	e.inFlight, e.known = nil, false
-	e.quietUntil, e.lookedAt = now, time.Time{}
+	e.blockedUntil, e.queriedAt = now, time.Time{}
 	if o == Refused {
-		e.quietUntil = now.Add(refusedPause) // Rule 8.
+		e.blockedUntil = now.Add(refusalBackoff) // Rule 8.
 	}
 }
 
-func (s *State) ordered() []*engineState {
+func (s *State) sortedEngines() []*engineState {
 	out := make([]*engineState, 0, len(s.engines))
 	for _, e := range s.engines {
 		out = append(out, e)
--- a/internal/capacity/hingeorders/orders_test.go
+++ b/internal/capacity/hingeorders/orders_test.go
@@ -20,41 +20,42 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 const (
-	simOrderTime = 400 * time.Millisecond
-	simLease     = time.Second
+	simOrderTimeout = 400 * time.Millisecond
+	simLease        = time.Second
 )
 
 // simulation runs three issuers, of which one at a time holds the lease, against
-// engines of both kinds. Time goes on in steps of 10 ms.
+// engines that check fencing numbers and engines that don't. Time advances in
+// steps of 10 ms.
 type simulation struct {
 	random  *rand.Rand
 	now     time.Duration
 	loss    float64
 	issuers []*simIssuer
 	engines []*simEngine
-	wants   []Want
+	desired []Want
 	holder  int
 	fence   hingeids.Fence
-	// freeAt is when the lease may pass to another.
-	freeAt time.Duration
-	later  []simEvent
-	// fickle operators change what they want ten times a second.
-	fickle   bool
+	// leaseEnd is the earliest time at which the lease may pass to another issuer.
+	leaseEnd time.Duration
+	events   []simEvent
+	// unstable makes the desired state change ten times a second.
+	unstable bool
 	problems []string
 }
 
 type simIssuer struct {
-	state *State
-	rate  float64
-	lease Lease
-	cut   bool
+	state    *State
+	rate     float64
+	lease    Lease
+	isolated bool
 }
 
 type simEngine struct {
 	Engine
-	seen   hingeids.Fence
-	actual Actual
-	// last is the newest order that took effect.
+	highestFence hingeids.Fence
+	actual       Actual
+	// fence and number identify the newest order that took effect.
 	fence  hingeids.Fence
 	number uint64
 }
@@ -80,7 +81,7 @@
 	for range 3 {
 		s.issuers = append(s.issuers, &simIssuer{
 			state: NewState(Settings{
-				OrderTime: simOrderTime,
+				OrderTime: simOrderTimeout,
 			}),
 			rate: 0.96 + 0.08*s.random.Float64(),
 		})
@@ -93,37 +94,37 @@
 }
 
 func (s *simulation) after(d time.Duration, run func()) {
-	s.later = append(s.later, simEvent{
+	s.events = append(s.events, simEvent{
 		at:  s.now + d,
 		run: run,
 	})
 }
 
-// delay is mostly short, and now and then as long as it may be.
-func (s *simulation) delay(most time.Duration) time.Duration {
+// delay returns a short delay in most cases, and otherwise one of up to maximum.
+func (s *simulation) delay(maximum time.Duration) time.Duration {
 	if s.random.IntN(3) > 0 {
 		return time.Duration(s.random.IntN(10)) * time.Millisecond
 	}
-	return time.Duration(s.random.Int64N(int64(most)))
+	return time.Duration(s.random.Int64N(int64(maximum)))
 }
 
 func (s *simulation) run(d time.Duration) {
 	for end := s.now + d; s.now < end; s.now += 10 * time.Millisecond {
-		due := slices.Clone(s.later)
-		s.later = nil
-		slices.SortStableFunc(due, func(a, b simEvent) int {
+		pending := slices.Clone(s.events)
+		s.events = nil
+		slices.SortStableFunc(pending, func(a, b simEvent) int {
 			return cmp.Compare(a.at, b.at)
 		})
-		for _, e := range due {
+		for _, e := range pending {
 			if e.at <= s.now {
 				e.run()
 			} else {
-				s.later = append(s.later, e)
+				s.events = append(s.events, e)
 			}
 		}
 		s.renew()
-		if s.fickle && s.now%(100*time.Millisecond) == 0 {
-			s.want(s.random.IntN(9))
+		if s.unstable && s.now%(100*time.Millisecond) == 0 {
+			s.setDesired(s.random.IntN(9))
 		}
 		for _, i := range s.issuers {
 			s.step(i)
@@ -131,17 +132,17 @@
 	}
 }
 
-// renew keeps the lease with its holder while that can be reached, and passes it
-// on once it has run out by any clock.
+// renew renews the lease of a holder that isn't isolated. Otherwise it passes the
+// lease on once it has expired by any clock.
 func (s *simulation) renew() {
 	holder := s.issuers[s.holder]
-	if holder.cut && s.now >= s.freeAt {
+	if holder.isolated && s.now >= s.leaseEnd {
 		s.holder = s.random.IntN(len(s.issuers))
 		holder = s.issuers[s.holder]
 		s.fence++
 	}
-	if !holder.cut {
-		s.freeAt = s.now + simLease + simLease/10
+	if !holder.isolated {
+		s.leaseEnd = s.now + simLease + simLease/10
 		holder.lease = Lease{
 			Held:  true,
 			Fence: s.fence,
@@ -152,7 +153,7 @@
 
 func (s *simulation) step(i *simIssuer) {
 	now := s.clock(i)
-	i.state.SetWants(s.wants)
+	i.state.SetWants(s.desired)
 	var engines []Engine
 	for _, e := range s.engines {
 		engines = append(engines, e.Engine)
@@ -160,7 +161,7 @@
 	i.state.SetEngines(now, engines)
 	out := i.state.Step(now, i.lease)
 	for _, e := range out.Look {
-		s.look(i, now, e)
+		s.query(i, now, e)
 	}
 	for _, o := range out.Send {
 		s.send(i, o)
@@ -171,36 +172,36 @@
 	return s.engines[slices.IndexFunc(s.engines, func(e *simEngine) bool { return e.ID == id })]
 }
 
-func (s *simulation) look(i *simIssuer, at time.Time, of Engine) {
+func (s *simulation) query(i *simIssuer, queriedAt time.Time, of Engine) {
 	s.after(s.delay(50*time.Millisecond), func() {
 		a := s.engine(of.ID).actual
 		a.Adapters = slices.Clone(a.Adapters)
 		s.after(s.delay(300*time.Millisecond), func() {
-			i.state.TakeActual(s.clock(i), at, of, a)
+			i.state.TakeActual(s.clock(i), queriedAt, of, a)
 		})
 	})
 }
 
-// send carries an order to its engine within the order time, or never.
+// send delivers an order to its engine before the order expires, or drops it.
 func (s *simulation) send(i *simIssuer, o Sending) {
 	if s.random.Float64() < s.loss {
 		return
 	}
-	if s.random.Float64() < s.loss { // Its connection breaks while it is on its way.
+	if s.random.Float64() < s.loss { // The connection breaks while the order is in flight.
 		s.after(20*time.Millisecond, func() {
 			i.state.TakeOutcome(s.clock(i), o, Unanswered)
 		})
 	}
-	s.after(s.delay(simOrderTime*95/100), func() {
+	s.after(s.delay(simOrderTimeout*95/100), func() {
 		e := s.engine(o.Engine.ID)
 		if e.Incarnation != o.Engine.Incarnation {
 			return
 		}
 		outcome := Taken
-		if e.ChecksFence && o.Fence < e.seen {
+		if e.ChecksFence && o.Fence < e.highestFence {
 			outcome = StaleFence
 		} else {
-			s.effect(e, o)
+			s.apply(e, o)
 		}
 		if s.random.Float64() >= s.loss {
 			s.after(5*time.Millisecond, func() {
@@ -210,12 +211,12 @@
 	})
 }
 
-func (s *simulation) effect(e *simEngine, o Sending) {
+func (s *simulation) apply(e *simEngine, o Sending) {
 	if cmp.Or(cmp.Compare(o.Fence, e.fence), cmp.Compare(o.Number, e.number)) <= 0 {
-		s.problems = append(s.problems, fmt.Sprintf("at %v %s took order %d.%d after %d.%d",
+		s.problems = append(s.problems, fmt.Sprintf("at %v engine %s executed order %d.%d after %d.%d",
 			s.now, e.ID, o.Fence, o.Number, e.fence, e.number))
 	}
-	e.seen, e.fence, e.number = max(e.seen, o.Fence), o.Fence, o.Number
+	e.highestFence, e.fence, e.number = max(e.highestFence, o.Fence), o.Fence, o.Number
 	switch o.Order.Kind {
 	case LoadModel:
 		e.actual.Model, e.actual.Version, e.actual.Adapters = o.Order.Model, o.Order.Version, nil
@@ -226,10 +227,10 @@
 	}
 }
 
-func (s *simulation) want(version int) {
-	s.wants = nil
+func (s *simulation) setDesired(version int) {
+	s.desired = nil
 	for _, e := range s.engines {
-		s.wants = append(s.wants, Want{
+		s.desired = append(s.desired, Want{
 			Engine:   e.ID,
 			Model:    "redacteur",
 			Version:  fmt.Sprint(version),
@@ -239,14 +240,13 @@
 	}
 }
 
-// Issuers are cut off from the lease and freeze in their belief, orders and
-// answers are lost or late, operators change their mind, engines restart. An
-// order of an earlier issuer, or an earlier order, never takes effect after a
-// later one; and in the end every engine is what it should be.
+// Guards against orders that take effect out of sequence and engines that never
+// reach their desired state, under isolated issuers, lost and delayed messages,
+// changing configuration, and engine restarts.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
-		s.fickle = rapid.Bool().Draw(t, "fickle")
+		s.unstable = rapid.Bool().Draw(t, "fickle")
 		version := 0
 		for range rapid.IntRange(1, 15).Draw(t, "faults") {
 			i := rapid.SampledFrom(s.issuers).Draw(t, "issuer")
@@ -254,15 +254,15 @@
 			switch rapid.SampledFrom([]string{"want", "want", "cut", "cut", "heal", "loss", "engine", "flap"}).Draw(t, "fault") {
 			case "want":
 				version++
-				s.want(version)
+				s.setDesired(version)
 			case "cut":
 				i = s.issuers[s.holder]
-				i.cut = true
+				i.isolated = true
 			case "heal":
-				i.cut = false
+				i.isolated = false
 			case "loss":
 				s.loss = 0.3
-			case "flap": // Its announcements are late for a moment.
+			case "flap": // The engine's announcements are late.
 				i.state.SetEngines(s.clock(i), nil)
 			case "engine":
 				*e = simEngine{
@@ -272,33 +272,32 @@
 			}
 			s.run(time.Duration(rapid.IntRange(10, 4000).Draw(t, "wait")) * time.Millisecond)
 		}
-		s.loss, s.fickle = 0, false
+		s.loss, s.unstable = 0, false
 		for _, i := range s.issuers {
-			i.cut = false
+			i.isolated = false
 		}
-		s.want(version)
+		s.setDesired(version)
 		s.run(40 * time.Second)
 		if len(s.problems) > 0 {
 			t.Fatal(s.problems[0])
 		}
 		for k, e := range s.engines {
-			if o, needed := next(s.wants[k], e.actual); needed {
-				t.Fatalf("%s is %+v and still needs %+v", e.ID, e.actual, o)
+			if o, needed := nextOrder(s.desired[k], e.actual); needed {
+				t.Fatalf("engine %s has state %+v and still needs order %+v", e.ID, e.actual, o)
 			}
 		}
 	})
 }
 
-// Six engines are to load weights of 10 GB from a store of 1 GB/s. Loads that began
-// together would all end after a minute; one after the other, the first serves
-// after 10 s.
+// Guards against loads that share the store's rate: started together, six loads
+// would all finish after a minute.
 func TestLoadsAreStaggered(t *testing.T) {
 	s := NewState(Settings{
 		OrderTime: time.Second,
 		StoreRate: 1 << 30,
 	})
 	var engines []Engine
-	var wants []Want
+	var desired []Want
 	for i := range 6 {
 		id := hingeids.ServerID(fmt.Sprintf("engine-%d", i))
 		engines = append(engines, Engine{
@@ -306,13 +305,13 @@
 			Incarnation: 1,
 			ChecksFence: true,
 		})
-		wants = append(wants, Want{
+		desired = append(desired, Want{
 			Engine:     id,
 			Model:      "redacteur",
 			ModelBytes: 10 << 30,
 		})
 	}
-	s.SetWants(wants)
+	s.SetWants(desired)
 	s.SetEngines(epoch, engines)
 	var sent []int
 	for second := range 70 {
@@ -329,7 +328,7 @@
 			sent = append(sent, second)
 			s.TakeOutcome(now, o, Taken)
 			s.engines[o.Engine.ID].actual.Loading = true
-			s.engines[o.Engine.ID].quietUntil = now.Add(time.Hour)
+			s.engines[o.Engine.ID].blockedUntil = now.Add(time.Hour)
 		}
 	}
 	if d := diff.Diff([]int{1, 11, 21, 31, 41, 51}, sent); d != "" {
@@ -337,40 +336,40 @@
 	}
 }
 
-// replacedEngine has seen a higher fencing number.
-type replacedEngine struct {
+// staleFenceEngine reports that it has seen a higher fencing number.
+type staleFenceEngine struct {
 	mu    sync.Mutex
 	sends int
 }
 
-func (*replacedEngine) State(context.Context, hingeids.ServerID) (Actual, error) {
+func (*staleFenceEngine) State(context.Context, hingeids.ServerID) (Actual, error) {
 	return Actual{}, nil
 }
 
-func (r *replacedEngine) Send(context.Context, hingeids.ServerID, hingeids.Fence, Order) error {
+func (r *staleFenceEngine) Send(context.Context, hingeids.ServerID, hingeids.Fence, Order) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.sends++
 	return ErrStaleFence
 }
 
-type always struct{}
+type fixedLease struct{}
 
-func (always) Holder(now time.Time) (hingeids.Fence, time.Time, bool) {
+func (fixedLease) Holder(now time.Time) (hingeids.Fence, time.Time, bool) {
 	return 1, now.Add(time.Minute), true
 }
 
-// An issuer that was cut off still believes in its lease. The engine tells it of a
-// newer issuer, after which it sends nothing more.
+// Guards against an issuer that continues to send orders after an engine has
+// reported a newer issuer.
 func TestDriverStopsOnceReplaced(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		engine := &replacedEngine{}
+		engine := &staleFenceEngine{}
 		o := New(Config{
 			Settings: Settings{
 				OrderTime: time.Second,
 			},
 			Engines: engine,
-			Lease:   always{},
+			Lease:   fixedLease{},
 		})
 		o.SetWants([]Want{{
 			Engine: "engine-0",
--- a/internal/capacity/hingeorders/plan.go
+++ b/internal/capacity/hingeorders/plan.go
@@ -6,65 +6,69 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Role is what an engine is to do.
+// Role is the role of an engine, such as "prefill" or "decode".
 type Role string
 
-// Kind says what an order changes.
+// Kind is the kind of change that an order makes.
 type Kind string
 
-// The kinds of order.
+// The kinds of orders.
 const (
 	LoadModel   Kind = "loadModel"
 	LoadAdapter Kind = "loadAdapter"
 	ChangeRole  Kind = "changeRole"
 )
 
-// Order is one order to an engine.
+// Order is an order to an engine. It is encoded as JSON.
 type Order struct {
 	Kind    Kind           `json:"kind"`
 	Model   hingeids.Model `json:"model,omitempty"`
 	Version string         `json:"version,omitempty"`
 	Adapter string         `json:"adapter,omitempty"`
 	Role    Role           `json:"role,omitempty"`
-	// Bytes is what the engine fetches from the weight store.
+	// Bytes is the amount of data that the engine fetches from the weight store.
 	Bytes hingeids.Bytes `json:"-"`
 }
 
-// Want is what an engine should be. Empty fields are left as they are.
+// Want is the desired state of an engine. Empty fields are not changed.
 type Want struct {
 	Engine  hingeids.ServerID
 	Model   hingeids.Model
 	Version string
-	// Adapters are loaded beside those the engine has.
+	// Adapters are loaded in addition to the engine's present ones.
 	Adapters []string
 	Role     Role
-	// ModelBytes and AdapterBytes are the sizes of the weights.
+	// ModelBytes is the size of the model's weights, AdapterBytes that of an
+	// adapter.
 	ModelBytes   hingeids.Bytes
 	AdapterBytes hingeids.Bytes
 }
 
-// Actual is what an engine says that it is.
+// Actual is the state that an engine reports.
 type Actual struct {
 	Model    hingeids.Model
 	Version  string
 	Adapters []string
 	Role     Role
-	// Loading says that a load is under way, with so much still to fetch.
+	// Loading is set while a load is in progress, with BytesLeft still to be
+	// fetched.
 	Loading   bool
 	BytesLeft hingeids.Bytes
 }
 
-// Engine is an engine as far as orders need it.
+// Engine is the part of an engine's announcement that orders need.
 type Engine struct {
 	ID          hingeids.ServerID
 	Incarnation hingeids.Incarnation
-	// ChecksFence says that it refuses orders with an old fencing number.
+	// ChecksFence is set if the engine refuses orders with a lower fencing number
+	// than it has seen.
 	ChecksFence bool
 }
 
-// next gives the order that brings an engine nearer to what it should be. The
-// role goes last: an engine takes up a role with the model it needs for it.
-func next(w Want, a Actual) (Order, bool) {
+// nextOrder returns the next order that brings an engine closer to its desired
+// state, and false if none is needed. The role is changed last, since a role may
+// need the new model.
+func nextOrder(w Want, a Actual) (Order, bool) {
 	if w.Model != "" && (w.Model != a.Model || w.Version != a.Version) {
 		return Order{
 			Kind:    LoadModel,
