--- a/internal/capacity/hingeholds/driver.go
+++ b/internal/capacity/hingeholds/driver.go
@@ -16,67 +16,69 @@
 
 const methodKnown hingelink.Method = "holds.known"
 
-// callTimeout bounds a question to an engine or an owner.
+// callTimeout bounds a call to an engine or an entry host.
 const callTimeout = time.Second
 
-// Engines reaches engines. It is implemented by the path to engines.
+// Engines makes calls to engines. Its methods are called concurrently.
 type Engines interface {
-	// Held gives what the engine holds, from a state not older than the call.
+	// Held lists the engine's allocations, as of a time not before the call.
 	Held(ctx context.Context, engine hingeids.ServerID) ([]Hold, error)
-	// Cancel gives up all that the engine holds for a request. No error means that
-	// the engine said it holds nothing for it any more.
+	// Cancel releases all allocations of a request. A nil error means that the
+	// engine has confirmed that none is left.
 	Cancel(ctx context.Context, engine hingeids.ServerID, id hingeids.RequestID) error
 }
 
-// Owner is this host's table of its requests.
+// Owner is this host's table of its own requests. Its methods are called
+// concurrently.
 type Owner interface {
-	// Life is the life that this host leads now. It changes only after every
-	// caller of the old one has been answered finally.
+	// Life returns the host's current instance. It changes only after every caller
+	// of the previous instance has received its final response.
 	Life() hingeids.Life
-	// Knows reports whether the host still answers for a request of this life.
+	// Knows reports whether a request of the current instance is still in the table.
 	Knows(id hingeids.RequestID) bool
 }
 
-// Config says what the holds work with.
+// Config has the dependencies of a Holds.
 type Config struct {
 	Link    hingelink.Link
 	Engines Engines
 	Owner   Owner
 	Events  *hingeevents.Recorder
-	// Clock reads the present time; time.Now if nil.
+	// Clock returns the current time. The default is time.Now.
 	Clock func() time.Time
-	// OnGone is told, in the loop, when nothing is held for an own request that was
-	// abandoned. It must not block.
+	// OnGone is called when an engine has no allocation left for an own request that
+	// was abandoned. It runs in the loop and must not block.
 	OnGone func(engine hingeids.ServerID, id hingeids.RequestID)
 }
 
-// Holds drives a State.
+// Holds runs a State in a loop and makes its calls to engines and entry hosts.
+// Its methods can be called concurrently.
 type Holds struct {
 	config Config
 	state  *State
 	loop   *hingeboard.Loop
 	ctx    context.Context
-	// busy bounds the calls to each engine: one at a time for each purpose.
-	busy map[any]bool
+	// inFlight has the Engine or Cancellation of each call in progress.
+	inFlight map[any]bool
 }
 
-// New makes the holds of one process and sets its handlers on the link.
+// New returns the Holds of a process and registers its handler on the link.
 func New(c Config) *Holds {
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
 	h := &Holds{
-		config: c,
-		state:  NewState(),
-		ctx:    context.Background(),
-		busy:   make(map[any]bool),
+		config:   c,
+		state:    NewState(),
+		ctx:      context.Background(),
+		inFlight: make(map[any]bool),
 	}
 	h.loop = hingeboard.NewLoop(c.Clock, h)
-	c.Link.HandleCall(methodKnown, h.answerKnown)
+	c.Link.HandleCall(methodKnown, h.handleKnown)
 	return h
 }
 
-// Run works until the context ends.
+// Run processes steps and results until the context is cancelled.
 func (h *Holds) Run(ctx context.Context) error {
 	h.loop.Post(func(time.Time) {
 		h.ctx = ctx
@@ -84,46 +86,48 @@
 	return h.loop.Run(ctx)
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (h *Holds) Done() <-chan struct{} {
 	return h.loop.Done()
 }
 
-// SetEngines takes which engines are announced, and which are this host's to watch.
+// SetEngines replaces the list of announced engines. Engine.Mine marks those that
+// this host has to poll.
 func (h *Holds) SetEngines(engines []Engine) {
 	h.loop.Post(func(now time.Time) {
 		h.state.SetEngines(now, engines)
 	})
 }
 
-// SetRecord takes what the configuration log says of lives.
+// SetRecord replaces the record of host instances from the configuration log.
 func (h *Holds) SetRecord(r hingemembers.Record) {
 	h.loop.Post(func(time.Time) {
 		h.state.SetRecord(r)
 	})
 }
 
-// Abandon gives up what an engine holds for an own request whose caller is gone
-// or whose answer failed, and repeats that until it is so.
+// Abandon has an engine release the allocations of an own request whose caller has
+// disconnected or whose response failed. The cancel is retried until it succeeds.
 func (h *Holds) Abandon(engine hingeids.ServerID, id hingeids.RequestID) {
 	h.loop.Post(func(now time.Time) {
 		h.state.Abandon(now, engine, id)
 	})
 }
 
-// Step is the controller's turn in the loop.
+// Step runs one step of the State and starts the calls that it requests. The loop
+// calls it; the result is the time of the next step.
 func (h *Holds) Step(now time.Time) time.Time {
 	out, next := h.state.Step(now)
 	for _, e := range out.Poll {
-		h.once(e, func(ctx context.Context) func(time.Time) {
+		h.startOnce(e, func(ctx context.Context) func(time.Time) {
 			return h.poll(ctx, e)
 		})
 	}
 	for _, q := range out.Ask {
-		go h.ask(h.ctx, q)
+		go h.queryOwner(h.ctx, q)
 	}
 	for _, c := range out.Cancel {
-		h.once(c, func(ctx context.Context) func(time.Time) {
+		h.startOnce(c, func(ctx context.Context) func(time.Time) {
 			return h.cancel(ctx, c)
 		})
 	}
@@ -138,39 +142,39 @@
 	return next
 }
 
-// once runs a call unless the same one is still under way, so that an engine that
-// answers slowly isn't asked ever more often.
-func (h *Holds) once(key any, call func(ctx context.Context) func(now time.Time)) {
-	if h.busy[key] {
+// startOnce starts a call unless one with the same key is in progress, so that calls
+// to a slow engine don't accumulate.
+func (h *Holds) startOnce(key any, call func(ctx context.Context) func(now time.Time)) {
+	if h.inFlight[key] {
 		return
 	}
-	h.busy[key] = true
+	h.inFlight[key] = true
 	go func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
-		then := call(ctx)
+		apply := call(ctx)
 		h.loop.Post(func(now time.Time) {
-			delete(h.busy, key)
-			if then != nil {
-				then(now)
+			delete(h.inFlight, key)
+			if apply != nil {
+				apply(now)
 			}
 		})
 	}(h.ctx)
 }
 
 func (h *Holds) poll(ctx context.Context, e Engine) func(now time.Time) {
-	holds, err := h.config.Engines.Held(ctx, e.ID)
+	allocations, err := h.config.Engines.Held(ctx, e.ID)
 	if err != nil {
 		return nil
 	}
 	return func(now time.Time) {
-		h.state.TakeHeld(now, e, holds)
+		h.state.TakeHeld(now, e, allocations)
 	}
 }
 
 func (h *Holds) cancel(ctx context.Context, c Cancellation) func(now time.Time) {
 	if err := h.config.Engines.Cancel(ctx, c.Engine, c.ID); err != nil {
-		return nil // Rule 6: it is repeated.
+		return nil // Rule 6: the state retries it.
 	}
 	return func(now time.Time) {
 		h.state.TakeCancelled(c)
@@ -185,24 +189,25 @@
 	})
 }
 
-// known is an owner's answer.
-type known struct {
+// knownReply is an entry host's reply to a Question: its current instance and
+// the queried requests that are in its table.
+type knownReply struct {
 	Life hingeids.Life        `cbor:"1,keyasint"`
 	IDs  []hingeids.RequestID `cbor:"2,keyasint"`
 }
 
-func (h *Holds) ask(ctx context.Context, q Question) {
+func (h *Holds) queryOwner(ctx context.Context, q Question) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := cbor.Marshal(q.IDs)
 	if err != nil {
-		panic(err) // Only types that CBOR can't hold fail, and these are ours.
+		panic(err) // Encoding a list of request IDs can't fail.
 	}
 	answer, err := h.config.Link.Call(ctx, q.Host, methodKnown, body)
 	if err != nil {
-		return // Rule 5.
+		return // Rule 5: without a reply nothing is cancelled.
 	}
-	var k known
+	var k knownReply
 	if cbor.Unmarshal(answer, &k) != nil || k.Life.Host != q.Host {
 		return
 	}
@@ -211,13 +216,13 @@
 	})
 }
 
-// answerKnown answers for this host's own requests. Rule 4.
-func (h *Holds) answerKnown(_ context.Context, _ hingeids.HostID, body []byte) ([]byte, error) {
+// handleKnown replies which of the queried requests are in this host's table. Rule 4.
+func (h *Holds) handleKnown(_ context.Context, _ hingeids.HostID, body []byte) ([]byte, error) {
 	var ids []hingeids.RequestID
 	if err := cbor.Unmarshal(body, &ids); err != nil {
-		return nil, eris.Wrap(err, "holds")
+		return nil, eris.Wrap(err, "decode request IDs of an ownership query")
 	}
-	k := known{
+	k := knownReply{
 		Life: h.config.Owner.Life(),
 	}
 	for _, id := range ids {
@@ -226,5 +231,5 @@
 		}
 	}
 	answer, err := cbor.Marshal(k)
-	return answer, eris.Wrap(err, "holds")
+	return answer, eris.Wrap(err, "encode reply to an ownership query")
 }
--- a/internal/capacity/hingeholds/holds.go
+++ b/internal/capacity/hingeholds/holds.go
@@ -1,23 +1,27 @@
-// Package hingeholds gives up engine memory that nobody answers for: requests in
-// progress, reservations, exported KV cache and half-finished imports whose
-// caller, or whose entry host, is gone. State is the pure part; Holds drives it.
+// Package hingeholds releases orphaned allocations of engines: requests in
+// progress, reservations, exported KV cache and incomplete imports whose caller has
+// disconnected or whose entry host has failed. State has the logic and does no I/O;
+// Holds runs it.
 //
-//  1. A hold is known by its request id, which names the life of the entry host
-//     that answers for it. A host knows an id from before anything is sent under it
-//     until nothing is held for it any more, and never knows it again after that.
-//  2. The host that is responsible for an engine keeps asking it what it holds.
-//     Two hosts that both think so do no harm: a cancel is idempotent.
-//  3. A hold of a life that is recorded as over is cancelled without asking.
-//  4. About others their owner is asked, after the engine has answered. An id that
-//     the owner's same life doesn't know has been given up; an owner that answers
-//     in a newer life has ended the older one. Both are cancelled.
-//  5. An owner that doesn't answer is left alone: it may be slow or cut off, and
-//     its caller may be reading. Once its life is over rule 3 applies.
-//  6. A cancel is repeated until the engine has answered it, or has a new
-//     incarnation and so has lost what it held. One that still shows in what the
-//     engine holds is sent again.
-//  7. An owner gives up what its caller has left in the same way, and is told when
-//     nothing is held any more.
+//  1. An allocation is identified by its request ID, which contains the instance of
+//     the entry host that owns the request. A host has an ID in its table from before
+//     the first message with it is sent until no engine has an allocation for it, and
+//     never adds it again.
+//  2. The host that is responsible for an engine polls its allocations. Two hosts
+//     may both consider themselves responsible, since a cancel is idempotent.
+//  3. An allocation of an instance that is recorded as over is cancelled without a
+//     query.
+//  4. For any other allocation its owner is queried after the engine has responded.
+//     It is cancelled if the owner replies as the same instance without the ID in
+//     its table, or as a newer instance.
+//  5. If an owner doesn't reply its allocations stay: it may be slow or partitioned
+//     while its caller still receives a response. Rule 3 applies once its instance
+//     is over.
+//  6. A cancel is retried until the engine has confirmed it or has a new
+//     incarnation, with which its allocations are lost. An allocation that a later
+//     poll still lists is cancelled again.
+//  7. An owner cancels the allocations of its abandoned requests in the same way,
+//     and is notified when none is left.
 package hingeholds
 
 import (
@@ -29,19 +33,20 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingemembers"
 )
 
-// Times. A caller or host that is gone must leave nothing after 5 s, of which
-// recording a life as over may take 3.
+// Allocations of a disconnected caller or a failed host must be released within 5 s,
+// of which recording the instance as over can take 3 s.
 const (
-	pollEvery = 500 * time.Millisecond
-	// A cancel is repeated soon at first, since most failures are one lost answer,
-	// then ever more slowly, so that an engine in trouble is not made busier.
-	firstRetry = 100 * time.Millisecond
-	quickTries = 8
-	mostRetry  = 2 * time.Second
-	// stuckTries is after how many cancels an operator is told.
-	stuckTries = 20
-	// forgetEngine is how long cancels are kept for an engine that is not announced.
-	forgetEngine = 10 * time.Minute
+	pollInterval = 500 * time.Millisecond
+	// A cancel is retried at a fixed interval at first, since a single lost response
+	// is the usual failure, then with exponential backoff to limit the load on an
+	// overloaded engine.
+	firstRetryDelay = 100 * time.Millisecond
+	fastAttempts    = 8
+	maxRetryDelay   = 2 * time.Second
+	// stuckAttempts is the number of attempts after which a cancel is reported as stuck.
+	stuckAttempts = 20
+	// engineRetention is how long the cancels of an unannounced engine are retained.
+	engineRetention = 10 * time.Minute
 )
 
 // State decides what to cancel. It is not safe for concurrent use.
@@ -53,72 +58,74 @@
 
 type engineState struct {
 	Engine
-	announced bool
-	missing   time.Time
-	polledAt  time.Time
-	cancels   map[hingeids.RequestID]*cancel
-	// asked are the ids whose owners were asked since the engine last answered.
-	asked map[hingeids.RequestID]bool
+	announced    bool
+	missingSince time.Time
+	polledAt     time.Time
+	cancels      map[hingeids.RequestID]*pendingCancel
+	// queried has the requests whose owners were queried since the last poll result.
+	queried map[hingeids.RequestID]bool
 }
 
-type cancel struct {
-	tries  int
-	nextAt time.Time
-	// own says that Abandon asked for it.
-	own bool
+type pendingCancel struct {
+	attempts int
+	nextAt   time.Time
+	// abandoned is whether Abandon requested the cancel.
+	abandoned bool
 }
 
-// NewState makes an empty state.
+// NewState returns a state without engines.
 func NewState() *State {
 	return &State{
 		engines: make(map[hingeids.ServerID]*engineState),
 	}
 }
 
-// SetRecord takes what the configuration log says of lives.
+// SetRecord replaces the record of host instances from the configuration log.
 func (s *State) SetRecord(r hingemembers.Record) {
 	s.record = r
 }
 
-// SetEngines takes which engines are announced. Rule 6.
+// SetEngines replaces the list of announced engines. An engine with a new
+// incarnation has lost its allocations (rule 6).
 func (s *State) SetEngines(now time.Time, engines []Engine) {
 	for _, e := range s.engines {
 		if e.announced {
-			e.announced, e.missing = false, now
+			e.announced, e.missingSince = false, now
 		}
 	}
 	for _, e := range engines {
 		old := s.engines[e.ID]
 		if old == nil || old.Incarnation != e.Incarnation {
-			s.lost(old)
+			s.releaseAll(old)
 			old = &engineState{
-				cancels: make(map[hingeids.RequestID]*cancel),
-				asked:   make(map[hingeids.RequestID]bool),
+				cancels: make(map[hingeids.RequestID]*pendingCancel),
+				queried: make(map[hingeids.RequestID]bool),
 			}
 			s.engines[e.ID] = old
 		}
 		old.Engine, old.announced = e, true
 	}
 	for id, e := range s.engines {
-		if !e.announced && now.Sub(e.missing) > forgetEngine {
-			s.lost(e)
+		if !e.announced && now.Sub(e.missingSince) > engineRetention {
+			s.releaseAll(e)
 			delete(s.engines, id)
 		}
 	}
 }
 
-// lost reports own requests as gone that an engine held before it restarted.
-func (s *State) lost(e *engineState) {
+// releaseAll drops all cancels of an engine that has restarted or was removed.
+func (s *State) releaseAll(e *engineState) {
 	if e == nil {
 		return
 	}
-	for _, id := range e.ordered() {
-		s.gone(e, id)
+	for _, id := range e.sortedCancels() {
+		s.release(e, id)
 	}
 }
 
-func (s *State) gone(e *engineState, id hingeids.RequestID) {
-	if e.cancels[id].own {
+// release drops a cancel and reports an abandoned request as released.
+func (s *State) release(e *engineState, id hingeids.RequestID) {
+	if e.cancels[id].abandoned {
 		s.out.Gone = append(s.out.Gone, Cancellation{
 			Engine: e.ID,
 			ID:     id,
@@ -127,7 +134,7 @@
 	delete(e.cancels, id)
 }
 
-// Abandon gives up what an engine holds for an own request. Rule 7.
+// Abandon has an engine release the allocations of an own request. Rule 7.
 func (s *State) Abandon(now time.Time, engine hingeids.ServerID, id hingeids.RequestID) {
 	e := s.engines[engine]
 	if e == nil {
@@ -137,29 +144,30 @@
 		})
 		return
 	}
-	s.doom(now, e, id)
-	e.cancels[id].own = true
+	s.scheduleCancel(now, e, id)
+	e.cancels[id].abandoned = true
 }
 
-func (s *State) doom(now time.Time, e *engineState, id hingeids.RequestID) {
+func (s *State) scheduleCancel(now time.Time, e *engineState, id hingeids.RequestID) {
 	if e.cancels[id] == nil {
-		e.cancels[id] = &cancel{
+		e.cancels[id] = &pendingCancel{
 			nextAt: now,
 		}
 	}
 }
 
-// Step does what is due and says when it wants to be called next.
+// Step returns the polls and cancels that are due together with the output of earlier
+// calls, and the time of the next step.
 func (s *State) Step(now time.Time) (Output, time.Time) {
-	next := now.Add(pollEvery)
-	for _, e := range s.orderedEngines() {
-		if e.Mine && e.announced && now.Sub(e.polledAt) >= pollEvery {
+	next := now.Add(pollInterval)
+	for _, e := range s.sortedEngines() {
+		if e.Mine && e.announced && now.Sub(e.polledAt) >= pollInterval {
 			e.polledAt = now
 			s.out.Poll = append(s.out.Poll, e.Engine)
 		}
-		for _, id := range e.ordered() {
+		for _, id := range e.sortedCancels() {
 			c := e.cancels[id]
-			s.repeat(now, e, id, c)
+			s.sendIfDue(now, e, id, c)
 			if c.nextAt.Before(next) {
 				next = c.nextAt
 			}
@@ -170,45 +178,46 @@
 	return out, next
 }
 
-// repeat sends a cancel if it is due. Rule 6.
-func (s *State) repeat(now time.Time, e *engineState, id hingeids.RequestID, c *cancel) {
+// sendIfDue adds a cancel to the output if its next attempt is due. Rule 6.
+func (s *State) sendIfDue(now time.Time, e *engineState, id hingeids.RequestID, c *pendingCancel) {
 	if now.Before(c.nextAt) {
 		return
 	}
-	sent := Cancellation{
+	cancellation := Cancellation{
 		Engine: e.ID,
 		ID:     id,
 	}
-	s.out.Cancel = append(s.out.Cancel, sent)
-	if c.tries++; c.tries == stuckTries {
-		s.out.Stuck = append(s.out.Stuck, sent)
+	s.out.Cancel = append(s.out.Cancel, cancellation)
+	if c.attempts++; c.attempts == stuckAttempts {
+		s.out.Stuck = append(s.out.Stuck, cancellation)
 	}
-	wait := firstRetry
-	if c.tries > quickTries {
-		wait = min(firstRetry<<min(c.tries-quickTries, 10), mostRetry)
+	wait := firstRetryDelay
+	if c.attempts > fastAttempts {
+		wait = min(firstRetryDelay<<min(c.attempts-fastAttempts, 10), maxRetryDelay)
 	}
 	c.nextAt = now.Add(wait)
 }
 
-// TakeHeld takes what an engine holds, and asks the owners. Rules 3 and 4.
-func (s *State) TakeHeld(now time.Time, of Engine, holds []Hold) {
-	e := s.engines[of.ID]
-	if e == nil || e.Incarnation != of.Incarnation {
+// TakeHeld processes the result of a poll: it schedules cancels and queries the
+// owners. Rules 3 and 4.
+func (s *State) TakeHeld(now time.Time, polled Engine, allocations []Hold) {
+	e := s.engines[polled.ID]
+	if e == nil || e.Incarnation != polled.Incarnation {
 		return
 	}
-	clear(e.asked)
+	clear(e.queried)
 	byHost := make(map[hingeids.HostID][]hingeids.RequestID)
 	seen := make(map[hingeids.RequestID]bool)
-	for _, h := range holds {
+	for _, h := range allocations {
 		if seen[h.ID] {
 			continue
 		}
 		seen[h.ID] = true
 		if s.record.IsOver(h.ID.Life) {
-			s.doom(now, e, h.ID)
+			s.scheduleCancel(now, e, h.ID)
 			continue
 		}
-		e.asked[h.ID] = true
+		e.queried[h.ID] = true
 		byHost[h.ID.Host] = append(byHost[h.ID.Host], h.ID)
 	}
 	for host, ids := range byHost {
@@ -222,37 +231,37 @@
 	})
 }
 
-// TakeAnswer takes which of the ids asked about their host, in the given life,
-// knows. Rule 4.
-func (s *State) TakeAnswer(now time.Time, by hingeids.Life, asked, known []hingeids.RequestID) {
-	knows := make(map[hingeids.RequestID]bool, len(known))
+// TakeAnswer processes an owner's reply to a query: the instance that replied and
+// the queried requests that are in its table. Rule 4.
+func (s *State) TakeAnswer(now time.Time, owner hingeids.Life, queried, known []hingeids.RequestID) {
+	isKnown := make(map[hingeids.RequestID]bool, len(known))
 	for _, id := range known {
-		knows[id] = true
+		isKnown[id] = true
 	}
-	for _, id := range asked {
-		if knows[id] || id.Host != by.Host || id.Incarnation > by.Incarnation {
+	for _, id := range queried {
+		if isKnown[id] || id.Host != owner.Host || id.Incarnation > owner.Incarnation {
 			continue
 		}
-		for _, e := range s.orderedEngines() {
-			if e.asked[id] {
-				s.doom(now, e, id)
+		for _, e := range s.sortedEngines() {
+			if e.queried[id] {
+				s.scheduleCancel(now, e, id)
 			}
 		}
 	}
 }
 
-// TakeCancelled takes that an engine answered a cancel: it holds nothing for the
-// request any more. Rule 6.
-func (s *State) TakeCancelled(of Cancellation) {
-	e := s.engines[of.Engine]
-	if e == nil || e.cancels[of.ID] == nil {
+// TakeCancelled processes an engine's confirmation that it has no allocation left
+// for a request. Rule 6.
+func (s *State) TakeCancelled(cancellation Cancellation) {
+	e := s.engines[cancellation.Engine]
+	if e == nil || e.cancels[cancellation.ID] == nil {
 		return
 	}
-	delete(e.asked, of.ID)
-	s.gone(e, of.ID)
+	delete(e.queried, cancellation.ID)
+	s.release(e, cancellation.ID)
 }
 
-func (e *engineState) ordered() []hingeids.RequestID {
+func (e *engineState) sortedCancels() []hingeids.RequestID {
 	out := make([]hingeids.RequestID, 0, len(e.cancels))
 	for id := range e.cancels {
 		out = append(out, id)
@@ -267,7 +276,7 @@
 	return out
 }
 
-func (s *State) orderedEngines() []*engineState {
+func (s *State) sortedEngines() []*engineState {
 	out := make([]*engineState, 0, len(s.engines))
 	for _, e := range s.engines {
 		out = append(out, e)
--- a/internal/capacity/hingeholds/holds_test.go
+++ b/internal/capacity/hingeholds/holds_test.go
@@ -18,15 +18,15 @@
 
 func (s *simulation) load(d time.Duration) {
 	for end := s.now + d; s.now < end; {
-		s.request()
+		s.startRequest()
 		s.run(s.now + 40*time.Millisecond)
 	}
 }
 
-// An entry host is killed with requests on its engines, and its machine never comes back.
-// Its life is recorded as over up to 3 s later. 5 s after the kill no
-// engine may hold anything of it, with a fifth of all messages lost.
-func TestKilledHostLeavesNothing(t *testing.T) {
+// An entry host is killed with requests in progress and doesn't restart, and its
+// instance is recorded as over within 3 s. Its allocations must not remain, even if a
+// fifth of all messages is lost.
+func TestKilledHostAllocationsAreCancelled(t *testing.T) {
 	for seed := range uint64(50) {
 		s := newSimulation(seed)
 		s.loss = 0.2
@@ -35,36 +35,35 @@
 		killed.down = true
 		killed.known = nil
 		s.run(s.now + time.Duration(1700+s.random.IntN(1300))*time.Millisecond)
-		s.recordLife(killed.life, true)
+		s.recordInstance(killed.instance, true)
 		s.run(6 * time.Second)
 		s.load(2 * time.Second)
 		for _, e := range s.engines {
-			for id := range e.held {
+			for id := range e.allocations {
 				if id.Host == killed.id {
-					t.Errorf("seed %d: %s still holds %v", seed, e.ID, id)
+					t.Errorf("seed %d: %s still has an allocation for %v", seed, e.ID, id)
 				}
 			}
 		}
 	}
 }
 
-// A zone is cut off: its host can be reached by nobody but its engines, and its
-// callers read on. None of its requests may be cancelled.
-func TestCutOffOwnerIsLeftAlone(t *testing.T) {
+// A host is partitioned from the other hosts but not from its engines and callers.
+// None of its requests may be cancelled.
+func TestUnreachableOwnerKeepsAllocations(t *testing.T) {
 	s := newSimulation(1)
 	for _, o := range []string{"host-1", "host-2"} {
-		s.cuts["host-0>"+o] = true
-		s.cuts[o+">host-0"] = true
+		s.blockedLinks["host-0>"+o] = true
+		s.blockedLinks[o+">host-0"] = true
 	}
 	s.load(30 * time.Second)
-	if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
+	if diff := cmp.Diff([]string(nil), s.violations); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Hosts are killed, frozen, restarted and cut off, engines restart, messages are
-// lost. No live request of a living owner is ever cancelled; and 5 s after the
-// last fault is mended nothing is held that nobody answers for.
+// With random faults of hosts, engines and links no active request of a current
+// instance may be cancelled, and 5 s after the last fault no allocation may be orphaned.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"))
@@ -72,19 +71,19 @@
 			s.fault(t)
 			s.load(time.Duration(rapid.IntRange(50, 2500).Draw(t, "wait")) * time.Millisecond)
 		}
-		clear(s.cuts)
+		clear(s.blockedLinks)
 		s.loss = 0
 		for _, h := range s.hosts {
 			if h.down {
-				s.start(h)
+				s.restart(h)
 			}
 		}
 		s.run(s.now + 5*time.Second)
-		if len(s.problems) > 0 {
-			t.Fatal(s.problems[0])
+		if len(s.violations) > 0 {
+			t.Fatal(s.violations[0])
 		}
-		if left := s.leftovers(); len(left) > 0 {
-			t.Fatalf("%d holds are left, such as %v", len(left), left[0])
+		if left := s.orphans(); len(left) > 0 {
+			t.Fatalf("%d orphaned allocations, such as that of %v", len(left), left[0])
 		}
 	})
 }
@@ -99,101 +98,101 @@
 		h.down = true
 	case "over":
 		if h.down {
-			s.recordLife(h.life, true)
+			s.recordInstance(h.instance, true)
 		}
 	case "thaw":
 		if h.down {
 			h.down = false
 		}
 	case "restart":
-		s.start(h)
+		s.restart(h)
 	case "cut":
-		s.cuts[string(h.id)+">"+string(o.id)] = h != o
+		s.blockedLinks[string(h.id)+">"+string(o.id)] = h != o
 	case "cutEngine":
-		s.cuts[string(h.id)+">"+string(e.ID)] = true
+		s.blockedLinks[string(h.id)+">"+string(e.ID)] = true
 	case "engine":
 		e.Incarnation++
-		clear(e.held)
+		clear(e.allocations)
 	case "loss":
 		s.loss = 0.3
 	case "heal":
-		clear(s.cuts)
+		clear(s.blockedLinks)
 	}
 }
 
-// stubborn is an engine that doesn't answer the first cancels.
-type stubborn struct {
-	mu    sync.Mutex
-	holds []Hold
-	fails int
+// failingEngine is an engine on which the first cancels fail.
+type failingEngine struct {
+	mu          sync.Mutex
+	allocations []Hold
+	failures    int
 }
 
-func (s *stubborn) Held(context.Context, hingeids.ServerID) ([]Hold, error) {
+func (s *failingEngine) Held(context.Context, hingeids.ServerID) ([]Hold, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return append([]Hold(nil), s.holds...), nil
+	return append([]Hold(nil), s.allocations...), nil
 }
 
-func (s *stubborn) Cancel(_ context.Context, _ hingeids.ServerID, id hingeids.RequestID) error {
+func (s *failingEngine) Cancel(_ context.Context, _ hingeids.ServerID, id hingeids.RequestID) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.fails--; s.fails >= 0 {
-		return eris.New("no answer")
+	if s.failures--; s.failures >= 0 {
+		return eris.New("engine doesn't respond")
 	}
-	var kept []Hold
-	for _, h := range s.holds {
+	var remaining []Hold
+	for _, h := range s.allocations {
 		if h.ID != id {
-			kept = append(kept, h)
+			remaining = append(remaining, h)
 		}
 	}
-	s.holds = kept
+	s.allocations = remaining
 	return nil
 }
 
-type owner struct {
-	life  hingeids.Life
-	knows hingeids.RequestID
+type fakeOwner struct {
+	instance hingeids.Life
+	known    hingeids.RequestID
 }
 
-func (o owner) Life() hingeids.Life              { return o.life }
-func (o owner) Knows(id hingeids.RequestID) bool { return id == o.knows }
-func (o owner) request(n uint64) hingeids.RequestID {
-	return hingeids.RequestID{Life: o.life, Sequence: n}
+func (o fakeOwner) Life() hingeids.Life              { return o.instance }
+func (o fakeOwner) Knows(id hingeids.RequestID) bool { return id == o.known }
+func (o fakeOwner) requestID(n uint64) hingeids.RequestID {
+	return hingeids.RequestID{Life: o.instance, Sequence: n}
 }
 
-// A watches an engine that holds four things for requests of B, of which B knows
-// one still; the engine leaves the first cancels unanswered. In the end only that one is held.
-func TestDriversGiveUpWhatTheOwnerDoesNotKnow(t *testing.T) {
+// Host a polls an engine that has allocations for four requests of host b, of which b
+// has one in its table, and the first cancels fail. Only that allocation may remain.
+func TestDriverCancelsRequestsUnknownToOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := hingefake.NewNetwork()
-		b := owner{
-			life: hingeids.Life{
+		b := fakeOwner{
+			instance: hingeids.Life{
 				Host:        "b",
 				Incarnation: 7,
 			},
 		}
-		b.knows = b.request(2)
-		engine := &stubborn{
-			fails: 5,
+		b.known = b.requestID(2)
+		engine := &failingEngine{
+			failures: 5,
 		}
 		for i, k := range []Kind{Running, ExportedCache, Reservation, Import} {
-			engine.holds = append(engine.holds, Hold{
-				ID:   b.request(uint64(i)),
+			engine.allocations = append(engine.allocations, Hold{
+				ID:   b.requestID(uint64(i)),
 				Kind: k,
 			})
 		}
 		ctx, cancel := context.WithCancel(t.Context())
 		group, ctx := errgroup.WithContext(ctx)
-		for _, o := range []owner{{life: hingeids.Life{Host: "a", Incarnation: 1}}, b} {
+		for _, o := range []fakeOwner{{instance: hingeids.Life{Host: "a", Incarnation: 1}}, b} {
 			h := New(Config{
-				Link:    network.Link(o.life.Host),
+				Link:    network.Link(o.instance.Host),
 				Engines: engine,
 				Owner:   o,
 			})
 			h.SetEngines([]Engine{{
 				ID:          "engine-0",
 				Incarnation: 1,
-				Mine:        o.life.Host == "a",
+				Mine:        o.instance.Host == "a",
 			}})
 			group.Go(func() error {
 				return h.Run(ctx)
@@ -202,7 +201,7 @@
 		time.Sleep(5 * time.Second)
 		got, _ := engine.Held(ctx, "engine-0")
 		want := []Hold{{
-			ID:   b.knows,
+			ID:   b.known,
 			Kind: Reservation,
 		}}
 		if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/capacity/hingeholds/sim_test.go
+++ b/internal/capacity/hingeholds/sim_test.go
@@ -12,27 +12,27 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simulation runs States against engines that hold what owners sent them.
+// simulation runs States of several hosts against simulated engines and links.
 type simulation struct {
-	random  *rand.Rand
-	now     time.Duration
-	queue   eventQueue
-	serial  int
-	loss    float64
-	hosts   []*simHost
-	byID    map[hingeids.HostID]*simHost
-	engines []*simEngine
-	record  hingemembers.Record
-	cuts    map[string]bool
-	// problems are broken invariants.
-	problems []string
+	random       *rand.Rand
+	now          time.Duration
+	queue        eventQueue
+	sequence     int
+	loss         float64
+	hosts        []*simHost
+	byID         map[hingeids.HostID]*simHost
+	engines      []*simEngine
+	record       hingemembers.Record
+	blockedLinks map[string]bool
+	// violations describes each active request that was cancelled.
+	violations []string
 }
 
 type simHost struct {
-	id    hingeids.HostID
-	state *State
-	life  hingeids.Life
-	// down hosts do nothing: killed or frozen.
+	id       hingeids.HostID
+	state    *State
+	instance hingeids.Life
+	// down is whether the host is killed or frozen.
 	down  bool
 	known map[hingeids.RequestID]bool
 	next  uint64
@@ -40,20 +40,20 @@
 
 type simEngine struct {
 	Engine
-	held map[hingeids.RequestID]time.Duration
+	allocations map[hingeids.RequestID]time.Duration
 }
 
 type simEvent struct {
-	at     time.Duration
-	serial int
-	run    func()
+	at       time.Duration
+	sequence int
+	run      func()
 }
 
 type eventQueue []simEvent
 
 func (q eventQueue) Len() int { return len(q) }
 func (q eventQueue) Less(i, j int) bool {
-	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].serial < q[j].serial
+	return q[i].at < q[j].at || q[i].at == q[j].at && q[i].sequence < q[j].sequence
 }
 func (q eventQueue) Swap(i, j int) { q[i], q[j] = q[j], q[i] }
 func (q *eventQueue) Push(x any)   { *q = append(*q, x.(simEvent)) }
@@ -65,10 +65,10 @@
 
 func newSimulation(seed uint64) *simulation {
 	s := &simulation{
-		random: rand.New(rand.NewPCG(seed, 3)),
-		byID:   make(map[hingeids.HostID]*simHost),
-		record: make(hingemembers.Record),
-		cuts:   make(map[string]bool),
+		random:       rand.New(rand.NewPCG(seed, 3)),
+		byID:         make(map[hingeids.HostID]*simHost),
+		record:       make(hingemembers.Record),
+		blockedLinks: make(map[string]bool),
 	}
 	for i := range 2 {
 		s.engines = append(s.engines, &simEngine{
@@ -76,7 +76,7 @@
 				ID:          hingeids.ServerID(fmt.Sprintf("engine-%d", i)),
 				Incarnation: 1,
 			},
-			held: make(map[hingeids.RequestID]time.Duration),
+			allocations: make(map[hingeids.RequestID]time.Duration),
 		})
 	}
 	for i := range 3 {
@@ -87,25 +87,25 @@
 		s.byID[h.id] = h
 	}
 	for _, h := range s.hosts {
-		s.start(h)
+		s.restart(h)
 	}
 	return s
 }
 
-// start begins a new life of a host; the earlier one is over at once.
-func (s *simulation) start(h *simHost) {
-	h.life = hingeids.Life{
+// restart starts a new instance of a host and replaces the previous one in the record.
+func (s *simulation) restart(h *simHost) {
+	h.instance = hingeids.Life{
 		Host:        h.id,
-		Incarnation: h.life.Incarnation + 1,
+		Incarnation: h.instance.Incarnation + 1,
 	}
 	h.down = false
 	h.state = NewState()
 	h.known = make(map[hingeids.RequestID]bool)
-	s.recordLife(h.life, false)
+	s.recordInstance(h.instance, false)
 	s.tick(h, h.state)
 }
 
-func (s *simulation) recordLife(l hingeids.Life, over bool) {
+func (s *simulation) recordInstance(l hingeids.Life, over bool) {
 	next := hingemembers.Record{}
 	for k, v := range s.record {
 		next[k] = v
@@ -125,12 +125,12 @@
 	return epoch.Add(s.now)
 }
 
-func (s *simulation) after(d time.Duration, run func()) {
-	s.serial++
+func (s *simulation) schedule(d time.Duration, run func()) {
+	s.sequence++
 	heap.Push(&s.queue, simEvent{
-		at:     s.now + d,
-		serial: s.serial,
-		run:    run,
+		at:       s.now + d,
+		sequence: s.sequence,
+		run:      run,
 	})
 }
 
@@ -143,9 +143,9 @@
 	s.now = until
 }
 
-// passes reports whether a message gets from one end to another.
-func (s *simulation) passes(from, to string) bool {
-	return !s.cuts[from+">"+to] && s.random.Float64() >= s.loss
+// delivered reports whether a message is delivered, at random if the link is up.
+func (s *simulation) delivered(from, to string) bool {
+	return !s.blockedLinks[from+">"+to] && s.random.Float64() >= s.loss
 }
 
 func (s *simulation) tick(h *simHost, state *State) {
@@ -153,8 +153,8 @@
 		return
 	}
 	if !h.down {
-		if s.record.IsOver(h.life) {
-			s.start(h) // Its callers have been answered finally.
+		if s.record.IsOver(h.instance) {
+			s.restart(h) // All its callers have received a final response.
 			return
 		}
 		var engines []Engine
@@ -167,7 +167,7 @@
 		state.SetRecord(s.record)
 		s.step(h, state)
 	}
-	s.after(100*time.Millisecond, func() {
+	s.schedule(100*time.Millisecond, func() {
 		s.tick(h, state)
 	})
 }
@@ -178,7 +178,7 @@
 		s.poll(h, state, e)
 	}
 	for _, q := range out.Ask {
-		s.ask(h, state, q)
+		s.queryOwner(h, state, q)
 	}
 	for _, c := range out.Cancel {
 		s.cancel(h, state, c)
@@ -197,42 +197,42 @@
 	return nil
 }
 
-func (s *simulation) poll(h *simHost, state *State, of Engine) {
-	if !s.passes(string(h.id), string(of.ID)) {
+func (s *simulation) poll(h *simHost, state *State, polled Engine) {
+	if !s.delivered(string(h.id), string(polled.ID)) {
 		return
 	}
-	s.after(s.delay(), func() {
-		var holds []Hold
-		for id := range s.engine(of.ID).held {
-			holds = append(holds, Hold{
+	s.schedule(s.delay(), func() {
+		var allocations []Hold
+		for id := range s.engine(polled.ID).allocations {
+			allocations = append(allocations, Hold{
 				ID:   id,
 				Kind: Running,
 			})
 		}
-		s.answer(h, state, string(of.ID), func() {
-			state.TakeHeld(s.clock(), of, holds)
+		s.reply(h, state, string(polled.ID), func() {
+			state.TakeHeld(s.clock(), polled, allocations)
 		})
 	})
 }
 
-// answer carries an answer back to a host, if it still leads the same life.
-func (s *simulation) answer(h *simHost, state *State, from string, take func()) {
-	if !s.passes(from, string(h.id)) {
+// reply delivers a response to a host if its instance is still the same.
+func (s *simulation) reply(h *simHost, state *State, from string, handle func()) {
+	if !s.delivered(from, string(h.id)) {
 		return
 	}
-	s.after(s.delay(), func() {
+	s.schedule(s.delay(), func() {
 		if h.state == state && !h.down {
-			take()
+			handle()
 			s.step(h, state)
 		}
 	})
 }
 
-func (s *simulation) ask(h *simHost, state *State, q Question) {
-	if !s.passes(string(h.id), string(q.Host)) {
+func (s *simulation) queryOwner(h *simHost, state *State, q Question) {
+	if !s.delivered(string(h.id), string(q.Host)) {
 		return
 	}
-	s.after(s.delay(), func() {
+	s.schedule(s.delay(), func() {
 		o := s.byID[q.Host]
 		if o.down {
 			return
@@ -243,33 +243,34 @@
 				known = append(known, id)
 			}
 		}
-		life := o.life
-		s.answer(h, state, string(q.Host), func() {
-			state.TakeAnswer(s.clock(), life, q.IDs, known)
+		instance := o.instance
+		s.reply(h, state, string(q.Host), func() {
+			state.TakeAnswer(s.clock(), instance, q.IDs, known)
 		})
 	})
 }
 
-// cancel carries a cancel to an engine, where one of a living owner's live
-// request shows.
+// cancel delivers a cancel to an engine and records a violation if the request is
+// still active at its owner.
 func (s *simulation) cancel(h *simHost, state *State, c Cancellation) {
-	if !s.passes(string(h.id), string(c.Engine)) {
+	if !s.delivered(string(h.id), string(c.Engine)) {
 		return
 	}
-	s.after(s.delay(), func() {
+	s.schedule(s.delay(), func() {
 		owner := s.byID[c.ID.Host]
 		if owner.known[c.ID] && !s.record.IsOver(c.ID.Life) {
-			s.problems = append(s.problems, fmt.Sprintf("at %v %s cancelled live %v", s.now, h.id, c.ID))
+			s.violations = append(s.violations, fmt.Sprintf("at %v %s cancelled active request %v", s.now, h.id, c.ID))
 		}
-		delete(s.engine(c.Engine).held, c.ID)
-		s.answer(h, state, string(c.Engine), func() {
+		delete(s.engine(c.Engine).allocations, c.ID)
+		s.reply(h, state, string(c.Engine), func() {
 			state.TakeCancelled(c)
 		})
 	})
 }
 
-// request begins a request; it ends by itself, or its caller leaves.
-func (s *simulation) request() {
+// startRequest starts a request. It completes, is abandoned by its caller, or is
+// dropped by its owner.
+func (s *simulation) startRequest() {
 	h := s.hosts[s.random.IntN(len(s.hosts))]
 	if h.down {
 		return
@@ -277,40 +278,40 @@
 	e := s.engines[s.random.IntN(len(s.engines))]
 	h.next++
 	id := hingeids.RequestID{
-		Life:     h.life,
+		Life:     h.instance,
 		Sequence: h.next,
 	}
 	h.known[id] = true
-	if !s.passes(string(h.id), string(e.ID)) {
+	if !s.delivered(string(h.id), string(e.ID)) {
 		delete(h.known, id)
 		return
 	}
 	state := h.state
-	s.after(s.delay(), func() {
-		e.held[id] = s.now
+	s.schedule(s.delay(), func() {
+		e.allocations[id] = s.now
 	})
-	s.after(time.Duration(20+s.random.IntN(4000))*time.Millisecond, func() {
+	s.schedule(time.Duration(20+s.random.IntN(4000))*time.Millisecond, func() {
 		if h.state != state || h.down {
 			return
 		}
 		switch s.random.IntN(3) {
-		case 0: // The caller leaves: known until the engine has given it up.
+		case 0: // The caller disconnects.
 			delete(h.known, id)
 			state.Abandon(s.clock(), e.ID, id)
-		case 1: // The owner forgets it, as when an answer of the engine was lost.
+		case 1: // The owner drops it, as when the engine's response was lost.
 			delete(h.known, id)
 		default:
-			delete(e.held, id)
+			delete(e.allocations, id)
 			delete(h.known, id)
 		}
 	})
 }
 
-// leftovers are holds that nobody answers for.
-func (s *simulation) leftovers() []hingeids.RequestID {
+// orphans returns the allocations whose requests are in no owner's table.
+func (s *simulation) orphans() []hingeids.RequestID {
 	var out []hingeids.RequestID
 	for _, e := range s.engines {
-		for id := range e.held {
+		for id := range e.allocations {
 			if !s.byID[id.Host].known[id] {
 				out = append(out, id)
 			}
--- a/internal/capacity/hingeholds/types.go
+++ b/internal/capacity/hingeholds/types.go
@@ -6,10 +6,10 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Kind is what an engine holds for a request.
+// Kind is the kind of an allocation.
 type Kind string
 
-// The kinds of hold.
+// The kinds of allocations.
 const (
 	Running       Kind = "running"
 	Queued        Kind = "queued"
@@ -18,41 +18,42 @@
 	Import        Kind = "import"
 )
 
-// Hold is one thing that an engine holds for a request.
+// Hold is an allocation of an engine for a request. Its Age is the time since it was
+// made.
 type Hold struct {
 	ID   hingeids.RequestID
 	Kind Kind
 	Age  time.Duration
 }
 
-// Engine is an engine as far as holds need it.
+// Engine is an announced incarnation of an engine.
 type Engine struct {
 	ID          hingeids.ServerID
 	Incarnation hingeids.Incarnation
-	// Mine says that this host is responsible for it.
+	// Mine is whether this host has to poll the engine.
 	Mine bool
 }
 
-// Question asks an owner which ids it knows.
+// Question asks a host which of the requests are in its table.
 type Question struct {
 	Host hingeids.HostID
 	IDs  []hingeids.RequestID
 }
 
-// Cancellation tells an engine to give up all it holds for a request.
+// Cancellation has an engine release all its allocations for a request.
 type Cancellation struct {
 	Engine hingeids.ServerID
 	ID     hingeids.RequestID
 }
 
-// Output is what a step asks for.
+// Output lists the calls and reports that a step requests.
 type Output struct {
-	// Poll are engines to ask what they hold.
+	// Poll lists the engines whose allocations have to be listed.
 	Poll   []Engine
 	Ask    []Question
 	Cancel []Cancellation
-	// Stuck are cancels that have been repeated too often.
+	// Stuck lists the cancels that have reached stuckAttempts.
 	Stuck []Cancellation
-	// Gone are own requests given up by Abandon for which nothing is held now.
+	// Gone lists the abandoned requests that have no allocation left.
 	Gone []Cancellation
 }
