--- a/internal/path/hingerelay/relay.go
+++ b/internal/path/hingerelay/relay.go
@@ -1,17 +1,17 @@
-// Package hingerelay reads the event stream of an engine and vouches that what
-// it hands on is the whole answer to the one request it was opened for.
+// Package hingerelay reads the event stream of an engine and verifies that it is
+// the complete response to the request.
 //
-//  1. An event is taken only if it carries the request's id. Any other id is
-//     an error: the connection has crossed answers.
-//  2. Events carry the index of their token. One that was handed on before is
-//     dropped, which makes a resumed stream whole without a doubled token; one
-//     that comes too early is an error, since a token is missing.
-//  3. A stream ends with its end mark. One that ends without it is an error,
-//     not an answer, however well the connection was closed.
-//  4. A line is bounded, so that a peer can't fill memory.
+//  1. An event is accepted only if it has the request's ID. Any other ID is an
+//     error: the stream belongs to another request.
+//  2. Events have the index of their token. An event with an index that was already
+//     returned is dropped, so that a resumed stream has no duplicates. An event with
+//     a higher index than the next one is an error, since a token is missing.
+//  3. A stream ends with an end marker. A stream without it is an error, even if the
+//     connection was closed properly.
+//  4. The length of a line is limited, so that an engine can't exhaust the memory.
 //
-// Reading an event allocates nothing: its bytes are the reader's own until the
-// next call.
+// Reading an event allocates no memory: its data is in the reader's buffer until
+// the next call.
 package hingerelay
 
 import (
@@ -24,30 +24,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// The errors of a stream that is not the whole answer to its request.
+// Errors of a stream that is not the complete response to its request.
 var (
-	// ErrForeign is a stream with another request's id.
-	ErrForeign = errors.New("event of another request")
-	// ErrGap is a stream with a token missing.
+	// ErrForeign means that an event has the ID of another request.
+	ErrForeign = errors.New("event has the ID of another request")
+	// ErrGap means that a token is missing.
 	ErrGap = errors.New("token missing in stream")
-	// ErrNoEndMark is a stream that ended without its end mark.
-	ErrNoEndMark = errors.New("stream ended without its end mark")
-	// ErrMalformed is a stream that can't be read.
+	// ErrNoEndMark means that the stream ended, or the engine sent an error, before
+	// the end marker.
+	ErrNoEndMark = errors.New("stream ended without an end marker")
+	// ErrMalformed means that the stream can't be parsed.
 	ErrMalformed = errors.New("malformed event stream")
 )
 
-// MaxLine bounds one line of a stream, in bytes.
+// MaxLine is the maximum length of a line of a stream, in bytes.
 const MaxLine = 64 << 10
 
-// Event is one token as the engine sent it.
+// Event is a token event as sent by the engine.
 type Event struct {
-	// Index is the index of the token in the whole answer.
+	// Index is the index of the token in the complete response.
 	Index int
-	// Data is the event's JSON; it holds until the next call of Next.
+	// Data is the event's JSON. It is valid until the next call of Next.
 	Data []byte
 }
 
-// Reader reads one request's events.
+// Reader reads the events of one request. It is not safe for concurrent use.
 type Reader struct {
 	source *bufio.Reader
 	id     []byte
@@ -56,23 +57,23 @@
 	line   []byte
 }
 
-// readAhead is the reader's buffer in bytes: some events. A host holds
-// thousands of streams that mostly wait, so every kilobyte here is megabytes.
-const readAhead = 1 << 10
+// bufferSize is the size of a reader's buffer in bytes. It is small, since a host has
+// thousands of streams that are mostly idle.
+const bufferSize = 1 << 10
 
-// NewReader reads the events of the request with the id, from the token with
-// index next on.
+// NewReader returns a reader of the events of the request with the given ID. The
+// first event that it returns has the index next.
 func NewReader(source io.Reader, id string, next int) *Reader {
 	quoted := append(append([]byte(`"`), id...), '"')
 	return &Reader{
-		source: bufio.NewReaderSize(source, readAhead),
+		source: bufio.NewReaderSize(source, bufferSize),
 		id:     quoted,
 		prefix: append([]byte(`{"id":`), quoted...),
 		next:   next,
 	}
 }
 
-// NextIndex is the index of the token that the reader waits for.
+// NextIndex returns the index of the next token.
 func (r *Reader) NextIndex() int {
 	return r.next
 }
@@ -80,11 +81,11 @@
 var (
 	indexField = []byte("id:")
 	dataField  = []byte("data:")
-	endMark    = []byte("[DONE]")
+	endMarker  = []byte("[DONE]")
 	errorField = []byte(`"error"`)
 )
 
-// Next gives the next token, io.EOF after the end mark, or an error.
+// Next returns the next token, or io.EOF at the end marker.
 func (r *Reader) Next() (Event, error) {
 	index := r.next
 	for {
@@ -98,8 +99,8 @@
 				return Event{}, err
 			}
 		case bytes.HasPrefix(line, dataField):
-			event, take, err := r.take(index, bytes.TrimSpace(line[len(dataField):]))
-			if err != nil || take {
+			event, accept, err := r.accept(index, bytes.TrimSpace(line[len(dataField):]))
+			if err != nil || accept {
 				return event, err
 			}
 			index = r.next
@@ -107,9 +108,10 @@
 	}
 }
 
-// take judges one event by rules 1 and 2.
-func (r *Reader) take(index int, data []byte) (event Event, take bool, err error) {
-	if bytes.Equal(data, endMark) {
+// accept applies rules 1 and 2 to an event. It reports whether the event is the next
+// one; a duplicate is neither accepted nor an error.
+func (r *Reader) accept(index int, data []byte) (event Event, accept bool, err error) {
+	if bytes.Equal(data, endMarker) {
 		return Event{}, false, io.EOF
 	}
 	if err := r.checkID(data); err != nil {
@@ -119,7 +121,7 @@
 		return Event{}, false, nil
 	}
 	if index > r.next {
-		return Event{}, false, eris.Wrapf(ErrGap, "token %d came when %d was due", index, r.next)
+		return Event{}, false, eris.Wrapf(ErrGap, "received token %d instead of %d", index, r.next)
 	}
 	r.next++
 	return Event{
@@ -128,8 +130,8 @@
 	}, true, nil
 }
 
-// checkID carries out rule 1. Engines write the id first, which costs one
-// comparison; for others the event is parsed, which costs allocations.
+// checkID applies rule 1. If the ID is the first field, one comparison is enough;
+// otherwise the event is parsed, which allocates memory.
 func (r *Reader) checkID(data []byte) error {
 	if bytes.HasPrefix(data, r.prefix) {
 		return nil
@@ -144,13 +146,13 @@
 		return nil
 	}
 	if bytes.Contains(data, errorField) {
-		return eris.Wrapf(ErrNoEndMark, "engine said: %.200s", data)
+		return eris.Wrapf(ErrNoEndMark, "engine sent an error: %.200s", data)
 	}
 	return ErrForeign
 }
 
-// readLine gives a line without its end. A line longer than the buffer is put
-// together in a buffer of its own, up to MaxLine.
+// readLine returns a line without its line ending. A line that exceeds the buffer is
+// assembled in a separate one, up to MaxLine.
 func (r *Reader) readLine() ([]byte, error) {
 	r.line = r.line[:0]
 	for {
@@ -159,7 +161,7 @@
 			return bytes.TrimRight(part, "\r\n"), nil
 		}
 		if len(r.line)+len(part) > MaxLine {
-			return nil, eris.Wrap(ErrMalformed, "line too long")
+			return nil, eris.Wrap(ErrMalformed, "line exceeds the maximum length")
 		}
 		r.line = append(r.line, part...)
 		switch {
@@ -173,18 +175,18 @@
 	}
 }
 
-// maxIndexDigits bounds a token index to what an int holds everywhere.
+// maxIndexDigits limits a token index to the range of a 32-bit int.
 const maxIndexDigits = 9
 
 func parseIndex(b []byte) (int, error) {
 	b = bytes.TrimSpace(b)
 	if len(b) == 0 || len(b) > maxIndexDigits {
-		return 0, eris.Wrap(ErrMalformed, "token index")
+		return 0, eris.Wrap(ErrMalformed, "token index is empty or too long")
 	}
 	n := 0
 	for _, c := range b {
 		if c < '0' || c > '9' {
-			return 0, eris.Wrap(ErrMalformed, "token index")
+			return 0, eris.Wrap(ErrMalformed, "token index is not a decimal number")
 		}
 		n = n*10 + int(c-'0')
 	}
--- a/internal/path/hingerelay/relay_test.go
+++ b/internal/path/hingerelay/relay_test.go
@@ -20,9 +20,8 @@
 	"whole":     io.EOF,
 }
 
-// Each case of testdata/streams.txtar is a stream as an engine may send it:
-// crossed with another request's, cut, short, or resumed with an overlap. What
-// a user would notice is a wrong, doubled or missing piece of text.
+// Streams that are mixed up, truncated or resumed with an overlap must not lead to
+// wrong, duplicate or missing tokens. The cases are in testdata/streams.txtar.
 func TestStreams(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/streams.txtar")
 	if err != nil {
@@ -58,9 +57,9 @@
 	}
 }
 
-func TestReadingATokenAllocatesNothing(t *testing.T) {
+func TestNextDoesNotAllocate(t *testing.T) {
 	event := []byte("id: 0\ndata: {\"id\":\"h.1.1\",\"choices\":[{\"index\":0,\"text\":\"a\"}]}\n\n")
-	r := NewReader(&endless{
+	r := NewReader(&repeatingReader{
 		event: event,
 	}, "h.1.1", 0)
 	got := testing.AllocsPerRun(1000, func() {
@@ -70,21 +69,22 @@
 		}
 	})
 	if got != 0 {
-		t.Fatalf("%v allocations a token", got)
+		t.Fatalf("%v allocations per token", got)
 	}
 }
 
-type endless struct {
-	event []byte
-	rest  []byte
+// repeatingReader returns the same event forever.
+type repeatingReader struct {
+	event     []byte
+	remaining []byte
 }
 
-func (e *endless) Read(p []byte) (int, error) {
-	if len(e.rest) == 0 {
-		e.rest = e.event
+func (e *repeatingReader) Read(p []byte) (int, error) {
+	if len(e.remaining) == 0 {
+		e.remaining = e.event
 	}
-	n := copy(p, e.rest)
-	e.rest = e.rest[n:]
+	n := copy(p, e.remaining)
+	e.remaining = e.remaining[n:]
 	return n, nil
 }
 
@@ -101,7 +101,7 @@
 				return
 			}
 			if e.Index != want {
-				t.Fatalf("token %d came when %d was due", e.Index, want)
+				t.Fatalf("received token %d instead of %d", e.Index, want)
 			}
 			want++
 		}
