--- a/internal/path/hingeengine/control.go
+++ b/internal/path/hingeengine/control.go
@@ -12,19 +12,19 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// controlSilence bounds the wait for an answer to a cancel or a look at what
-// an engine holds. Both are answered from memory.
-const controlSilence = time.Second
+// controlTimeout is the idle timeout of control requests, such as cancels and lists
+// of allocations. Engines serve them from memory.
+const controlTimeout = time.Second
 
-// Cancelled is an engine's answer to a cancel.
+// Cancelled is the result of a cancel.
 type Cancelled struct {
-	// Aborted says that something was held and is no longer.
+	// Aborted is whether the engine had allocations for the request and released them.
 	Aborted bool
-	// Incarnation is the life of the engine that answered.
+	// Incarnation is the incarnation of the engine that responded.
 	Incarnation hingeids.Incarnation
 }
 
-// Cancel has an engine drop whatever it holds for the request.
+// Cancel has an engine release all its allocations for the request.
 func (c *Client) Cancel(ctx context.Context, t Target, id hingeids.RequestID) (Cancelled, error) {
 	body, err := json.Marshal(struct {
 		RequestID string `json:"rid"`
@@ -32,49 +32,49 @@
 		RequestID: id.String(),
 	})
 	if err != nil {
-		return Cancelled{}, eris.Wrap(err, "cancel")
+		return Cancelled{}, eris.Wrap(err, "encode cancel request")
 	}
-	x, err := c.post(ctx, t, "/abort_request", id, body, controlSilence, false)
+	x, err := c.post(ctx, t, "/abort_request", id, body, controlTimeout, false)
 	if err != nil {
 		return Cancelled{}, err
 	}
 	defer x.close()
-	var answer struct {
+	var parsed struct {
 		Aborted     bool                 `json:"aborted"`
 		Incarnation hingeids.Incarnation `json:"incarnation"`
 	}
-	if err := json.Unmarshal(x.resp.Body(), &answer); err != nil {
-		return Cancelled{}, eris.Wrapf(err, "server %s: cancel answer", t.Server)
+	if err := json.Unmarshal(x.resp.Body(), &parsed); err != nil {
+		return Cancelled{}, eris.Wrapf(err, "server %s: decode response to a cancel", t.Server)
 	}
 	return Cancelled{
-		Aborted:     answer.Aborted,
-		Incarnation: answer.Incarnation,
+		Aborted:     parsed.Aborted,
+		Incarnation: parsed.Incarnation,
 	}, nil
 }
 
-// The kinds of what an engine holds for a request.
+// The kinds of an engine's allocations.
 const (
 	KindGeneration = "generation"
 	KindExport     = "export"
 	KindImport     = "import"
 )
 
-// HeldItem is one thing that an engine holds.
+// HeldItem is an allocation of an engine for a request.
 type HeldItem struct {
 	Request hingeids.RequestID
-	// Kind is generation, export or import.
+	// Kind is one of KindGeneration, KindExport and KindImport.
 	Kind string
-	// Age is how long it has been held.
+	// Age is the time since the allocation was made.
 	Age time.Duration
 }
 
-// Held asks an engine what it holds, and in which life. Items under an id that
-// is not ours are left out.
+// Held lists an engine's allocations and returns its incarnation. Allocations whose
+// ID isn't a valid request ID are omitted.
 func (c *Client) Held(ctx context.Context, t Target) ([]HeldItem, hingeids.Incarnation, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + t.Address + "/v1/held")
-	x, err := c.open(ctx, t, req, controlSilence, false)
+	x, err := c.open(ctx, t, req, controlTimeout, false)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -82,9 +82,9 @@
 	return readHeld(t, x.resp.Body())
 }
 
-// readHeld reads what an engine holds.
+// readHeld decodes a list of allocations.
 func readHeld(t Target, body []byte) ([]HeldItem, hingeids.Incarnation, error) {
-	var answer struct {
+	var parsed struct {
 		Incarnation hingeids.Incarnation `json:"incarnation"`
 		Held        []struct {
 			RequestID string `json:"request_id"`
@@ -92,11 +92,11 @@
 			AgeMillis int64  `json:"age_ms"`
 		} `json:"held"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
-		return nil, 0, eris.Wrapf(err, "server %s: held answer", t.Server)
+	if err := json.Unmarshal(body, &parsed); err != nil {
+		return nil, 0, eris.Wrapf(err, "server %s: decode list of allocations", t.Server)
 	}
 	var items []HeldItem
-	for _, h := range answer.Held {
+	for _, h := range parsed.Held {
 		id, err := hingeids.ParseRequestID(h.RequestID)
 		if err != nil {
 			continue
@@ -107,32 +107,32 @@
 			Age:     time.Duration(h.AgeMillis) * time.Millisecond,
 		})
 	}
-	return items, answer.Incarnation, nil
+	return items, parsed.Incarnation, nil
 }
 
-// Call hands a caller's request on to a replica of a plain service, and its
-// answer back. The request's header must carry X-Request-Id.
+// Call forwards a caller's request to a replica of a plain service and copies the
+// response to resp. The request must have an X-Request-Id header.
 func (c *Client) Call(
-	ctx context.Context, t Target, req *fasthttp.Request, resp *fasthttp.Response, silence time.Duration,
+	ctx context.Context, t Target, req *fasthttp.Request, resp *fasthttp.Response, idleTimeout time.Duration,
 ) error {
 	id := string(req.Header.Peek("X-Request-Id"))
-	x, err := c.open(ctx, t, req, silence, false)
+	x, err := c.open(ctx, t, req, idleTimeout, false)
 	if err != nil {
 		return err
 	}
 	defer x.close()
 	if string(x.resp.Header.Peek("X-Request-Id")) != id {
-		return notOurs(t)
+		return wrongRequestError(t)
 	}
 	if x.resp.StatusCode() == fasthttp.StatusServiceUnavailable {
-		var answer struct {
+		var parsed struct {
 			Error struct {
 				Ran *bool `json:"ran"`
 			} `json:"error"`
 		}
-		if json.Unmarshal(x.resp.Body(), &answer) == nil && answer.Error.Ran != nil && !*answer.Error.Ran {
+		if json.Unmarshal(x.resp.Body(), &parsed) == nil && parsed.Error.Ran != nil && !*parsed.Error.Ran {
 			return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerRefused, 0,
-				eris.Errorf("server %s refused", t.Server))
+				eris.Errorf("server %s refused the request without running it", t.Server))
 		}
 	}
 	x.resp.CopyTo(resp)
--- a/internal/path/hingeengine/engine.go
+++ b/internal/path/hingeengine/engine.go
@@ -14,29 +14,30 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingerelay"
 )
 
-// Work is what an engine is asked to do for a request.
+// Work is a completion request to an engine.
 type Work struct {
 	Request hingeids.RequestID
-	// Path is the completion route the caller used.
+	// Path is the completion route that the caller used.
 	Path string
-	// Fields are the caller's own fields, handed on as they came.
+	// Fields has the fields of the caller's body, unchanged.
 	Fields   map[string]json.RawMessage
 	Priority int
 }
 
-// Cache is KV cache that a prefill engine exported.
+// Cache identifies KV cache that a prefill engine has exported.
 type Cache struct {
-	// Host is the address of the prefill engine, Block its name for the cache.
+	// Host is the address of the prefill engine, Block the engine's ID of the cache.
 	Host  string
 	Block string
-	// PromptTokens were prefilled, CachedTokens of them from the prefix cache.
+	// PromptTokens is the length of the prompt, of which CachedTokens were in the
+	// prefix cache.
 	PromptTokens hingeids.Tokens
 	CachedTokens hingeids.Tokens
 }
 
-// Prefill has a prefill engine work the prompt and export its KV cache.
-// The silence limit covers the engine's queue and the prefill.
-func (c *Client) Prefill(ctx context.Context, t Target, w Work, silence time.Duration) (Cache, error) {
+// Prefill has a prefill engine process the prompt and export its KV cache. The idle
+// timeout has to cover the time in the engine's queue and the prefill.
+func (c *Client) Prefill(ctx context.Context, t Target, w Work, idleTimeout time.Duration) (Cache, error) {
 	body, err := w.body(map[string]any{
 		"max_tokens": 1,
 		"stream":     false,
@@ -49,7 +50,7 @@
 	if err != nil {
 		return Cache{}, err
 	}
-	x, err := c.post(ctx, t, w.Path, w.Request, body, silence, false)
+	x, err := c.post(ctx, t, w.Path, w.Request, body, idleTimeout, false)
 	if err != nil {
 		return Cache{}, err
 	}
@@ -57,9 +58,9 @@
 	return readPrefill(t, w.Request, x.resp.Body())
 }
 
-// readPrefill reads a prefill's answer.
+// readPrefill decodes the response to a prefill.
 func readPrefill(t Target, id hingeids.RequestID, body []byte) (Cache, error) {
-	var answer struct {
+	var parsed struct {
 		ID       string `json:"id"`
 		Transfer struct {
 			RemoteHost    string `json:"remote_host"`
@@ -70,26 +71,26 @@
 			CachedTokens hingeids.Tokens `json:"cached_tokens"`
 		} `json:"usage"`
 	}
-	if err := json.Unmarshal(body, &answer); err != nil {
+	if err := json.Unmarshal(body, &parsed); err != nil {
 		return Cache{}, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0,
-			eris.Wrapf(err, "server %s: prefill answer", t.Server))
+			eris.Wrapf(err, "server %s: decode prefill response", t.Server))
 	}
-	if answer.ID != id.String() {
-		return Cache{}, notOurs(t)
+	if parsed.ID != id.String() {
+		return Cache{}, wrongRequestError(t)
 	}
 	return Cache{
-		Host:         answer.Transfer.RemoteHost,
-		Block:        answer.Transfer.RemoteBlockID,
-		PromptTokens: answer.Usage.PromptTokens,
-		CachedTokens: answer.Usage.CachedTokens,
+		Host:         parsed.Transfer.RemoteHost,
+		Block:        parsed.Transfer.RemoteBlockID,
+		PromptTokens: parsed.Usage.PromptTokens,
+		CachedTokens: parsed.Usage.CachedTokens,
 	}, nil
 }
 
-// Decode opens the stream of an answer from the token with index from on. With
-// a nil cache the engine prefills by itself. The silence limit covers the
-// transfer of the KV cache and each wait between tokens.
+// Decode starts a generation and returns its stream from the token with index from.
+// If cache is nil the engine also prefills. The idle timeout has to cover the transfer
+// of the KV cache, and each interval between tokens.
 func (c *Client) Decode(
-	ctx context.Context, t Target, w Work, cache *Cache, from int, silence time.Duration,
+	ctx context.Context, t Target, w Work, cache *Cache, from int, idleTimeout time.Duration,
 ) (*Stream, error) {
 	extra := map[string]any{
 		"stream":      true,
@@ -110,13 +111,13 @@
 	if err != nil {
 		return nil, err
 	}
-	return c.stream(ctx, t, w.Path, w.Request, body, from, silence)
+	return c.stream(ctx, t, w.Path, w.Request, body, from, idleTimeout)
 }
 
-// Resume opens the stream of an answer that the engine is still holding, on a
-// new connection.
+// Resume returns the stream of a generation that the engine still has, from the token
+// with index from, on a new connection.
 func (c *Client) Resume(
-	ctx context.Context, t Target, id hingeids.RequestID, from int, silence time.Duration,
+	ctx context.Context, t Target, id hingeids.RequestID, from int, idleTimeout time.Duration,
 ) (*Stream, error) {
 	body, err := json.Marshal(struct {
 		RequestID  string `json:"request_id"`
@@ -126,16 +127,16 @@
 		ResumeFrom: from,
 	})
 	if err != nil {
-		return nil, eris.Wrap(err, "resume")
+		return nil, eris.Wrap(err, "encode resume request")
 	}
-	return c.stream(ctx, t, "/v1/resume", id, body, from, silence)
+	return c.stream(ctx, t, "/v1/resume", id, body, from, idleTimeout)
 }
 
 func (c *Client) stream(
 	ctx context.Context, t Target, path string, id hingeids.RequestID,
-	body []byte, from int, silence time.Duration,
+	body []byte, from int, idleTimeout time.Duration,
 ) (*Stream, error) {
-	x, err := c.post(ctx, t, path, id, body, silence, true)
+	x, err := c.post(ctx, t, path, id, body, idleTimeout, true)
 	if err != nil {
 		return nil, err
 	}
@@ -146,10 +147,10 @@
 	}, nil
 }
 
-// post makes an exchange, and turns an answer other than 200 into an error.
+// post sends a request. A response with a status other than 200 is an error.
 func (c *Client) post(
 	ctx context.Context, t Target, path string, id hingeids.RequestID,
-	body []byte, silence time.Duration, stream bool,
+	body []byte, idleTimeout time.Duration, stream bool,
 ) (*exchange, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -158,45 +159,45 @@
 	req.Header.SetContentType("application/json")
 	req.Header.Set("X-Request-Id", id.String())
 	req.SetBodyRaw(body)
-	x, err := c.open(ctx, t, req, silence, stream)
+	x, err := c.open(ctx, t, req, idleTimeout, stream)
 	if err != nil {
 		return nil, err
 	}
 	if x.resp.StatusCode() != fasthttp.StatusOK {
 		defer x.close()
-		ours := string(x.resp.Header.Peek("X-Request-Id")) == id.String()
-		return nil, refusal(t, ours, x.resp.StatusCode(), boundedBody(x))
+		sameID := string(x.resp.Header.Peek("X-Request-Id")) == id.String()
+		return nil, responseError(t, sameID, x.resp.StatusCode(), readErrorBody(x))
 	}
 	return x, nil
 }
 
-// refusal reads an engine's error. It proves that nothing ran only if it
-// echoes the request's id, which ours tells, and says so.
-func refusal(t Target, ours bool, status int, body []byte) error {
-	var answer struct {
+// responseError decodes an engine's error. Its verdict is notRun only if the response
+// has the request's ID, which is sameID, and says that the request didn't run.
+func responseError(t Target, sameID bool, status int, body []byte) error {
+	var parsed struct {
 		Error struct {
 			Type string `json:"type"`
 			Ran  *bool  `json:"ran"`
 		} `json:"error"`
 	}
 	verdict := hingeverdict.MayHaveRun
-	if json.Unmarshal(body, &answer) == nil && ours && answer.Error.Ran != nil && !*answer.Error.Ran {
+	if json.Unmarshal(body, &parsed) == nil && sameID && parsed.Error.Ran != nil && !*parsed.Error.Ran {
 		verdict = hingeverdict.NotRun
 	}
 	code := hingeverdict.CodeServerRefused
-	if answer.Error.Type == "kvCacheGone" {
+	if parsed.Error.Type == "kvCacheGone" {
 		code = hingeverdict.CodeCacheGone
 	}
 	return hingeverdict.New(verdict, code, 0,
-		eris.Errorf("server %s: status %d, %.100s", t.Server, status, answer.Error.Type))
+		eris.Errorf("server %s: status %d, error type %.100s", t.Server, status, parsed.Error.Type))
 }
 
-// maxErrorBody bounds an error's body, in bytes.
+// maxErrorBody is the maximum length of an error's body that is read, in bytes.
 const maxErrorBody = 4096
 
-// boundedBody reads an error's body. The library's Body would read a stream
-// without bound, and a status without a body has no stream.
-func boundedBody(x *exchange) []byte {
+// readErrorBody reads an error's body up to maxErrorBody. fasthttp's Body would read
+// a stream without a limit. A response without a body has no stream.
+func readErrorBody(x *exchange) []byte {
 	if !x.resp.StreamBody {
 		return x.resp.Body()
 	}
@@ -208,12 +209,12 @@
 	return body
 }
 
-func notOurs(t Target) error {
+func wrongRequestError(t Target) error {
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
-		eris.Errorf("server %s: answer of another request", t.Server))
+		eris.Errorf("server %s: response has the ID of another request or none", t.Server))
 }
 
-// body joins the caller's fields with what the engine has to know.
+// body merges the caller's fields with those of the router, which have precedence.
 func (w Work) body(extra map[string]any) ([]byte, error) {
 	fields := make(map[string]any, len(w.Fields)+len(extra)+2)
 	for k, v := range w.Fields {
@@ -225,5 +226,5 @@
 	fields["request_id"] = w.Request.String()
 	fields["priority"] = w.Priority
 	b, err := json.Marshal(fields)
-	return b, eris.Wrap(err, "engine request")
+	return b, eris.Wrap(err, "encode engine request")
 }
--- a/internal/path/hingeengine/exchange.go
+++ b/internal/path/hingeengine/exchange.go
@@ -1,18 +1,18 @@
-// Package hingeengine speaks to backend servers: engines and replicas of plain
-// services. It is the adapter to swap for other engines; docs/INTERFACES.md
-// lists every route and body.
+// Package hingeengine is the client for backend servers: engines and replicas of
+// plain services. It is the adapter to replace for other engines; docs/INTERFACES.md
+// lists all routes and bodies.
 //
-//  1. An exchange has a connection of its own, opened for it and closed after
-//     it. A pooled connection may have died silently, and then a request that
-//     was sent looks unsent, or an unread answer waits for the next request.
-//     The price is one dial an exchange, within an availability zone.
-//  2. The verdict is drawn from evidence. Before the dial succeeds nothing can
-//     have run. From the first byte written it may have run, until the server
-//     says otherwise under the request's own id.
-//  3. Nothing is retried here. Who retries needs the verdict.
-//  4. A connection on which nothing comes for the silence limit is given up:
-//     connections can go silent for good while new ones work.
-//  5. An answer is taken only if it echoes the request's id.
+//  1. Each exchange has its own connection. A pooled connection can be broken without
+//     notice, so that it is unknown whether a request was sent, or can have an unread
+//     response to an earlier request. The cost is one dial per exchange, within an
+//     availability zone.
+//  2. The verdict depends on the progress of the exchange. If the dial fails the
+//     request hasn't run. Once a byte was written the request may have run, unless the
+//     server says otherwise in a response with the request's ID.
+//  3. Requests are not retried here: the verdict lets the caller of the package decide.
+//  4. A connection without a byte for the idle timeout is closed, since a connection
+//     can stall permanently while new ones work.
+//  5. A response is accepted only if it has the request's ID.
 package hingeengine
 
 import (
@@ -30,61 +30,61 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// Target is one life of a backend server.
+// Target is one incarnation of a backend server.
 type Target struct {
 	Server      hingeids.ServerID
 	Incarnation hingeids.Incarnation
-	// Address is an IP number and port.
+	// Address is an IP address and port.
 	Address string
 }
 
-// Client makes exchanges with backend servers.
+// Client sends requests to backend servers. It is safe for concurrent use.
 type Client struct {
 	dialer net.Dialer
 }
 
-// dialLimit bounds a dial within an availability zone, where a connection takes
-// about a millisecond: a host that takes this long is gone or frozen.
-const dialLimit = 500 * time.Millisecond
+// dialTimeout limits a dial. Connecting takes about a millisecond within an
+// availability zone, so a host that needs longer is down or frozen.
+const dialTimeout = 500 * time.Millisecond
 
-// NewClient makes a client.
+// NewClient returns a client with the default dial timeout.
 func NewClient() *Client {
 	return &Client{
 		dialer: net.Dialer{
-			Timeout: dialLimit,
+			Timeout: dialTimeout,
 		},
 	}
 }
 
-// exchange is one request and its answer on one connection.
+// exchange is a request and its response on one connection.
 type exchange struct {
 	conn   net.Conn
 	reader *bufio.Reader
 	resp   fasthttp.Response
-	// silence bounds the time without a byte from the server.
-	silence time.Duration
-	stop    func() bool
-	ctx     context.Context
+	// idleTimeout is the maximum duration of a read or write.
+	idleTimeout   time.Duration
+	stopAfterFunc func() bool
+	ctx           context.Context
 }
 
-// open dials, sends the request and reads the header of the answer. With
-// stream the body is left to be read; otherwise it is read whole, bounded.
+// open dials, sends the request and reads the response's header. Unless stream is set
+// it also reads the body, up to maxResponseBytes.
 func (c *Client) open(
-	ctx context.Context, t Target, req *fasthttp.Request, silence time.Duration, stream bool,
+	ctx context.Context, t Target, req *fasthttp.Request, idleTimeout time.Duration, stream bool,
 ) (*exchange, error) {
 	conn, err := c.dialer.DialContext(ctx, "tcp", t.Address)
 	if err != nil {
-		// Rule 2: no connection, no byte.
+		// Rule 2: nothing was sent.
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, 0,
 			eris.Wrapf(err, "server %s", t.Server))
 	}
 	x := &exchange{
-		conn:    conn,
-		silence: silence,
-		ctx:     ctx,
+		conn:        conn,
+		idleTimeout: idleTimeout,
+		ctx:         ctx,
 	}
-	// A context that ends makes every read and write on the connection return.
-	x.stop = context.AfterFunc(ctx, func() {
+	// Cancelling the context interrupts all reads and writes on the connection.
+	x.stopAfterFunc = context.AfterFunc(ctx, func() {
 		_ = conn.SetDeadline(time.Unix(1, 0))
 	})
 	if err := x.send(req, stream); err != nil {
@@ -94,34 +94,35 @@
 	return x, nil
 }
 
-// maxWholeAnswer bounds an answer that is read whole, in bytes.
-const maxWholeAnswer = 64 << 20
+// maxResponseBytes is the maximum length of a body that isn't streamed.
+const maxResponseBytes = 64 << 20
 
-// readAhead is the buffer of an answer in bytes. An answer's header has to fit
-// it; engines' headers are some hundred bytes.
-const readAhead = 4 << 10
+// readBufferSize is the size of the read buffer in bytes. A response's header must fit
+// in it; those of engines have a few hundred bytes.
+const readBufferSize = 4 << 10
 
-// send writes the request and reads the header of the answer.
+// send writes the request and reads the response as described at open.
 func (x *exchange) send(req *fasthttp.Request, stream bool) error {
 	req.Header.SetConnectionClose()
-	w := bufio.NewWriter(watched{x})
+	w := bufio.NewWriter(deadlineConn{x})
 	if err := req.Write(w); err != nil {
 		return err
 	}
 	if err := w.Flush(); err != nil {
 		return err
 	}
-	x.reader = bufio.NewReaderSize(watched{x}, readAhead)
-	// The library hides why the first byte didn't come, and a silent server would
-	// be told as one that failed. So it is waited for here.
+	x.reader = bufio.NewReaderSize(deadlineConn{x}, readBufferSize)
+	// fasthttp hides the error of reading the first byte. Reading it here makes it
+	// possible to distinguish a timeout from a failure.
 	if _, err := x.reader.Peek(1); err != nil {
 		return err
 	}
 	x.resp.StreamBody = stream
-	return x.resp.ReadLimitBody(x.reader, maxWholeAnswer)
+	return x.resp.ReadLimitBody(x.reader, maxResponseBytes)
 }
 
-// verdict explains a failed exchange. The request was sent, at least in part.
+// verdict returns the error of a failed exchange whose request was sent at least in
+// part.
 func (x *exchange) verdict(t Target, err error) error {
 	code := hingeverdict.CodeServerFailed
 	switch {
@@ -131,38 +132,38 @@
 	case errors.Is(err, os.ErrDeadlineExceeded):
 		code = hingeverdict.CodeServerSilent
 	}
-	return hingeverdict.New(hingeverdict.MayHaveRun, code, 0, eris.Wrapf(err, "server %s", t.Server))
+	return hingeverdict.New(hingeverdict.MayHaveRun, code, 0, eris.Wrapf(err, "exchange with server %s", t.Server))
 }
 
 func (x *exchange) close() {
-	x.stop()
+	x.stopAfterFunc()
 	_ = x.conn.Close()
 }
 
-// watched gives each read and write the silence limit of its own, by rule 4.
-// fasthttp's own limits cover a whole answer, which a long stream outlives.
-type watched struct {
+// deadlineConn applies the idle timeout to each read and write (rule 4). The timeouts
+// of fasthttp apply to a complete response, and a stream can take longer.
+type deadlineConn struct {
 	x *exchange
 }
 
-func (w watched) Read(p []byte) (int, error) {
-	if err := w.arm(w.x.conn.SetReadDeadline); err != nil {
+func (w deadlineConn) Read(p []byte) (int, error) {
+	if err := w.setDeadline(w.x.conn.SetReadDeadline); err != nil {
 		return 0, err
 	}
 	return w.x.conn.Read(p)
 }
 
-func (w watched) Write(p []byte) (int, error) {
-	if err := w.arm(w.x.conn.SetWriteDeadline); err != nil {
+func (w deadlineConn) Write(p []byte) (int, error) {
+	if err := w.setDeadline(w.x.conn.SetWriteDeadline); err != nil {
 		return 0, err
 	}
 	return w.x.conn.Write(p)
 }
 
-// arm sets the limit, and looks at the context after it: a context that ended
-// just before has had its deadline overwritten.
-func (w watched) arm(set func(time.Time) error) error {
-	if err := set(time.Now().Add(w.x.silence)); err != nil {
+// setDeadline sets a deadline and then checks the context, since the new deadline may
+// have replaced the one that was set at its cancellation.
+func (w deadlineConn) setDeadline(set func(time.Time) error) error {
+	if err := set(time.Now().Add(w.x.idleTimeout)); err != nil {
 		return err
 	}
 	return context.Cause(w.x.ctx)
--- a/internal/path/hingeengine/faults_test.go
+++ b/internal/path/hingeengine/faults_test.go
@@ -20,42 +20,43 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// fakeServer gives the same bytes to every request, and counts what it was sent.
+// fakeServer sends the same bytes to every request, and counts connections and
+// requests.
 type fakeServer struct {
 	listener net.Listener
-	answer   string
-	// keepOpen leaves the connection open after the answer.
+	response string
+	// keepOpen leaves the connection open after the response.
 	keepOpen    bool
 	connections atomic.Int64
 	requests    atomic.Int64
 }
 
-func startFake(t *testing.T, answer string, keepOpen bool) *fakeServer {
+func startFake(t *testing.T, response string, keepOpen bool) *fakeServer {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fakeServer{
 		listener: l,
-		answer:   answer,
+		response: response,
 		keepOpen: keepOpen,
 	}
-	var all sync.WaitGroup
-	all.Go(func() {
+	var group sync.WaitGroup
+	group.Go(func() {
 		for {
 			conn, err := l.Accept()
 			if err != nil {
 				return
 			}
 			f.connections.Add(1)
-			all.Go(func() {
+			group.Go(func() {
 				f.serve(conn)
 			})
 		}
 	})
 	t.Cleanup(func() {
 		_ = l.Close()
-		all.Wait()
+		group.Wait()
 	})
 	return f
 }
@@ -71,17 +72,17 @@
 	}
 	f.requests.Add(1)
 	_, _ = io.Copy(io.Discard, req.Body)
-	_, _ = io.WriteString(conn, f.answer)
+	_, _ = io.WriteString(conn, f.response)
 	if !f.keepOpen {
 		return
 	}
-	// Until the client closes; a second request on the connection would count.
+	// Wait until the client closes the connection, and count a second request on it.
 	if _, err := http.ReadRequest(reader); err == nil {
 		f.requests.Add(1)
 	}
 }
 
-var ours = hingeids.RequestID{
+var ownID = hingeids.RequestID{
 	Life: hingeids.Life{
 		Host:        "a-1",
 		Incarnation: 7,
@@ -89,22 +90,22 @@
 	Sequence: 1,
 }
 
-// exchanges are the three kinds of work that are sent to a server.
-var exchanges = []struct {
+// requestKinds has the three kinds of requests that are sent to a server.
+var requestKinds = []struct {
 	name string
 	do   func(ctx context.Context, t Target) error
 }{
 	{
 		name: "prefill",
 		do: func(ctx context.Context, t Target) error {
-			_, err := NewClient().Prefill(ctx, t, ourWork, silence)
+			_, err := NewClient().Prefill(ctx, t, ownWork, idleTimeout)
 			return err
 		},
 	},
 	{
 		name: "decode",
 		do: func(ctx context.Context, t Target) error {
-			s, err := NewClient().Decode(ctx, t, ourWork, nil, 0, silence)
+			s, err := NewClient().Decode(ctx, t, ownWork, nil, 0, idleTimeout)
 			if err != nil {
 				return err
 			}
@@ -119,27 +120,28 @@
 			var req fasthttp.Request
 			var resp fasthttp.Response
 			req.SetRequestURI("http://service/app")
-			req.Header.Set("X-Request-Id", ours.String())
-			return NewClient().Call(ctx, t, &req, &resp, silence)
+			req.Header.Set("X-Request-Id", ownID.String())
+			return NewClient().Call(ctx, t, &req, &resp, idleTimeout)
 		},
 	},
 }
 
-var ourWork = Work{
-	Request: ours,
+var ownWork = Work{
+	Request: ownID,
 	Path:    "/v1/completions",
 }
 
-// silence is short, as servers that never answer are waited for that long.
-const silence = 200 * time.Millisecond
+// idleTimeout is short, since the tests wait for it on servers that don't respond.
+const idleTimeout = 200 * time.Millisecond
 
-func answerOf(status int, id, body string) string {
+func responseWith(status int, id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d s\r\nX-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s", status, id, len(body), body)
 }
 
-// faults are what servers do, and the verdicts of a prefill, a decode and a call.
+// faults has the behaviours of faulty servers, and the expected verdicts of a prefill,
+// a decode and a call.
 var faults = map[string]struct {
-	answer   string
+	response string
 	keepOpen bool
 	want     [3]string
 }{
@@ -147,11 +149,11 @@
 		want: [3]string{"mayHaveRun 3003", "mayHaveRun 3003", "mayHaveRun 3003"},
 	},
 	"sends half a header": {
-		answer: "HTTP/1.1 200 OK\r\nContent-Le",
-		want:   [3]string{"mayHaveRun 3003", "mayHaveRun 3003", "mayHaveRun 3003"},
+		response: "HTTP/1.1 200 OK\r\nContent-Le",
+		want:     [3]string{"mayHaveRun 3003", "mayHaveRun 3003", "mayHaveRun 3003"},
 	},
 	"sends half a header and stalls": {
-		answer:   "HTTP/1.1 200 OK\r\nContent-Le",
+		response: "HTTP/1.1 200 OK\r\nContent-Le",
 		keepOpen: true,
 		want:     [3]string{"mayHaveRun 3004", "mayHaveRun 3004", "mayHaveRun 3004"},
 	},
@@ -160,40 +162,40 @@
 		want:     [3]string{"mayHaveRun 3004", "mayHaveRun 3004", "mayHaveRun 3004"},
 	},
 	"doesn't speak HTTP": {
-		answer: "220 mail.example\r\n\r\n",
-		want:   [3]string{"mayHaveRun 3003", "mayHaveRun 3003", "mayHaveRun 3003"},
+		response: "220 mail.example\r\n\r\n",
+		want:     [3]string{"mayHaveRun 3003", "mayHaveRun 3003", "mayHaveRun 3003"},
 	},
 	"answers another request": {
-		answer: answerOf(200, "a-1.7.2", `{"id":"a-1.7.2"}`),
-		want:   [3]string{"mayHaveRun 3005", "mayHaveRun 3006", "mayHaveRun 3005"},
+		response: responseWith(200, "a-1.7.2", `{"id":"a-1.7.2"}`),
+		want:     [3]string{"mayHaveRun 3005", "mayHaveRun 3006", "mayHaveRun 3005"},
 	},
 	"streams another request": {
-		answer: answerOf(200, "a-1.7.2", "id: 0\ndata: {\"id\":\"a-1.7.2\"}\n\n"),
-		want:   [3]string{"mayHaveRun 3003", "mayHaveRun 3005", "mayHaveRun 3005"},
+		response: responseWith(200, "a-1.7.2", "id: 0\ndata: {\"id\":\"a-1.7.2\"}\n\n"),
+		want:     [3]string{"mayHaveRun 3003", "mayHaveRun 3005", "mayHaveRun 3005"},
 	},
 	"200 without a body": {
-		answer: answerOf(200, ours.String(), ""),
-		want:   [3]string{"mayHaveRun 3003", "mayHaveRun 3006", "ran"},
+		response: responseWith(200, ownID.String(), ""),
+		want:     [3]string{"mayHaveRun 3003", "mayHaveRun 3006", "ran"},
 	},
 	"204": {
-		answer: "HTTP/1.1 204 s\r\n\r\n",
-		want:   [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "mayHaveRun 3005"},
+		response: "HTTP/1.1 204 s\r\n\r\n",
+		want:     [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "mayHaveRun 3005"},
 	},
 	"500 without a body": {
-		answer: answerOf(500, ours.String(), ""),
-		want:   [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "ran"},
+		response: responseWith(500, ownID.String(), ""),
+		want:     [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "ran"},
 	},
 	"refuses with proof": {
-		answer: answerOf(503, ours.String(), `{"error":{"ran":false}}`),
-		want:   [3]string{"notRun 3002", "notRun 3002", "notRun 3002"},
+		response: responseWith(503, ownID.String(), `{"error":{"ran":false}}`),
+		want:     [3]string{"notRun 3002", "notRun 3002", "notRun 3002"},
 	},
 	"refuses another request with proof": {
-		answer: answerOf(503, "a-1.7.2", `{"error":{"ran":false}}`),
-		want:   [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "mayHaveRun 3005"},
+		response: responseWith(503, "a-1.7.2", `{"error":{"ran":false}}`),
+		want:     [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "mayHaveRun 3005"},
 	},
 	"refuses without proof": {
-		answer: answerOf(503, ours.String(), `{"error":{"ran":null}}`),
-		want:   [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "ran"},
+		response: responseWith(503, ownID.String(), `{"error":{"ran":null}}`),
+		want:     [3]string{"mayHaveRun 3002", "mayHaveRun 3002", "ran"},
 	},
 }
 
@@ -208,15 +210,14 @@
 	return fmt.Sprintf("%v %d", v.Verdict, v.Code)
 }
 
-// Servers fail in every way between the dial and the answer. A verdict that says
-// too little lets a lot ship twice, and a request that is sent again here, behind
-// the back of whoever decides on repeats, does the same.
-func TestFaultsGetTheirVerdictAndOneRequest(t *testing.T) {
+// Servers fail at each point between the dial and the response. A wrong verdict of
+// notRun, or a retry by the client itself, would run a request twice.
+func TestFaultVerdictsWithoutRetry(t *testing.T) {
 	for name, f := range faults {
-		for i, x := range exchanges {
+		for i, x := range requestKinds {
 			t.Run(name+"/"+x.name, func(t *testing.T) {
 				t.Parallel()
-				server := startFake(t, f.answer, f.keepOpen)
+				server := startFake(t, f.response, f.keepOpen)
 				err := x.do(context.Background(), Target{
 					Server:  "s",
 					Address: server.listener.Addr().String(),
@@ -230,15 +231,15 @@
 	}
 }
 
-// Nobody listens: there is no connection, so nothing ran, and that may be said. A
-// caller that leaves while its server works has no such proof.
-func TestNoConnectionIsProofAndALeavingCallerIsNone(t *testing.T) {
-	gone := startFake(t, "", false)
-	_ = gone.listener.Close()
+// A refused connection must have the verdict notRun. A cancellation while the server
+// processes the request must have the verdict mayHaveRun.
+func TestVerdictsOfFailedDialAndCancelledRequest(t *testing.T) {
+	closed := startFake(t, "", false)
+	_ = closed.listener.Close()
 	slow := startFake(t, "", true)
-	for _, x := range exchanges {
+	for _, x := range requestKinds {
 		err := x.do(context.Background(), Target{
-			Address: gone.listener.Addr().String(),
+			Address: closed.listener.Addr().String(),
 		})
 		if got := verdictOf(err); got != "notRun 3001" {
 			t.Errorf("%s without a server: %s", x.name, got)
@@ -255,31 +256,31 @@
 			Address: slow.listener.Addr().String(),
 		})
 		if got := verdictOf(err); got != "mayHaveRun 4004" {
-			t.Errorf("%s of a caller that left: %s", x.name, got)
+			t.Errorf("%s of a cancelled request: %s", x.name, got)
 		}
 	}
 }
 
-// Whatever an engine answers, it is read or refused, and only its own words under
-// our id prove that nothing ran.
+// No response may crash the decoders, and only a response with the request's ID that
+// says that the request didn't run may have the verdict notRun.
 func FuzzAnswers(f *testing.F) {
 	f.Add([]byte(`{"id":"a-1.7.1","kv_transfer_params":{"remote_host":"h","remote_block_id":"b"},"usage":{"prompt_tokens":3}}`))
 	f.Add([]byte(`{"incarnation":7,"held":[{"request_id":"a-1.7.1","kind":"export","age_ms":5}]}`))
 	f.Add([]byte(`{"error":{"type":"kvCacheGone","ran":false}}`))
 	f.Add([]byte(`{"error":null}`))
 	f.Fuzz(func(t *testing.T, body []byte) {
-		if _, err := readPrefill(Target{}, ours, body); err == nil && !strings.Contains(string(body), "7.1") && !strings.Contains(string(body), `\u`) {
-			t.Error("taken as ours")
+		if _, err := readPrefill(Target{}, ownID, body); err == nil && !strings.Contains(string(body), "7.1") && !strings.Contains(string(body), `\u`) {
+			t.Error("response without the request's ID was accepted")
 		}
 		items, _, err := readHeld(Target{}, body)
 		if err != nil && len(items) > 0 {
-			t.Error("items of a broken answer")
+			t.Error("allocations of a malformed response were returned")
 		}
-		if v := hingeverdict.Of(refusal(Target{}, false, 503, body)); v != hingeverdict.MayHaveRun {
-			t.Errorf("another's refusal is %v", v)
+		if v := hingeverdict.Of(responseError(Target{}, false, 503, body)); v != hingeverdict.MayHaveRun {
+			t.Errorf("error with the ID of another request: verdict %v", v)
 		}
-		if v := hingeverdict.Of(refusal(Target{}, true, 503, body)); v == hingeverdict.NotRun && !strings.Contains(string(body), "false") {
-			t.Error("proof without the word")
+		if v := hingeverdict.Of(responseError(Target{}, true, 503, body)); v == hingeverdict.NotRun && !strings.Contains(string(body), "false") {
+			t.Error("verdict notRun, but the response doesn't say so")
 		}
 	})
 }
--- a/internal/path/hingeengine/orders.go
+++ b/internal/path/hingeengine/orders.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// EngineState is what an engine says that it is.
+// EngineState is an engine's reported state.
 type EngineState struct {
 	Model     hingeids.Model `json:"model"`
 	Version   string         `json:"version"`
@@ -21,32 +21,32 @@
 	BytesLeft hingeids.Bytes `json:"bytes_left"`
 }
 
-// Errors of an order.
+// Errors of Order.
 var (
-	// ErrOldFence says that the engine has seen a higher fencing number.
+	// ErrOldFence means that the engine has seen a higher fencing number.
 	ErrOldFence = eris.New("the engine has seen a higher fencing number")
-	// ErrOrderRefused is any other refusal.
+	// ErrOrderRefused means that the engine refused the order for another reason.
 	ErrOrderRefused = eris.New("the engine refused the order")
 )
 
-// State asks an engine what it is.
+// State requests the state of an engine.
 func (c *Client) State(ctx context.Context, t Target) (EngineState, error) {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
 	req.SetRequestURI("http://" + t.Address + "/v1/state")
-	x, err := c.open(ctx, t, req, controlSilence, false)
+	x, err := c.open(ctx, t, req, controlTimeout, false)
 	if err != nil {
 		return EngineState{}, err
 	}
 	defer x.close()
 	var s EngineState
 	err = json.Unmarshal(x.resp.Body(), &s)
-	return s, eris.Wrapf(err, "server %s: state answer", t.Server)
+	return s, eris.Wrapf(err, "server %s: decode engine state", t.Server)
 }
 
-// Order sends an engine an order under a fencing number. When the context ends
-// the connection is closed, so that the order reaches the engine no more. The
-// body is the order's JSON with the field fence beside it.
+// Order sends an order to an engine. The body is the order's JSON with the fencing
+// number in the field fence. If the context is cancelled the connection is closed, so
+// that the order can't reach the engine later.
 func (c *Client) Order(ctx context.Context, t Target, body []byte) error {
 	req := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(req)
@@ -54,7 +54,7 @@
 	req.Header.SetMethod(fasthttp.MethodPost)
 	req.Header.SetContentType("application/json")
 	req.SetBodyRaw(body)
-	x, err := c.open(ctx, t, req, controlSilence, false)
+	x, err := c.open(ctx, t, req, controlTimeout, false)
 	if err != nil {
 		return err
 	}
--- a/internal/path/hingeengine/stream.go
+++ b/internal/path/hingeengine/stream.go
@@ -10,15 +10,15 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingerelay"
 )
 
-// Stream is the answer of an engine, token by token.
+// Stream is a streamed response of an engine.
 type Stream struct {
 	target   Target
 	exchange *exchange
 	reader   *hingerelay.Reader
 }
 
-// Next gives the next token, io.EOF after the end mark, or an error with a
-// verdict. A token's bytes hold until the next call.
+// Next returns the next token, io.EOF at the end marker, or an error with a verdict.
+// The token's data is valid until the next call.
 func (s *Stream) Next() (hingerelay.Event, error) {
 	e, err := s.reader.Next()
 	if err == nil || errors.Is(err, io.EOF) {
@@ -26,23 +26,23 @@
 	}
 	switch {
 	case errors.Is(err, hingerelay.ErrForeign):
-		return e, notOurs(s.target)
+		return e, wrongRequestError(s.target)
 	case errors.Is(err, hingerelay.ErrNoEndMark), errors.Is(err, hingerelay.ErrGap),
 		errors.Is(err, hingerelay.ErrMalformed):
 		return e, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0,
-			eris.Wrapf(err, "server %s", s.target.Server))
+			eris.Wrapf(err, "stream of server %s", s.target.Server))
 	default:
 		return e, s.exchange.verdict(s.target, err)
 	}
 }
 
-// NextIndex is the index of the token that Next waits for.
+// NextIndex returns the index of the token that Next will return.
 func (s *Stream) NextIndex() int {
 	return s.reader.NextIndex()
 }
 
-// Close closes the connection. It does not cancel: an engine goes on with a
-// request whose connection broke.
+// Close closes the connection. It doesn't cancel the request: an engine continues
+// with a request after its connection was closed.
 func (s *Stream) Close() {
 	s.exchange.close()
 }
