--- a/internal/path/hingewire/ended.go
+++ b/internal/path/hingewire/ended.go
@@ -8,15 +8,17 @@
 	"time"
 )
 
-// endedTime bounds the look whether a server has ended. A host whose process is gone refuses within a round trip.
-const endedTime = 100 * time.Millisecond
+// crashProbeTimeout limits the dial that checks whether a server has crashed. A host on
+// which the process has terminated refuses the connection within a round trip.
+const crashProbeTimeout = 100 * time.Millisecond
 
-// Ended reports whether a server that broke off an exchange has ended (BrokeOff), by dialling it anew: a connection that was cut on
-// its way breaks in the same manner, and to take that for an end would blame a request for the network.
+// Ended reports whether the server at an address refuses connections, as after a crash.
+// It distinguishes a crash from a network failure if an exchange fails with an error for
+// which BrokeOff is true, so that a request isn't blamed for the network.
 func Ended(ctx context.Context, address string) bool {
-	one, stop := context.WithTimeout(ctx, endedTime)
-	defer stop()
-	x, err := Dial(one, address)
+	dialCtx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
+	defer cancel()
+	x, err := Dial(dialCtx, address)
 	if err == nil {
 		x.Close()
 		return false
@@ -24,7 +26,8 @@
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// BrokeOff reports whether the other end closed or reset a connection in the middle of an exchange.
+// BrokeOff reports whether an error means that the peer closed or reset the connection
+// during an exchange.
 func BrokeOff(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) ||
 		errors.Is(err, syscall.ECONNRESET) || errors.Is(err, syscall.EPIPE)
--- a/internal/path/hingewire/exchange.go
+++ b/internal/path/hingewire/exchange.go
@@ -18,22 +18,22 @@
 )
 
 const (
-	// dialTime bounds the opening of a connection to a backend server: a round
-	// trip between zones is 2 ms and a server takes 1 ms for it. A lost packet would be
-	// sent again after a second only, which is longer than most callers wait;
-	// dialling anew is sooner, and dialTries failures in a row are no chance.
-	dialTime  = 100 * time.Millisecond
-	dialTries = 2
-	// silentTime closes a connection whose bytes nobody confirms.
-	silentTime = 3 * time.Second
-	// readAhead is the buffer of one exchange: some events of a stream, or a plain answer.
-	readAhead = 4 << 10
-	// inlineBody is the largest request that is written before its answer is
-	// looked for: it fits the socket's buffer, so the write can't wait for the server.
-	inlineBody = 8 << 10
+	// dialTimeout limits a connection attempt to a backend server. It is far above the
+	// round trip between zones, and below the second after which the system would
+	// retransmit a lost SYN packet; so after a timeout the dial is retried, with at
+	// most dialAttempts attempts.
+	dialTimeout  = 100 * time.Millisecond
+	dialAttempts = 2
+	// userTimeout is the maximum time that sent data may stay unacknowledged.
+	userTimeout = 3 * time.Second
+	// readBufferSize is the size of the read buffer of an exchange.
+	readBufferSize = 4 << 10
+	// maxInlineWrite is the size up to which a request is written before its response
+	// is read. It fits in the socket's send buffer, so that the write doesn't block.
+	maxInlineWrite = 8 << 10
 )
 
-// Sent is a request as it goes to a backend server.
+// Sent is a request to a backend server. Target has the path and query.
 type Sent struct {
 	Method string
 	Target string
@@ -42,18 +42,20 @@
 	Body   []byte
 }
 
-// Exchange is one request at one backend server (rule 5).
+// Exchange is a request to a backend server and its response (rule 5). Only Close may
+// be called concurrently with other methods.
 type Exchange struct {
-	ctx    context.Context
-	raw    net.Conn
-	reader *bufio.Reader
-	stop   func() bool
-	// Answer is the server's answer, its body unread.
+	ctx           context.Context
+	conn          net.Conn
+	reader        *bufio.Reader
+	stopAfterFunc func() bool
+	// Answer is the server's response, with its body unread.
 	Answer *http.Response
 }
 
-// Begin dials, sends a request and reads the head of its answer. The context ends
-// the exchange at any time. The error's verdict says whether the request can have arrived.
+// Begin dials, sends a request and reads the head of the response. Cancelling the
+// context closes the exchange, also after Begin has returned. An error's verdict says
+// whether the request may have run.
 func Begin(ctx context.Context, address string, s Sent) (*Exchange, error) {
 	x, err := Dial(ctx, address)
 	if err != nil {
@@ -65,35 +67,37 @@
 	return x, nil
 }
 
-// Dial opens the connection of an exchange. Its failure proves that nothing was sent.
+// Dial opens the connection of an exchange. An error has the verdict notRun, since
+// nothing was sent.
 func Dial(ctx context.Context, address string) (*Exchange, error) {
-	var raw net.Conn
+	var conn net.Conn
 	var err error
 	dialer := net.Dialer{
-		Timeout: dialTime,
+		Timeout: dialTimeout,
 		Control: setUserTimeout,
 	}
-	for range dialTries {
-		raw, err = dialer.DialContext(ctx, "tcp4", address)
+	for range dialAttempts {
+		conn, err = dialer.DialContext(ctx, "tcp4", address)
 		if err == nil || !isTimeout(err) || ctx.Err() != nil {
 			break
 		}
 	}
 	if err != nil {
-		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, 0, eris.Wrap(err, "dial"))
+		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, 0, eris.Wrap(err, "dial backend server"))
 	}
 	x := &Exchange{
 		ctx:    ctx,
-		raw:    raw,
-		reader: bufio.NewReaderSize(raw, readAhead),
+		conn:   conn,
+		reader: bufio.NewReaderSize(conn, readBufferSize),
 	}
-	x.stop = context.AfterFunc(ctx, func() {
-		_ = raw.Close()
+	x.stopAfterFunc = context.AfterFunc(ctx, func() {
+		_ = conn.Close()
 	})
 	return x, nil
 }
 
-// Send sends the request and reads the head of its answer. The exchange is closed if it fails.
+// Send sends the request and reads the head of the response. If it fails the exchange
+// is closed and the error has the verdict mayHaveRun.
 func (x *Exchange) Send(s Sent) error {
 	err := x.send(s)
 	if err == nil {
@@ -106,42 +110,42 @@
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, err)
 }
 
-// setUserTimeout makes the system give up a connection whose bytes aren't
-// confirmed: some go silent for good while new ones work.
+// setUserTimeout makes the system close a connection whose data isn't acknowledged,
+// since a connection can stall permanently while new ones work.
 func setUserTimeout(_, _ string, c syscall.RawConn) error {
-	var set error
+	var setErr error
 	err := c.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(silentTime.Milliseconds()))
+		setErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(userTimeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return set
+	return setErr
 }
 
 func (x *Exchange) send(s Sent) error {
 	var message bytes.Buffer
 	s.write(&message)
-	if message.Len() <= inlineBody {
-		if _, err := x.raw.Write(message.Bytes()); err != nil {
-			return eris.Wrap(err, "send to a backend server")
+	if message.Len() <= maxInlineWrite {
+		if _, err := x.conn.Write(message.Bytes()); err != nil {
+			return eris.Wrap(err, "write request to backend server")
 		}
 	} else {
-		// A server may answer before it has read a long body, and reads on later.
+		// A server may respond before it has read all of a large body.
 		go func() {
-			// A failed write shows in the reading, which it ends.
-			_, _ = x.raw.Write(message.Bytes())
+			// A failed write also makes reading the response fail.
+			_, _ = x.conn.Write(message.Bytes())
 		}()
 	}
 	for {
-		a, err := http.ReadResponse(x.reader, &http.Request{
+		resp, err := http.ReadResponse(x.reader, &http.Request{
 			Method: s.Method,
 		})
 		if err != nil {
-			return eris.Wrap(err, "answer of a backend server")
+			return eris.Wrap(err, "read response head from backend server")
 		}
-		if a.StatusCode >= http.StatusOK {
-			x.Answer = a
+		if resp.StatusCode >= http.StatusOK {
+			x.Answer = resp
 			return nil
 		}
 	}
@@ -149,34 +153,36 @@
 
 func (s Sent) write(b *bytes.Buffer) {
 	out := bufio.NewWriter(b)
-	// Writes to memory don't fail.
+	// Writes to a buffer in memory don't fail.
 	_, _ = out.WriteString(s.Method + " " + s.Target + " HTTP/1.1\r\nHost: " + s.Host + "\r\n")
 	_ = writeHeader(out, s.Header)
 	if len(s.Body) > 0 || s.Method == http.MethodPost || s.Method == http.MethodPut || s.Method == http.MethodPatch {
 		_, _ = out.WriteString("Content-Length: " + strconv.Itoa(len(s.Body)) + "\r\n")
 	}
-	_, _ = out.Write(lineEnd)
+	_, _ = out.Write(crlf)
 	_, _ = out.Write(s.Body)
 	_ = out.Flush()
 }
 
-// largestAnswer bounds an answer that is kept in memory whole.
-const largestAnswer = 8 << 20
+// maxResponseBytes is the maximum length of a body that is read into memory.
+const maxResponseBytes = 8 << 20
 
-// Body reads the whole body. An error says that it isn't whole.
+// Body reads the complete body. It returns an error if the body is truncated or too
+// long.
 func (x *Exchange) Body() ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(x.Answer.Body, largestAnswer+1))
+	b, err := io.ReadAll(io.LimitReader(x.Answer.Body, maxResponseBytes+1))
 	if err != nil {
-		return nil, eris.Wrap(err, "body of an answer")
+		return nil, eris.Wrap(err, "read response body")
 	}
-	if len(b) > largestAnswer {
-		return nil, eris.Errorf("an answer has more than %d bytes", largestAnswer)
+	if len(b) > maxResponseBytes {
+		return nil, eris.Errorf("response body has more than %d bytes", maxResponseBytes)
 	}
 	return b, nil
 }
 
-// Close ends the exchange and with it whatever the server still does for it.
+// Close closes the connection, upon which the server stops processing the request. It
+// can be called more than once.
 func (x *Exchange) Close() {
-	x.stop()
-	_ = x.raw.Close()
+	x.stopAfterFunc()
+	_ = x.conn.Close()
 }
--- a/internal/path/hingewire/head.go
+++ b/internal/path/hingewire/head.go
@@ -1,20 +1,20 @@
-// Package hingewire carries HTTP/1.1 over connections that its users own whole:
-// the router has to know when a caller leaves while its request waits, to give bytes on
-// unchanged, and to tell an answer that isn't whole from one that is. The client and server of
-// HTTP libraries keep their connections to themselves; the parsers of the
-// standard library, which do the reading here, don't.
+// Package hingewire implements an HTTP/1.1 server and client with direct access to the
+// connections. The router has to notice the disconnect of a caller whose request is
+// queued, to forward bodies unchanged, and to distinguish truncated responses from
+// complete ones, for which the client and server of HTTP libraries give too little
+// control. Messages are parsed by the standard library.
 //
-//  1. A request's head is checked before it is parsed. What two parsers could
-//     read in two ways is refused and the connection closed: another request could be
-//     smuggled inside.
-//  2. A request is read whole before it is handed on, so that it can be sent again.
-//  3. While a request is worked on its connection is watched, and its context
-//     ends when the caller leaves.
-//  4. An answer ends as its framing says or the connection is closed without the
-//     end of its framing. An answer that was cut short never looks whole.
-//  5. Each exchange with a backend server has a connection of its own, so that
-//     no bytes of another exchange can be in it, and its failure says whether
-//     the request can have arrived.
+//  1. A request's head is validated before it is parsed. A head that parsers may
+//     interpret differently is rejected and the connection closed, which prevents
+//     request smuggling.
+//  2. A request is read completely before it is handled, so that it can be retried.
+//  3. While a request is handled its connection is monitored, and its context is
+//     cancelled when the caller disconnects.
+//  4. If a response can't be completed the connection is closed without the end of the
+//     framing, so that a truncated response never looks complete.
+//  5. Each exchange with a backend server has its own connection, so that it can't
+//     contain bytes of another exchange, and its error says whether the request may
+//     have run.
 package hingewire
 
 import (
@@ -25,16 +25,16 @@
 )
 
 var (
-	lineEnd = []byte("\r\n")
+	crlf    = []byte("\r\n")
 	headEnd = []byte("\r\n\r\n")
 )
 
-// errAmbiguous is a head that two parsers could read in two ways.
+// errAmbiguous is the error of a head that parsers may interpret differently.
 var errAmbiguous = eris.New("the request's head is ambiguous or malformed")
 
-// checkHead is rule 1, for a head with the empty line at its end.
+// checkHead applies rule 1 to a head that includes the empty line at its end.
 func checkHead(head []byte) error {
-	lines := bytes.Split(head[:len(head)-len(headEnd)], lineEnd)
+	lines := bytes.Split(head[:len(head)-len(headEnd)], crlf)
 	if err := checkRequestLine(lines[0]); err != nil {
 		return err
 	}
@@ -49,7 +49,7 @@
 			hosts++
 		case "Content-Length":
 			lengths++
-			if !digits(value) {
+			if !isLength(value) {
 				return eris.Wrap(errAmbiguous, "content length")
 			}
 		case "Transfer-Encoding":
@@ -76,22 +76,24 @@
 	return nil
 }
 
-// splitField splits a header line. One that begins with a space would continue the line
-// before, and a space before the colon is read by some as part of the name.
+// splitField splits a header line. It rejects a line that starts with a space, which is
+// an obsolete continuation of the previous line, and a space before the colon, which some
+// parsers treat as part of the name.
 func splitField(line []byte) (name string, value []byte, err error) {
-	at := bytes.IndexByte(line, ':')
-	if at <= 0 || hasControl(line) {
+	colon := bytes.IndexByte(line, ':')
+	if colon <= 0 || hasControl(line) {
 		return "", nil, eris.Wrap(errAmbiguous, "header line")
 	}
-	for _, c := range line[:at] {
-		if !tokenByte(c) {
+	for _, c := range line[:colon] {
+		if !isTokenByte(c) {
 			return "", nil, eris.Wrap(errAmbiguous, "header name")
 		}
 	}
-	return string(line[:at]), bytes.Trim(line[at+1:], " \t"), nil
+	return string(line[:colon]), bytes.Trim(line[colon+1:], " \t"), nil
 }
 
-// hasControl finds bare line ends and other control bytes but the tab.
+// hasControl reports whether b has control characters other than tabs, such as a bare CR
+// or LF.
 func hasControl(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' && c != '\t' || c == 0x7f {
@@ -101,7 +103,7 @@
 	return false
 }
 
-func tokenByte(c byte) bool {
+func isTokenByte(c byte) bool {
 	switch {
 	case c >= 'a' && c <= 'z', c >= 'A' && c <= 'Z', c >= '0' && c <= '9':
 		return true
@@ -109,12 +111,12 @@
 	return bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), c) >= 0
 }
 
-func digits(b []byte) bool {
+func isLength(b []byte) bool {
 	for _, c := range b {
 		if c < '0' || c > '9' {
 			return false
 		}
 	}
-	// More digits than a body can have bytes would overflow in some parsers.
+	// A longer number would overflow in some parsers.
 	return len(b) > 0 && len(b) <= 15
 }
--- a/internal/path/hingewire/server.go
+++ b/internal/path/hingewire/server.go
@@ -14,7 +14,8 @@
 	"github.com/rotisserie/eris"
 )
 
-// Limits bound what a caller may send and how long it may take.
+// Limits has the limits of a request's size and time. HeaderTime is the maximum duration
+// of reading a head; IdleTime is the maximum wait for a request on an open connection.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
@@ -22,41 +23,43 @@
 	IdleTime    time.Duration
 }
 
-// Request is a request that was read whole (rule 2).
+// Request is a request that was read completely (rule 2).
 type Request struct {
 	Method string
-	// Target is the path and query as they came.
+	// Target is the path and query, unchanged.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Arrived is when its first byte came.
+	// Arrived is when the first byte was received.
 	Arrived time.Time
-	// close says that the caller closes the connection after the answer.
-	close bool
-	http1 bool
+	// closeRequested is whether the connection must be closed after the response.
+	closeRequested bool
+	http11         bool
 }
 
-// Handler answers requests. The context ends when the caller leaves.
+// Handler handles requests. It is called concurrently for different connections. The
+// context is cancelled when the caller disconnects, with the cause ErrCallerLeft.
 type Handler interface {
 	Serve(ctx context.Context, r *Request, w *Writer)
 }
 
-// Server takes connections from callers.
+// Server serves the connections of callers. Its methods can be called concurrently.
 type Server struct {
 	handler Handler
 	limits  func() Limits
 	clock   func() time.Time
 	done    chan struct{}
 
-	mu       sync.Mutex
-	conns    map[*conn]struct{}
-	closing  bool
-	closeOld bool
-	all      sync.WaitGroup
+	mu          sync.Mutex
+	conns       map[*conn]struct{}
+	draining    bool
+	closingIdle bool
+	connGroup   sync.WaitGroup
 }
 
-// NewServer makes a server.
+// NewServer returns a server. It calls limits for each request, and clock for the time
+// at which a request arrives.
 func NewServer(h Handler, limits func() Limits, clock func() time.Time) *Server {
 	return &Server{
 		handler: h,
@@ -67,12 +70,13 @@
 	}
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (s *Server) Done() <-chan struct{} {
 	return s.done
 }
 
-// Run accepts connections until the listener is closed, and waits for all to end.
+// Run accepts connections until the listener is closed or the context is cancelled,
+// and waits until all connections are closed.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	defer close(s.done)
 	stop := context.AfterFunc(ctx, func() {
@@ -80,35 +84,36 @@
 		s.Cut()
 	})
 	defer stop()
-	defer s.all.Wait()
+	defer s.connGroup.Wait()
 	for {
 		raw, err := l.Accept()
 		if err == nil {
-			s.begin(ctx, raw)
+			s.startConn(ctx, raw)
 			continue
 		}
 		if ctx.Err() != nil || errors.Is(err, net.ErrClosed) {
 			return nil
 		}
-		// Out of descriptors, as a rule: connections that end free some.
-		time.Sleep(acceptPause)
+		// The usual reason is a lack of file descriptors, which are released when
+		// connections are closed.
+		time.Sleep(acceptRetryDelay)
 	}
 }
 
-// acceptPause keeps a listener without descriptors from spinning.
-const acceptPause = 20 * time.Millisecond
+// acceptRetryDelay prevents a busy loop while no file descriptors are available.
+const acceptRetryDelay = 20 * time.Millisecond
 
-func (s *Server) begin(ctx context.Context, raw net.Conn) {
+func (s *Server) startConn(ctx context.Context, raw net.Conn) {
 	c := &conn{
 		server: s,
 		raw:    raw,
-		reader: bufio.NewReaderSize(raw, max(s.limits().HeaderBytes, smallestHead)+len(headEnd)),
+		reader: bufio.NewReaderSize(raw, max(s.limits().HeaderBytes, minHeadBuffer)+len(headEnd)),
 		writer: bufio.NewWriter(raw),
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.conns[c] = struct{}{}
-	s.all.Go(func() {
+	s.connGroup.Go(func() {
 		c.serve(ctx)
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -116,36 +121,36 @@
 	})
 }
 
-// smallestHead is room for a head before any configuration gives a limit.
-const smallestHead = 16 << 10
+// minHeadBuffer is the minimum size of the read buffer in bytes, for connections that
+// are accepted before a configuration with limits is loaded.
+const minHeadBuffer = 16 << 10
 
-// Drain makes every further answer the last of its connection.
+// Drain makes the server close each connection after the next request on it.
 func (s *Server) Drain() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing = true
+	s.draining = true
 }
 
-// CloseIdle closes the connections that no request is on, and each other one
-// after its answer.
+// CloseIdle closes the idle connections, and each other one after its response.
 func (s *Server) CloseIdle() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.closing = true
-	s.closeOld = true
+	s.draining = true
+	s.closingIdle = true
 	for c := range s.conns {
 		c.closeIfIdle()
 	}
 }
 
-// Open counts the connections.
+// Open returns the number of open connections.
 func (s *Server) Open() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.conns)
 }
 
-// Cut ends all connections at once.
+// Cut closes all connections immediately.
 func (s *Server) Cut() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -154,13 +159,13 @@
 	}
 }
 
-func (s *Server) isClosing() bool {
+func (s *Server) isDraining() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closing
+	return s.draining
 }
 
-// conn is one caller's connection.
+// conn is the connection of a caller.
 type conn struct {
 	server *Server
 	raw    net.Conn
@@ -171,15 +176,15 @@
 	idle bool
 }
 
-// setIdle notes whether a request is on the connection; false if it was closed meanwhile.
+// setIdle records whether the connection waits for a request.
 func (c *conn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.idle = idle
 }
 
-// closeIfIdle wakes a connection that waits for a request, which then ends. A request of which
-// bytes have come is not idle and is answered.
+// closeIfIdle interrupts the wait for a request, which closes the connection. A
+// connection with a partly received request is not idle.
 func (c *conn) closeIfIdle() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -195,50 +200,50 @@
 	for ctx.Err() == nil {
 		r, err := c.read()
 		if err != nil {
-			c.refuse(err)
+			c.reject(err)
 			return
 		}
-		if !c.answer(ctx, r) {
+		if !c.handle(ctx, r) {
 			return
 		}
 	}
 }
 
-// answer has a request answered, and reports whether the connection goes on.
-func (c *conn) answer(ctx context.Context, r *Request) bool {
-	inner, leave := context.WithCancelCause(ctx)
-	defer leave(nil)
-	watch := c.watch(leave)
+// handle calls the handler and reports whether the connection can be reused.
+func (c *conn) handle(ctx context.Context, r *Request) bool {
+	requestCtx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	stopWatch := c.watch(cancel)
 	w := &Writer{
-		conn:   c,
-		method: r.Method,
-		last:   r.close || c.server.isClosing(),
-		http1:  r.http1,
+		conn:       c,
+		method:     r.Method,
+		closeAfter: r.closeRequested || c.server.isDraining(),
+		http11:     r.http11,
 	}
-	c.server.handler.Serve(inner, r, w)
-	watch()
-	return w.finished && !w.last
+	c.server.handler.Serve(requestCtx, r, w)
+	stopWatch()
+	return w.finished && !w.closeAfter
 }
 
-// ErrCallerLeft is the cause of a request's context when its caller is gone.
+// ErrCallerLeft is the cause of a request's context after its caller has disconnected.
 var ErrCallerLeft = eris.New("the caller closed its connection")
 
-// watch is rule 3. The function that it gives ends the watch.
-func (c *conn) watch(leave context.CancelCauseFunc) func() {
-	// The time that the head had to come in would end the watch with it, and with that
-	// nobody would notice that the caller of a long stream has left.
+// watch applies rule 3. The returned function stops monitoring the connection.
+func (c *conn) watch(cancel context.CancelCauseFunc) func() {
+	// The read deadline of the head would end the monitoring during a long response, so
+	// that a disconnect would go unnoticed.
 	_ = c.raw.SetReadDeadline(time.Time{})
-	ended := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		// Bytes of a next request end the watch too: the caller is there.
+		defer close(done)
+		// Data of a next request ends the monitoring too: the caller is connected.
 		if _, err := c.reader.Peek(1); err != nil && !isTimeout(err) {
-			leave(ErrCallerLeft)
+			cancel(ErrCallerLeft)
 		}
 	}()
 	return func() {
 		_ = c.raw.SetReadDeadline(time.Unix(1, 0))
-		<-ended
+		<-done
 	}
 }
 
@@ -247,20 +252,22 @@
 	return errors.As(err, &n) && n.Timeout()
 }
 
-// errIdle ends a connection without an answer: nothing of a request came.
-var errIdle = eris.New("no request on the connection")
+// errNoRequest closes a connection without a response, since no complete request was
+// received.
+var errNoRequest = eris.New("no complete request on the connection")
 
-// refusal is a request that is answered without a handler.
-type refusal struct {
+// requestError is the error of a request that is rejected with a status code. Its text
+// is sent to the caller.
+type requestError struct {
 	status int
 	cause  error
 }
 
-func (r *refusal) Error() string {
+func (r *requestError) Error() string {
 	return r.cause.Error()
 }
 
-// read takes the next request from the connection.
+// read reads the next request from the connection.
 func (c *conn) read() (*Request, error) {
 	limits := c.server.limits()
 	head, arrived, err := c.readHead(limits)
@@ -268,14 +275,14 @@
 		return nil, err
 	}
 	if err := checkHead(head); err != nil {
-		return nil, &refusal{
+		return nil, &requestError{
 			status: http.StatusBadRequest,
 			cause:  err,
 		}
 	}
 	parsed, err := http.ReadRequest(c.reader)
 	if err != nil {
-		return nil, &refusal{
+		return nil, &requestError{
 			status: http.StatusBadRequest,
 			cause:  eris.Wrap(err, "request head"),
 		}
@@ -288,80 +295,81 @@
 		return nil, err
 	}
 	return &Request{
-		Method:  parsed.Method,
-		Target:  parsed.RequestURI,
-		Host:    parsed.Host,
-		Header:  parsed.Header,
-		Body:    body,
-		Arrived: arrived,
-		close:   parsed.Close || !parsed.ProtoAtLeast(1, 1),
-		http1:   parsed.ProtoAtLeast(1, 1),
+		Method:         parsed.Method,
+		Target:         parsed.RequestURI,
+		Host:           parsed.Host,
+		Header:         parsed.Header,
+		Body:           body,
+		Arrived:        arrived,
+		closeRequested: parsed.Close || !parsed.ProtoAtLeast(1, 1),
+		http11:         parsed.ProtoAtLeast(1, 1),
 	}, nil
 }
 
-// readHead waits for a request, and for its head in whole.
+// readHead waits for a request and returns its complete head, without consuming it, and
+// the time of its first byte.
 func (c *conn) readHead(limits Limits) ([]byte, time.Time, error) {
 	c.setIdle(true)
-	_ = c.raw.SetReadDeadline(c.server.idleUntil(limits))
-	if c.server.closesIdle() && c.reader.Buffered() == 0 {
-		return nil, time.Time{}, errIdle
+	_ = c.raw.SetReadDeadline(c.server.idleDeadline(limits))
+	if c.server.isClosingIdle() && c.reader.Buffered() == 0 {
+		return nil, time.Time{}, errNoRequest
 	}
 	_, err := c.reader.Peek(1)
 	c.setIdle(false)
 	if err != nil {
-		return nil, time.Time{}, errIdle
+		return nil, time.Time{}, errNoRequest
 	}
 	arrived := c.server.clock()
 	_ = c.raw.SetReadDeadline(time.Now().Add(limits.HeaderTime))
 	for {
 		b, _ := c.reader.Peek(c.reader.Buffered())
-		at := bytes.Index(b, headEnd)
-		if at >= 0 && at+len(headEnd) <= limits.HeaderBytes {
-			return b[:at+len(headEnd)], arrived, nil
+		end := bytes.Index(b, headEnd)
+		if end >= 0 && end+len(headEnd) <= limits.HeaderBytes {
+			return b[:end+len(headEnd)], arrived, nil
 		}
-		if at >= 0 || len(b) >= limits.HeaderBytes {
-			return nil, arrived, &refusal{
+		if end >= 0 || len(b) >= limits.HeaderBytes {
+			return nil, arrived, &requestError{
 				status: http.StatusRequestHeaderFieldsTooLarge,
 				cause:  eris.Errorf("the request's head has more than %d bytes", limits.HeaderBytes),
 			}
 		}
 		if _, err := c.reader.Peek(len(b) + 1); err != nil {
-			// Nothing was read whole, so nothing is answered but a head that took too long.
+			// Only a timeout has a response; otherwise the caller has disconnected.
 			if isTimeout(err) {
-				return nil, arrived, &refusal{
+				return nil, arrived, &requestError{
 					status: http.StatusRequestTimeout,
 					cause:  eris.Wrap(err, "the request's head didn't come in time"),
 				}
 			}
-			return nil, arrived, errIdle
+			return nil, arrived, errNoRequest
 		}
 	}
 }
 
-func (s *Server) closesIdle() bool {
+func (s *Server) isClosingIdle() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.closeOld
+	return s.closingIdle
 }
 
-// idleUntil is for the socket, whose deadlines are of the system's own clock.
-func (s *Server) idleUntil(l Limits) time.Time {
+// idleDeadline uses the system's clock instead of the server's, as socket deadlines do.
+func (s *Server) idleDeadline(l Limits) time.Time {
 	return time.Now().Add(l.IdleTime)
 }
 
-func readBody(body io.Reader, most int) ([]byte, error) {
-	b, err := io.ReadAll(io.LimitReader(body, int64(most)+1))
-	if len(b) > most {
-		return nil, &refusal{
+func readBody(body io.Reader, maxBytes int) ([]byte, error) {
+	b, err := io.ReadAll(io.LimitReader(body, int64(maxBytes)+1))
+	if len(b) > maxBytes {
+		return nil, &requestError{
 			status: http.StatusRequestEntityTooLarge,
-			cause:  eris.Errorf("the request's body has more than %d bytes", most),
+			cause:  eris.Errorf("the request's body has more than %d bytes", maxBytes),
 		}
 	}
 	if err != nil {
 		if isTimeout(err) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, io.EOF) {
-			return nil, errIdle
+			return nil, errNoRequest
 		}
-		return nil, &refusal{
+		return nil, &requestError{
 			status: http.StatusBadRequest,
 			cause:  eris.Wrap(err, "request body"),
 		}
@@ -369,19 +377,20 @@
 	return b, nil
 }
 
-// refuse answers a request that couldn't be read, and the connection is closed after it.
-func (c *conn) refuse(err error) {
-	var r *refusal
+// reject sends an error response if err is a requestError. The connection must be closed
+// after it.
+func (c *conn) reject(err error) {
+	var r *requestError
 	if !errors.As(err, &r) {
 		return
 	}
 	w := &Writer{
-		conn: c,
-		last: true,
+		conn:       c,
+		closeAfter: true,
 	}
 	w.Whole(r.status, http.Header{}, []byte(r.Error()+"\n"))
-	// Closing with unread bytes would reset the connection and could take the answer
-	// away from the caller, so what still comes is read for a moment.
+	// Closing with unread data would reset the connection, and the caller might lose the
+	// response, so data that still arrives is read and discarded for a short time.
 	if t, ok := c.raw.(*net.TCPConn); ok {
 		_ = t.CloseWrite()
 	}
@@ -390,7 +399,7 @@
 }
 
 const (
-	// lingerTime and lingerBytes bound what is read after a refusal.
+	// lingerTime and lingerBytes limit the data that is discarded after a rejected request.
 	lingerTime  = 200 * time.Millisecond
 	lingerBytes = 256 << 10
 )
--- a/internal/path/hingewire/wire_test.go
+++ b/internal/path/hingewire/wire_test.go
@@ -19,21 +19,21 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// A caller writes a request that two parsers read in two ways, and so has a second one
-// run in the name of somebody else, or past the router's own checks.
+// An ambiguous head that was accepted would allow request smuggling: a second request
+// that runs for another customer or without the router's checks.
 func TestAmbiguousHeadsAreRefused(t *testing.T) {
 	data, err := os.ReadFile("testdata/heads.txt")
 	if err != nil {
 		t.Fatal(err)
 	}
-	written := strings.NewReplacer(`\r`, "\r", `\n`, "\n", `\t`, "\t")
+	unescape := strings.NewReplacer(`\r`, "\r", `\n`, "\n", `\t`, "\t")
 	for line := range strings.Lines(string(data)) {
 		head, want, ok := strings.Cut(strings.TrimSuffix(line, "\n"), " -> ")
 		if !ok || head[0] == '#' {
 			continue
 		}
 		got := "taken"
-		if err := checkHead([]byte(written.Replace(head))); err != nil {
+		if err := checkHead([]byte(unescape.Replace(head))); err != nil {
 			got = "refused"
 		}
 		if got != want {
@@ -52,17 +52,17 @@
 		if checkHead(head) != nil {
 			return
 		}
-		// What passes has one framing only.
+		// An accepted head has a single framing.
 		if n := bytes.Count(bytes.ToLower(head), []byte("\r\ncontent-length:")); n > 1 {
-			t.Fatalf("%d lengths passed: %q", n, head)
+			t.Fatalf("head with %d lengths was accepted: %q", n, head)
 		}
-		if bytes.Contains(bytes.ReplaceAll(head, lineEnd, nil), []byte("\n")) {
-			t.Fatalf("a bare line end passed: %q", head)
+		if bytes.Contains(bytes.ReplaceAll(head, crlf, nil), []byte("\n")) {
+			t.Fatalf("head with a bare line end was accepted: %q", head)
 		}
 	})
 }
 
-// handlerFunc is a handler made of a function.
+// handlerFunc is a function that implements Handler.
 type handlerFunc func(ctx context.Context, r *Request, w *Writer)
 
 func (f handlerFunc) Serve(ctx context.Context, r *Request, w *Writer) {
@@ -119,8 +119,8 @@
 	w.Whole(http.StatusOK, http.Header{}, []byte(r.Method+" "+r.Target+" "+string(r.Body)))
 }
 
-// readAnswer reads one answer with its body.
-func readAnswer(t *testing.T, r *bufio.Reader) (int, string, error) {
+// readResponse reads a response with its body.
+func readResponse(t *testing.T, r *bufio.Reader) (int, string, error) {
 	t.Helper()
 	a, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -130,18 +130,18 @@
 	return a.StatusCode, string(b), err
 }
 
-// Paths, queries and bodies go on byte for byte, with a length or in chunks, and
-// several requests follow each other on one connection.
-func TestRequestsAreReadAsTheyCome(t *testing.T) {
-	_, at := start(t, echo)
-	c := dial(t, at)
+// Paths, queries and bodies must be read unchanged, with a length or in chunks, also from
+// pipelined requests.
+func TestRequestsAreReadUnchanged(t *testing.T) {
+	_, address := start(t, echo)
+	c := dial(t, address)
 	r := bufio.NewReader(c)
 	write(t, c, "POST /a/../b//c?x=%2F&y HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc")
 	write(t, c, "POST /d HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n")
 	write(t, c, "GET /e HTTP/1.1\r\nHost: h\r\n\r\n")
 	var got []string
 	for range 3 {
-		_, body, err := readAnswer(t, r)
+		_, body, err := readResponse(t, r)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -153,40 +153,41 @@
 	}
 }
 
-// A refused request leaves bytes behind it that may be another request in disguise.
-// None of them may be taken for one.
-func TestNothingIsReadAfterARefusal(t *testing.T) {
+// The bytes after a rejected request may be a smuggled request, and must not be handled
+// as one.
+func TestConnectionIsNotReadAfterRefusal(t *testing.T) {
 	var served atomic.Int32
-	_, at := start(t, func(ctx context.Context, r *Request, w *Writer) {
+	_, address := start(t, func(ctx context.Context, r *Request, w *Writer) {
 		served.Add(1)
 		echo(ctx, r, w)
 	})
-	c := dial(t, at)
+	c := dial(t, address)
 	write(t, c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\nTransfer-Encoding: chunked\r\n\r\n"+
 		"0\r\n\r\nGET /smuggled HTTP/1.1\r\nHost: h\r\n\r\n")
 	r := bufio.NewReader(c)
-	status, _, err := readAnswer(t, r)
+	status, _, err := readResponse(t, r)
 	if err != nil || status != http.StatusBadRequest {
 		t.Fatalf("status %d, %v", status, err)
 	}
-	if _, _, err := readAnswer(t, r); err == nil || served.Load() != 0 {
+	if _, _, err := readResponse(t, r); err == nil || served.Load() != 0 {
 		t.Fatalf("%d requests were served after the refusal", served.Load())
 	}
 }
 
-func TestLimitsAreTold(t *testing.T) {
-	_, at := start(t, echo)
+// Each limit has its own status code.
+func TestExceededLimitsGetTheirStatus(t *testing.T) {
+	_, address := start(t, echo)
 	got := make(map[string]int)
 	for name, text := range map[string]string{
 		"head": "GET / HTTP/1.1\r\nHost: h\r\nX: " + strings.Repeat("x", 5000) + "\r\n\r\n",
 		"body": "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1048577\r\n\r\n" + strings.Repeat("x", 1048577),
 		"late": "GET / HTTP/1.1\r\nHost: h\r\n",
 	} {
-		c := dial(t, at)
+		c := dial(t, address)
 		go func() {
 			_, _ = io.WriteString(c, text)
 		}()
-		status, _, err := readAnswer(t, bufio.NewReader(c))
+		status, _, err := readResponse(t, bufio.NewReader(c))
 		if err != nil {
 			t.Fatal(name, err)
 		}
@@ -202,74 +203,72 @@
 	}
 }
 
-// A caller gives up while its request waits for an engine. If nobody noticed, the
-// engine would work for nobody.
-func TestCallerThatLeavesIsNoticed(t *testing.T) {
-	// Also after longer than a head may take to come.
+// If the disconnect of a caller went unnoticed, engines would process abandoned requests.
+func TestCallerDisconnectCancelsContext(t *testing.T) {
+	// The second delay exceeds the time limit of a head.
 	for _, after := range []time.Duration{20 * time.Millisecond, 1300 * time.Millisecond} {
-		callerLeaves(t, after)
+		testCallerDisconnect(t, after)
 	}
 }
 
-func callerLeaves(t *testing.T, after time.Duration) {
+func testCallerDisconnect(t *testing.T, after time.Duration) {
 	t.Helper()
 	cause := make(chan error, 1)
-	_, at := start(t, func(ctx context.Context, _ *Request, _ *Writer) {
+	_, address := start(t, func(ctx context.Context, _ *Request, _ *Writer) {
 		select {
 		case <-ctx.Done():
 			cause <- context.Cause(ctx)
 		case <-time.After(5 * time.Second):
-			cause <- errors.New("not noticed")
+			cause <- errors.New("context was not cancelled")
 		}
 	})
-	c := dial(t, at)
+	c := dial(t, address)
 	write(t, c, "POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 1\r\n\r\nx")
 	time.Sleep(after)
 	_ = c.Close()
 	if err := <-cause; !errors.Is(err, ErrCallerLeft) {
-		t.Fatalf("left after %v: %v", after, err)
+		t.Fatalf("disconnected after %v: %v", after, err)
 	}
 }
 
-// An engine breaks off in the middle of a stream. The caller must see that what it
-// has isn't whole, and not an answer that ends well.
-func TestCutAnswerDoesNotLookWhole(t *testing.T) {
-	for _, whole := range []bool{true, false} {
-		_, at := start(t, func(_ context.Context, _ *Request, w *Writer) {
+// If a stream is interrupted the caller must be able to notice that the response is
+// truncated.
+func TestTruncatedResponseLooksIncomplete(t *testing.T) {
+	for _, complete := range []bool{true, false} {
+		_, address := start(t, func(_ context.Context, _ *Request, w *Writer) {
 			if err := w.Begin(http.StatusOK, http.Header{}); err != nil {
 				t.Error(err)
 			}
 			if err := w.Part([]byte("data: a\n\n")); err != nil {
 				t.Error(err)
 			}
-			if whole {
+			if complete {
 				_ = w.End()
 			}
 		})
-		c := dial(t, at)
+		c := dial(t, address)
 		write(t, c, "GET / HTTP/1.1\r\nHost: h\r\n\r\n")
-		_, body, err := readAnswer(t, bufio.NewReader(c))
-		if body != "data: a\n\n" || (err == nil) != whole {
-			t.Fatalf("ended %v: body %q, error %v", whole, body, err)
+		_, body, err := readResponse(t, bufio.NewReader(c))
+		if body != "data: a\n\n" || (err == nil) != complete {
+			t.Fatalf("complete %v: body %q, error %v", complete, body, err)
 		}
 	}
 }
 
-// A process is told to end. Requests that come on open connections are answered
-// and told that the connection closes; connections without a request are
-// closed only once the balancer has noticed.
-func TestDrainCutsNoRequest(t *testing.T) {
+// A drain must not abort a request in progress, and must close all connections in the
+// end.
+func TestDrainCompletesRequests(t *testing.T) {
 	release := make(chan struct{})
-	s, at := start(t, func(ctx context.Context, r *Request, w *Writer) {
+	s, address := start(t, func(ctx context.Context, r *Request, w *Writer) {
 		if r.Target == "/slow" {
 			<-release
 		}
 		echo(ctx, r, w)
 	})
-	idle, busy := dial(t, at), dial(t, at)
+	idle, busy := dial(t, address), dial(t, address)
 	idleReader := bufio.NewReader(idle)
 	write(t, idle, "GET /first HTTP/1.1\r\nHost: h\r\n\r\n")
-	if _, _, err := readAnswer(t, idleReader); err != nil {
+	if _, _, err := readResponse(t, idleReader); err != nil {
 		t.Fatal(err)
 	}
 	write(t, busy, "GET /slow HTTP/1.1\r\nHost: h\r\n\r\n")
@@ -277,11 +276,11 @@
 	s.Drain()
 	s.CloseIdle()
 	close(release)
-	if _, body, err := readAnswer(t, bufio.NewReader(busy)); err != nil || body != "GET /slow " {
-		t.Fatalf("the request in progress got %q, %v", body, err)
+	if _, body, err := readResponse(t, bufio.NewReader(busy)); err != nil || body != "GET /slow " {
+		t.Fatalf("response to the request in progress: %q, %v", body, err)
 	}
 	if _, err := idleReader.ReadByte(); !errors.Is(err, io.EOF) {
-		t.Fatalf("the idle connection: %v", err)
+		t.Fatalf("read from the idle connection: %v", err)
 	}
 	for range 100 {
 		if s.Open() == 0 {
@@ -289,30 +288,30 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("%d connections are left", s.Open())
+	t.Fatalf("%d connections are still open", s.Open())
 }
 
-// Whether a failed exchange may have run is told by where it failed. A guess that
-// a request hadn't arrived would have a guestbook entry written twice.
-func TestExchangeTellsWhetherItMayHaveRun(t *testing.T) {
+// A failed exchange may have the verdict notRun only if nothing was sent. Otherwise a
+// retry could run the request twice.
+func TestExchangeVerdicts(t *testing.T) {
 	closed, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	nobody := closed.Addr().String()
+	unused := closed.Addr().String()
 	_ = closed.Close()
 	_, silent := start(t, func(ctx context.Context, _ *Request, _ *Writer) {
 		<-ctx.Done()
 	})
-	_, cutting := start(t, func(context.Context, *Request, *Writer) {})
+	_, closing := start(t, func(context.Context, *Request, *Writer) {})
 	got := make(map[string]string)
-	for name, at := range map[string]string{
-		"nobody listens":    nobody,
+	for name, address := range map[string]string{
+		"nobody listens":    unused,
 		"no answer comes":   silent,
-		"closed unanswered": cutting,
+		"closed unanswered": closing,
 	} {
 		ctx, stop := context.WithTimeout(t.Context(), 100*time.Millisecond)
-		_, err := Begin(ctx, at, Sent{
+		_, err := Begin(ctx, address, Sent{
 			Method: http.MethodPost,
 			Target: "/",
 			Host:   "h",
@@ -332,9 +331,9 @@
 	}
 }
 
-// A server answers a long request before it has read all of it, and reads on
-// later. What it is sent must still be the body and nothing else.
-func TestAnswerBeforeTheBodyIsRead(t *testing.T) {
+// A server responds before it has read all of a large request. The rest of the body must
+// still be sent.
+func TestResponseBeforeBodyIsRead(t *testing.T) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/path/hingewire/writer.go
+++ b/internal/path/hingewire/writer.go
@@ -11,129 +11,129 @@
 	"github.com/rotisserie/eris"
 )
 
-// Writer writes the one answer of a request.
+// Writer writes the response to a request. It is not safe for concurrent use.
 type Writer struct {
 	conn   *conn
 	method string
-	http1  bool
-	// last says that the connection is closed after the answer.
-	last     bool
-	begun    bool
-	finished bool
-	chunks   io.WriteCloser
-	failed   error
+	http11 bool
+	// closeAfter is whether the connection is closed after the response.
+	closeAfter bool
+	started    bool
+	finished   bool
+	chunks     io.WriteCloser
+	err        error
 }
 
-// writeTime bounds a write to a caller that doesn't read. Callers give a silent
-// answer up after some seconds.
-const writeTime = 5 * time.Second
+// writeTimeout limits a write to a caller that doesn't read.
+const writeTimeout = 5 * time.Second
 
-// Begun reports whether any of the answer was written.
+// Begun reports whether a part of the response was written.
 func (w *Writer) Begun() bool {
-	return w.begun
+	return w.started
 }
 
-// Whole writes an answer with its whole body.
+// Whole writes a complete response. It does nothing if a response was already started.
 func (w *Writer) Whole(status int, h http.Header, body []byte) {
-	if w.begun {
+	if w.started {
 		return
 	}
-	w.begin(status, h)
+	w.startHead(status, h)
 	if bodyAllowed(status) {
-		w.field("Content-Length", strconv.Itoa(len(body)))
+		w.writeField("Content-Length", strconv.Itoa(len(body)))
 	}
 	w.endHead()
 	if w.method != http.MethodHead && bodyAllowed(status) {
 		_, err := w.conn.writer.Write(body)
-		w.note(err)
+		w.recordError(err)
 	}
 	w.flush()
-	w.finished = w.failed == nil
+	w.finished = w.err == nil
 }
 
 func bodyAllowed(status int) bool {
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// Begin writes the head of an answer whose body follows in parts.
+// Begin writes the head of a response whose body follows in parts. Its error, and those
+// of Part and End, is that of the first failed write.
 func (w *Writer) Begin(status int, h http.Header) error {
-	if !w.http1 {
-		// Only the end of the connection ends a body for such a caller.
-		w.last = true
+	if !w.http11 {
+		// HTTP/1.0 marks the end of such a body by closing the connection.
+		w.closeAfter = true
 	}
-	w.begin(status, h)
-	if w.http1 {
-		w.field("Transfer-Encoding", "chunked")
+	w.startHead(status, h)
+	if w.http11 {
+		w.writeField("Transfer-Encoding", "chunked")
 		w.chunks = httputil.NewChunkedWriter(w.conn.writer)
 	}
 	w.endHead()
 	w.flush()
-	return w.failed
+	return w.err
 }
 
-// Part writes a part of the body and sends it off.
+// Part writes a part of the body and flushes it.
 func (w *Writer) Part(b []byte) error {
 	if w.chunks != nil {
 		_, err := w.chunks.Write(b)
-		w.note(err)
+		w.recordError(err)
 	} else {
 		_, err := w.conn.writer.Write(b)
-		w.note(err)
+		w.recordError(err)
 	}
 	w.flush()
-	return w.failed
+	return w.err
 }
 
-// End ends a body that was written in parts as whole. Without it the
-// connection is closed and the caller sees that the answer was cut (rule 4).
+// End completes a body that was written in parts. Without it the connection is closed,
+// so that the caller notices the truncated response (rule 4).
 func (w *Writer) End() error {
 	if w.chunks != nil {
-		w.note(w.chunks.Close())
-		_, err := w.conn.writer.Write(lineEnd)
-		w.note(err)
+		w.recordError(w.chunks.Close())
+		_, err := w.conn.writer.Write(crlf)
+		w.recordError(err)
 	}
 	w.flush()
-	w.finished = w.failed == nil
-	return w.failed
+	w.finished = w.err == nil
+	return w.err
 }
 
-func (w *Writer) begin(status int, h http.Header) {
-	w.begun = true
-	_ = w.conn.raw.SetWriteDeadline(time.Now().Add(writeTime))
+func (w *Writer) startHead(status int, h http.Header) {
+	w.started = true
+	_ = w.conn.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
 	out := w.conn.writer
 	_, err := out.WriteString("HTTP/1.1 " + strconv.Itoa(status) + " " + http.StatusText(status) + "\r\n")
-	w.note(err)
-	w.note(writeHeader(out, h))
-	if w.last {
-		w.field("Connection", "close")
+	w.recordError(err)
+	w.recordError(writeHeader(out, h))
+	if w.closeAfter {
+		w.writeField("Connection", "close")
 	}
 }
 
-func (w *Writer) field(name, value string) {
+func (w *Writer) writeField(name, value string) {
 	_, err := w.conn.writer.WriteString(name + ": " + value + "\r\n")
-	w.note(err)
+	w.recordError(err)
 }
 
 func (w *Writer) endHead() {
-	_, err := w.conn.writer.Write(lineEnd)
-	w.note(err)
+	_, err := w.conn.writer.Write(crlf)
+	w.recordError(err)
 }
 
 func (w *Writer) flush() {
-	_ = w.conn.raw.SetWriteDeadline(time.Now().Add(writeTime))
-	w.note(w.conn.writer.Flush())
+	_ = w.conn.raw.SetWriteDeadline(time.Now().Add(writeTimeout))
+	w.recordError(w.conn.writer.Flush())
 }
 
-// note keeps the first failure; the caller is gone then.
-func (w *Writer) note(err error) {
-	if err != nil && w.failed == nil {
-		w.failed = eris.Wrap(err, "write to the caller")
+// recordError keeps the first error of a write.
+func (w *Writer) recordError(err error) {
+	if err != nil && w.err == nil {
+		w.err = eris.Wrap(err, "write response to caller")
 	}
 }
 
-// ofConnection are headers that concern one connection only, and those that the
-// writer of a message sets itself.
-var ofConnection = map[string]bool{
+// connectionHeaders has the hop-by-hop headers and those that are set when a message is
+// written.
+var connectionHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
 	"Proxy-Connection":    true,
@@ -147,7 +147,7 @@
 	"Expect":              true,
 }
 
-// writeHeader writes all headers but those of a connection.
+// writeHeader writes all headers except those in connectionHeaders.
 func writeHeader(out *bufio.Writer, h http.Header) error {
-	return h.WriteSubset(out, ofConnection)
+	return h.WriteSubset(out, connectionHeaders)
 }
