--- a/internal/path/hingeproxy/admit.go
+++ b/internal/path/hingeproxy/admit.go
@@ -13,78 +13,78 @@
 )
 
 const (
-	// newestTime bounds how long a host finds out whether its configuration is the newest: a round trip to a control
-	// host and one from there to the leader, at two hosts if the first is silent.
-	newestTime = 500 * time.Millisecond
-	// newestShare is the part of its time that a request may wait for that.
-	newestShare = 0.5
-	// unsureRetry is when a host that found nobody to ask is likely to find somebody: after an election.
-	unsureRetry = time.Second
+	// configCheckTimeout bounds the check whether this host has the newest configuration: a round trip to a control
+	// host and one from there to the leader, with a second control host if the first doesn't answer.
+	configCheckTimeout = 500 * time.Millisecond
+	// configCheckShare is the fraction of the caller's timeout that the check may use.
+	configCheckShare = 0.5
+	// staleConfigRetry is the Retry-After of a request whose denial could not be confirmed. It covers an election.
+	staleConfigRetry = time.Second
 )
 
-// admission is what a configuration says of a request.
+// admission is the result of looking up a request in a configuration.
 type admission struct {
 	table    *hingeroutes.Table
 	route    *hingeroutes.Route
 	customer *hingecustomers.Customer
-	// denied is why the request isn't taken, nil if it is.
-	denied *hingeverdict.Error
+	// denial is the error returned to the caller, nil if the request is admitted.
+	denial *hingeverdict.Error
 }
 
-// look looks a request up in a configuration (rule 7).
-func look(t *hingeroutes.Table, r *hingewire.Request, key hingecustomers.Key) admission {
+// lookUp finds the route and the customer of a request in a configuration (rule 7).
+func lookUp(t *hingeroutes.Table, r *hingewire.Request, key hingecustomers.Key) admission {
 	a := admission{
 		table: t,
 		route: t.Match(hostName(r.Host), pathOf(r.Target)),
 	}
 	if a.route == nil {
-		a.denied = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoRoute, 0, nil)
+		a.denial = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoRoute, 0, nil)
 		return a
 	}
 	if key != "" {
 		a.customer = t.Customers.Holder(key)
 	}
 	if a.customer == nil && t.Customers != nil && !a.route.Public {
-		a.denied = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0, nil)
+		a.denial = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0, nil)
 	}
 	return a
 }
 
-// admit tells whose request it is and where it goes, or why it is denied (rule 8). Hosts hear of a configuration within
-// milliseconds, or seconds if they are cut off or starting: to a caller whose key has just been added, a denial by such a
-// host would be final and wrong.
-func (p *Proxy) admit(ctx context.Context, r *hingewire.Request, asked Asked, t *hingeroutes.Table) admission {
-	a := look(t, r, asked.Key)
-	if a.denied == nil {
+// admit looks up a request and confirms a denial against the newest configuration (rule 8). Hosts receive a new
+// configuration within milliseconds, but seconds later if they are partitioned or starting; until then they would
+// wrongly deny a key that was just added.
+func (p *Proxy) admit(ctx context.Context, r *hingewire.Request, info Asked, t *hingeroutes.Table) admission {
+	a := lookUp(t, r, info.Key)
+	if a.denial == nil {
 		return a
 	}
-	wait := newestTime
-	if asked.Left > 0 {
-		wait = min(wait, time.Duration(newestShare*float64(asked.Left)))
+	wait := configCheckTimeout
+	if info.Left > 0 {
+		wait = min(wait, time.Duration(configCheckShare*float64(info.Left)))
 	}
-	one, stop := context.WithTimeout(ctx, wait)
+	checkCtx, stop := context.WithTimeout(ctx, wait)
 	defer stop()
-	if !p.world.Newest(one) {
-		a.denied = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, unsureRetry, a.denied)
+	if !p.view.Newest(checkCtx) {
+		a.denial = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, staleConfigRetry, a.denial)
 		return a
 	}
-	return look(p.world.Table(), r, asked.Key)
+	return lookUp(p.view.Table(), r, info.Key)
 }
 
-// deny tells a caller that its request isn't taken.
+// deny answers a request that the configuration denies, and records the denial.
 func (p *Proxy) deny(w *hingewire.Writer, id RequestID, err *hingeverdict.Error) {
-	p.refuse(w, id, err)
-	if told, ok := p.denials.take(p.settings.Clock()); ok {
+	p.writeError(w, id, err)
+	if count, ok := p.denials.allow(p.settings.Clock()); ok {
 		p.settings.Recorder.Record(p.settings.Clock(), hingeevents.RequestDenied, hingeevents.Fields{
 			Asked:  string(id),
-			Count:  told,
-			World:  p.world.Version(),
+			Count:  count,
+			World:  p.view.Version(),
 			Detail: err.Error(),
 		})
 	}
 }
 
-// statusOfDenial gives the status of what the configuration denies, zero for other errors.
+// statusOfDenial returns the HTTP status of a denial by the configuration, zero for other codes.
 func statusOfDenial(c hingeverdict.Code) int {
 	switch c {
 	case hingeverdict.CodeNoRoute:
--- a/internal/path/hingeproxy/answer.go
+++ b/internal/path/hingeproxy/answer.go
@@ -12,21 +12,21 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// refuse gives the answer to an error (rule 2).
-func (p *Proxy) refuse(w *hingewire.Writer, id RequestID, err *hingeverdict.Error) {
+// writeError writes the router's own answer to a request that failed or was refused (rule 2).
+func (p *Proxy) writeError(w *hingewire.Writer, id RequestID, err *hingeverdict.Error) {
 	status := statusOf(err)
 	h := p.dialect.Own(id)
 	if status == http.StatusServiceUnavailable || status == http.StatusTooManyRequests {
-		after := max(err.RetryAfter, shortestRetry)
-		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
+		retryAfter := max(err.RetryAfter, minRetryAfter)
+		h.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', 2, 64))
 	}
-	p.meter.ownAnswer(status)
+	p.meter.countOwnAnswer(status)
 	w.Whole(status, h, []byte(fmt.Sprintf("%v (%d)\n", err.Verdict, err.Code)))
 }
 
-// shortestRetry is told where nothing better is known: a replica that is
-// looked for is found, or restarted elsewhere, in about that time.
-const shortestRetry = 100 * time.Millisecond
+// minRetryAfter is the shortest Retry-After, used where no better estimate is known. A replica is placed again or
+// restarted in about that time.
+const minRetryAfter = 100 * time.Millisecond
 
 func statusOf(err *hingeverdict.Error) int {
 	if status := statusOfDenial(err.Code); status != 0 {
@@ -44,7 +44,7 @@
 	}
 }
 
-// verdictOf gives an error's verdict; one without may have run.
+// verdictOf returns the verdict of an error. An error without one counts as MayHaveRun.
 func verdictOf(err error) *hingeverdict.Error {
 	var v *hingeverdict.Error
 	if errors.As(err, &v) {
@@ -53,39 +53,39 @@
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, err)
 }
 
-// give ends a job that no server answered, and records why.
-func (p *Proxy) give(j *job, err *hingeverdict.Error) {
+// failRequest finishes a request that no server answered, and records the cause.
+func (p *Proxy) failRequest(j *job, err *hingeverdict.Error) {
 	e := *err
-	if j.ran != hingeverdict.NotRun {
-		e.Verdict = j.ran
+	if j.verdict != hingeverdict.NotRun {
+		e.Verdict = j.verdict
 	}
-	p.giveBack(j)
-	p.recordGivenUp(j, &e)
+	p.refundCharge(j)
+	p.recordFailure(j, &e)
 	if j.writer.Begun() {
-		// The connection is closed without the end of the answer.
+		// The connection is closed with the answer incomplete.
 		return
 	}
-	p.refuse(j.writer, j.asked.ID, &e)
+	p.writeError(j.writer, j.info.ID, &e)
 }
 
-func (p *Proxy) recordGivenUp(j *job, e *hingeverdict.Error) {
-	p.meter.customer(j.caller(), outcomeOfError(e))
+func (p *Proxy) recordFailure(j *job, e *hingeverdict.Error) {
+	p.meter.countRequest(j.caller(), outcomeOfError(e))
 	switch e.Code {
 	case hingeverdict.CodeOverQuota:
-		p.overQuota(j, e)
+		p.recordOverQuota(j, e)
 		return
 	case hingeverdict.CodePoison:
-		p.poisonRefused(j, e)
+		p.recordPoisonRefusal(j, e)
 		return
 	}
 	now := p.settings.Clock()
 	p.settings.Recorder.Record(now, hingeevents.RequestGivenUp, hingeevents.Fields{
-		Asked:  string(j.asked.ID),
+		Asked:  string(j.info.ID),
 		Caller: j.caller(),
 		Took:   now.Sub(j.Arrived),
 		Count:  int64(j.attempts),
 		Route:  j.route.Name,
-		World:  p.world.Version(),
+		World:  p.view.Version(),
 		Detail: e.Error(),
 	})
 }
--- a/internal/path/hingeproxy/bounded.go
+++ b/internal/path/hingeproxy/bounded.go
@@ -6,34 +6,34 @@
 )
 
 const (
-	// mostLines is how many lines a second of one kind are written on requests that callers send in vain. Whoever sends
-	// thousands with a wrong key, or beyond a quota, must not have the host spend its processor on lines.
-	mostLines = 10
-	lineSpan  = time.Second
+	// maxLogLines is the number of lines of one kind per logWindow. Clients that send thousands of requests with a
+	// wrong key or beyond a quota must not load the host with logging.
+	maxLogLines = 10
+	logWindow   = time.Second
 )
 
-// bounded bounds the lines of one kind; those left out are counted in the next one.
-type bounded struct {
-	mu    sync.Mutex
-	since time.Time
-	lines int
-	left  int64
+// logLimiter limits the log lines of one kind. Suppressed lines are counted in the next line that is written.
+type logLimiter struct {
+	mu          sync.Mutex
+	windowStart time.Time
+	written     int
+	suppressed  int64
 }
 
-// take reports whether a line is written, and for how many requests it stands.
-func (b *bounded) take(now time.Time) (int64, bool) {
+// allow reports whether a line may be written, and the number of requests that it represents.
+func (b *logLimiter) allow(now time.Time) (int64, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if now.Sub(b.since) >= lineSpan {
-		b.since = now
-		b.lines = 0
+	if now.Sub(b.windowStart) >= logWindow {
+		b.windowStart = now
+		b.written = 0
 	}
-	if b.lines >= mostLines {
-		b.left++
+	if b.written >= maxLogLines {
+		b.suppressed++
 		return 0, false
 	}
-	b.lines++
-	told := b.left + 1
-	b.left = 0
-	return told, true
+	b.written++
+	count := b.suppressed + 1
+	b.suppressed = 0
+	return count, true
 }
--- a/internal/path/hingeproxy/budget.go
+++ b/internal/path/hingeproxy/budget.go
@@ -6,37 +6,37 @@
 )
 
 const (
-	// ownShare is the part of the fleet's budget that hosts use: what is left covers a wrong count of
-	// hosts, processes that begin anew, and messages that cross.
-	ownShare = 0.75
-	// leastBurst lets every host repeat one stream, however many hosts there are: its
-	// prompt and its run arrive once more.
-	leastBurst = 2.0
+	// hostBudgetShare is the fraction of the fleet's budget that all hosts together use. The rest covers a wrong host
+	// count, restarted processes and concurrent updates.
+	hostBudgetShare = 0.75
+	// minBurst allows every host to move one stream, which costs a prefill message and a decode message, however many
+	// hosts there are.
+	minBurst = 2.0
 )
 
-// limits is this host's part of the budget. Hosts share the burst evenly and
-// each adds by its own requests, so that no host has to ask another.
-func (p *Proxy) limits() hingeretry.Limits {
-	hosts := float64(max(p.world.Entries(), 1))
+// budgetLimits returns this host's part of the retry budget. Hosts share the burst evenly and earn retries by their
+// own requests, so that they need no coordination.
+func (p *Proxy) budgetLimits() hingeretry.Limits {
+	hosts := float64(max(p.view.Entries(), 1))
 	return hingeretry.Limits{
-		PerRequest: ownShare * p.settings.Budget.PerRequest,
-		Burst:      max(ownShare*p.settings.Budget.Burst/hosts, leastBurst),
+		PerRequest: hostBudgetShare * p.settings.Budget.PerRequest,
+		Burst:      max(hostBudgetShare*p.settings.Budget.Burst/hosts, minBurst),
 	}
 }
 
-// budget gives the budget of a service. The caller holds the lock.
+// budget returns the retry budget of a service. The caller holds p.mu.
 func (p *Proxy) budget(s hingeids.Service) *hingeretry.Budget {
 	b := p.budgets[s]
 	if b == nil {
-		b = hingeretry.NewBudgetOf(p.settings.Clock(), p.limits())
+		b = hingeretry.NewBudgetOf(p.settings.Clock(), p.budgetLimits())
 		p.budgets[s] = b
 	}
-	b.SetLimits(p.limits())
+	b.SetLimits(p.budgetLimits())
 	return b
 }
 
-// request notes that a request came.
-func (p *Proxy) request(s hingeids.Service) {
+// recordRequest adds a new request to the budget of its service.
+func (p *Proxy) recordRequest(s hingeids.Service) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.budget(s).Request()
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -15,120 +15,120 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// ahead is a connection that is dialled while the prompt is worked: whether a
-// decode engine can be reached is known before its KV cache begins to lapse.
-type ahead struct {
-	dialled chan struct{}
-	stop    context.CancelFunc
-	x       *hingewire.Exchange
-	err     error
+// pendingDial is a connection to a decode engine that is dialled during the prefill, so that an unreachable engine is
+// known before the KV cache expires.
+type pendingDial struct {
+	done     chan struct{}
+	stop     context.CancelFunc
+	exchange *hingewire.Exchange
+	err      error
 }
 
-func (p *Proxy) dialAhead(ctx context.Context, address string) *ahead {
-	a := &ahead{
-		dialled: make(chan struct{}),
+func (p *Proxy) startDial(ctx context.Context, address string) *pendingDial {
+	a := &pendingDial{
+		done: make(chan struct{}),
 	}
-	var one context.Context
-	one, a.stop = context.WithCancel(ctx)
+	var dialCtx context.Context
+	dialCtx, a.stop = context.WithCancel(ctx)
 	if address == "" {
-		a.err = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, shortestRetry, nil)
-		close(a.dialled)
+		a.err = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, minRetryAfter, nil)
+		close(a.done)
 		return a
 	}
 	go func() {
-		defer close(a.dialled)
-		a.x, a.err = hingewire.Dial(one, address)
+		defer close(a.done)
+		a.exchange, a.err = hingewire.Dial(dialCtx, address)
 	}()
 	return a
 }
 
-// close ends the exchange, or the dialling.
-func (a *ahead) close() {
+// close cancels the dial, and closes the exchange if it was opened.
+func (a *pendingDial) close() {
 	a.stop()
 	go func() {
-		<-a.dialled
-		if a.x != nil {
-			a.x.Close()
+		<-a.done
+		if a.exchange != nil {
+			a.exchange.Close()
 		}
 	}()
 }
 
-// decode has an engine stream the answer, and passes it on.
-func (p *Proxy) decode(ctx context.Context, r *run, at placement, a *ahead, c Cache) *hingeverdict.Error {
-	defer a.close()
-	<-a.dialled
-	if a.err != nil {
-		return p.decodeFailed(ctx, r, verdictOf(a.err))
+// decode sends a stream to a decode engine and forwards its events to the caller.
+func (p *Proxy) decode(ctx context.Context, r *streamJob, placed placement, dial *pendingDial, cache Cache) *hingeverdict.Error {
+	defer dial.close()
+	<-dial.done
+	if dial.err != nil {
+		return p.decodeFailed(ctx, r, verdictOf(dial.err))
 	}
-	watch := p.watchSilence(r, a.stop)
-	defer watch.end()
+	watch := p.watchStall(r, dial.stop)
+	defer watch.cancel()
 	r.attempts++
-	r.arrivals++
+	r.messages++
 	r.sentAt = p.settings.Clock()
-	if err := a.x.Send(r.sent(p.dialect, Sending{
-		Server: at.Decode,
-		Left:   p.left(r.job),
-		From:   c,
-		After:  r.relay.last,
+	if err := dial.exchange.Send(r.message(p.dialect, Sending{
+		Server: placed.Decode,
+		Left:   p.remaining(r.job),
+		From:   cache,
+		After:  r.relay.lastID,
 	})); err != nil {
 		return p.decodeFailed(ctx, r, verdictOf(err))
 	}
-	reply := p.dialect.Reply(a.x.Answer)
-	if err := p.judge(r.job, a.x.Answer, reply); err != nil {
+	reply := p.dialect.Reply(dial.exchange.Answer)
+	if err := p.checkReply(r.job, dial.exchange.Answer, reply); err != nil {
 		return p.decodeFailed(ctx, r, verdictOf(err))
 	}
-	if a.x.Answer.StatusCode != http.StatusOK {
-		return p.passFailure(r, at.Decode, a.x)
+	if dial.exchange.Answer.StatusCode != http.StatusOK {
+		return p.forwardFailure(r, placed.Decode, dial.exchange)
 	}
-	// What an earlier engine made is part of the prompt at this one.
-	before := r.relay.events
-	err := r.relay.pass(a.x, r.writer, func(events int) {
-		watch.moved()
+	// Events of earlier engines are part of this engine's prompt and don't count as generated here.
+	priorEvents := r.relay.events
+	err := r.relay.forward(dial.exchange, r.writer, func(events int) {
+		watch.reset()
 		now := p.settings.Clock()
-		r.relay.passed(now)
-		if r.begunAt != at.Decode {
-			r.begunAt = at.Decode
-			at.stream.Note(at.Decode, hingefleet.Begun)
+		r.relay.recordEvent(now)
+		if r.streamingServer != placed.Decode {
+			r.streamingServer = placed.Decode
+			placed.stream.Note(placed.Decode, hingefleet.Begun)
 		}
 		if events == 1 {
 			p.settings.Recorder.Record(now, hingeevents.RequestFirstToken, hingeevents.Fields{
-				Asked:  string(r.asked.ID),
-				Server: at.Decode,
+				Asked:  string(r.info.ID),
+				Server: placed.Decode,
 				Took:   now.Sub(r.Arrived),
-				Detail: fmt.Sprintf("prefill took %d ms", r.read.Milliseconds()),
+				Detail: fmt.Sprintf("prefill took %d ms", r.prefillDuration.Milliseconds()),
 			})
 		}
-		at.stream.Made(hingeids.Tokens(events-before) * r.engine.EventTokens)
+		placed.stream.Made(hingeids.Tokens(events-priorEvents) * r.engine.EventTokens)
 	})
 	if err == nil {
-		r.note(hingeverdict.Ran)
+		r.recordVerdict(hingeverdict.Ran)
 		return nil
 	}
 	return p.decodeFailed(ctx, r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
 }
 
-// decodeFailed notes what a failed run may have done, and names the deadline where that ended it.
-func (p *Proxy) decodeFailed(ctx context.Context, r *run, err *hingeverdict.Error) *hingeverdict.Error {
-	r.note(err.Verdict)
+// decodeFailed records the verdict of a failed run, and sets the code to CodeDeadline if the deadline ended it.
+func (p *Proxy) decodeFailed(ctx context.Context, r *streamJob, err *hingeverdict.Error) *hingeverdict.Error {
+	r.recordVerdict(err.Verdict)
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		return hingeverdict.New(err.Verdict, hingeverdict.CodeDeadline, 0, err)
 	}
 	return err
 }
 
-// passFailure hands an engine's own failure on, as it is.
-func (p *Proxy) passFailure(r *run, id hingeids.ServerID, x *hingewire.Exchange) *hingeverdict.Error {
-	r.note(hingeverdict.Ran)
+// forwardFailure forwards the error response of an engine unchanged, unless the stream has begun or may be retried.
+func (p *Proxy) forwardFailure(r *streamJob, id hingeids.ServerID, x *hingewire.Exchange) *hingeverdict.Error {
+	r.recordVerdict(hingeverdict.Ran)
 	body, err := x.Body()
 	if err != nil {
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err)
 	}
-	if r.relay.begun || r.route.MayRepeat() && r.runs < r.route.Attempts {
+	if r.relay.headSent || r.route.MayRepeat() && r.runs < r.route.Attempts {
 		return hingeverdict.New(hingeverdict.Ran, hingeverdict.CodeServerFailed, 0,
-			eris.Errorf("the engine failed with status %d", x.Answer.StatusCode))
+			eris.Errorf("engine failed with status %d", x.Answer.StatusCode))
 	}
-	p.passed(r.job)
-	p.deliver(r.job, &whole{
+	p.reportCompletion(r.job)
+	p.deliver(r.job, &serverAnswer{
 		server:   id,
 		response: x.Answer,
 		body:     body,
--- a/internal/path/hingeproxy/ended.go
+++ b/internal/path/hingeproxy/ended.go
@@ -11,52 +11,53 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// ended looks whether a server that broke off a request has ended, and tells. One that was to end anyway says nothing.
-func (p *Proxy) ended(ctx context.Context, j *job, id hingeids.ServerID, address string, had time.Duration, err error) {
-	if address == "" || !hingewire.BrokeOff(err) || p.world.Gone(id) || !hingewire.Ended(ctx, address) {
+// reportCrash reports a crash if a server broke off a request and its address now refuses connections. Servers that
+// are already known to be removed are not reported.
+func (p *Proxy) reportCrash(ctx context.Context, j *job, id hingeids.ServerID, address string, held time.Duration, err error) {
+	if address == "" || !hingewire.BrokeOff(err) || p.view.Gone(id) || !hingewire.Ended(ctx, address) {
 		return
 	}
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.ServerEnded, hingeevents.Fields{
-		Asked:  string(j.asked.ID),
-		Print:  j.print,
+		Asked:  string(j.info.ID),
+		Print:  j.fingerprint,
 		Caller: j.caller(),
 		Server: id,
-		Took:   had,
+		Took:   held,
 		Route:  j.route.Name,
 	})
-	p.meter.ends.Inc()
+	p.meter.crashes.Inc()
 	e := hingepoison.End{
-		Print:   j.print,
+		Print:   j.fingerprint,
 		Server:  id,
 		Service: j.service,
 		Caller:  j.caller(),
-		Had:     had,
+		Had:     held,
 	}
-	j.ends = append(j.ends, e)
+	j.crashes = append(j.crashes, e)
 	p.owner.Ended(e)
 }
 
-// poisonRefused records a request that ends servers.
-func (p *Proxy) poisonRefused(j *job, err *hingeverdict.Error) {
-	p.meter.poisons.Inc()
+// recordPoisonRefusal records the refusal of a request that crashes servers.
+func (p *Proxy) recordPoisonRefusal(j *job, err *hingeverdict.Error) {
+	p.meter.poisonRefusals.Inc()
 	now := p.settings.Clock()
-	if told, ok := p.poisons.take(now); ok {
+	if count, ok := p.poisonRefusals.allow(now); ok {
 		p.settings.Recorder.Record(now, hingeevents.PoisonRefused, hingeevents.Fields{
-			Asked:  string(j.asked.ID),
-			Print:  j.print,
+			Asked:  string(j.info.ID),
+			Print:  j.fingerprint,
 			Caller: j.caller(),
 			Took:   err.RetryAfter,
-			Count:  told,
+			Count:  count,
 			Route:  j.route.Name,
-			World:  p.world.Version(),
+			World:  p.view.Version(),
 			Detail: err.Error(),
 		})
 	}
 }
 
-// passed tells that a suspected request was answered whole by a server.
-func (p *Proxy) passed(j *job) {
+// reportCompletion reports that a server has answered a suspected request in full.
+func (p *Proxy) reportCompletion(j *job) {
 	if j.suspect {
-		p.owner.Passed(j.print)
+		p.owner.Passed(j.fingerprint)
 	}
 }
--- a/internal/path/hingeproxy/ended_test.go
+++ b/internal/path/hingeproxy/ended_test.go
@@ -15,14 +15,14 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// recorded keeps the events of a number.
-type recorded struct {
+// eventRecorder collects the events with one number.
+type eventRecorder struct {
 	mu     sync.Mutex
 	events []hingeevents.Fields
 }
 
-func record(d *door, n hingeevents.Number) *recorded {
-	r := &recorded{}
+func recordEvents(d *testProxy, n hingeevents.Number) *eventRecorder {
+	r := &eventRecorder{}
 	d.proxy.settings.Recorder = hingeevents.NewRecorderTo(d.proxy.settings.Self, func(e hingeevents.Event) {
 		if e.Number == n {
 			r.mu.Lock()
@@ -33,7 +33,7 @@
 	return r
 }
 
-func (r *recorded) servers() []hingeids.ServerID {
+func (r *eventRecorder) servers() []hingeids.ServerID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []hingeids.ServerID
@@ -43,35 +43,35 @@
 	return out
 }
 
-// crash has a server end as it runs a request: its connection breaks, and its address takes none any more.
-func crash(s *standin) behaviour {
+// crash returns a responder that simulates a crash: the connection breaks off, and the address refuses new
+// connections.
+func crash(s *standin) responder {
 	return func(int, *http.Request, net.Conn) bool {
 		_ = s.listener.Close()
 		return true
 	}
 }
 
-// A link between zones flaps and cuts connections of servers that are well. To an operator this must not look like
-// servers that end, nor the other way round.
-func TestServerThatEndedIsToldFromAConnectionThatWasCut(t *testing.T) {
+// A connection that the network cut must not be reported as a crash of the server, and a crash must be reported.
+func TestCrashIsDistinguishedFromCutConnection(t *testing.T) {
 	a := newStandin(t, "app-1", 0, nil)
-	d := newDoor(t, a)
-	r := record(d, hingeevents.ServerEnded)
-	a.behave = cut
-	d.ask("/status/1")
+	d := newTestProxy(t, a)
+	r := recordEvents(d, hingeevents.ServerEnded)
+	a.respond = closeConnection
+	d.send("/status/1")
 	if got := r.servers(); len(got) != 0 {
-		t.Errorf("a cut connection is told as the end of %v", got)
+		t.Errorf("a cut connection is reported as a crash of %v", got)
 	}
-	a.behave = crash(a)
-	d.ask("/status/2")
+	a.respond = crash(a)
+	d.send("/status/2")
 	if diff := cmp.Diff([]hingeids.ServerID{"app-1"}, r.servers()); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A caller sends the same again under a new id, at another host, on another connection. Somebody else's request of the
-// same words is another one.
-func TestPrintIsOfWhatIsSentAgain(t *testing.T) {
+// A resend under a new id must have the fingerprint of the first attempt; a request with other content or of another
+// customer must not.
+func TestFingerprintIsStableAcrossResends(t *testing.T) {
 	request := func(change func(r *hingewire.Request)) *hingewire.Request {
 		r := &hingewire.Request{
 			Method: http.MethodPost,
@@ -86,7 +86,7 @@
 		return r
 	}
 	same := func(*hingewire.Request) {}
-	first := printOf(request(same), nil)
+	first := fingerprintOf(request(same), nil)
 	for name, c := range map[string]struct {
 		request  *hingewire.Request
 		customer *hingecustomers.Customer
@@ -112,7 +112,7 @@
 				r.Body = []byte("bodies")
 			}),
 		},
-		"a part moved over": {
+		"bytes moved from the body to the path": {
 			request: request(func(r *hingewire.Request) {
 				r.Target = "/dossier/7b"
 				r.Body = []byte("ody")
@@ -125,13 +125,13 @@
 			},
 		},
 	} {
-		if got := printOf(c.request, c.customer); (got == first) != c.equal || got == 0 {
-			t.Errorf("%s: print %v, the first has %v", name, got, first)
+		if got := fingerprintOf(c.request, c.customer); (got == first) != c.equal || got == 0 {
+			t.Errorf("%s: fingerprint %v, that of the first request %v", name, got, first)
 		}
 	}
 }
 
-func BenchmarkPrint(b *testing.B) {
+func BenchmarkFingerprint(b *testing.B) {
 	for name, size := range map[string]int{
 		"4KB":   4 << 10,
 		"200KB": 200 << 10,
@@ -145,7 +145,7 @@
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				printOf(r, nil)
+				fingerprintOf(r, nil)
 			}
 		})
 	}
--- a/internal/path/hingeproxy/meter.go
+++ b/internal/path/hingeproxy/meter.go
@@ -12,25 +12,25 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// mostNamed is how many customers a host counts by name: the first that it serves. Thousands of names at hundreds of hosts would
-// be more series than anybody keeps; the lines tell of each.
-const mostNamed = 50
+// maxNamedCustomers is the number of customers with a metric series of their own, the first that the host serves. It
+// bounds the series over all hosts; the event log names every customer.
+const maxNamedCustomers = 50
 
-// otherCustomers stands for the customers beyond mostNamed.
+// otherCustomers is the label of the customers beyond maxNamedCustomers.
 const otherCustomers hingeids.CallerID = "others"
 
-// outcome is what a customer's request got, as metrics name it.
+// outcome is the outcome of a customer's request, as a metric label.
 type outcome string
 
 const (
-	outcomeAnswered  outcome = "answered"
-	outcomeRefused   outcome = "refused"
-	outcomeOverQuota outcome = "overQuota"
-	outcomeFailed    outcome = "failed"
-	outcomeGone      outcome = "callerGone"
+	outcomeAnswered   outcome = "answered"
+	outcomeRefused    outcome = "refused"
+	outcomeOverQuota  outcome = "overQuota"
+	outcomeFailed     outcome = "failed"
+	outcomeCallerGone outcome = "callerGone"
 )
 
-// outcomeOfError is what a request got that was given up.
+// outcomeOfError returns the outcome of a request that failed with an error.
 func outcomeOfError(e *hingeverdict.Error) outcome {
 	switch {
 	case e.Verdict != hingeverdict.NotRun:
@@ -41,68 +41,69 @@
 	return outcomeRefused
 }
 
-// meter counts what callers got.
+// meter holds the proxy's metrics.
 type meter struct {
 	mu    sync.Mutex
 	named map[hingeids.CallerID]bool
 
-	set     *metrics.Set
-	plain   *metrics.Histogram
-	streams *metrics.Histogram
-	first   *metrics.Histogram
-	// poisons counts the requests refused because they end servers, ends the servers that ended under a request.
-	poisons *metrics.Counter
-	ends    *metrics.Counter
+	set               *metrics.Set
+	plainSeconds      *metrics.Histogram
+	streamSeconds     *metrics.Histogram
+	firstEventSeconds *metrics.Histogram
+	// poisonRefusals counts the requests refused because they crash servers; crashes counts the servers that crashed
+	// while they had a request.
+	poisonRefusals *metrics.Counter
+	crashes        *metrics.Counter
 }
 
 func newMeter() *meter {
 	s := metrics.NewSet()
 	return &meter{
-		named:   make(map[hingeids.CallerID]bool),
-		set:     s,
-		plain:   s.NewHistogram("swifthinge_plain_answer_seconds"),
-		streams: s.NewHistogram("swifthinge_stream_seconds"),
-		first:   s.NewHistogram("swifthinge_first_event_seconds"),
-		poisons: s.NewCounter("swifthinge_poison_refused_total"),
-		ends:    s.NewCounter("swifthinge_servers_ended_total"),
+		named:             make(map[hingeids.CallerID]bool),
+		set:               s,
+		plainSeconds:      s.NewHistogram("swifthinge_plain_answer_seconds"),
+		streamSeconds:     s.NewHistogram("swifthinge_stream_seconds"),
+		firstEventSeconds: s.NewHistogram("swifthinge_first_event_seconds"),
+		poisonRefusals:    s.NewCounter("swifthinge_poison_refused_total"),
+		crashes:           s.NewCounter("swifthinge_servers_ended_total"),
 	}
 }
 
-// customer counts a request of a customer, if it is one's.
-func (m *meter) customer(c hingeids.CallerID, o outcome) {
+// countRequest counts a request and its outcome for a customer. Requests without a customer are not counted.
+func (m *meter) countRequest(c hingeids.CallerID, o outcome) {
 	if c == "" {
 		return
 	}
 	m.set.GetOrCreateCounter(fmt.Sprintf("swifthinge_customer_requests_total{customer=%q,outcome=%q}", m.label(c), o)).Inc()
 }
 
-// label is the name that a customer is counted by.
+// label returns the value of a customer's metric label.
 func (m *meter) label(c hingeids.CallerID) hingeids.CallerID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if !m.named[c] && len(m.named) >= mostNamed {
+	if !m.named[c] && len(m.named) >= maxNamedCustomers {
 		return otherCustomers
 	}
 	m.named[c] = true
 	return c
 }
 
-func (m *meter) ownAnswer(status int) {
+func (m *meter) countOwnAnswer(status int) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`swifthinge_own_answers_total{status="%d"}`, status)).Inc()
 }
 
-func (m *meter) answered(status int, took time.Duration) {
+func (m *meter) countAnswer(status int, elapsed time.Duration) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`swifthinge_answers_total{status="%d"}`, status)).Inc()
-	m.plain.Update(took.Seconds())
+	m.plainSeconds.Update(elapsed.Seconds())
 }
 
-func (m *meter) streamed(took, first time.Duration) {
+func (m *meter) countStream(elapsed, firstEvent time.Duration) {
 	m.set.GetOrCreateCounter("swifthinge_streams_total").Inc()
-	m.streams.Update(took.Seconds())
-	m.first.Update(first.Seconds())
+	m.streamSeconds.Update(elapsed.Seconds())
+	m.firstEventSeconds.Update(firstEvent.Seconds())
 }
 
-// WriteMetrics writes the proxy's metrics as text.
+// WriteMetrics writes the proxy's metrics in the Prometheus text format.
 func (p *Proxy) WriteMetrics(w io.Writer) {
 	p.meter.set.WritePrometheus(w)
 }
--- a/internal/path/hingeproxy/plain.go
+++ b/internal/path/hingeproxy/plain.go
@@ -18,194 +18,193 @@
 )
 
 const (
-	// mostUnreached bounds the replicas that are dialled in vain for one
-	// request: it hasn't arrived anywhere, so this costs time only.
-	mostUnreached = 4
-	// patienceShare is the share of its time that a request that may be repeated
-	// waits for one replica, while another attempt is allowed: a dark
-	// replica would otherwise use up the time of both.
-	patienceShare = 0.4
-	// leastPatience keeps a slow moment from being taken for a failure.
-	leastPatience = 150 * time.Millisecond
+	// maxConnectFailures bounds the unreachable replicas that are dialled for one request. They cost time only, since
+	// the request was not sent.
+	maxConnectFailures = 4
+	// attemptShare is the fraction of its remaining time that a repeatable request waits for one replica while
+	// another attempt is allowed, so that an unresponsive replica leaves time for the next one.
+	attemptShare = 0.4
+	// minAttemptTime is the lower bound of an attempt's timeout, so that a short delay doesn't count as a failure.
+	minAttemptTime = 150 * time.Millisecond
 )
 
-// whole is an answer of a backend server with its body.
-type whole struct {
+// serverAnswer is an answer of a backend server, with its whole body.
+type serverAnswer struct {
 	server   hingeids.ServerID
 	response *http.Response
 	reply    Reply
 	body     []byte
 }
 
-// plain answers a request of a plain service.
-func (p *Proxy) plain(ctx context.Context, j *job) {
+// servePlain serves a request that is answered as a whole, with retries on other replicas.
+func (p *Proxy) servePlain(ctx context.Context, j *job) {
 	var avoid []hingeids.ServerID
-	var failure *whole
-	unreached := 0
+	var failure *serverAnswer
+	connectFailures := 0
 	for {
-		call, placement := p.choose(ctx, j, avoid)
+		call, placement := p.placeCall(ctx, j, avoid)
 		if context.Cause(ctx) == hingewire.ErrCallerLeft {
-			p.callerLeft(j)
+			p.recordCallerGone(j)
 			return
 		}
 		if placement.Server == "" {
-			after := max(placement.RetryAfter, shortestRetry)
-			code := codeOf(placement.Cause, hingeverdict.CodeNoServer)
-			p.end(j, failure, hingeverdict.New(hingeverdict.NotRun, code, after, nil))
+			retryAfter := max(placement.RetryAfter, minRetryAfter)
+			code := refusalCode(placement.Cause, hingeverdict.CodeNoServer)
+			p.finish(j, failure, hingeverdict.New(hingeverdict.NotRun, code, retryAfter, nil))
 			return
 		}
 		avoid = append(avoid, placement.Server)
-		answer, outcome, err := p.try(ctx, j, call, placement)
+		answer, outcome, err := p.tryReplica(ctx, j, call, placement)
 		if context.Cause(ctx) == hingewire.ErrCallerLeft {
-			p.callerLeft(j)
+			p.recordCallerGone(j)
 			return
 		}
 		if err == nil {
-			p.passed(j)
+			p.reportCompletion(j)
 		}
-		if err == nil && !p.worthRepeating(j, answer) {
+		if err == nil && !p.mayRetry(j, answer) {
 			p.deliver(j, answer)
 			return
 		}
-		if outcome == hingebalance.Unreached && unreached < mostUnreached {
-			unreached++
+		if outcome == hingebalance.Unreached && connectFailures < maxConnectFailures {
+			connectFailures++
 			continue
 		}
 		if answer != nil {
 			failure = answer
 		}
-		if !p.again(j, verdictOf(err)) {
-			p.end(j, failure, verdictOf(err))
+		if !p.allowRetry(j, verdictOf(err)) {
+			p.finish(j, failure, verdictOf(err))
 			return
 		}
 	}
 }
 
-// end gives the caller a server's own failure, if there was one, or else what went wrong.
-func (p *Proxy) end(j *job, failure *whole, err *hingeverdict.Error) {
+// finish forwards the last error response of a server, if there was one, or else fails the request with err.
+func (p *Proxy) finish(j *job, failure *serverAnswer, err *hingeverdict.Error) {
 	if failure != nil {
 		p.deliver(j, failure)
 		return
 	}
-	p.give(j, err)
+	p.failRequest(j, err)
 }
 
-// callerLeft records that the caller is gone.
-func (p *Proxy) callerLeft(j *job) {
-	p.giveBack(j)
-	p.meter.customer(j.caller(), outcomeGone)
+// recordCallerGone records that the caller disconnected before its answer.
+func (p *Proxy) recordCallerGone(j *job) {
+	p.refundCharge(j)
+	p.meter.countRequest(j.caller(), outcomeCallerGone)
 	now := p.settings.Clock()
 	p.settings.Recorder.Record(now, hingeevents.CallerGone, hingeevents.Fields{
-		Asked:  string(j.asked.ID),
+		Asked:  string(j.info.ID),
 		Caller: j.caller(),
 		Took:   now.Sub(j.Arrived),
 		Route:  j.route.Name,
 	})
 }
 
-// choose asks for a replica. The call's id stands for the attempt at it.
-func (p *Proxy) choose(
+// placeCall requests a replica from the placer. The returned id identifies this attempt.
+func (p *Proxy) placeCall(
 	ctx context.Context, j *job, avoid []hingeids.ServerID,
 ) (hingequeue.CallID, hingeplacer.CallPlacement) {
 	now := p.settings.Clock()
 	id := hingequeue.CallID(p.nextID())
-	// Without a target any answer before the deadline is in time.
-	inTime := p.left(j)
+	// Without a latency target, any answer before the deadline is in time.
+	timeToTarget := p.remaining(j)
 	if j.route.Target > 0 {
-		inTime = max(j.Arrived.Add(j.route.Target).Sub(now), 0)
+		timeToTarget = max(j.Arrived.Add(j.route.Target).Sub(now), 0)
 	}
 	placed := p.owner.PlaceCall(ctx, hingeplacer.Call{
 		Service:  j.service,
 		ID:       id,
 		Zone:     p.settings.Zone,
-		InTime:   inTime,
-		Left:     p.left(j),
-		Patience: j.asked.Left,
+		InTime:   timeToTarget,
+		Left:     p.remaining(j),
+		Patience: j.info.Left,
 		Avoid:    avoid,
-		Charge:   j.due(),
+		Charge:   j.pendingCharge(),
 		Priority: j.priority(),
-		Print:    j.print,
-		Ends:     j.ends,
+		Print:    j.fingerprint,
+		Ends:     j.crashes,
 	})
 	j.suspect = placed.Suspect
-	j.counted = j.counted || placed.Server != ""
+	j.charged = j.charged || placed.Server != ""
 	return id, placed
 }
 
-// try sends a request to a replica and tells how it went to whoever chose that.
-func (p *Proxy) try(
+// tryReplica sends a request to its replica and reports the outcome to the placer.
+func (p *Proxy) tryReplica(
 	ctx context.Context, j *job, id hingequeue.CallID, c hingeplacer.CallPlacement,
-) (*whole, hingebalance.Outcome, error) {
-	began := p.settings.Clock()
-	one, stop := p.patience(ctx, j)
+) (*serverAnswer, hingebalance.Outcome, error) {
+	start := p.settings.Clock()
+	attemptCtx, stop := p.attemptContext(ctx, j)
 	defer stop()
-	answer, err := p.exchange(one, j, c)
-	took := p.settings.Clock().Sub(began)
+	answer, err := p.exchange(attemptCtx, j, c)
+	elapsed := p.settings.Clock().Sub(start)
 	outcome := outcomeOf(answer, err)
 	if context.Cause(ctx) == hingewire.ErrCallerLeft {
-		// The caller's leaving says nothing of the replica.
+		// A disconnected caller is no evidence about the replica.
 		outcome = hingebalance.Unknown
 	}
 	p.owner.EndCall(j.service, c, hingequeue.End{
 		ID:      id,
 		Server:  c.Server,
 		Outcome: outcome,
-		Took:    took,
+		Took:    elapsed,
 		Zone:    p.settings.Zone,
 	})
 	if outcome != hingebalance.Unreached {
 		j.attempts++
-		j.arrivals++
+		j.messages++
 	}
 	if err != nil {
-		j.note(verdictOf(err).Verdict)
+		j.recordVerdict(verdictOf(err).Verdict)
 		p.settings.Recorder.Record(p.settings.Clock(), hingeevents.ServerFailedRequest, hingeevents.Fields{
-			Asked:  string(j.asked.ID),
-			Print:  j.print,
+			Asked:  string(j.info.ID),
+			Print:  j.fingerprint,
 			Server: c.Server,
-			Took:   took,
+			Took:   elapsed,
 			Detail: err.Error(),
 		})
-		p.ended(ctx, j, c.Server, c.Address, took, err)
+		p.reportCrash(ctx, j, c.Server, c.Address, elapsed, err)
 		return nil, outcome, err
 	}
-	j.note(hingeverdict.Ran)
+	j.recordVerdict(hingeverdict.Ran)
 	return answer, outcome, nil
 }
 
-// patience bounds one attempt while another is allowed.
-func (p *Proxy) patience(ctx context.Context, j *job) (context.Context, context.CancelFunc) {
-	left := p.left(j)
+// attemptContext limits one attempt to a part of the remaining time while another attempt is allowed.
+func (p *Proxy) attemptContext(ctx context.Context, j *job) (context.Context, context.CancelFunc) {
+	limit := p.remaining(j)
 	if j.route.MayRepeat() && j.runs+1 < j.route.Attempts {
-		left = min(left, max(time.Duration(patienceShare*float64(left)), leastPatience))
+		limit = min(limit, max(time.Duration(attemptShare*float64(limit)), minAttemptTime))
 	}
-	return context.WithTimeout(ctx, left)
+	return context.WithTimeout(ctx, limit)
 }
 
-// exchange has one replica answer. The error carries the verdict.
-func (p *Proxy) exchange(ctx context.Context, j *job, c hingeplacer.CallPlacement) (*whole, error) {
+// exchange sends a request to one replica and reads its whole answer. The error carries the verdict.
+func (p *Proxy) exchange(ctx context.Context, j *job, c hingeplacer.CallPlacement) (*serverAnswer, error) {
 	address := p.addressOf(c.Server, c.Address)
 	if address == "" {
-		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, 0, eris.New("the server takes no more work"))
+		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, 0, eris.New("server no longer accepts requests"))
 	}
-	x, err := hingewire.Begin(ctx, address, j.sent(p.dialect, Sending{
+	x, err := hingewire.Begin(ctx, address, j.message(p.dialect, Sending{
 		Server: c.Server,
-		Left:   p.left(j),
-		After:  j.asked.After,
+		Left:   p.remaining(j),
+		After:  j.info.After,
 	}))
 	if err != nil {
-		return nil, p.inTime(j, err)
+		return nil, p.deadlineError(j, err)
 	}
 	defer x.Close()
 	reply := p.dialect.Reply(x.Answer)
-	if err := p.judge(j, x.Answer, reply); err != nil {
+	if err := p.checkReply(j, x.Answer, reply); err != nil {
 		return nil, err
 	}
 	body, err := x.Body()
 	if err != nil {
-		return nil, p.inTime(j, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
+		return nil, p.deadlineError(j, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
 	}
-	return &whole{
+	return &serverAnswer{
 		server:   c.Server,
 		response: x.Answer,
 		reply:    reply,
@@ -213,42 +212,42 @@
 	}, nil
 }
 
-// inTime names the deadline as the cause where it ended an attempt.
-func (p *Proxy) inTime(j *job, err error) error {
-	if p.left(j) > 0 {
+// deadlineError sets the code of an attempt's error to CodeDeadline if the request's deadline has passed.
+func (p *Proxy) deadlineError(j *job, err error) error {
+	if p.remaining(j) > 0 {
 		return err
 	}
 	return hingeverdict.New(hingeverdict.Of(err), hingeverdict.CodeDeadline, 0, err)
 }
 
-// judge tells an answer that may go on from one that may not.
-func (p *Proxy) judge(j *job, a *http.Response, r Reply) error {
+// checkReply returns an error if an answer must not be forwarded to the caller.
+func (p *Proxy) checkReply(j *job, a *http.Response, r Reply) error {
 	switch {
-	case r.ID != "" && r.ID != j.asked.ID:
+	case r.ID != "" && r.ID != j.info.ID:
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
-			eris.Errorf("the answer is for request %q", r.ID))
+			eris.Errorf("answer belongs to request %q", r.ID))
 	case r.Gone:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerGone, 0,
-			eris.New("another server has the address"))
+			eris.New("address belongs to another server"))
 	case r.NotRun:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerRefused, 0,
-			eris.Errorf("the server refused with status %d", a.StatusCode))
-	case promises(a.StatusCode):
-		// Without the server's word the promise of this status would be ours.
+			eris.Errorf("server refused the request with status %d", a.StatusCode))
+	case impliesNotRun(a.StatusCode):
+		// Forwarded without the server's confirmation, this status would state falsely that nothing ran.
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0,
-			eris.Errorf("status %d without the word that nothing ran", a.StatusCode))
+			eris.Errorf("status %d without confirmation that the request did not run", a.StatusCode))
 	case a.StatusCode < 300 && !r.Vouched:
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
-			eris.New("a success without the server's mark"))
+			eris.New("successful answer without the server's seal"))
 	case a.Header.Get("Content-Encoding") != "":
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
-			eris.New("an encoded body that nobody asked for"))
+			eris.New("answer has a Content-Encoding that was not requested"))
 	}
 	return nil
 }
 
-// promises reports whether a status tells callers that nothing has run.
-func promises(status int) bool {
+// impliesNotRun reports whether callers take a status to mean that the request did not run.
+func impliesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests,
 		http.StatusServiceUnavailable:
@@ -257,7 +256,7 @@
 	return false
 }
 
-func outcomeOf(a *whole, err error) hingebalance.Outcome {
+func outcomeOf(a *serverAnswer, err error) hingebalance.Outcome {
 	if err == nil {
 		if a.response.StatusCode >= http.StatusInternalServerError {
 			return hingebalance.Failed
@@ -277,26 +276,26 @@
 	return hingebalance.Unreached
 }
 
-// deliver hands a server's answer to the caller.
-func (p *Proxy) deliver(j *job, a *whole) {
+// deliver forwards a server's answer to the caller, and records it.
+func (p *Proxy) deliver(j *job, a *serverAnswer) {
 	now := p.settings.Clock()
-	p.meter.answered(a.response.StatusCode, now.Sub(j.Arrived))
-	p.meter.customer(j.caller(), outcomeAnswered)
+	p.meter.countAnswer(a.response.StatusCode, now.Sub(j.Arrived))
+	p.meter.countRequest(j.caller(), outcomeAnswered)
 	p.settings.Recorder.Record(now, hingeevents.ServiceCalled, hingeevents.Fields{
-		Asked:  string(j.asked.ID),
+		Asked:  string(j.info.ID),
 		Caller: j.caller(),
 		Server: a.server,
 		Took:   now.Sub(j.Arrived),
 		Count:  int64(a.response.StatusCode),
 		Route:  j.route.Name,
-		World:  p.world.Version(),
-		Late:   j.late(now),
+		World:  p.view.Version(),
+		Late:   j.lateReason(now),
 	})
 	j.writer.Whole(a.response.StatusCode, a.response.Header, a.body)
 }
 
-// late is what made a plain answer late, empty if nothing did.
-func (j *job) late(now time.Time) string {
+// lateReason returns why an answer counts as late, empty if it is on time.
+func (j *job) lateReason(now time.Time) string {
 	if now.Sub(j.Arrived) > j.route.Target {
 		return "answer"
 	}
--- a/internal/path/hingeproxy/poison_test.go
+++ b/internal/path/hingeproxy/poison_test.go
@@ -13,58 +13,58 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingefleet"
 )
 
-// crashing is a server that ends when it runs a request whose path has poison in it, and is back at once under another
-// name. Ended counts the ends.
-func crashing(t *testing.T, id hingeids.ServerID, kind hingefleet.Role, w func() *world, ended *atomic.Int32) *standin {
+// crashingServer returns a server that crashes on requests whose path contains "poison", and is replaced at once by a
+// server with another id. It counts the crashes.
+func crashingServer(t *testing.T, id hingeids.ServerID, role hingefleet.Role, fleet func() *cluster, crashes *atomic.Int32) *standin {
 	t.Helper()
-	s := newStandin(t, id, kind, nil)
-	s.behave = func(_ int, q *http.Request, c net.Conn) bool {
+	s := newStandin(t, id, role, nil)
+	s.respond = func(_ int, q *http.Request, c net.Conn) bool {
 		if !strings.Contains(q.URL.Path, "poison") || q.Header.Get("Prefill") != "" {
 			return false
 		}
-		if kind == hingefleet.Decode {
+		if role == hingefleet.Decode {
 			beginStream(c, q)
-			events(c, from(q), 1, false)
+			events(c, firstRequested(q), 1, false)
 		}
 		_ = s.listener.Close()
-		n := ended.Add(1)
-		w().replace(s, crashing(t, hingeids.ServerID(fmt.Sprint(id, ".", n)), kind, w, ended))
+		n := crashes.Add(1)
+		fleet().replace(s, crashingServer(t, hingeids.ServerID(fmt.Sprint(id, ".", n)), role, fleet, crashes))
 		return true
 	}
 	return s
 }
 
-// One request ends each server that runs it, and its caller sends it again and again under new ids, at whatever entry host. Every
-// server ends, one after the other, with all that others have there: each host sees a new request each time.
-func TestRequestThatEndsServersIsStoppedOverAllHosts(t *testing.T) {
+// A request that crashes every server that runs it, and is resent under new ids to different entry hosts, must be
+// stopped before it crashes more than a few servers.
+func TestPoisonRequestIsStoppedAcrossHosts(t *testing.T) {
 	for _, target := range []string{"/dossier/poison", "/health/poison", "/lookup/poison", "/status/poison"} {
 		t.Run(target, func(t *testing.T) {
-			var doors []*door
-			var ended atomic.Int32
-			w := func() *world {
-				return doors[0].world
+			var proxies []*testProxy
+			var crashes atomic.Int32
+			w := func() *cluster {
+				return proxies[0].cluster
 			}
-			doors = newDoors(t, 3,
+			proxies = newTestProxies(t, 3,
 				newStandin(t, "prefill-1", hingefleet.Prefill, nil),
-				crashing(t, "decode-1", hingefleet.Decode, w, &ended),
-				crashing(t, "decode-2", hingefleet.Decode, w, &ended),
-				crashing(t, "decode-3", hingefleet.Decode, w, &ended),
-				crashing(t, "app-1", 0, w, &ended),
-				crashing(t, "app-2", 0, w, &ended),
+				crashingServer(t, "decode-1", hingefleet.Decode, w, &crashes),
+				crashingServer(t, "decode-2", hingefleet.Decode, w, &crashes),
+				crashingServer(t, "decode-3", hingefleet.Decode, w, &crashes),
+				crashingServer(t, "app-1", 0, w, &crashes),
+				crashingServer(t, "app-2", 0, w, &crashes),
 			)
-			var last got
+			var last result
 			for i := range 12 {
-				last = doors[i%len(doors)].ask(target)
+				last = proxies[i%len(proxies)].send(target)
 				time.Sleep(50 * time.Millisecond)
 			}
-			if n := ended.Load(); n > 3 {
-				t.Errorf("%d servers ended, 3 are enough to know", n)
+			if n := crashes.Load(); n > 3 {
+				t.Errorf("%d servers crashed, want at most 3", n)
 			}
 			if last.Status != http.StatusServiceUnavailable || !last.RetryAfter {
-				t.Errorf("its caller gets %+v, want 503 with a time to come back", last)
+				t.Errorf("the caller gets %+v, want 503 with a Retry-After", last)
 			}
 			for _, other := range []string{"/dossier/7", "/lookup/7"} {
-				if g := doors[1].ask(other); g.Status != http.StatusOK || !g.Whole {
+				if g := proxies[1].send(other); g.Status != http.StatusOK || !g.Whole {
 					t.Errorf("another request gets %+v", g)
 				}
 			}
--- a/internal/path/hingeproxy/prefill.go
+++ b/internal/path/hingeproxy/prefill.go
@@ -12,22 +12,22 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// prefill has an engine work the prompt.
-func (p *Proxy) prefill(ctx context.Context, r *run, id hingeids.ServerID, address string) (Cache, *hingeverdict.Error) {
+// prefill sends a request to a prefill engine and returns the KV cache that the engine exports.
+func (p *Proxy) prefill(ctx context.Context, r *streamJob, id hingeids.ServerID, address string) (Cache, *hingeverdict.Error) {
 	if address == "" {
-		return Cache{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, shortestRetry, nil)
+		return Cache{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, minRetryAfter, nil)
 	}
-	one, stop := context.WithTimeout(ctx, prefillTime)
+	prefillCtx, stop := context.WithTimeout(ctx, prefillTimeout)
 	defer stop()
 	r.sentAt = p.settings.Clock()
-	x, err := hingewire.Begin(one, address, r.sent(p.dialect, Sending{
+	x, err := hingewire.Begin(prefillCtx, address, r.message(p.dialect, Sending{
 		Server:  id,
-		Left:    p.left(r.job),
+		Left:    p.remaining(r.job),
 		Prefill: true,
-		After:   r.relay.last,
+		After:   r.relay.lastID,
 	}))
 	if err == nil || verdictOf(err).Verdict != hingeverdict.NotRun {
-		r.arrivals++
+		r.messages++
 	}
 	if err != nil {
 		return Cache{}, notRun(verdictOf(err).Code, err)
@@ -35,11 +35,11 @@
 	defer x.Close()
 	reply := p.dialect.Reply(x.Answer)
 	if reply.Gone {
-		return Cache{}, notRun(hingeverdict.CodeServerGone, eris.New("another server has the address"))
+		return Cache{}, notRun(hingeverdict.CodeServerGone, eris.New("address belongs to another server"))
 	}
-	if x.Answer.StatusCode != http.StatusOK || reply.ID != "" && reply.ID != r.asked.ID {
+	if x.Answer.StatusCode != http.StatusOK || reply.ID != "" && reply.ID != r.info.ID {
 		return Cache{}, notRun(hingeverdict.CodeServerRefused,
-			eris.Errorf("prefill was answered with status %d", x.Answer.StatusCode))
+			eris.Errorf("prefill returned status %d", x.Answer.StatusCode))
 	}
 	body, err := x.Body()
 	if err != nil {
@@ -52,17 +52,17 @@
 	return cache, nil
 }
 
-// notRun makes the error of a prefill: it produces no part of an answer, so the
-// request itself has not run, whatever became of it.
+// notRun returns the error of a failed prefill. A prefill generates no part of an answer, so the request has not run,
+// whatever the failure.
 func notRun(code hingeverdict.Code, cause error) *hingeverdict.Error {
-	return hingeverdict.New(hingeverdict.NotRun, code, shortestRetry, cause)
+	return hingeverdict.New(hingeverdict.NotRun, code, minRetryAfter, cause)
 }
 
-// free gives an exported KV cache back (rule 5). The caller may be gone, so it has a
-// context of its own.
-func (p *Proxy) free(c Cache) {
+// releaseCache frees an exported KV cache in the background (rule 5). It has its own context, since the caller may
+// have disconnected.
+func (p *Proxy) releaseCache(c Cache) {
 	go func() {
-		ctx, stop := context.WithTimeout(context.Background(), freeTime)
+		ctx, stop := context.WithTimeout(context.Background(), freeTimeout)
 		defer stop()
 		method, path := p.dialect.Free(c)
 		x, err := hingewire.Begin(ctx, c.Address, hingewire.Sent{
@@ -72,7 +72,7 @@
 			Header: http.Header{},
 		})
 		if err != nil {
-			// It lapses within half a second.
+			// The engine frees the KV cache itself after its retention time.
 			p.settings.Recorder.Record(p.settings.Clock(), hingeevents.CancelUnanswered, hingeevents.Fields{
 				Detail: err.Error(),
 			})
--- a/internal/path/hingeproxy/print.go
+++ b/internal/path/hingeproxy/print.go
@@ -7,8 +7,8 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// printOf gives the print of a request, of nothing that is made anew for each attempt.
-func printOf(r *hingewire.Request, c *hingecustomers.Customer) hingeids.Print {
+// fingerprintOf returns the fingerprint of a request. It covers only what is the same in every resend.
+func fingerprintOf(r *hingewire.Request, c *hingecustomers.Customer) hingeids.Print {
 	name := ""
 	if c != nil {
 		name = string(c.Name)
--- a/internal/path/hingeproxy/proxy.go
+++ b/internal/path/hingeproxy/proxy.go
@@ -1,22 +1,20 @@
-// Package hingeproxy is the front door for opaque requests: it routes by host
-// name and path and hands body, path and query on byte for byte. What it needs of the headers
-// comes as typed values from a Dialect.
+// Package hingeproxy is the entry point for opaque requests: it routes by host name and path, and forwards body, path
+// and query byte for byte. A Dialect translates the headers to and from typed values.
 //
-//  1. A request is answered once. Whether it may be sent again is told by the
-//     verdict on each attempt, never by a guess (hingeretry).
-//  2. A status that promises "not run" is given only if no attempt can have run.
-//  3. An answer of a backend server goes on unchanged, with its whole body, or not at all.
-//  4. A stream passes whole events on, each once and in order. When its engine
-//     breaks off, another goes on after the last event that was passed on, if the route
-//     allows it; otherwise the connection is closed without its end.
-//  5. When the caller leaves, everything that is done for it ends: the wait, the
-//     prefill, the KV cache that was exported, the run.
-//  6. What can't be served is refused at once, with a time to come back.
-//  7. A request needs the key of a customer, where the configuration has customers and its route isn't public. The key
-//     never goes on; whose request it is is told to the server by the router alone.
-//  8. That a route or a key isn't known is final for a caller, who doesn't ask again. It is said only if the configuration
-//     in force here is known to be the newest; until then the caller is told to come back.
-//  9. Whoever places is told of each server that ended while it had a request, and says which requests end servers: they don't run.
+//  1. A request is answered once. Whether it may be sent again depends on the verdict of each attempt (hingeretry).
+//  2. A status that means "not run" is returned only if no attempt can have run.
+//  3. An answer of a backend server is forwarded unchanged and with its whole body, or not at all.
+//  4. A stream forwards whole events, each once and in order. When its engine fails, another engine resumes after the
+//     last forwarded event, if the route allows it; otherwise the connection is closed with the answer incomplete.
+//  5. When the caller disconnects, all work for it is cancelled: queueing, the prefill, the exported KV cache and the
+//     decode.
+//  6. A request that can't be served is refused at once, with a Retry-After.
+//  7. If the configuration has customers, a request needs the key of a customer unless its route is public. The key is
+//     never forwarded; the router alone tells the server which customer has sent the request.
+//  8. An unknown route or key is a final error, which callers don't retry. It is returned only if the configuration
+//     on this host is known to be the newest; until then the request is refused with a Retry-After.
+//  9. Each crash of a server that had a request is reported to the placer, which decides which requests crash servers.
+//     These are refused.
 package hingeproxy
 
 import (
@@ -40,228 +38,230 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// RequestID is the caller's own id of one attempt.
+// RequestID is the id that the caller gives to one attempt.
 type RequestID string
 
-// Asked is what a request's headers say.
+// Asked holds the values of a request's headers.
 type Asked struct {
 	ID RequestID
-	// Left is how long the caller waits; zero if it doesn't say.
+	// Left is the caller's timeout, zero if unknown.
 	Left  time.Duration
 	Model hingeids.Model
-	// Prompt and Longest are the tokens of the prompt and the most of the answer; Hint
-	// is the caller's estimate of the answer, zero if it has none.
+	// Prompt is the length of the prompt, Longest the maximum length of the answer, and Hint the caller's estimate of
+	// that length, zero if unknown.
 	Prompt  hingeids.Tokens
 	Longest hingeids.Tokens
 	Hint    hingeids.Tokens
-	// After is the last event that the caller has, empty at the beginning.
+	// After is the id of the last event that the caller has received, empty for a new stream.
 	After string
-	// Key is the one API key that the request brings, empty if it brings none or several.
+	// Key is the API key of the request, empty if the request has none or several.
 	Key hingecustomers.Key
 }
 
-// Cache names the KV cache of a finished prefill at its engine.
+// Cache identifies the KV cache of a finished prefill, by the address of its engine and the engine's handle.
 type Cache struct {
 	Address string
 	Handle  string
 }
 
-// Sending is what the router adds to a request for one backend server.
+// Sending holds what the router adds to a request for one backend server.
 type Sending struct {
 	Server hingeids.ServerID
-	// Left is the time that the server may take.
+	// Left is the time that remains for the answer.
 	Left time.Duration
-	// Prefill asks for the prompt's KV cache only.
+	// Prefill requests the prompt's KV cache without an answer.
 	Prefill bool
-	// From is the KV cache to go on from, if any.
+	// From is the KV cache to decode from, zero if there is none.
 	From Cache
-	// After is the last event that was passed on.
+	// After is the id of the last event that was forwarded to the caller.
 	After string
-	// Customer is whose request it is, empty if nobody's.
+	// Customer is the customer who has sent the request, empty if unknown.
 	Customer hingeids.CallerID
 }
 
-// Reply is what a backend server's headers say of its answer.
+// Reply holds the values of the headers of a backend server's answer.
 type Reply struct {
-	// ID is the request that the answer is for; empty if the server doesn't say.
+	// ID is the request that the answer belongs to, empty if the server doesn't return it.
 	ID RequestID
-	// NotRun is the server's word that it didn't run the request, Gone that
-	// another server has the address.
+	// NotRun is set if the server confirms that it did not run the request, Gone if another server has the address
+	// now.
 	NotRun bool
 	Gone   bool
-	// Vouched says that the server has put its mark on the answer.
+	// Vouched is set if the answer carries the server's seal.
 	Vouched bool
 }
 
-// Dialect translates between headers and what they say.
+// Dialect translates between headers and typed values.
 type Dialect interface {
 	Asked(h http.Header) Asked
-	// Outgoing gives the headers for a backend server: the caller's, without its key and
-	// those that are the router's to set, and what Sending says.
+	// Outgoing returns the headers for a backend server: the caller's headers without its API key and the headers
+	// that only the router may set, and the values of s.
 	Outgoing(h http.Header, s Sending) http.Header
 	Reply(r *http.Response) Reply
-	// Cache reads the answer of a prefill engine at an address.
+	// Cache parses the answer of the prefill engine at an address.
 	Cache(address string, body []byte) (Cache, error)
-	// Free gives the method and path of the call that frees a KV cache.
+	// Free returns the method and path of the call that frees a KV cache.
 	Free(c Cache) (method, path string)
-	// Own gives the headers of an answer of the router's own.
+	// Own returns the headers of an answer that the router itself generates.
 	Own(id RequestID) http.Header
 }
 
-// World is what the process knows of the fleet. Its values are not changed once given.
+// World is the cluster view of this process. The values that it returns must not be modified.
 type World interface {
-	// Table is nil before any configuration is known.
+	// Table returns the routing table, nil before the first configuration is known.
 	Table() *hingeroutes.Table
-	// Changed closes at the next change of what is known.
+	// Changed returns a channel that is closed at the next change of the view.
 	Changed() <-chan struct{}
-	// Version names all that is known of the configuration and of servers.
+	// Version identifies the configuration and the set of servers in the view.
 	Version() string
-	// Newest reports whether Table is known to be no older than the newest that was accepted before the call. It waits
-	// for a newer one that it hears of.
+	// Newest reports whether Table is at least as new as the newest configuration accepted before the call. If there
+	// is a newer one, Newest waits until this host has received it.
 	Newest(ctx context.Context) bool
-	// Gone reports whether a server is known to take no more work.
+	// Gone reports whether a server is known to accept no more requests.
 	Gone(id hingeids.ServerID) bool
+	// Entries returns the number of entry hosts.
 	Entries() int
 }
 
-// Budget is the part of the repeats that the fleet may make of one service.
+// Budget limits the fleet's retries for one service.
 type Budget struct {
-	// PerRequest is the share of repeats to requests, Burst what all hosts
-	// together may save up.
+	// PerRequest is the number of retries earned by each request, Burst the maximum that all hosts together
+	// accumulate.
 	PerRequest float64
 	Burst      float64
 }
 
-// Settings of a proxy.
+// Settings holds the settings of a Proxy.
 type Settings struct {
 	Self   hingeids.Life
 	Zone   hingeids.Zone
 	Budget Budget
 	Clock  func() time.Time
-	// Started is when the process began.
+	// Started is the start time of the process.
 	Started  time.Time
 	Recorder *hingeevents.Recorder
 }
 
-// Proxy answers requests.
+// Proxy serves the requests of callers. It is safe for concurrent use.
 type Proxy struct {
 	settings Settings
 	dialect  Dialect
-	world    World
+	view     World
 	owner    *hingeplacer.Owner
 	meter    *meter
 
 	mu      sync.Mutex
 	budgets map[hingeids.Service]*hingeretry.Budget
-	// drainingSince is when the process began to end, zero before.
+	// drainingSince is the start of the drain, zero before.
 	drainingSince time.Time
 	sequence      uint64
-	// excesses bounds the lines on requests beyond a quota.
-	excesses bounded
-	// held counts the requests that wait for the first configuration.
-	held int
-	// denials bounds the lines on requests that are denied.
-	denials bounded
-	// poisons bounds the lines on requests that end servers.
-	poisons bounded
+	// quotaRefusals limits the log lines on requests beyond a quota.
+	quotaRefusals logLimiter
+	// waiting counts the requests that wait for the first configuration.
+	waiting int
+	// denials limits the log lines on denied requests.
+	denials logLimiter
+	// poisonRefusals limits the log lines on requests that crash servers.
+	poisonRefusals logLimiter
 }
 
 var _ hingewire.Handler = (*Proxy)(nil)
 
-// New makes a proxy.
+// New creates a proxy that places its requests through o.
 func New(s Settings, d Dialect, w World, o *hingeplacer.Owner) *Proxy {
 	return &Proxy{
 		settings: s,
 		dialect:  d,
-		world:    w,
+		view:     w,
 		owner:    o,
 		meter:    newMeter(),
 		budgets:  make(map[hingeids.Service]*hingeretry.Budget),
 	}
 }
 
-// Drain notes that the process ends: streams that can't end in time aren't begun.
+// Drain marks the start of the shutdown. Streams are refused once drainStreamTime has passed.
 func (p *Proxy) Drain(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.drainingSince = now
 }
 
-// job is one request on its way.
+// job is a request in flight, with the state of its attempts.
 type job struct {
 	*hingewire.Request
-	asked Asked
+	info  Asked
 	route *hingeroutes.Route
-	// customer is whose request it is; nil if nobody's.
+	// customer is nil if the request has no customer.
 	customer *hingecustomers.Customer
-	// print is what it has in common with all that are sent again.
-	print hingeids.Print
-	// ends are the servers that ended under this attempt; suspect says that some have, under this or others.
-	ends    []hingepoison.End
+	// fingerprint is the digest that the request shares with its resends.
+	fingerprint hingeids.Print
+	// crashes lists the servers that crashed while they had this request; suspect is set if any server has crashed
+	// under this request or its resends.
+	crashes []hingepoison.End
 	suspect bool
-	// charge is what it counts for its customer's quota, counted says that it does.
+	// charge is the request's charge to its customer's quota, charged whether it was charged.
 	charge   hingequota.Charge
-	counted  bool
+	charged  bool
 	service  hingeids.Service
 	deadline time.Time
 	writer   *hingewire.Writer
-	// ran is the most that any attempt may have done, runs how many may have run.
-	ran  hingeverdict.Verdict
-	runs int
-	// attempts counts the times that the request was handed to a server; arrivals also those
-	// that only had its prompt read, and paid is how many of these the budget has given.
-	attempts int
-	arrivals int
-	paid     int
-	// free counts the repeats that cost the budget nothing.
-	free int
-	// reserved says that the budget has given the next repeat already.
+	// verdict is the verdict of the last attempt that may have run, NotRun if there is none; runs counts these
+	// attempts.
+	verdict hingeverdict.Verdict
+	runs    int
+	// attempts counts the messages to servers that run the request, messages also those to prefill engines;
+	// paidMessages counts the messages that were charged to the retry budget.
+	attempts     int
+	messages     int
+	paidMessages int
+	// freeRetries counts the retries that cost no budget.
+	freeRetries int
+	// reserved is set if the next retry was already charged to the budget.
 	reserved bool
 }
 
-// standardWait is for callers that don't say how long they wait, on a route without a timeout.
-const standardWait = 30 * time.Second
+// defaultTimeout applies if neither the caller nor the route sets a timeout.
+const defaultTimeout = 30 * time.Second
 
-// Serve answers a request.
+// Serve answers a request. It implements hingewire.Handler.
 func (p *Proxy) Serve(ctx context.Context, r *hingewire.Request, w *hingewire.Writer) {
-	defer p.survive(r)
-	asked := p.dialect.Asked(r.Header)
-	table := p.awaitTable(ctx, r, asked)
+	defer p.recoverPanic(r)
+	info := p.dialect.Asked(r.Header)
+	table := p.awaitTable(ctx, r, info)
 	if table == nil {
-		p.refuse(w, asked.ID, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, notReadyRetry, nil))
+		p.writeError(w, info.ID, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, notReadyRetry, nil))
 		return
 	}
-	a := p.admit(ctx, r, asked, table)
-	if a.denied != nil {
-		p.deny(w, asked.ID, a.denied)
+	a := p.admit(ctx, r, info, table)
+	if a.denial != nil {
+		p.deny(w, info.ID, a.denial)
 		return
 	}
 	route := a.route
 	j := &job{
-		Request:  r,
-		asked:    asked,
-		route:    route,
-		customer: a.customer,
-		print:    printOf(r, a.customer),
-		charge:   p.chargeOf(a, asked),
-		service:  route.Service(string(asked.ID)),
-		writer:   w,
-		ran:      hingeverdict.NotRun,
+		Request:     r,
+		info:        info,
+		route:       route,
+		customer:    a.customer,
+		fingerprint: fingerprintOf(r, a.customer),
+		charge:      p.chargeOf(a, info),
+		service:     route.Service(string(info.ID)),
+		writer:      w,
+		verdict:     hingeverdict.NotRun,
 	}
-	j.deadline = r.Arrived.Add(waitOf(asked, route))
-	inner, stop := context.WithDeadline(ctx, time.Now().Add(j.deadline.Sub(p.settings.Clock())))
+	j.deadline = r.Arrived.Add(timeoutOf(info, route))
+	requestCtx, stop := context.WithDeadline(ctx, time.Now().Add(j.deadline.Sub(p.settings.Clock())))
 	defer stop()
-	p.request(j.service)
-	if s := a.table.Services[j.service]; s.Engine != nil && route.Kind == hingeroutes.Stream && asked.Prompt > 0 {
-		p.stream(inner, j, s.Engine)
+	p.recordRequest(j.service)
+	if s := a.table.Services[j.service]; s.Engine != nil && route.Kind == hingeroutes.Stream && info.Prompt > 0 {
+		p.serveStream(requestCtx, j, s.Engine)
 		return
 	}
-	p.plain(inner, j)
+	p.servePlain(requestCtx, j)
 }
 
-// survive gives up the one request on which the program failed. Without it a
-// fault of ours that one request brings out would end all others of the process with it.
-func (p *Proxy) survive(r *hingewire.Request) {
+// recoverPanic records a panic in a request's handler, so that it ends this request only and not the whole process.
+func (p *Proxy) recoverPanic(r *hingewire.Request) {
 	failure := recover()
 	if failure == nil {
 		return
@@ -272,19 +272,19 @@
 	})
 }
 
-// waitOf is how long a request may be kept waiting.
-func waitOf(a Asked, r *hingeroutes.Route) time.Duration {
-	wait := r.Timeout
-	if wait == 0 {
-		wait = standardWait
+// timeoutOf returns the timeout of a request: the route's, or the caller's if that is shorter.
+func timeoutOf(a Asked, r *hingeroutes.Route) time.Duration {
+	timeout := r.Timeout
+	if timeout == 0 {
+		timeout = defaultTimeout
 	}
 	if a.Left > 0 {
-		wait = min(wait, a.Left)
+		timeout = min(timeout, a.Left)
 	}
-	return wait
+	return timeout
 }
 
-// nextID gives an id that no other attempt of the fleet has.
+// nextID returns an id that is unique in the fleet.
 func (p *Proxy) nextID() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -292,17 +292,17 @@
 	return fmt.Sprintf("%s/%d/%d", p.settings.Self.Host, p.settings.Self.Incarnation, p.sequence)
 }
 
-// addressOf gives where a server that was chosen is, empty if it takes no more work. A placer that is parted from other control hosts
-// may not have heard what this host has; the other way round, it may know of servers that this host hasn't heard of.
+// addressOf returns the address of a placed server, empty if this host knows that the server accepts no more
+// requests. A partitioned placer may not know that yet. Servers that only the placer knows are used.
 func (p *Proxy) addressOf(id hingeids.ServerID, address string) string {
-	if p.world.Gone(id) {
+	if p.view.Gone(id) {
 		return ""
 	}
 	return address
 }
 
-// left is how much time a job has.
-func (p *Proxy) left(j *job) time.Duration {
+// remaining returns the time until a request's deadline.
+func (p *Proxy) remaining(j *job) time.Duration {
 	return j.deadline.Sub(p.settings.Clock())
 }
 
@@ -318,8 +318,8 @@
 	return path
 }
 
-// sent makes the message for one backend server.
-func (j *job) sent(d Dialect, s Sending) hingewire.Sent {
+// message builds the message to one backend server.
+func (j *job) message(d Dialect, s Sending) hingewire.Sent {
 	if j.customer != nil {
 		s.Customer = j.customer.Name
 	}
@@ -332,10 +332,10 @@
 	}
 }
 
-// note keeps what an attempt may have done.
-func (j *job) note(v hingeverdict.Verdict) {
+// recordVerdict records the verdict of an attempt.
+func (j *job) recordVerdict(v hingeverdict.Verdict) {
 	if v != hingeverdict.NotRun {
-		j.ran = v
+		j.verdict = v
 		j.runs++
 	}
 }
--- a/internal/path/hingeproxy/proxy_test.go
+++ b/internal/path/hingeproxy/proxy_test.go
@@ -17,8 +17,8 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// cut closes the connection without an answer.
-func cut(int, *http.Request, net.Conn) bool {
+// closeConnection closes the connection without an answer.
+func closeConnection(int, *http.Request, net.Conn) bool {
 	return true
 }
 
@@ -31,17 +31,16 @@
 	return b.String()
 }
 
-// A replica takes a request and dies before it answers. Nobody knows whether it ran. A
-// status query sent again could ship a lot twice; a lookup harms nobody.
-func TestRequestThatMayHaveRunIsRepeatedOnlyIfItMay(t *testing.T) {
+// A request whose replica fails before the answer may have run. It must be retried only if its route allows repeats.
+func TestRequestThatMayHaveRunIsRetriedOnlyIfAllowed(t *testing.T) {
 	for _, c := range []struct {
 		target string
-		want   got
+		want   result
 		runs   int
 	}{
 		{
 			target: "/status/7",
-			want: got{
+			want: result{
 				Status: http.StatusBadGateway,
 				Body:   "mayHaveRun (3003)\n",
 				Whole:  true,
@@ -50,7 +49,7 @@
 		},
 		{
 			target: "/lookup/7",
-			want: got{
+			want: result{
 				Status: http.StatusOK,
 				Body:   "lot 7 is alive",
 				Whole:  true,
@@ -61,11 +60,11 @@
 		first := newStandin(t, "app-1", 0, nil)
 		second := newStandin(t, "app-2", 0, nil)
 		cutFirst := func(n int, q *http.Request, conn net.Conn) bool {
-			return first.ran()+second.ran() == 1 && cut(n, q, conn)
+			return first.ran()+second.ran() == 1 && closeConnection(n, q, conn)
 		}
-		first.behave, second.behave = cutFirst, cutFirst
-		d := newDoor(t, first, second)
-		if diff := cmp.Diff(c.want, d.ask(c.target)); diff != "" {
+		first.respond, second.respond = cutFirst, cutFirst
+		d := newTestProxy(t, first, second)
+		if diff := cmp.Diff(c.want, d.send(c.target)); diff != "" {
 			t.Errorf("%s: %s", c.target, diff)
 		}
 		if n := first.ran() + second.ran(); n != c.runs {
@@ -74,40 +73,40 @@
 	}
 }
 
-// What a replica says decides: its word that it didn't run a request allows another
-// try, a promise without its word doesn't, and an answer to another request is nobody's.
-func TestAnswersAreJudged(t *testing.T) {
-	say := func(text string) behaviour {
+// An answer may be forwarded only if it belongs to the request and carries the seal; an unconfirmed "not run" status
+// must not reach the caller.
+func TestReplyChecks(t *testing.T) {
+	respondWith := func(text string) responder {
 		return func(_ int, q *http.Request, c net.Conn) bool {
 			_, _ = io.WriteString(c, strings.ReplaceAll(text, "ID", q.Header.Get("Id")))
 			return true
 		}
 	}
-	unknown := got{
+	unknown := result{
 		Status: http.StatusBadGateway,
 		Whole:  true,
 	}
 	for name, c := range map[string]struct {
 		answer string
-		want   got
+		want   result
 	}{
-		"refused and said so": {
+		"refused with confirmation": {
 			answer: "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
-			want: got{
+			want: result{
 				Status:     http.StatusServiceUnavailable,
 				Whole:      true,
 				RetryAfter: true,
 			},
 		},
-		"503 without a word": {
+		"503 without confirmation": {
 			answer: "HTTP/1.1 503 X\r\nId: ID\r\nVouched: 1\r\nContent-Length: 0\r\n\r\n",
 			want:   unknown,
 		},
-		"another's answer": {
+		"answer to another request": {
 			answer: "HTTP/1.1 200 OK\r\nId: other\r\nVouched: 1\r\nContent-Length: 2\r\n\r\nok",
 			want:   unknown,
 		},
-		"no mark": {
+		"no seal": {
 			answer: "HTTP/1.1 200 OK\r\nId: ID\r\nContent-Length: 2\r\n\r\nok",
 			want:   unknown,
 		},
@@ -119,17 +118,17 @@
 			answer: "\x16\x03\x01 garbage\r\n\r\n",
 			want:   unknown,
 		},
-		"its own failure": {
+		"error of the server": {
 			answer: "HTTP/1.1 500 X\r\nId: ID\r\nVouched: 1\r\nContent-Length: 4\r\n\r\noops",
-			want: got{
+			want: result{
 				Status: http.StatusInternalServerError,
 				Body:   "oops",
 				Whole:  true,
 			},
 		},
-		"an extra answer behind it": {
+		"followed by another answer": {
 			answer: "HTTP/1.1 200 OK\r\nId: ID\r\nVouched: 1\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n",
-			want: got{
+			want: result{
 				Status: http.StatusOK,
 				Body:   "ok",
 				Whole:  true,
@@ -137,15 +136,15 @@
 		},
 		"without a length": {
 			answer: "HTTP/1.1 200 OK\r\nId: ID\r\nVouched: 1\r\n\r\nto the end",
-			want: got{
+			want: result{
 				Status: http.StatusOK,
 				Body:   "to the end",
 				Whole:  true,
 			},
 		},
 	} {
-		d := newDoor(t, newStandin(t, "app-1", 0, say(c.answer)))
-		g := d.ask("/status/7")
+		d := newTestProxy(t, newStandin(t, "app-1", 0, respondWith(c.answer)))
+		g := d.send("/status/7")
 		if c.want.Body == "" {
 			g.Body = ""
 		}
@@ -155,75 +154,74 @@
 	}
 }
 
-// A lookup fails at every replica. The last word is a replica's own, not ours.
-func TestLastFailureOfAServerGoesOn(t *testing.T) {
+// If a repeatable request fails at every replica, the caller gets the last error response of a replica.
+func TestLastServerFailureIsForwarded(t *testing.T) {
 	fail := func(_ int, q *http.Request, c net.Conn) bool {
 		reply(c, q, http.StatusInternalServerError, "tank unknown")
 		return true
 	}
-	d := newDoor(t, newStandin(t, "app-1", 0, fail), newStandin(t, "app-2", 0, fail))
-	want := got{
+	d := newTestProxy(t, newStandin(t, "app-1", 0, fail), newStandin(t, "app-2", 0, fail))
+	want := result{
 		Status: http.StatusInternalServerError,
 		Body:   "tank unknown",
 		Whole:  true,
 	}
-	if diff := cmp.Diff(want, d.ask("/lookup/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/lookup/7")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A replica hangs with the request. The caller hears at the end of its time, and
-// what it hears doesn't promise that nothing ran.
-func TestHangingReplicaEndsAtTheDeadline(t *testing.T) {
+// A replica that never answers must not delay the caller beyond its deadline, and the status must not mean "not run".
+func TestHangingReplicaTimesOutAtDeadline(t *testing.T) {
 	hang := func(int, *http.Request, net.Conn) bool {
 		time.Sleep(4 * time.Second)
 		return true
 	}
-	d := newDoor(t, newStandin(t, "app-1", 0, hang))
+	d := newTestProxy(t, newStandin(t, "app-1", 0, hang))
 	began := time.Now()
-	g := d.ask("/status/7")
-	if took := time.Since(began); g.Status != http.StatusGatewayTimeout || took > 2800*time.Millisecond {
-		t.Fatalf("status %d after %v", g.Status, took)
+	g := d.send("/status/7")
+	if elapsed := time.Since(began); g.Status != http.StatusGatewayTimeout || elapsed > 2800*time.Millisecond {
+		t.Fatalf("status %d after %v", g.Status, elapsed)
 	}
 }
 
 func TestUnknownRouteIsNotFound(t *testing.T) {
-	d := newDoor(t, newStandin(t, "app-1", 0, nil))
-	if g := d.ask("/nowhere/7"); g.Status != http.StatusNotFound {
+	d := newTestProxy(t, newStandin(t, "app-1", 0, nil))
+	if g := d.send("/nowhere/7"); g.Status != http.StatusNotFound {
 		t.Fatalf("status %d", g.Status)
 	}
 }
 
-func TestNoReplicaIsToldAtOnce(t *testing.T) {
-	d := newDoor(t)
-	want := got{
+func TestMissingReplicaIsRefusedAtOnce(t *testing.T) {
+	d := newTestProxy(t)
+	want := result{
 		Status:     http.StatusServiceUnavailable,
 		Body:       "notRun (3001)\n",
 		Whole:      true,
 		RetryAfter: true,
 	}
-	if diff := cmp.Diff(want, d.ask("/status/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/status/7")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// fleet is one prefill engine and two that decode.
-func fleet(t *testing.T, first, second behaviour) (*door, *standin, *standin, *standin) {
+// newFleet returns a proxy with one prefill engine and two decode engines.
+func newFleet(t *testing.T, first, second responder) (*testProxy, *standin, *standin, *standin) {
 	t.Helper()
 	p := newStandin(t, "prefill", hingefleet.Prefill, nil)
 	a := newStandin(t, "decode-1", hingefleet.Decode, first)
 	b := newStandin(t, "decode-2", hingefleet.Decode, second)
-	return newDoor(t, p, a, b), p, a, b
+	return newTestProxy(t, p, a, b), p, a, b
 }
 
-func TestStreamIsPassedOnWhole(t *testing.T) {
-	d, p, _, _ := fleet(t, nil, nil)
-	want := got{
+func TestStreamIsForwardedWhole(t *testing.T) {
+	d, p, _, _ := newFleet(t, nil, nil)
+	want := result{
 		Status: http.StatusOK,
 		Body:   wholeStream(),
 		Whole:  true,
 	}
-	if diff := cmp.Diff(want, d.ask("/dossier/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
 	}
 	if p.ran() != 1 {
@@ -231,111 +229,108 @@
 	}
 }
 
-// The engine dies in the middle of the third event. The caller must get each event
-// once, in order and whole: another engine goes on after the second.
-func TestBrokenStreamGoesOnElsewhere(t *testing.T) {
+// An engine fails in the middle of the third event. Another engine must resume after the second, so that the caller
+// gets each event once and whole.
+func TestBrokenStreamResumesOnAnotherEngine(t *testing.T) {
 	breakOff := func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
-		events(c, from(q), 2, false)
+		events(c, firstRequested(q), 2, false)
 		_, _ = io.WriteString(c, "b\r\nid: 3\ndata:\r\n")
 		return true
 	}
-	d, _, a, b := fleet(t, breakOff, nil)
-	b.behave = func(n int, q *http.Request, c net.Conn) bool {
+	d, _, a, b := newFleet(t, breakOff, nil)
+	b.respond = func(n int, q *http.Request, c net.Conn) bool {
 		if a.ran() == 0 {
 			return breakOff(n, q, c)
 		}
 		return false
 	}
-	a.behave = func(n int, q *http.Request, c net.Conn) bool {
+	a.respond = func(n int, q *http.Request, c net.Conn) bool {
 		if b.ran() == 0 {
 			return breakOff(n, q, c)
 		}
 		return false
 	}
-	want := got{
+	want := result{
 		Status: http.StatusOK,
 		Body:   wholeStream(),
 		Whole:  true,
 	}
-	if diff := cmp.Diff(want, d.ask("/dossier/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A stream that must not run twice breaks off. Its caller must see that it isn't whole, and
-// nobody else may begin it anew.
+// A stream that must not be repeated is cut when its engine fails. The caller must see that it is incomplete, and no
+// other engine may start it again.
 func TestBrokenStreamThatMayNotBeResumedIsCut(t *testing.T) {
 	breakOff := func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 2, false)
 		return true
 	}
-	d, _, a, b := fleet(t, breakOff, breakOff)
-	g := d.ask("/health/7")
+	d, _, a, b := newFleet(t, breakOff, breakOff)
+	g := d.send("/health/7")
 	if g.Whole || !strings.HasPrefix(wholeStream(), g.Body) || a.ran()+b.ran() != 1 {
 		t.Fatalf("whole %v, %d runs, body %q", g.Whole, a.ran()+b.ran(), g.Body)
 	}
 }
 
-// An engine loses an event, or sends one twice. A gap must not reach the caller as an
-// answer that ends well; a doubled event is passed over.
-func TestEventsComeOnceAndInOrder(t *testing.T) {
-	lose := func(_ int, q *http.Request, c net.Conn) bool {
+// A stream with a missing event must not end as if it were complete; a repeated event is skipped.
+func TestEventsAreForwardedOnceAndInOrder(t *testing.T) {
+	skipEvent := func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 2, false)
 		events(c, 4, 5, true)
 		return true
 	}
-	d, _, _, _ := fleet(t, lose, lose)
-	if g := d.ask("/health/7"); g.Whole {
-		t.Fatalf("a stream without its third event looks whole: %q", g.Body)
+	d, _, _, _ := newFleet(t, skipEvent, skipEvent)
+	if g := d.send("/health/7"); g.Whole {
+		t.Fatalf("a stream without its third event ends as if it were complete: %q", g.Body)
 	}
-	double := func(_ int, q *http.Request, c net.Conn) bool {
+	repeatEvent := func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 3, false)
 		events(c, 3, 5, true)
 		return true
 	}
-	d, _, _, _ = fleet(t, double, double)
-	if g := d.ask("/health/7"); !g.Whole || g.Body != wholeStream() {
+	d, _, _, _ = newFleet(t, repeatEvent, repeatEvent)
+	if g := d.send("/health/7"); !g.Whole || g.Body != wholeStream() {
 		t.Fatalf("whole %v: %q", g.Whole, g.Body)
 	}
 }
 
-// An engine falls silent in the middle of a stream, with its connection open. Its
-// caller would leave after some seconds; another engine goes on before that.
-func TestSilentEngineIsLeft(t *testing.T) {
-	silent := make(chan struct{})
+// An engine that stalls with its connection open must be replaced before the caller disconnects.
+func TestStreamLeavesStalledEngine(t *testing.T) {
+	release := make(chan struct{})
 	t.Cleanup(func() {
-		close(silent)
+		close(release)
 	})
-	d, _, a, b := fleet(t, nil, nil)
-	firstToRun(a, b, func(_ int, q *http.Request, c net.Conn) bool {
+	d, _, a, b := newFleet(t, nil, nil)
+	firstRequestGets(a, b, func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 2, false)
-		<-silent
+		<-release
 		return true
 	})
-	d.left = 8 * time.Second
-	want := got{
+	d.maxWait = 8 * time.Second
+	want := result{
 		Status: http.StatusOK,
 		Body:   wholeStream(),
 		Whole:  true,
 	}
-	if diff := cmp.Diff(want, d.ask("/dossier/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A decode engine is gone while its KV cache is being made. The cache is kept for
-// half a second: another engine takes it, and the prompt isn't worked twice.
-func TestCacheIsTakenByAnotherEngine(t *testing.T) {
-	d, p, a, b := fleet(t, nil, nil)
+// If a decode engine can't be reached, another one must take over the KV cache without a second prefill.
+func TestCacheIsTransferredWhenEngineIsUnreachable(t *testing.T) {
+	d, p, a, b := newFleet(t, nil, nil)
 	for range 4 {
-		// Whichever is chosen first, one of the two can't be reached.
+		// One of the two engines can't be reached, whichever is placed first.
 		_ = a.listener.Close()
-		g := d.ask("/dossier/7")
+		g := d.send("/dossier/7")
 		if !g.Whole || g.Body != wholeStream() {
 			t.Fatalf("status %d, whole %v: %q", g.Status, g.Whole, g.Body)
 		}
@@ -345,10 +340,10 @@
 	}
 }
 
-// The caller leaves while its prompt is worked. No engine may begin to decode for nobody.
-func TestNothingBeginsForACallerThatLeft(t *testing.T) {
-	d, p, a, b := fleet(t, nil, nil)
-	p.behave = func(_ int, q *http.Request, c net.Conn) bool {
+// If the caller disconnects during the prefill, no engine may start to decode.
+func TestNoDecodeAfterCallerLeaves(t *testing.T) {
+	d, p, a, b := newFleet(t, nil, nil)
+	p.respond = func(_ int, q *http.Request, c net.Conn) bool {
 		time.Sleep(100 * time.Millisecond)
 		reply(c, q, http.StatusOK, `{"handle":"left"}`)
 		return true
@@ -362,81 +357,80 @@
 	_ = c.Close()
 	time.Sleep(300 * time.Millisecond)
 	if n := a.ran() + b.ran(); n != 0 {
-		t.Fatalf("%d engines decode for a caller that left", n)
+		t.Fatalf("%d engines decode for a caller that has disconnected", n)
 	}
 }
 
-// An engine refuses for want of room, and says that nothing ran. The stream goes to the
-// other one; if both refuse, the caller is told that nothing ran, and when to come back.
+// If an engine refuses a stream for lack of capacity, another one must serve it. If all refuse, the caller gets a
+// "not run" status with a Retry-After.
 func TestRefusingEngineIsAvoided(t *testing.T) {
 	full := func(_ int, _ *http.Request, c net.Conn) bool {
 		refuse(c, http.StatusServiceUnavailable)
 		return true
 	}
-	d, _, _, _ := fleet(t, full, nil)
+	d, _, _, _ := newFleet(t, full, nil)
 	for range 3 {
-		if g := d.ask("/dossier/7"); g.Status != http.StatusOK || !g.Whole {
+		if g := d.send("/dossier/7"); g.Status != http.StatusOK || !g.Whole {
 			t.Fatalf("status %d", g.Status)
 		}
 	}
-	d, p, _, _ := fleet(t, full, full)
-	g := d.ask("/dossier/7")
+	d, p, _, _ := newFleet(t, full, full)
+	g := d.send("/dossier/7")
 	if g.Status != http.StatusServiceUnavailable || !g.RetryAfter {
 		t.Fatalf("status %d, Retry-After %v", g.Status, g.RetryAfter)
 	}
-	// What was exported for it is given back, and doesn't wait for its time.
+	// The exported KV cache must be freed before its retention time ends.
 	for range 100 {
 		if len(p.freedCaches()) > 0 {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the KV cache was not given back")
+	t.Fatal("the KV cache was not freed")
 }
 
-// The process is told to end. A stream that begins now would be cut at the end of the grace,
-// so its caller is sent to another host at once.
-func TestNoStreamBeginsLateInADrain(t *testing.T) {
-	d, _, _, _ := fleet(t, nil, nil)
-	d.proxy.Drain(time.Now().Add(-2 * lastStreams))
-	want := got{
+// A stream that starts late in a drain would be cut at the end of the grace period. It must be refused at once.
+func TestNoStreamStartsLateInDrain(t *testing.T) {
+	d, _, _, _ := newFleet(t, nil, nil)
+	d.proxy.Drain(time.Now().Add(-2 * drainStreamTime))
+	want := result{
 		Status:     http.StatusServiceUnavailable,
 		Body:       "notRun (2005)\n",
 		Whole:      true,
 		RetryAfter: true,
 	}
-	if diff := cmp.Diff(want, d.ask("/dossier/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A hint is often far off, and never beyond what the caller lets the answer have.
+// A hint must not raise the expected length above the maximum that the caller allows.
 func TestExpectedLengthStaysWithinBounds(t *testing.T) {
 	e := routes().Services["model"].Engine
 	got := []hingeids.Tokens{
-		expected(Asked{
+		expectedTokens(Asked{
 			Hint:    50,
 			Longest: 100,
 		}, e),
-		expected(Asked{
+		expectedTokens(Asked{
 			Hint:    500,
 			Longest: 100,
 		}, e),
-		expected(Asked{
+		expectedTokens(Asked{
 			Longest: 100,
 		}, e),
-		expected(Asked{}, e),
+		expectedTokens(Asked{}, e),
 	}
 	if diff := cmp.Diff([]hingeids.Tokens{50, 100, 50, 10}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// The engine dies after it has streamed for longer than callers wait for a first event. Their
-// patience began anew with each event that they got, so another engine is still in time.
-func TestStreamThatBreaksLateGoesOnToo(t *testing.T) {
-	d, _, a, b := fleet(t, nil, nil)
-	firstToRun(a, b, func(_ int, q *http.Request, c net.Conn) bool {
+// The wait of a caller starts anew with each event, so a stream must be resumed even if its engine fails later than
+// the route's maximum wait.
+func TestStreamThatBreaksLateIsResumed(t *testing.T) {
+	d, _, a, b := newFleet(t, nil, nil)
+	firstRequestGets(a, b, func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		for i := 1; i <= 3; i++ {
 			events(c, i, i, false)
@@ -444,24 +438,24 @@
 		}
 		return true
 	})
-	d.left = 8 * time.Second
-	want := got{
+	d.maxWait = 8 * time.Second
+	want := result{
 		Status: http.StatusOK,
 		Body:   wholeStream(),
 		Whole:  true,
 	}
-	if diff := cmp.Diff(want, d.ask("/dossier/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// The same where engines are full: the placer must not count the time for which the caller
-// already had events, or it refuses at once what could still wait for room.
+// For a resumed stream, the time before the failure must not count as waiting, or the placer refuses a request that
+// could still wait for capacity.
 func TestMovedStreamWaitsFromItsLastEvent(t *testing.T) {
-	d, _, _, _ := fleet(t, nil, nil)
+	d, _, _, _ := newFleet(t, nil, nil)
 	now := time.Now()
 	route := routes().Match("quay.example", "/dossier/7")
-	r := &run{
+	r := &streamJob{
 		job: &job{
 			Request: &hingewire.Request{
 				Arrived: now.Add(-5 * time.Second),
@@ -470,81 +464,80 @@
 			service:  "model",
 			deadline: now.Add(5 * time.Second),
 		},
-		engine:     routes().Services["model"].Engine,
-		waitsSince: now.Add(-5 * time.Second),
+		engine:    routes().Services["model"].Engine,
+		waitStart: now.Add(-5 * time.Second),
 	}
-	if w := d.proxy.want(r); w.Waited < 5*time.Second {
-		t.Fatalf("before its first event it waits %v", w.Waited)
+	if w := d.proxy.streamRequest(r); w.Waited < 5*time.Second {
+		t.Fatalf("the wait before the first event is %v", w.Waited)
 	}
-	r.relay.begun = true
-	d.proxy.moveOn(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, nil))
-	if w := d.proxy.want(r); !w.Moved || w.Waited > time.Second || w.Patience != route.Patience {
-		t.Fatalf("moved %v, waits %v of %v", w.Moved, w.Waited, w.Patience)
+	r.relay.headSent = true
+	d.proxy.allowResume(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, nil))
+	if w := d.proxy.streamRequest(r); !w.Moved || w.Waited > time.Second || w.Patience != route.Patience {
+		t.Fatalf("moved %v, waited %v of %v", w.Moved, w.Waited, w.Patience)
 	}
 }
 
-// An availability zone is cut off with the engine that prefills and many streams find out at once. A
-// request that has reached nobody adds nothing to any engine's load, so no budget may keep it
-// from the engines that can be reached.
-func TestUnreachedEngineCostsNoBudget(t *testing.T) {
+// An engine that can't be reached costs no retry budget, so that an exhausted budget doesn't keep a request from
+// engines that can be reached.
+func TestUnreachableEngineCostsNoBudget(t *testing.T) {
 	gone := newStandin(t, "a-prefill", hingefleet.Prefill, nil)
 	_ = gone.listener.Close()
-	d := newDoor(t, gone, newStandin(t, "prefill", hingefleet.Prefill, nil), newStandin(t, "decode", hingefleet.Decode, nil))
-	d.spend("model")
-	if g := d.ask("/dossier/7"); g.Status != http.StatusOK || !g.Whole {
+	d := newTestProxy(t, gone, newStandin(t, "prefill", hingefleet.Prefill, nil), newStandin(t, "decode", hingefleet.Decode, nil))
+	d.spendBudget("model")
+	if g := d.send("/dossier/7"); g.Status != http.StatusOK || !g.Whole {
 		t.Fatalf("status %d: %q", g.Status, g.Body)
 	}
 }
 
-// An engine has no room for a KV cache that was made for it. The cache is still kept: another
-// engine takes it, and the prompt isn't worked twice for it.
-func TestRefusedCacheIsTakenByAnotherEngine(t *testing.T) {
-	d, p, a, b := fleet(t, nil, nil)
-	firstToRun(a, b, func(_ int, _ *http.Request, c net.Conn) bool {
+// If a decode engine refuses the KV cache for lack of capacity, another one must take it over without a second
+// prefill.
+func TestCacheIsTransferredWhenEngineRefuses(t *testing.T) {
+	d, p, a, b := newFleet(t, nil, nil)
+	firstRequestGets(a, b, func(_ int, _ *http.Request, c net.Conn) bool {
 		refuse(c, http.StatusServiceUnavailable)
 		return true
 	})
-	if g := d.ask("/dossier/7"); g.Status != http.StatusOK || g.Body != wholeStream() {
+	if g := d.send("/dossier/7"); g.Status != http.StatusOK || g.Body != wholeStream() {
 		t.Fatalf("status %d: %q", g.Status, g.Body)
 	}
 	if p.ran() != 1 {
-		t.Fatalf("the prompt was worked %d times", p.ran())
+		t.Fatalf("the prompt was prefilled %d times", p.ran())
 	}
 }
 
-// A decode engine dies with half of an answer. Going on elsewhere sends the prompt and the run once
-// more, two arrivals. Counted as one, a fleet would spend twice the budget that it was given.
-func TestMovedStreamCostsTwoArrivals(t *testing.T) {
-	d, _, a, b := fleet(t, nil, nil)
-	firstToRun(a, b, func(_ int, q *http.Request, c net.Conn) bool {
+// Resuming a stream sends a prefill message and a decode message. If it were charged as one, the fleet would spend
+// twice its retry budget.
+func TestMovedStreamCostsTwoMessages(t *testing.T) {
+	d, _, a, b := newFleet(t, nil, nil)
+	firstRequestGets(a, b, func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 2, false)
 		return true
 	})
-	before := d.budgetLeft("model")
-	if g := d.ask("/dossier/7"); g.Body != wholeStream() {
+	before := d.remainingBudget("model")
+	if g := d.send("/dossier/7"); g.Body != wholeStream() {
 		t.Fatalf("status %d: %q", g.Status, g.Body)
 	}
-	if spent := before - d.budgetLeft("model"); spent != 2 {
-		t.Fatalf("%d arrivals were taken from the budget, want 2", spent)
+	if spent := before - d.remainingBudget("model"); spent != 2 {
+		t.Fatalf("%d messages were charged to the budget, want 2", spent)
 	}
 }
 
-// Control hosts are cut off from each other. The one that places hasn't heard that a replica leaves; this host has, from another. What
-// it still sent there could be cut off with the replica's end.
-func TestServerThatThisHostKnowsToLeaveGetsNothing(t *testing.T) {
+// A partitioned placer may place requests on a replica that is shutting down. A host that knows of the shutdown must
+// not send them there.
+func TestRemovedServerGetsNoRequests(t *testing.T) {
 	leaving := newStandin(t, "app-1", 0, nil)
 	other := newStandin(t, "app-2", 0, nil)
-	d := newDoor(t, leaving, other)
-	d.world.gone = map[hingeids.ServerID]bool{
+	d := newTestProxy(t, leaving, other)
+	d.cluster.gone = map[hingeids.ServerID]bool{
 		"app-1": true,
 	}
 	for range 10 {
-		if g := d.ask("/status/7"); g.Status != http.StatusOK {
+		if g := d.send("/status/7"); g.Status != http.StatusOK {
 			t.Errorf("%+v", g)
 		}
 	}
 	if n := leaving.ran(); n != 0 {
-		t.Errorf("the leaving replica ran %d requests", n)
+		t.Errorf("the replica that shuts down ran %d requests", n)
 	}
 }
--- a/internal/path/hingeproxy/quota.go
+++ b/internal/path/hingeproxy/quota.go
@@ -10,12 +10,13 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// chargeOf is what a request counts for its customer's quota.
-func (p *Proxy) chargeOf(a admission, asked Asked) hingequota.Charge {
+// chargeOf returns the charge of a request to its customer's quota, zero if the customer has none or the route is
+// public.
+func (p *Proxy) chargeOf(a admission, info Asked) hingequota.Charge {
 	if a.customer == nil || a.route.Public || !a.customer.Quota.Bounded() {
 		return hingequota.Charge{}
 	}
-	tokens := asked.Prompt + asked.Longest
+	tokens := info.Prompt + info.Longest
 	return hingequota.Charge{
 		ID:       hingequota.ChargeID(xxhash.Sum64String(p.nextID())),
 		Customer: a.customer.Name,
@@ -23,24 +24,24 @@
 	}
 }
 
-// due is what a job's next placement counts: what went to one server counts no more at the next.
-func (j *job) due() hingequota.Charge {
-	if j.counted {
+// pendingCharge returns the charge of a job's next placement. A job is charged for its first placement only.
+func (j *job) pendingCharge() hingequota.Charge {
+	if j.charged {
 		return hingequota.Charge{}
 	}
 	return j.charge
 }
 
-// giveBack takes a job's charge back if it was placed and has not run.
-func (p *Proxy) giveBack(j *job) {
-	if j.counted && j.ran == hingeverdict.NotRun {
-		j.counted = false
+// refundCharge refunds the quota charge of a job that was placed but did not run.
+func (p *Proxy) refundCharge(j *job) {
+	if j.charged && j.verdict == hingeverdict.NotRun {
+		j.charged = false
 		p.owner.Return(j.charge)
 	}
 }
 
-// codeOf is the code of a refusal by whoever places.
-func codeOf(c hingeplacer.Cause, noRoom hingeverdict.Code) hingeverdict.Code {
+// refusalCode returns the code of a refusal by the placer, or fallback if the cause has no code of its own.
+func refusalCode(c hingeplacer.Cause, fallback hingeverdict.Code) hingeverdict.Code {
 	switch c {
 	case hingeplacer.OverQuota:
 		return hingeverdict.CodeOverQuota
@@ -49,24 +50,24 @@
 	case hingeplacer.Poison:
 		return hingeverdict.CodePoison
 	}
-	return noRoom
+	return fallback
 }
 
-// overQuota records a request beyond its customer's quota.
-func (p *Proxy) overQuota(j *job, err *hingeverdict.Error) {
+// recordOverQuota records a request beyond its customer's quota.
+func (p *Proxy) recordOverQuota(j *job, err *hingeverdict.Error) {
 	now := p.settings.Clock()
-	if told, ok := p.excesses.take(now); ok {
+	if count, ok := p.quotaRefusals.allow(now); ok {
 		p.settings.Recorder.Record(now, hingeevents.RequestOverQuota, hingeevents.Fields{
-			Asked:  string(j.asked.ID),
+			Asked:  string(j.info.ID),
 			Caller: j.caller(),
-			Count:  told,
+			Count:  count,
 			Took:   err.RetryAfter,
 			Route:  j.route.Name,
 		})
 	}
 }
 
-// priority is the rank of a job among others: its customer's, if that has one, or else its route's.
+// priority returns the customer's priority if it is set, or else the route's.
 func (j *job) priority() int {
 	if j.customer != nil && j.customer.Priority != nil {
 		return *j.customer.Priority
@@ -74,7 +75,7 @@
 	return j.route.Priority
 }
 
-// caller is the name of a job's customer, empty if it has none.
+// caller returns the name of a job's customer, empty if the job has none.
 func (j *job) caller() hingeids.CallerID {
 	if j.customer == nil {
 		return ""
--- a/internal/path/hingeproxy/quota_test.go
+++ b/internal/path/hingeproxy/quota_test.go
@@ -14,9 +14,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// Statuses that promise "not run" are believed: a caller sends its status query again after one, and a lot ships twice if it had
-// run. A customer beyond its quota hears 429, one of whom the host doesn't know that hears 503.
-func TestRefusalsForQuotasPromiseOnlyWhatIsTrue(t *testing.T) {
+// A status that means "not run" must not be returned for a request that may have run. Requests beyond a quota get
+// 429, those of a customer whose quota is unknown 503.
+func TestQuotaRefusalStatuses(t *testing.T) {
 	got := make(map[string]int)
 	for _, c := range []struct {
 		name    string
@@ -34,39 +34,38 @@
 			verdict: hingeverdict.NotRun,
 		},
 		{
-			name:    "no room",
+			name:    "no capacity",
 			cause:   hingeplacer.NoRoom,
 			verdict: hingeverdict.NotRun,
 		},
 		{
-			name:    "over, after a try that may have run",
+			name:    "over, after an attempt that may have run",
 			cause:   hingeplacer.OverQuota,
 			verdict: hingeverdict.MayHaveRun,
 		},
 	} {
-		got[c.name] = statusOf(hingeverdict.New(c.verdict, codeOf(c.cause, hingeverdict.CodeNoServer), 0, nil))
+		got[c.name] = statusOf(hingeverdict.New(c.verdict, refusalCode(c.cause, hingeverdict.CodeNoServer), 0, nil))
 	}
 	want := map[string]int{
-		"over":                                http.StatusTooManyRequests,
-		"unknown":                             http.StatusServiceUnavailable,
-		"no room":                             http.StatusServiceUnavailable,
-		"over, after a try that may have run": http.StatusBadGateway,
+		"over":        http.StatusTooManyRequests,
+		"unknown":     http.StatusServiceUnavailable,
+		"no capacity": http.StatusServiceUnavailable,
+		"over, after an attempt that may have run": http.StatusBadGateway,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// Thousands of customers send through each of hundreds of hosts. A series for each of them at each host would overrun whoever
-// gathers metrics.
+// The number of customers with a metric series of their own must be bounded.
 func TestCustomersInMetricsAreBounded(t *testing.T) {
 	m := newMeter()
 	for i := range 7300 {
-		m.customer(hingeids.CallerID(fmt.Sprint("customer-", i)), outcomeAnswered)
+		m.countRequest(hingeids.CallerID(fmt.Sprint("customer-", i)), outcomeAnswered)
 	}
 	var b bytes.Buffer
 	m.set.WritePrometheus(&b)
-	if n := strings.Count(b.String(), "customer_requests_total"); n != mostNamed+1 {
+	if n := strings.Count(b.String(), "customer_requests_total"); n != maxNamedCustomers+1 {
 		t.Fatalf("%d series", n)
 	}
 }
--- a/internal/path/hingeproxy/relay.go
+++ b/internal/path/hingeproxy/relay.go
@@ -13,43 +13,45 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// largestEvent bounds one event, so that an engine can't fill memory.
-const largestEvent = 1 << 20
+// maxEventBytes limits the memory that an engine can occupy with one event.
+const maxEventBytes = 1 << 20
 
-// relay passes the events of a stream on (rule 4).
+// relay forwards the events of a stream to the caller (rule 4). It keeps its state when the stream moves to another
+// engine.
 type relay struct {
-	// last is the id of the last event that the caller has.
-	last string
-	// events counts those passed on, firstAt and lastAt are when the first and the last came, and
-	// pause is the longest time between two.
-	events  int
-	firstAt time.Time
-	lastAt  time.Time
-	pause   time.Duration
-	// begun says that the head of the answer was passed on.
-	begun bool
+	// lastID is the id of the last forwarded event.
+	lastID string
+	// events counts the forwarded events; firstAt and lastAt are the times of the first and the last one, and
+	// maxPause is the longest time between two.
+	events   int
+	firstAt  time.Time
+	lastAt   time.Time
+	maxPause time.Duration
+	// headSent is set once the head of the answer was forwarded.
+	headSent bool
 }
 
-// passed notes the time of an event that was passed on.
-func (y *relay) passed(now time.Time) {
+// recordEvent records the time of a forwarded event.
+func (y *relay) recordEvent(now time.Time) {
 	if y.firstAt.IsZero() {
 		y.firstAt = now
 	} else {
-		y.pause = max(y.pause, now.Sub(y.lastAt))
+		y.maxPause = max(y.maxPause, now.Sub(y.lastAt))
 	}
 	y.lastAt = now
 }
 
-// errGap is a stream with an event missing.
-var errGap = eris.New("an event is missing in the stream")
+// errMissingEvent is returned if the ids of a stream skip an event.
+var errMissingEvent = eris.New("stream is missing an event")
 
-// pass passes the events of one run on, until its whole end. Told is called for each.
-func (y *relay) pass(x *hingewire.Exchange, w *hingewire.Writer, told func(events int)) error {
-	if !y.begun {
+// forward forwards the events of one engine until the stream is complete. It calls onEvent after each event with the
+// number of events forwarded so far.
+func (y *relay) forward(x *hingewire.Exchange, w *hingewire.Writer, onEvent func(events int)) error {
+	if !y.headSent {
 		if err := w.Begin(x.Answer.StatusCode, x.Answer.Header); err != nil {
 			return err
 		}
-		y.begun = true
+		y.headSent = true
 	}
 	source := bufio.NewReader(x.Answer.Body)
 	for {
@@ -60,11 +62,11 @@
 		if err != nil {
 			return eris.Wrap(err, "event stream")
 		}
-		id, pass, err := y.judge(event)
+		id, forward, err := y.checkEvent(event)
 		if err != nil {
 			return err
 		}
-		if !pass {
+		if !forward {
 			continue
 		}
 		if err := w.Part(event); err != nil {
@@ -72,14 +74,14 @@
 		}
 		y.events++
 		if id != "" {
-			y.last = id
+			y.lastID = id
 		}
-		told(y.events)
+		onEvent(y.events)
 	}
 }
 
-// readEvent reads up to and with the empty line that ends an event. At the end of
-// the stream it gives io.EOF with what is left, nothing if the stream is whole.
+// readEvent reads an event, including the blank line that ends it. At the end of a complete stream it returns io.EOF
+// and no data; a truncated event is returned with io.ErrUnexpectedEOF.
 func readEvent(source *bufio.Reader) ([]byte, error) {
 	var event []byte
 	for {
@@ -87,8 +89,8 @@
 		event = append(event, line...)
 		switch {
 		case errors.Is(err, bufio.ErrBufferFull):
-			if len(event) > largestEvent {
-				return nil, eris.Errorf("an event has more than %d bytes", largestEvent)
+			if len(event) > maxEventBytes {
+				return nil, eris.Errorf("event exceeds %d bytes", maxEventBytes)
 			}
 			continue
 		case errors.Is(err, io.EOF) && len(event) > 0:
@@ -99,8 +101,8 @@
 		if isBlank(line) && len(event) > len(line) {
 			return event, nil
 		}
-		if len(event) > largestEvent {
-			return nil, eris.Errorf("an event has more than %d bytes", largestEvent)
+		if len(event) > maxEventBytes {
+			return nil, eris.Errorf("event exceeds %d bytes", maxEventBytes)
 		}
 	}
 }
@@ -109,32 +111,32 @@
 	return len(bytes.TrimRight(line, "\r\n")) == 0
 }
 
-// judge tells an event that is due from one that the caller has, and from one
-// that comes too early.
-func (y *relay) judge(event []byte) (id string, pass bool, err error) {
+// checkEvent reports whether to forward an event. An event that the caller already has is skipped, one that doesn't
+// follow the last forwarded event is an error.
+func (y *relay) checkEvent(event []byte) (id string, forward bool, err error) {
 	id = eventID(event)
 	if id == "" {
 		return "", true, nil
 	}
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
-		// Ids that aren't numbers have no order; they are passed on as they come.
+		// Ids that aren't numbers have no order; such events are forwarded as they come.
 		return id, true, nil
 	}
-	before, err := strconv.ParseInt(y.last, 10, 64)
+	lastID, err := strconv.ParseInt(y.lastID, 10, 64)
 	if err != nil {
 		return id, true, nil
 	}
 	switch {
-	case n <= before:
+	case n <= lastID:
 		return id, false, nil
-	case n > before+1:
-		return id, false, errGap
+	case n > lastID+1:
+		return id, false, errMissingEvent
 	}
 	return id, true, nil
 }
 
-// eventID gives the id that an event carries, if any.
+// eventID returns the id field of an event, empty if there is none.
 func eventID(event []byte) string {
 	for line := range bytes.Lines(event) {
 		if value, ok := bytes.CutPrefix(line, []byte("id:")); ok {
--- a/internal/path/hingeproxy/repeat.go
+++ b/internal/path/hingeproxy/repeat.go
@@ -7,63 +7,63 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingeretry"
 )
 
-// worthRepeating reports whether a server's failure is better tried elsewhere.
-func (p *Proxy) worthRepeating(j *job, a *whole) bool {
+// mayRetry reports whether a server's error response may be retried on another replica.
+func (p *Proxy) mayRetry(j *job, a *serverAnswer) bool {
 	return a.response.StatusCode >= http.StatusInternalServerError && j.route.MayRepeat() &&
 		j.runs < j.route.Attempts
 }
 
-// again decides whether a request is sent once more.
-func (p *Proxy) again(j *job, err *hingeverdict.Error) bool {
+// allowRetry reports whether a request is sent again, and charges the retry to the budget.
+func (p *Proxy) allowRetry(j *job, err *hingeverdict.Error) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if j.reserved {
 		j.reserved = false
 		return true
 	}
-	if j.ran != hingeverdict.NotRun && (!j.route.MayRepeat() || j.runs >= j.route.Attempts) {
+	if j.verdict != hingeverdict.NotRun && (!j.route.MayRepeat() || j.runs >= j.route.Attempts) {
 		return false
 	}
-	costs := j.costs()
-	if costs == 0 && j.free >= mostUnreached {
+	messages := j.unpaidMessages()
+	if messages == 0 && j.freeRetries >= maxConnectFailures {
 		return false
 	}
 	d := hingeretry.Decide(p.settings.Clock(), hingeretry.Failure{
 		Err:         err,
-		Before:      j.ran,
+		Before:      j.verdict,
 		Attempts:    j.attempts,
-		Arrivals:    costs,
+		Arrivals:    messages,
 		NeverRepeat: !j.route.MayRepeat(),
 		Deadline:    j.deadline,
 	}, p.budget(j.service))
 	if d.Action != hingeretry.Repeat {
 		return false
 	}
-	j.pay(costs)
+	j.recordPaid(messages)
 	return true
 }
 
-// costs is how many arrivals at servers the next attempt adds to those that every request is
-// allowed, the one that has its prompt read and the one that runs it. As many as there were, if
-// it goes well: a request that has reached nobody yet costs nothing.
-func (j *job) costs() int {
-	return max(j.arrivals-j.paid, 0)
+// unpaidMessages returns the messages to charge for the next attempt. Every request has a regular prefill message and
+// a regular decode message; a retry is assumed to send as many extra messages as were sent so far, so that a request
+// that has reached no server costs nothing.
+func (j *job) unpaidMessages() int {
+	return max(j.messages-j.paidMessages, 0)
 }
 
-// take takes arrivals for a job from the budget.
-func (p *Proxy) take(j *job, arrivals int) bool {
+// spend charges messages to the retry budget, and reports whether the budget allows them.
+func (p *Proxy) spend(j *job, messages int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if !p.budget(j.service).Take(p.settings.Clock(), arrivals) {
+	if !p.budget(j.service).Take(p.settings.Clock(), messages) {
 		return false
 	}
-	j.pay(arrivals)
+	j.recordPaid(messages)
 	return true
 }
 
-func (j *job) pay(arrivals int) {
-	j.paid += arrivals
-	if arrivals == 0 {
-		j.free++
+func (j *job) recordPaid(messages int) {
+	j.paidMessages += messages
+	if messages == 0 {
+		j.freeRetries++
 	}
 }
--- a/internal/path/hingeproxy/silence.go
+++ b/internal/path/hingeproxy/silence.go
@@ -4,24 +4,24 @@
 	"time"
 )
 
-// watchSilence ends an exchange that has gone silent, if another engine may go on
-// with the stream. If none may, a silent engine is still the caller's best chance.
-func (p *Proxy) watchSilence(r *run, stop func()) *silence {
-	s := &silence{}
-	mayMove := r.route.MayRepeat() && r.runs+1 < r.route.Attempts
-	s.timer = time.AfterFunc(stallTime, func() {
-		if mayMove && p.reserve(r.job) {
+// watchStall cancels an exchange without events for stallTimeout if another engine may resume the stream. If none
+// may, the exchange continues, since the engine may still answer.
+func (p *Proxy) watchStall(r *streamJob, stop func()) *stallWatch {
+	s := &stallWatch{}
+	mayResume := r.route.MayRepeat() && r.runs+1 < r.route.Attempts
+	s.timer = time.AfterFunc(stallTimeout, func() {
+		if mayResume && p.reserveRetry(r.job) {
 			stop()
 			return
 		}
-		s.moved()
+		s.reset()
 	})
 	return s
 }
 
-// reserve takes a repeat from the budget for a stream that is about to be moved.
-func (p *Proxy) reserve(j *job) bool {
-	if j.deadline.Sub(p.settings.Clock()) < stallTime || !p.take(j, j.costs()) {
+// reserveRetry charges the retry of a stalled stream to the budget before its exchange is cancelled.
+func (p *Proxy) reserveRetry(j *job) bool {
+	if j.deadline.Sub(p.settings.Clock()) < stallTimeout || !p.spend(j, j.unpaidMessages()) {
 		return false
 	}
 	p.mu.Lock()
@@ -30,15 +30,15 @@
 	return true
 }
 
-// silence is the watch on an exchange.
-type silence struct {
+// stallWatch is the timer of an exchange.
+type stallWatch struct {
 	timer *time.Timer
 }
 
-func (s *silence) moved() {
-	s.timer.Reset(stallTime)
+func (s *stallWatch) reset() {
+	s.timer.Reset(stallTimeout)
 }
 
-func (s *silence) end() {
+func (s *stallWatch) cancel() {
 	s.timer.Stop()
 }
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -30,7 +30,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// testDialect is a dialect with names of its own.
+// testDialect is a Dialect with header names for tests.
 type testDialect struct{}
 
 func (testDialect) Asked(h http.Header) Asked {
@@ -101,23 +101,23 @@
 	}
 }
 
-// behaviour is how a stand-in answers the n-th request that it runs, from 1. It may write
-// to the connection itself and give true.
-type behaviour func(n int, q *http.Request, c net.Conn) bool
+// responder answers the n-th request to a stand-in, counted from 1. It returns true if it has written to the
+// connection itself or wants it closed, false for the standard answer.
+type responder func(n int, q *http.Request, c net.Conn) bool
 
-// standin is a backend server that counts what it was asked.
+// standin is a backend server that counts its requests.
 type standin struct {
 	id       hingeids.ServerID
-	kind     hingefleet.Role
+	role     hingefleet.Role
 	listener net.Listener
-	behave   behaviour
+	respond  responder
 
 	mu    sync.Mutex
 	runs  []string
 	freed []string
 }
 
-func newStandin(t *testing.T, id hingeids.ServerID, kind hingefleet.Role, b behaviour) *standin {
+func newStandin(t *testing.T, id hingeids.ServerID, role hingefleet.Role, b responder) *standin {
 	t.Helper()
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -125,9 +125,9 @@
 	}
 	s := &standin{
 		id:       id,
-		kind:     kind,
+		role:     role,
 		listener: l,
-		behave:   b,
+		respond:  b,
 	}
 	t.Cleanup(func() {
 		_ = l.Close()
@@ -166,23 +166,23 @@
 		s.runs = append(s.runs, q.Header.Get("Id"))
 		n := len(s.runs)
 		s.mu.Unlock()
-		if s.behave != nil && s.behave(n, q, c) {
+		if s.respond != nil && s.respond(n, q, c) {
 			return
 		}
 		if q.Header.Get("Prefill") != "" {
 			reply(c, q, http.StatusOK, `{"handle":"h`+fmt.Sprint(n)+`"}`)
 			continue
 		}
-		if s.kind == hingefleet.Decode {
+		if s.role == hingefleet.Decode {
 			beginStream(c, q)
-			events(c, from(q), 5, true)
+			events(c, firstRequested(q), 5, true)
 			return
 		}
 		reply(c, q, http.StatusOK, "lot 7 is alive")
 	}
 }
 
-// ran counts the requests that the stand-in ran, Freed the caches given back.
+// ran returns the number of requests to the stand-in.
 func (s *standin) ran() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -209,13 +209,13 @@
 		q.Header.Get("Id"))
 }
 
-// from is the first event that a request wants.
-func from(q *http.Request) int {
+// firstRequested returns the number of the first event that a request needs.
+func firstRequested(q *http.Request) int {
 	n, _ := strconv.Atoi(q.Header.Get("After"))
 	return n + 1
 }
 
-// events writes events up to one, and the end if it is whole.
+// events writes the events from first to last, and the end of the stream if it is whole.
 func events(c net.Conn, first, last int, whole bool) {
 	for i := first; i <= last; i++ {
 		e := fmt.Sprintf("id: %d\ndata: token %d\n\n", i, i)
@@ -226,57 +226,57 @@
 	}
 }
 
-// world is a fleet of stand-ins.
-type world struct {
+// cluster is a simulated cluster of stand-ins.
+type cluster struct {
 	table    hingeboard.Cell[hingeroutes.Table]
 	placers  []hingeids.HostID
 	mu       sync.Mutex
 	standins []*standin
-	// gone are servers that are known to take no more work.
+	// gone lists servers that accept no more requests.
 	gone map[hingeids.ServerID]bool
-	// newest is asked whether the table is the newest.
+	// newest replaces the check for a newer configuration, if set.
 	newest func(ctx context.Context) bool
 }
 
-// servers are the stand-ins there are now.
-func (w *world) servers() []*standin {
+// servers returns the present stand-ins.
+func (w *cluster) servers() []*standin {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return slices.Clone(w.standins)
 }
 
-// replace puts a new server in the place of one that has ended.
-func (w *world) replace(old, by *standin) {
+// replace replaces a server that has crashed.
+func (w *cluster) replace(old, replacement *standin) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.standins[slices.Index(w.standins, old)] = by
+	w.standins[slices.Index(w.standins, old)] = replacement
 }
 
-func (w *world) set(t *hingeroutes.Table) { w.table.Store(t) }
+func (w *cluster) set(t *hingeroutes.Table) { w.table.Store(t) }
 
-func (w *world) Table() *hingeroutes.Table { return w.table.Load() }
+func (w *cluster) Table() *hingeroutes.Table { return w.table.Load() }
 
-// Newest reports what newest gives, true if there is none.
-func (w *world) Newest(ctx context.Context) bool { return w.newest == nil || w.newest(ctx) }
+// Newest calls newest, and returns true if that is nil.
+func (w *cluster) Newest(ctx context.Context) bool { return w.newest == nil || w.newest(ctx) }
 
-func (w *world) Changed() <-chan struct{} { return w.table.Changed() }
+func (w *cluster) Changed() <-chan struct{} { return w.table.Changed() }
 
-func (w *world) Entries() int { return 1 }
+func (w *cluster) Entries() int { return 1 }
 
-func (w *world) Leads() bool { return false }
+func (w *cluster) Leads() bool { return false }
 
-func (w *world) Quota(c hingeids.CallerID) hingecustomers.Quota { return w.Table().Quota(c) }
+func (w *cluster) Quota(c hingeids.CallerID) hingecustomers.Quota { return w.Table().Quota(c) }
 
-func (w *world) Poison(hingeids.Print) hingepoison.Listed {
+func (w *cluster) Poison(hingeids.Print) hingepoison.Listed {
 	return hingepoison.Listed{}
 }
 
-func (w *world) Placers() []hingeids.HostID { return w.placers }
+func (w *cluster) Placers() []hingeids.HostID { return w.placers }
 
-func (w *world) Replicas() map[hingeids.Service][]hingebalance.Replica {
+func (w *cluster) Replicas() map[hingeids.Service][]hingebalance.Replica {
 	var out []hingebalance.Replica
 	for _, x := range w.servers() {
-		if x.kind == 0 {
+		if x.role == 0 {
 			out = append(out, hingebalance.Replica{
 				Server:  x.id,
 				Address: x.listener.Addr().String(),
@@ -288,11 +288,11 @@
 	}
 }
 
-func (w *world) Gone(id hingeids.ServerID) bool { return w.gone[id] }
+func (w *cluster) Gone(id hingeids.ServerID) bool { return w.gone[id] }
 
-func (w *world) Version() string { return "1/00000000" }
+func (w *cluster) Version() string { return "1/00000000" }
 
-func (w *world) Address(id hingeids.ServerID) (string, bool) {
+func (w *cluster) Address(id hingeids.ServerID) (string, bool) {
 	for _, x := range w.servers() {
 		if x.id == id {
 			return x.listener.Addr().String(), true
@@ -301,13 +301,13 @@
 	return "", false
 }
 
-func (w *world) Engines() map[hingeids.Service][]hingefleet.Engine {
+func (w *cluster) Engines() map[hingeids.Service][]hingefleet.Engine {
 	var out []hingefleet.Engine
 	for _, x := range w.servers() {
-		if x.kind != 0 {
+		if x.role != 0 {
 			out = append(out, hingefleet.Engine{
 				Server: x.id,
-				Role:   x.kind,
+				Role:   x.role,
 				Slots:  8,
 				Memory: 100000,
 			})
@@ -318,7 +318,8 @@
 	}
 }
 
-// routes are a status query that runs at most once, a lookup that may be repeated, and two kinds of stream.
+// routes returns a table with a status query that runs at most once, a lookup that may be repeated, and a resumable
+// and a non-resumable stream.
 func routes() *hingeroutes.Table {
 	route := func(name, prefix string, kind hingeroutes.Kind, service hingeids.Service) hingeroutes.Route {
 		return hingeroutes.Route{
@@ -363,49 +364,49 @@
 	return t
 }
 
-// door is a proxy with its listener.
-type door struct {
+// testProxy is a proxy with its listener and the settings of its caller.
+type testProxy struct {
 	t       *testing.T
 	address string
 	proxy   *Proxy
-	world   *world
-	// asked counts the requests, for their ids; left is how long callers wait.
-	asked int
-	left  time.Duration
-	// key is the callers' API key, if any; keep has them keep their connection.
-	key  hingecustomers.Key
-	keep bool
-	// kept is the client of callers who do.
-	kept *http.Client
-}
-
-func newDoor(t *testing.T, standins ...*standin) *door {
+	cluster *cluster
+	// requests counts the requests sent, for their ids; maxWait is the callers' timeout.
+	requests int
+	maxWait  time.Duration
+	// key is the callers' API key, if any; keepAlive makes them reuse their connection.
+	key       hingecustomers.Key
+	keepAlive bool
+	// client is the client that is reused with keepAlive.
+	client *http.Client
+}
+
+func newTestProxy(t *testing.T, standins ...*standin) *testProxy {
 	t.Helper()
-	w := &world{
+	w := &cluster{
 		standins: standins,
 	}
 	w.set(routes())
-	return newDoorAt(t, w, hingefake.NewNetwork(), "entry-1")
+	return newTestProxyAt(t, w, hingefake.NewNetwork(), "entry-1")
 }
 
-// control is a control host that knows what the entry hosts know, and places for them.
+// control is a control host with the same cluster view as the entry hosts. It places their requests.
 type control struct {
-	*world
+	*cluster
 }
 
 func (control) Leads() bool { return true }
 
-// newDoors makes entry hosts for which a control host places.
-func newDoors(t *testing.T, n int, standins ...*standin) []*door {
+// newTestProxies starts n entry hosts whose requests are placed by one control host.
+func newTestProxies(t *testing.T, n int, standins ...*standin) []*testProxy {
 	t.Helper()
-	w := &world{
+	w := &cluster{
 		standins: standins,
 		placers:  []hingeids.HostID{"control-1"},
 	}
 	w.set(routes())
 	network := hingefake.NewNetwork()
 	placer := hingeplacer.New(control{
-		world: w,
+		cluster: w,
 	}, nil, func() bool {
 		return true
 	}, time.Now, hingequota.StandardTerms)
@@ -418,14 +419,14 @@
 		stop()
 		<-placer.Done()
 	})
-	var out []*door
+	var out []*testProxy
 	for i := range n {
-		out = append(out, newDoorAt(t, w, network, hingeids.HostID(fmt.Sprint("entry-", i+1))))
+		out = append(out, newTestProxyAt(t, w, network, hingeids.HostID(fmt.Sprint("entry-", i+1))))
 	}
 	return out
 }
 
-func newDoorAt(t *testing.T, w *world, network *hingefake.Network, host hingeids.HostID) *door {
+func newTestProxyAt(t *testing.T, w *cluster, network *hingefake.Network, host hingeids.HostID) *testProxy {
 	t.Helper()
 	owner := hingeplacer.NewOwner(host, network.Link(host), w, time.Now, nil, hingequota.StandardTerms)
 	p := New(Settings{
@@ -463,36 +464,36 @@
 		<-s.Done()
 		<-owner.Done()
 	})
-	return &door{
+	return &testProxy{
 		t:       t,
 		address: l.Addr().String(),
 		proxy:   p,
-		world:   w,
-		left:    2500 * time.Millisecond,
+		cluster: w,
+		maxWait: 2500 * time.Millisecond,
 	}
 }
 
-// firstToRun gives the one of two servers that is asked first a behaviour; the other does well. Which
-// one that is isn't known before.
-func firstToRun(a, b *standin, behave behaviour) {
-	unless := func(other *standin) behaviour {
+// firstRequestGets installs a responder that answers the first request to either of two servers. Which of them is
+// placed first isn't known in advance.
+func firstRequestGets(a, b *standin, respond responder) {
+	unless := func(other *standin) responder {
 		return func(n int, q *http.Request, c net.Conn) bool {
-			return other.ran() == 0 && behave(n, q, c)
+			return other.ran() == 0 && respond(n, q, c)
 		}
 	}
-	a.behave, b.behave = unless(b), unless(a)
+	a.respond, b.respond = unless(b), unless(a)
 }
 
-// spend takes all that the budget of a service has.
-func (d *door) spend(s hingeids.Service) {
+// spendBudget exhausts the retry budget of a service.
+func (d *testProxy) spendBudget(s hingeids.Service) {
 	d.proxy.mu.Lock()
 	defer d.proxy.mu.Unlock()
 	for d.proxy.budget(s).Take(time.Now(), 1) {
 	}
 }
 
-// budgetLeft counts the arrivals that the budget of a service still has.
-func (d *door) budgetLeft(s hingeids.Service) int {
+// remainingBudget returns the number of messages that the retry budget of a service still allows.
+func (d *testProxy) remainingBudget(s hingeids.Service) int {
 	d.proxy.mu.Lock()
 	defer d.proxy.mu.Unlock()
 	b := *d.proxy.budget(s)
@@ -503,54 +504,54 @@
 	return n
 }
 
-// got is what a caller got.
-type got struct {
+// result is what a caller received.
+type result struct {
 	Status int
 	Body   string
-	// Whole says that the answer ended as its framing says.
+	// Whole is set if the body was read without an error.
 	Whole      bool
 	RetryAfter bool
 }
 
-// ask sends one request and reads its answer.
-func (d *door) ask(target string) got {
+// send sends one request and reads its answer.
+func (d *testProxy) send(target string) result {
 	d.t.Helper()
-	d.asked++
-	n := d.asked
+	d.requests++
+	n := d.requests
 	q, err := http.NewRequestWithContext(d.t.Context(), http.MethodPost, "http://"+d.address+target, strings.NewReader("body"))
 	if err != nil {
 		d.t.Fatal(err)
 	}
 	q.Host = "quay.example"
 	q.Header.Set("Id", fmt.Sprint("request-", n))
-	q.Header.Set("Left", fmt.Sprint(d.left.Milliseconds()))
+	q.Header.Set("Left", fmt.Sprint(d.maxWait.Milliseconds()))
 	if strings.HasPrefix(target, "/dossier") || strings.HasPrefix(target, "/health") {
 		q.Header.Set("Prompt", "1000")
 	}
 	if d.key != "" {
 		q.Header.Set("Key", string(d.key))
 	}
-	c := d.kept
+	c := d.client
 	if c == nil {
 		c = &http.Client{
 			Transport: &http.Transport{
-				DisableKeepAlives: !d.keep,
+				DisableKeepAlives: !d.keepAlive,
 			},
 		}
 	}
-	if d.keep {
-		d.kept = c
+	if d.keepAlive {
+		d.client = c
 		d.t.Cleanup(c.CloseIdleConnections)
 	}
 	a, err := c.Do(q)
 	if err != nil {
-		return got{}
+		return result{}
 	}
 	defer func() {
 		_ = a.Body.Close()
 	}()
 	b, err := io.ReadAll(a.Body)
-	return got{
+	return result{
 		Status:     a.StatusCode,
 		Body:       string(b),
 		Whole:      err == nil,
--- a/internal/path/hingeproxy/start.go
+++ b/internal/path/hingeproxy/start.go
@@ -8,46 +8,45 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// After all hosts have lost power or were killed, callers ask again at hosts that have just started, most of them for
-// the last time: they try twice. What holds a host up is short and of known length, an election and a
-// round trip, about a second and a half. A request that waits for it is served, often in time; one that is sent away
-// is lost.
+// After a power loss of all hosts, callers retry at hosts that have just started, most of them for the last time. A
+// host receives its configuration after an election and a round trip, so it holds the request for that time rather
+// than refusing it.
 const (
-	// startTime is how long a host that starts needs at most, as a rule, until it knows its configuration: the lease of a leader
-	// that may still live, an election, and the questions of all hosts at once.
-	startTime = 3 * time.Second
-	// startShare is the part of its time that a request may wait for that, so that enough is
-	// left for its run, or for another host.
-	startShare = 0.85
-	// mostHeld bounds the requests that wait: at 100 KB each, their memory is a third of the smallest host's.
-	mostHeld = 256
-	// notReadyRetry is when a host that starts is likely to know its configuration.
+	// startupTime is the usual maximum time from the start of a host to its first configuration: the expiry of the
+	// previous leader's lease, an election and the concurrent queries of all hosts.
+	startupTime = 3 * time.Second
+	// startupShare is the fraction of its timeout that a request may wait for the first configuration. The rest is
+	// for serving it, or for a retry on another host.
+	startupShare = 0.85
+	// maxWaiting bounds the memory of waiting requests, each of which holds its body.
+	maxWaiting = 256
+	// notReadyRetry is the Retry-After while a host has no configuration.
 	notReadyRetry = 500 * time.Millisecond
 )
 
-// awaitTable gives the configuration. A host that has just started has a request wait for the first
-// one, but not for longer than leaves it time to be served.
-func (p *Proxy) awaitTable(ctx context.Context, r *hingewire.Request, asked Asked) *hingeroutes.Table {
-	if t := p.world.Table(); t != nil {
+// awaitTable returns the routing table. On a host that has just started it waits for the first configuration, and
+// returns nil if there is none in time.
+func (p *Proxy) awaitTable(ctx context.Context, r *hingewire.Request, info Asked) *hingeroutes.Table {
+	if t := p.view.Table(); t != nil {
 		return t
 	}
 	now := p.settings.Clock()
-	until := p.settings.Started.Add(startTime)
-	if asked.Left > 0 {
-		last := r.Arrived.Add(time.Duration(startShare * float64(asked.Left)))
-		if last.Before(until) {
-			until = last
+	deadline := p.settings.Started.Add(startupTime)
+	if info.Left > 0 {
+		last := r.Arrived.Add(time.Duration(startupShare * float64(info.Left)))
+		if last.Before(deadline) {
+			deadline = last
 		}
 	}
-	if !now.Before(until) || !p.hold(1) {
+	if !now.Before(deadline) || !p.addWaiting(1) {
 		return nil
 	}
-	defer p.hold(-1)
-	wait := time.NewTimer(until.Sub(now))
+	defer p.addWaiting(-1)
+	wait := time.NewTimer(deadline.Sub(now))
 	defer wait.Stop()
 	for {
-		changed := p.world.Changed()
-		if t := p.world.Table(); t != nil {
+		changed := p.view.Changed()
+		if t := p.view.Table(); t != nil {
 			return t
 		}
 		select {
@@ -60,13 +59,13 @@
 	}
 }
 
-// hold counts requests that wait, and reports whether there is room for one more.
-func (p *Proxy) hold(more int) bool {
+// addWaiting changes the number of waiting requests by delta, and reports whether the limit allows it.
+func (p *Proxy) addWaiting(delta int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if more > 0 && p.held >= mostHeld {
+	if delta > 0 && p.waiting >= maxWaiting {
 		return false
 	}
-	p.held += more
+	p.waiting += delta
 	return true
 }
--- a/internal/path/hingeproxy/start_test.go
+++ b/internal/path/hingeproxy/start_test.go
@@ -8,11 +8,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// All hosts lose power and are back. Callers ask a host that has just started and knows no configuration yet, most of
-// them for the last time. Sent away they would be lost; it knows one a moment later, and they are served.
+// Requests that arrive before a host has its first configuration must wait for it; for many callers this is the last
+// retry.
 func TestRequestWaitsForTheFirstConfiguration(t *testing.T) {
-	d := newDoor(t, newStandin(t, "app-1", 0, nil))
-	w := d.world
+	d := newTestProxy(t, newStandin(t, "app-1", 0, nil))
+	w := d.cluster
 	table := w.Table()
 	w.set(nil)
 	d.proxy.settings.Started = time.Now()
@@ -20,25 +20,25 @@
 		w.set(table)
 	})
 	began := time.Now()
-	want := got{
+	want := result{
 		Status: http.StatusOK,
 		Body:   "lot 7 is alive",
 		Whole:  true,
 	}
-	if diff := cmp.Diff(want, d.ask("/status/7")); diff != "" {
+	if diff := cmp.Diff(want, d.send("/status/7")); diff != "" {
 		t.Fatal(diff)
 	}
-	if took := time.Since(began); took < 300*time.Millisecond {
-		t.Fatalf("answered after %v", took)
+	if elapsed := time.Since(began); elapsed < 300*time.Millisecond {
+		t.Fatalf("answered after %v", elapsed)
 	}
 }
 
-// A host stays without a configuration. Its callers are told while they have time left to ask elsewhere, and those that
-// come when it should have known one by then hear it at once.
-func TestRequestDoesNotWaitForLong(t *testing.T) {
-	d := newDoor(t, newStandin(t, "app-1", 0, nil))
-	d.world.set(nil)
-	d.left = 400 * time.Millisecond
+// A host without a configuration must refuse its callers while they have time to retry elsewhere, and at once after
+// the startup time.
+func TestWaitForConfigurationIsBounded(t *testing.T) {
+	d := newTestProxy(t, newStandin(t, "app-1", 0, nil))
+	d.cluster.set(nil)
+	d.maxWait = 400 * time.Millisecond
 	for _, c := range []struct {
 		started time.Time
 		least   time.Duration
@@ -46,37 +46,37 @@
 	}{
 		{
 			started: time.Now(),
-			least:   time.Duration(startShare*400) * time.Millisecond,
+			least:   time.Duration(startupShare*400) * time.Millisecond,
 			most:    400 * time.Millisecond,
 		},
 		{
-			started: time.Now().Add(-startTime),
+			started: time.Now().Add(-startupTime),
 			most:    100 * time.Millisecond,
 		},
 	} {
 		d.proxy.settings.Started = c.started
 		began := time.Now()
-		g := d.ask("/status/7")
-		took := time.Since(began)
-		if g.Status != http.StatusServiceUnavailable || !g.RetryAfter || took < c.least || took > c.most {
-			t.Errorf("%+v after %v, want 503 after %v to %v", g, took, c.least, c.most)
+		g := d.send("/status/7")
+		elapsed := time.Since(began)
+		if g.Status != http.StatusServiceUnavailable || !g.RetryAfter || elapsed < c.least || elapsed > c.most {
+			t.Errorf("%+v after %v, want 503 after %v to %v", g, elapsed, c.least, c.most)
 		}
 	}
 }
 
-// A host that starts is asked by more callers than it has memory for.
+// The number of requests that wait for the first configuration must be bounded.
 func TestWaitingRequestsAreBounded(t *testing.T) {
-	d := newDoor(t)
-	for range mostHeld {
-		if !d.proxy.hold(1) {
-			t.Fatal("no room")
+	d := newTestProxy(t)
+	for range maxWaiting {
+		if !d.proxy.addWaiting(1) {
+			t.Fatal("a request below the limit was refused")
 		}
 	}
-	if d.proxy.hold(1) {
-		t.Fatal("one more than the bound waits")
+	if d.proxy.addWaiting(1) {
+		t.Fatal("a request beyond the limit was accepted")
 	}
-	d.proxy.hold(-1)
-	if !d.proxy.hold(1) {
-		t.Fatal("a place that was given back isn't free")
+	d.proxy.addWaiting(-1)
+	if !d.proxy.addWaiting(1) {
+		t.Fatal("a freed place can't be used again")
 	}
 }
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -18,154 +18,155 @@
 )
 
 const (
-	// stallTime is how long an engine may be silent in the middle of a stream before
-	// another goes on, where that is allowed. Events come every 50 ms, 250 ms on an engine
-	// five times slower; callers give a silent stream up after two seconds and more.
-	stallTime = 1500 * time.Millisecond
-	// prefillTime bounds one prefill: ten times that of the longest prompt.
-	prefillTime = 2 * time.Second
-	// freeTime bounds the call that frees a KV cache; it lapses by itself soon after.
-	freeTime = 500 * time.Millisecond
-	// lastStreams is how long after the process was told to end streams are still begun. They last
-	// some four seconds, and the grace of today's deployments is eight.
-	lastStreams = 1500 * time.Millisecond
+	// stallTimeout is the longest time without an event before another engine resumes a stream. It is well above the
+	// pause between events on a slow engine, and below the time after which callers disconnect.
+	stallTimeout = 1500 * time.Millisecond
+	// prefillTimeout bounds one prefill. It is well above the time for the longest prompt.
+	prefillTimeout = 2 * time.Second
+	// freeTimeout bounds the call that frees a KV cache, which expires soon after without it.
+	freeTimeout = 500 * time.Millisecond
+	// drainStreamTime is the time after the start of a drain in which streams are still accepted. Later ones might
+	// not finish within the grace period.
+	drainStreamTime = 1500 * time.Millisecond
 )
 
-// run is a stream on its way.
-type run struct {
+// streamJob is a stream in flight.
+type streamJob struct {
 	*job
 	engine *hingeroutes.Engine
 	relay  relay
 	avoid  []hingeids.ServerID
-	// waitsSince is when the caller got its last event, or asked.
-	waitsSince time.Time
-	// sentAt is when the engine that was asked last got its message.
+	// waitStart is the start of the caller's current wait: the arrival of the request, or the last failure of an
+	// engine after the stream had begun.
+	waitStart time.Time
+	// sentAt is the time of the last message to an engine.
 	sentAt time.Time
-	// read is how long the prompt was with the engine that prefilled it.
-	read time.Duration
-	// begunAt is the engine that sent an event last.
-	begunAt hingeids.ServerID
-	// moved says that an engine broke off.
+	// prefillDuration is the time that the prefill took.
+	prefillDuration time.Duration
+	// streamingServer is the engine that has sent the last event.
+	streamingServer hingeids.ServerID
+	// moved is set if an engine failed after the stream had begun.
 	moved bool
 }
 
-// stream answers a request of a model service.
-func (p *Proxy) stream(ctx context.Context, j *job, e *hingeroutes.Engine) {
-	if p.tooLateToBegin() {
-		p.give(j, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeShuttingDown, shortestRetry, nil))
+// serveStream serves a request for a model as a stream of events, with retries on other engines.
+func (p *Proxy) serveStream(ctx context.Context, j *job, e *hingeroutes.Engine) {
+	if p.tooLateToStart() {
+		p.failRequest(j, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeShuttingDown, minRetryAfter, nil))
 		return
 	}
-	r := &run{
+	r := &streamJob{
 		job:    j,
 		engine: e,
 	}
-	r.relay.last = j.asked.After
-	r.waitsSince = j.Arrived
+	r.relay.lastID = j.info.After
+	r.waitStart = j.Arrived
 	for {
 		err := p.attempt(ctx, r)
 		switch {
 		case err == nil:
-			p.streamed(r)
+			p.recordStream(r)
 			return
 		case context.Cause(ctx) == hingewire.ErrCallerLeft:
-			p.callerLeft(j)
+			p.recordCallerGone(j)
 			return
-		case !p.moveOn(r, err):
-			p.give(j, err)
+		case !p.allowResume(r, err):
+			p.failRequest(j, err)
 			return
 		}
 	}
 }
 
-func (p *Proxy) tooLateToBegin() bool {
+func (p *Proxy) tooLateToStart() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.drainingSince.IsZero() && p.settings.Clock().Sub(p.drainingSince) > lastStreams
+	return !p.drainingSince.IsZero() && p.settings.Clock().Sub(p.drainingSince) > drainStreamTime
 }
 
-func (p *Proxy) streamed(r *run) {
-	p.passed(r.job)
+func (p *Proxy) recordStream(r *streamJob) {
+	p.reportCompletion(r.job)
 	now := p.settings.Clock()
-	p.meter.customer(r.caller(), outcomeAnswered)
-	p.meter.streamed(now.Sub(r.Arrived), r.relay.firstAt.Sub(r.Arrived))
+	p.meter.countRequest(r.caller(), outcomeAnswered)
+	p.meter.countStream(now.Sub(r.Arrived), r.relay.firstAt.Sub(r.Arrived))
 	p.settings.Recorder.Record(now, hingeevents.RequestAnswered, hingeevents.Fields{
-		Asked:  string(r.asked.ID),
+		Asked:  string(r.info.ID),
 		Caller: r.caller(),
 		Took:   now.Sub(r.Arrived),
 		Count:  int64(r.relay.events),
 		Route:  r.route.Name,
-		Late:   r.late(),
-		Detail: fmt.Sprintf("longest pause %d ms", r.relay.pause.Milliseconds()),
+		Late:   r.lateReason(),
+		Detail: fmt.Sprintf("longest pause %d ms", r.relay.maxPause.Milliseconds()),
 	})
 }
 
-// late is what made a stream that is whole late, empty if nothing did.
-func (r *run) late() string {
+// lateReason returns why a complete stream counts as late, empty if it is on time.
+func (r *streamJob) lateReason() string {
 	switch {
 	case r.relay.firstAt.Sub(r.Arrived) > r.route.Target:
 		return "firstEvent"
-	case r.route.GapTarget > 0 && r.relay.pause > r.route.GapTarget:
+	case r.route.GapTarget > 0 && r.relay.maxPause > r.route.GapTarget:
 		return "pause"
 	}
 	return ""
 }
 
-// wasted records that a prompt was worked for nothing.
-func (p *Proxy) wasted(r *run, at placement, tokens hingeids.Tokens, cause error) {
+// recordWaste records that a prompt was prefilled without a complete answer.
+func (p *Proxy) recordWaste(r *streamJob, placed placement, tokens hingeids.Tokens, cause error) {
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.PromptWasted, hingeevents.Fields{
-		Asked:  string(r.asked.ID),
-		Server: at.Decode,
+		Asked:  string(r.info.ID),
+		Server: placed.Decode,
 		Count:  int64(tokens),
 		Route:  r.route.Name,
 		Detail: cause.Error(),
 	})
 }
 
-// moveOn decides whether another attempt is made.
-func (p *Proxy) moveOn(r *run, err *hingeverdict.Error) bool {
+// allowResume reports whether a stream is attempted again. If the caller already has a part of the answer, its wait
+// starts anew.
+func (p *Proxy) allowResume(r *streamJob, err *hingeverdict.Error) bool {
 	switch err.Code {
 	case hingeverdict.CodeNoRoom, hingeverdict.CodeDeadline, hingeverdict.CodeOverQuota, hingeverdict.CodeQuotaUnknown,
 		hingeverdict.CodePoison:
 		return false
 	}
-	if r.relay.begun {
+	if r.relay.headSent {
 		r.moved = true
-		r.waitsSince = p.settings.Clock()
+		r.waitStart = p.settings.Clock()
 	}
-	return p.again(r.job, err)
+	return p.allowRetry(r.job, err)
 }
 
-// want makes what is asked of the placer.
-func (p *Proxy) want(r *run) hingeplacer.Want {
-	made := r.made()
-	waited := p.settings.Clock().Sub(r.waitsSince)
+// streamRequest builds the request for engines from the state of a stream.
+func (p *Proxy) streamRequest(r *streamJob) hingeplacer.Want {
+	generated := r.generated()
+	waited := p.settings.Clock().Sub(r.waitStart)
 	return hingeplacer.Want{
 		Service:  r.service,
 		Zone:     p.settings.Zone,
 		ID:       hingefleet.StreamID(p.nextID()),
-		Prompt:   r.asked.Prompt + made,
-		Expected: max(expected(r.asked, r.engine)-made, r.engine.EventTokens),
+		Prompt:   r.info.Prompt + generated,
+		Expected: max(expectedTokens(r.info, r.engine)-generated, r.engine.EventTokens),
 		Waited:   waited,
 		Target:   r.route.Target,
 		Gap:      r.route.GapTarget,
-		Patience: min(r.route.Patience, waited+p.left(r.job)),
-		Left:     p.left(r.job),
+		Patience: min(r.route.Patience, waited+p.remaining(r.job)),
+		Left:     p.remaining(r.job),
 		Moved:    r.moved,
 		Avoid:    r.avoid,
-		Charge:   r.due(),
+		Charge:   r.pendingCharge(),
 		Priority: r.priority(),
-		Print:    r.print,
-		Ends:     r.ends,
+		Print:    r.fingerprint,
+		Ends:     r.crashes,
 	}
 }
 
-// made is the tokens that the caller has.
-func (r *run) made() hingeids.Tokens {
+// generated returns the number of tokens that the caller has received.
+func (r *streamJob) generated() hingeids.Tokens {
 	return hingeids.Tokens(r.relay.events) * r.engine.EventTokens
 }
 
-// expected is how many tokens an answer is expected to have.
-func expected(a Asked, e *hingeroutes.Engine) hingeids.Tokens {
+// expectedTokens estimates the length of an answer: the caller's hint, or half of its maximum, within its bounds.
+func expectedTokens(a Asked, e *hingeroutes.Engine) hingeids.Tokens {
 	t := a.Hint
 	if t <= 0 {
 		t = a.Longest / 2
@@ -176,8 +177,9 @@
 	return max(t, e.EventTokens)
 }
 
-// attempt places a stream and runs it at the engines it was given.
-func (p *Proxy) attempt(ctx context.Context, r *run) *hingeverdict.Error {
+// attempt places a stream and runs it on its engines. If a decode engine refuses the KV cache or can't be reached,
+// another engine may take the cache over.
+func (p *Proxy) attempt(ctx context.Context, r *streamJob) *hingeverdict.Error {
 	placed, err := p.place(ctx, r, false)
 	if err != nil {
 		return err
@@ -185,33 +187,33 @@
 	defer func() {
 		placed.stream.End()
 	}()
-	ahead := p.dialAhead(ctx, p.addressOf(placed.Decode, placed.DecodeAt))
+	dial := p.startDial(ctx, p.addressOf(placed.Decode, placed.DecodeAt))
 	var cache Cache
 	placedAt := p.settings.Clock()
 	if placed.Prefill != "" {
 		cache, err = p.prefill(ctx, r, placed.Prefill, p.addressOf(placed.Prefill, placed.PrefillAt))
 	}
 	if err != nil {
-		ahead.close()
-		p.blame(ctx, r, placed, placed.Prefill, err)
+		dial.close()
+		p.recordEngineFailure(ctx, r, placed, placed.Prefill, err)
 		return err
 	}
 	if placed.Prefill != "" {
 		placed.stream.Note(placed.Prefill, hingefleet.Worked)
 	}
-	made := r.made()
-	done := p.settings.Clock()
-	r.read = done.Sub(placedAt)
+	generated := r.generated()
+	prefillDone := p.settings.Clock()
+	r.prefillDuration = prefillDone.Sub(placedAt)
 	for {
-		err = p.decode(ctx, r, placed, ahead, cache)
+		err = p.decode(ctx, r, placed, dial, cache)
 		if err == nil {
 			placed.stream.Note(placed.Decode, hingefleet.Worked)
 			return nil
 		}
 		if context.Cause(ctx) == nil {
-			p.blame(ctx, r, placed, placed.Decode, err)
+			p.recordEngineFailure(ctx, r, placed, placed.Decode, err)
 		}
-		if cache == (Cache{}) || ctx.Err() != nil || p.settings.Clock().Sub(done) > r.engine.HandleTime/2 ||
+		if cache == (Cache{}) || ctx.Err() != nil || p.settings.Clock().Sub(prefillDone) > r.engine.HandleTime/2 ||
 			!p.mayTransfer(r, err) {
 			break
 		}
@@ -221,34 +223,34 @@
 		}
 		placed.stream.End()
 		placed = next
-		ahead = p.dialAhead(ctx, p.addressOf(placed.Decode, placed.DecodeAt))
+		dial = p.startDial(ctx, p.addressOf(placed.Decode, placed.DecodeAt))
 	}
-	p.wasted(r, placed, r.asked.Prompt+made, err)
+	p.recordWaste(r, placed, r.info.Prompt+generated, err)
 	if cache != (Cache{}) && (err.Verdict == hingeverdict.NotRun || ctx.Err() != nil) {
-		p.free(cache)
+		p.releaseCache(cache)
 	}
 	return err
 }
 
-// mayTransfer decides whether another engine takes the prompt's KV cache, while it is kept. An engine that
-// refused has not taken it; the next one is an arrival that the budget has to give.
-func (p *Proxy) mayTransfer(r *run, err *hingeverdict.Error) bool {
+// mayTransfer reports whether another engine may take over the KV cache while it is retained. If an engine refused
+// it, the message to the next one is charged to the retry budget.
+func (p *Proxy) mayTransfer(r *streamJob, err *hingeverdict.Error) bool {
 	switch err.Code {
 	case hingeverdict.CodeNoServer:
 		return true
 	case hingeverdict.CodeServerRefused:
-		return p.take(r.job, 1)
+		return p.spend(r.job, 1)
 	}
 	return false
 }
 
-// placement is where a stream goes, with its place in the owner's reports.
+// placement holds the engines of a stream and the handle for reports on it.
 type placement struct {
 	hingeplacer.Placement
 	stream *hingeplacer.Stream
 }
 
-// address gives where one of the engines is.
+// address returns the address of one of the placed engines.
 func (p placement) address(id hingeids.ServerID) string {
 	if id == p.Prefill {
 		return p.PrefillAt
@@ -256,27 +258,27 @@
 	return p.DecodeAt
 }
 
-// place asks for engines; for a decode engine alone if the prompt's KV cache is there.
-func (p *Proxy) place(ctx context.Context, r *run, cached bool) (placement, *hingeverdict.Error) {
-	w := p.want(r)
+// place requests engines for a stream, only a decode engine if the KV cache exists already.
+func (p *Proxy) place(ctx context.Context, r *streamJob, cached bool) (placement, *hingeverdict.Error) {
+	w := p.streamRequest(r)
 	w.Cached = cached
 	placed := p.owner.Place(ctx, w)
 	if placed.Refused {
 		return placement{}, refusal(placed)
 	}
 	if placed.NotHere || placed.Decode == "" {
-		return placement{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, shortestRetry, nil)
+		return placement{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, minRetryAfter, nil)
 	}
-	r.counted = true
+	r.charged = true
 	r.suspect = placed.Suspect
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.RequestPlaced, hingeevents.Fields{
-		Asked:  string(r.asked.ID),
-		Print:  r.print,
+		Asked:  string(r.info.ID),
+		Print:  r.fingerprint,
 		Server: placed.Decode,
 		Took:   placed.Waited,
 		Count:  int64(placed.Peak),
 		Route:  r.route.Name,
-		World:  p.world.Version(),
+		World:  p.view.Version(),
 		Detail: fmt.Sprintf("prefill %s, alone %v, prompt %d, expected %d", placed.Prefill, placed.Alone, w.Prompt, w.Expected),
 	})
 	return placement{
@@ -285,22 +287,23 @@
 	}, nil
 }
 
-// refusal is the error of a stream that gets no engines.
+// refusal returns the error of a stream that the placer refused.
 func refusal(a hingeplacer.Placement) *hingeverdict.Error {
 	if a.Cause != hingeplacer.NoRoom {
-		return hingeverdict.New(hingeverdict.NotRun, codeOf(a.Cause, 0), a.RetryAfter, nil)
+		return hingeverdict.New(hingeverdict.NotRun, refusalCode(a.Cause, 0), a.RetryAfter, nil)
 	}
 	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoRoom, a.RetryAfter, eris.Errorf("short of %s", a.Short))
 }
 
-// blame keeps the rest of a request, and for a while other requests, away from an engine.
-func (p *Proxy) blame(ctx context.Context, r *run, at placement, id hingeids.ServerID, err *hingeverdict.Error) {
+// recordEngineFailure excludes an engine from the further attempts of a stream, and reports the failure to the
+// placer.
+func (p *Proxy) recordEngineFailure(ctx context.Context, r *streamJob, placed placement, id hingeids.ServerID, err *hingeverdict.Error) {
 	r.avoid = append(slices.Clip(r.avoid), id)
 	now := p.settings.Clock()
-	p.ended(ctx, r.job, id, at.address(id), now.Sub(r.sentAt), err)
+	p.reportCrash(ctx, r.job, id, placed.address(id), now.Sub(r.sentAt), err)
 	p.settings.Recorder.Record(now, hingeevents.ServerFailedRequest, hingeevents.Fields{
-		Asked:  string(r.asked.ID),
-		Print:  r.print,
+		Asked:  string(r.info.ID),
+		Print:  r.fingerprint,
 		Server: id,
 		Took:   now.Sub(r.Arrived),
 		Detail: err.Error(),
@@ -308,11 +311,11 @@
 	if err.Code == hingeverdict.CodeDeadline {
 		return
 	}
-	at.stream.Note(id, outcomeAt(err))
+	placed.stream.Note(id, engineOutcome(err))
 }
 
-// outcomeAt is what a failure says of the engine.
-func outcomeAt(err *hingeverdict.Error) hingefleet.Outcome {
+// engineOutcome returns the outcome that an error is reported with.
+func engineOutcome(err *hingeverdict.Error) hingefleet.Outcome {
 	switch err.Code {
 	case hingeverdict.CodeNoServer, hingeverdict.CodeServerGone:
 		return hingefleet.Unreached
