--- a/internal/agreement/hingeconfig/change.go
+++ b/internal/agreement/hingeconfig/change.go
@@ -150,7 +150,7 @@
 			eris.Errorf("conflict: %s's change %s made revision %d; the newest is %d",
 				a.Winner.Operator, a.Winner.ID, a.Winner.Revision, a.Revision))
 	case OtherContent:
-		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeChangeIDReused, 0, eris.New(a.Problem))
+		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeChangeOtherContent, 0, eris.New(a.Problem))
 	default:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0, eris.New(a.Problem))
 	}
--- a/internal/agreement/hingegroup/propose.go
+++ b/internal/agreement/hingegroup/propose.go
@@ -224,7 +224,7 @@
 	}
 	var o outcome
 	if err := cbor.Unmarshal(b, &o); err != nil {
-		return outcome{}, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0, err)
+		return outcome{}, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0, err)
 	}
 	return o, nil
 }
--- a/internal/decide/hingeadmit/giveup.go
+++ b/internal/decide/hingeadmit/giveup.go
@@ -24,7 +24,7 @@
 			continue
 		}
 		q.remove(it)
-		code := hingeverdict.CodeTargetUnreachable
+		code := hingeverdict.CodeTargetOutOfReach
 		if it.request.CanWait || it.request.FirstToken == 0 {
 			code = hingeverdict.CodeDeadline
 		}
--- a/internal/decide/hingeadmit/queue.go
+++ b/internal/decide/hingeadmit/queue.go
@@ -83,11 +83,11 @@
 		return q.refuse(now, l, r, code, q.wait(now, l, r))
 	}
 	if r.TokenGap > 0 && f.TokenGap > r.TokenGap {
-		return q.refuse(now, l, r, hingeverdict.CodeTargetUnreachable, 0)
+		return q.refuse(now, l, r, hingeverdict.CodeTargetOutOfReach, 0)
 	}
 	wait := q.wait(now, l, r)
 	if late := wait + f.FirstToken - usableTarget(r.FirstToken); r.FirstToken > 0 && late > 0 {
-		return q.refuse(now, l, r, hingeverdict.CodeTargetUnreachable, late)
+		return q.refuse(now, l, r, hingeverdict.CodeTargetOutOfReach, late)
 	}
 	if late := now.Add(wait + f.FirstToken + answerAllowance(r, wait)).Sub(r.Deadline); late > 0 {
 		return q.refuse(now, l, r, hingeverdict.CodeDeadline, late)
@@ -116,7 +116,7 @@
 		return hingeverdict.CodeQueueFull
 	}
 	if f := l.flows[c]; f != nil && len(f.items.list) >= free {
-		return hingeverdict.CodeCallerShareExceeded
+		return hingeverdict.CodeCallerShare
 	}
 	return 0
 }
--- a/internal/decide/hingeadmit/queue_test.go
+++ b/internal/decide/hingeadmit/queue_test.go
@@ -254,7 +254,7 @@
 	}
 	want := hingeverdict.Error{
 		Verdict:    hingeverdict.NotRun,
-		Code:       hingeverdict.CodeTargetUnreachable,
+		Code:       hingeverdict.CodeTargetOutOfReach,
 		RetryAfter: got.RetryAfter,
 		Cause:      got.Cause,
 	}
--- a/internal/ledger/hingeledger/ledger.go
+++ b/internal/ledger/hingeledger/ledger.go
@@ -181,14 +181,14 @@
 func (l *Ledger) Issue(ctx context.Context, _ hingeids.CallerID) (hingeids.IdempotencyKey, error) {
 	keeper, ok := l.config.Keepers[l.config.Zone]
 	if !ok {
-		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeyOwnerUnreachable, 0,
+		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeeperUnreachable, 0,
 			eris.Errorf("zone %s has no host that keeps issued keys", l.config.Zone))
 	}
 	ctx, cancel := context.WithTimeout(ctx, tryTime)
 	defer cancel()
 	key, err := l.config.Link.Call(ctx, keeper, methodIssue, nil)
 	if err != nil {
-		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeyOwnerUnreachable, time.Second,
+		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeeperUnreachable, time.Second,
 			eris.Wrapf(err, "keeper of zone %s", l.config.Zone))
 	}
 	return hingeids.IdempotencyKey(key), nil
--- a/internal/ledger/hingeledger/ledger_test.go
+++ b/internal/ledger/hingeledger/ledger_test.go
@@ -83,7 +83,7 @@
 		t.Fatalf("its own key: %v", err)
 	}
 	noQuorum := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeNoQuorum, ComesBack: true}
-	noKeeper := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeKeyOwnerUnreachable, ComesBack: true}
+	noKeeper := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeKeeperUnreachable, ComesBack: true}
 	free := &operation{caller: "depot", key: "lot-7"}
 	wantRefusal(t, w.request(free, inside, "body"), noQuorum)
 	wantRefusal(t, w.request(foreign, inside, "body"), noKeeper)
--- a/internal/ledger/hingeledger/verdicts.go
+++ b/internal/ledger/hingeledger/verdicts.go
@@ -38,7 +38,7 @@
 	return place{
 		gate:  l.zones[issued.zone],
 		hosts: []hingeids.HostID{keeper},
-		code:  hingeverdict.CodeKeyOwnerUnreachable,
+		code:  hingeverdict.CodeKeeperUnreachable,
 		zone:  issued.zone,
 	}, nil
 }
@@ -70,11 +70,11 @@
 	case AnsweredUnkept:
 		return refuse(hingeverdict.Ran, hingeverdict.CodeTooLarge, 0, "it ran, and its answer was too large to keep")
 	case OtherBody:
-		return refuse(hingeverdict.NotRun, hingeverdict.CodeKeyReused, 0, "the key was used for another request")
+		return refuse(hingeverdict.NotRun, hingeverdict.CodeKeyOtherBody, 0, "the key was used for another request")
 	case Withdrawn:
 		return refuse(hingeverdict.NotRun, hingeverdict.CodeCancelled, time.Second, "this attempt was given up")
 	case CallerFull:
-		return refuse(hingeverdict.NotRun, hingeverdict.CodeCallerShareExceeded,
+		return refuse(hingeverdict.NotRun, hingeverdict.CodeCallerShare,
 			comeBack(time.Minute, c.Request), "the caller has no room for more keys")
 	case Full:
 		return refuse(hingeverdict.NotRun, hingeverdict.CodeQueueFull,
--- a/internal/ledger/hingeledger/world_test.go
+++ b/internal/ledger/hingeledger/world_test.go
@@ -384,7 +384,7 @@
 	if v.Verdict == hingeverdict.Ran && op.runs == 0 {
 		w.t.Fatalf("said to have run, and did not: %v", err)
 	}
-	if v.Code == hingeverdict.CodeKeyReused && body == op.body {
+	if v.Code == hingeverdict.CodeKeyOtherBody && body == op.body {
 		w.t.Fatalf("a resend of the body that ran was refused: %v", err)
 	}
 	return err
--- a/internal/operate/hingeadmin/handler.go
+++ b/internal/operate/hingeadmin/handler.go
@@ -49,7 +49,7 @@
 }
 
 func (e *ConflictError) Error() string {
-	if e.Code == hingeverdict.CodeChangeIDReused {
+	if e.Code == hingeverdict.CodeChangeOtherContent {
 		return fmt.Sprintf("change id %s was accepted with other content as revision %d", e.Winner.ChangeID, e.Winner.Revision)
 	}
 	return fmt.Sprintf("revision %d by %s was accepted first", e.Winner.Revision, e.Winner.Operator)
@@ -222,7 +222,7 @@
 		return fasthttp.StatusBadRequest
 	case hingeverdict.CodeTooLarge:
 		return fasthttp.StatusRequestEntityTooLarge
-	case hingeverdict.CodeRevisionConflict, hingeverdict.CodeChangeIDReused:
+	case hingeverdict.CodeRevisionConflict, hingeverdict.CodeChangeOtherContent:
 		return fasthttp.StatusConflict
 	case hingeverdict.CodeNoQuorum, hingeverdict.CodeNotReady, hingeverdict.CodeLinkDown,
 		hingeverdict.CodeShuttingDown, hingeverdict.CodeDeadline:
--- a/internal/operate/hingecommand/fake_test.go
+++ b/internal/operate/hingecommand/fake_test.go
@@ -126,7 +126,7 @@
 		}
 		if !cmp.Equal(old, x) {
 			return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
-				Code:   hingeverdict.CodeChangeIDReused,
+				Code:   hingeverdict.CodeChangeOtherContent,
 				Winner: c.accepted[i],
 			}
 		}
--- a/internal/path/hingecaller/customer.go
+++ b/internal/path/hingecaller/customer.go
@@ -46,7 +46,7 @@
 	}
 	customer := customers.Holder(keyOf(ctx))
 	if customer == nil {
-		return asker{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeUnknownCustomer, 0,
+		return asker{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0,
 			eris.New("no customer has the API key that the request brings"))
 	}
 	return asker{
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -75,7 +75,7 @@
 // cacheUntil is until when the KV cache may be sent to another decode engine.
 // One that a decode engine may have begun to fetch is gone.
 func (a *Answer) cacheUntil(v *hingeverdict.Error) time.Time {
-	if a.cache == nil || v.Verdict != hingeverdict.NotRun || v.Code == hingeverdict.CodeCacheEvicted {
+	if a.cache == nil || v.Verdict != hingeverdict.NotRun || v.Code == hingeverdict.CodeCacheGone {
 		return time.Time{}
 	}
 	return a.cachedAt.Add(a.dispatcher.Limits.CacheKept)
@@ -279,7 +279,7 @@
 
 func isCacheGone(err error) bool {
 	var v *hingeverdict.Error
-	return errors.As(err, &v) && v.Code == hingeverdict.CodeCacheEvicted
+	return errors.As(err, &v) && v.Code == hingeverdict.CodeCacheGone
 }
 
 func (a *Answer) engineWork() hingeengine.CompletionRequest {
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -261,8 +261,8 @@
 	}
 	switch v.Code {
 	case hingeverdict.CodeNoServer, hingeverdict.CodeServerRefused, hingeverdict.CodeServerFailed,
-		hingeverdict.CodeServerTimeout, hingeverdict.CodeAnswerMismatch, hingeverdict.CodeAnswerTruncated,
-		hingeverdict.CodeCacheEvicted:
+		hingeverdict.CodeServerSilent, hingeverdict.CodeAnswerNotOurs, hingeverdict.CodeAnswerCut,
+		hingeverdict.CodeCacheGone:
 		return v, true
 	default:
 		return v, false
--- a/internal/path/hingeengine/engine.go
+++ b/internal/path/hingeengine/engine.go
@@ -186,7 +186,7 @@
 	}
 	code := hingeverdict.CodeServerRefused
 	if parsed.Error.Type == "kvCacheGone" {
-		code = hingeverdict.CodeCacheEvicted
+		code = hingeverdict.CodeCacheGone
 	}
 	return hingeverdict.New(verdict, code, 0,
 		eris.Errorf("server %s: status %d, error type %.100s", t.Server, status, parsed.Error.Type))
@@ -210,7 +210,7 @@
 }
 
 func wrongRequestError(t Target) error {
-	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
+	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
 		eris.Errorf("server %s: response has the ID of another request or none", t.Server))
 }
 
--- a/internal/path/hingeengine/exchange.go
+++ b/internal/path/hingeengine/exchange.go
@@ -130,7 +130,7 @@
 		code = hingeverdict.CodeCancelled
 		err = context.Cause(x.ctx)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		code = hingeverdict.CodeServerTimeout
+		code = hingeverdict.CodeServerSilent
 	}
 	return hingeverdict.New(hingeverdict.MayHaveRun, code, 0, eris.Wrapf(err, "exchange with server %s", t.Server))
 }
--- a/internal/path/hingeengine/stream.go
+++ b/internal/path/hingeengine/stream.go
@@ -29,7 +29,7 @@
 		return e, wrongRequestError(s.target)
 	case errors.Is(err, hingerelay.ErrNoEndMarker), errors.Is(err, hingerelay.ErrMissingToken),
 		errors.Is(err, hingerelay.ErrMalformed):
-		return e, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0,
+		return e, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0,
 			eris.Wrapf(err, "stream of server %s", s.target.Server))
 	default:
 		return e, s.exchange.verdict(s.target, err)
--- a/internal/path/hingeproxy/admit.go
+++ b/internal/path/hingeproxy/admit.go
@@ -45,7 +45,7 @@
 		a.customer = t.Customers.Holder(key)
 	}
 	if a.customer == nil && t.Customers != nil && !a.route.Public {
-		a.denial = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeUnknownCustomer, 0, nil)
+		a.denial = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0, nil)
 	}
 	return a
 }
@@ -89,7 +89,7 @@
 	switch c {
 	case hingeverdict.CodeNoRoute:
 		return http.StatusNotFound
-	case hingeverdict.CodeUnknownCustomer:
+	case hingeverdict.CodeNoCustomer:
 		return http.StatusUnauthorized
 	}
 	return 0
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -104,7 +104,7 @@
 		r.recordVerdict(hingeverdict.Ran)
 		return nil
 	}
-	return p.decodeFailed(ctx, r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, err))
+	return p.decodeFailed(ctx, r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
 }
 
 // decodeFailed records the verdict of a failed run, and sets the code to CodeDeadline if the deadline ended it.
@@ -121,7 +121,7 @@
 	r.recordVerdict(hingeverdict.Ran)
 	body, err := x.ReadBody()
 	if err != nil {
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, err)
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err)
 	}
 	if r.relay.headSent || r.route.MayRepeat() && r.runs < r.route.Attempts {
 		return hingeverdict.New(hingeverdict.Ran, hingeverdict.CodeServerFailed, 0,
--- a/internal/path/hingeproxy/plain.go
+++ b/internal/path/hingeproxy/plain.go
@@ -202,7 +202,7 @@
 	}
 	body, err := x.ReadBody()
 	if err != nil {
-		return nil, p.deadlineError(j, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, err))
+		return nil, p.deadlineError(j, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err))
 	}
 	return &serverAnswer{
 		server:   c.Server,
@@ -224,10 +224,10 @@
 func (p *Proxy) checkReply(j *job, a *http.Response, r Reply) error {
 	switch {
 	case r.ID != "" && r.ID != j.info.ID:
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
 			eris.Errorf("answer belongs to request %q", r.ID))
 	case r.ServerReplaced:
-		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerReplaced, 0,
+		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerGone, 0,
 			eris.New("address belongs to another server"))
 	case r.NotRun:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerRefused, 0,
@@ -237,10 +237,10 @@
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0,
 			eris.Errorf("status %d without confirmation that the request did not run", a.StatusCode))
 	case a.StatusCode < 300 && !r.Sealed:
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
 			eris.New("successful answer without the server's seal"))
 	case a.Header.Get("Content-Encoding") != "":
-		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerMismatch, 0,
+		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerNotOurs, 0,
 			eris.New("answer has a Content-Encoding that was not requested"))
 	}
 	return nil
@@ -270,7 +270,7 @@
 	switch v.Code {
 	case hingeverdict.CodeServerRefused:
 		return hingebalance.Full
-	case hingeverdict.CodeServerReplaced:
+	case hingeverdict.CodeServerGone:
 		return hingebalance.Replaced
 	}
 	return hingebalance.ConnectFailed
--- a/internal/path/hingeproxy/prefill.go
+++ b/internal/path/hingeproxy/prefill.go
@@ -35,7 +35,7 @@
 	defer x.Close()
 	reply := p.dialect.Reply(x.Response)
 	if reply.ServerReplaced {
-		return Cache{}, notRun(hingeverdict.CodeServerReplaced, eris.New("address belongs to another server"))
+		return Cache{}, notRun(hingeverdict.CodeServerGone, eris.New("address belongs to another server"))
 	}
 	if x.Response.StatusCode != http.StatusOK || reply.ID != "" && reply.ID != r.info.ID {
 		return Cache{}, notRun(hingeverdict.CodeServerRefused,
@@ -43,11 +43,11 @@
 	}
 	body, err := x.ReadBody()
 	if err != nil {
-		return Cache{}, notRun(hingeverdict.CodeAnswerTruncated, err)
+		return Cache{}, notRun(hingeverdict.CodeAnswerCut, err)
 	}
 	cache, err := p.dialect.Cache(address, body)
 	if err != nil {
-		return Cache{}, notRun(hingeverdict.CodeAnswerMismatch, err)
+		return Cache{}, notRun(hingeverdict.CodeAnswerNotOurs, err)
 	}
 	return cache, nil
 }
--- a/internal/path/hingeproxy/proxy_test.go
+++ b/internal/path/hingeproxy/proxy_test.go
@@ -471,7 +471,7 @@
 		t.Fatalf("the wait before the first event is %v", w.Waited)
 	}
 	r.relay.headSent = true
-	d.proxy.allowResume(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerTruncated, 0, nil))
+	d.proxy.allowResume(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, nil))
 	if w := d.proxy.streamRequest(r); !w.Moved || w.Waited > time.Second || w.MaxWait != route.Patience {
 		t.Fatalf("moved %v, waited %v of %v", w.Moved, w.Waited, w.MaxWait)
 	}
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -125,7 +125,7 @@
 // starts anew.
 func (p *Proxy) allowResume(r *streamJob, err *hingeverdict.Error) bool {
 	switch err.Code {
-	case hingeverdict.CodeNoCapacity, hingeverdict.CodeDeadline, hingeverdict.CodeOverQuota, hingeverdict.CodeQuotaUnknown,
+	case hingeverdict.CodeNoRoom, hingeverdict.CodeDeadline, hingeverdict.CodeOverQuota, hingeverdict.CodeQuotaUnknown,
 		hingeverdict.CodePoison:
 		return false
 	}
@@ -292,7 +292,7 @@
 	if a.Cause != hingeplacer.NoCapacity {
 		return hingeverdict.New(hingeverdict.NotRun, refusalCode(a.Cause, 0), a.RetryAfter, nil)
 	}
-	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCapacity, a.RetryAfter, eris.Errorf("short of %s", a.Shortage))
+	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoRoom, a.RetryAfter, eris.Errorf("short of %s", a.Shortage))
 }
 
 // recordEngineFailure excludes an engine from the further attempts of a stream, and reports the failure to the
@@ -317,7 +317,7 @@
 // engineOutcome returns the outcome that an error is reported with.
 func engineOutcome(err *hingeverdict.Error) hingefleet.Outcome {
 	switch err.Code {
-	case hingeverdict.CodeNoServer, hingeverdict.CodeServerReplaced:
+	case hingeverdict.CodeNoServer, hingeverdict.CodeServerGone:
 		return hingefleet.Unreachable
 	case hingeverdict.CodeServerRefused:
 		return hingefleet.Full
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -150,7 +150,7 @@
 // Broke tells of a server that failed a request, after which it may have ended.
 func (p *poisons) Broke(ctx context.Context, b hingedispatch.Broken) {
 	verdict := verdictOf(b.Err)
-	if verdict != hingeverdict.CodeServerFailed && verdict != hingeverdict.CodeAnswerTruncated || p.gone(b.Target.Server) ||
+	if verdict != hingeverdict.CodeServerFailed && verdict != hingeverdict.CodeAnswerCut || p.gone(b.Target.Server) ||
 		!hingewire.RefusesConnections(ctx, b.Target.Address) {
 		return
 	}
