--- a/internal/path/hingedispatch/answer.go
+++ b/internal/path/hingedispatch/answer.go
@@ -14,61 +14,64 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingerelay"
 )
 
-// Answer is a request's stream, whole over broken connections and lost engines.
-// One goroutine reads it.
+// Answer is the token stream of a request. It continues without gaps or
+// duplicates after broken connections and failed engines. Next, Keep and Close
+// must not be called concurrently.
 type Answer struct {
 	dispatcher *Dispatcher
 	ctx        context.Context
-	work       *Work
+	request    *Work
 	avoid      map[hingeids.ServerID]bool
 
-	// entry is the present pass through the gate; entered says that it has to
-	// be left.
+	// entry is the current pass through the gate; entered says that Gate.Leave
+	// has not been called for it.
 	entry   Entry
 	entered bool
-	// admitted says that the gate has taken the request once; noSlot that no slot
-	// was granted where it placed it.
+	// admitted says that the gate has admitted the request before; noSlot that
+	// the last placement failed because no slot was granted.
 	admitted bool
 	noSlot   bool
-	// exchange is the id of the present exchange, by rule 6.
+	// exchange is the id of the current exchange (rule 6).
 	exchange hingeids.RequestID
 	attempts int
 	resumes  int
-	// refused says that the gate has had the last word.
+	// refused says that the gate or the poison check rejected the request, so
+	// that its error is final.
 	refused bool
-	// suspect says that servers have ended under the request; sentAt is when a server was sent it last.
+	// suspect says that servers have crashed under requests with the same
+	// fingerprint; sentAt is when the request was last sent to a server.
 	suspect bool
 	sentAt  time.Time
-	// before is the most that earlier exchanges may have done.
-	before hingeverdict.Verdict
+	// earlierVerdict is the highest verdict of earlier exchanges.
+	earlierVerdict hingeverdict.Verdict
 
-	prefiller hingeengine.Target
-	prefillID hingeids.RequestID
-	cache     *hingeengine.Cache
-	cachedAt  time.Time
+	prefillEngine hingeengine.Target
+	prefillID     hingeids.RequestID
+	cache         *hingeengine.Cache
+	cachedAt      time.Time
 
-	decoder hingeengine.Target
-	stream  *hingeengine.Stream
-	// next is the index of the token that is due.
+	decodeEngine hingeengine.Target
+	stream       *hingeengine.Stream
+	// next is the index of the next token.
 	next     int
 	first    hingerelay.Event
 	hasFirst bool
-	ended    bool
+	done     bool
 
-	// stored is the answer of an earlier run. claimed says that the ledger waits
-	// to hear how this run ended, worked that its prompt was worked; by rule 7.
-	stored  *Stored
-	claimed bool
-	worked  bool
+	// For rule 7, stored is the answer of an earlier run, claimed says that the
+	// ledger holds a claim of this run, and prefilled that a prefill engine has
+	// processed the prompt.
+	stored    *Stored
+	claimed   bool
+	prefilled bool
 
-	// firstAt is when the first token came.
-	firstAt   time.Time
-	gapFrom   time.Time
-	gapTokens int
+	firstTokenAt time.Time
+	gapStart     time.Time
+	gapTokens    int
 }
 
-// Next gives the next token, io.EOF after the last, or a final error with a
-// verdict. A token's bytes hold until the next call.
+// Next returns the next token, io.EOF after the last one, or a final error with
+// a verdict. The bytes of a token are valid until the next call.
 func (a *Answer) Next() (hingerelay.Event, error) {
 	for {
 		if a.hasFirst {
@@ -79,58 +82,59 @@
 		e, err := a.stream.Next()
 		if err == nil {
 			a.next++
-			a.noteGap()
+			a.recordTokenGap()
 			return e, nil
 		}
 		if errors.Is(err, io.EOF) {
 			a.finish(nil)
 			return e, io.EOF
 		}
-		if err := a.mend(err); err != nil {
+		if err := a.recoverStream(err); err != nil {
 			a.finish(err)
 			return e, err
 		}
 	}
 }
 
-// Stored is the answer of an earlier run, or nil if this is a run of its own. Then
-// there is nothing else to read.
+// Stored returns the answer of an earlier run, or nil if this run is the first.
+// If it is not nil, Next must not be called.
 func (a *Answer) Stored() *Stored {
 	return a.stored
 }
 
-// Keep keeps the answer for a resend, if its request runs at most once. It has
-// to be called before the last of the answer is given: a caller that lost the
-// end of it asks again at once.
+// Keep stores the answer for a resend if the request must run at most once. The
+// caller must call it before it sends the last part of the answer, since a
+// client that loses that part resends at once.
 func (a *Answer) Keep(s Stored) {
 	if !a.claimed {
 		return
 	}
 	a.claimed = false
-	keepAnswer(a.ctx, a.dispatcher.Ledger, a.work.claim(), s)
+	storeAnswer(a.ctx, a.dispatcher.Ledger, a.request.claim(), s)
 }
 
-// gapEvery is how many tokens make one report of an engine's token gap: often
-// enough to find a slow engine within a second, seldom enough to cost nothing.
-const gapEvery = 16
+// tokensPerGapReport is the number of tokens over which a reported token gap is
+// averaged. It bounds both the cost of reports and the delay in detecting a slow
+// engine.
+const tokensPerGapReport = 16
 
-func (a *Answer) noteGap() {
-	if a.gapTokens++; a.gapTokens < gapEvery {
+func (a *Answer) recordTokenGap() {
+	if a.gapTokens++; a.gapTokens < tokensPerGapReport {
 		return
 	}
 	now := a.dispatcher.Now()
-	a.dispatcher.Gate.TokenGap(a.entry, a.decoder, now.Sub(a.gapFrom)/gapEvery)
-	a.gapFrom, a.gapTokens = now, 0
+	a.dispatcher.Gate.TokenGap(a.entry, a.decodeEngine, now.Sub(a.gapStart)/tokensPerGapReport)
+	a.gapStart, a.gapTokens = now, 0
 }
 
-func (a *Answer) sent() hingeids.Tokens {
+func (a *Answer) sentTokens() hingeids.Tokens {
 	return hingeids.Tokens(a.next)
 }
 
-// mend carries out rule 4 after a stream broke.
-func (a *Answer) mend(cause error) error {
+// recoverStream continues a broken stream (rule 4).
+func (a *Answer) recoverStream(cause error) error {
 	a.record(hingeevents.StreamBroke, hingeevents.Fields{
-		Server: a.decoder.Server,
+		Server: a.decodeEngine.Server,
 		Count:  int64(a.next),
 		Detail: cause.Error(),
 	})
@@ -156,45 +160,47 @@
 	return a.start()
 }
 
-// resume opens the stream again at the same engine, on a new connection.
+// resume reopens the stream at the same engine on a new connection. It returns
+// false if that fails.
 func (a *Answer) resume() bool {
 	d := a.dispatcher
 	a.resumes++
-	stream, err := d.Engines.Resume(a.ctx, a.decoder, a.exchange, a.next, d.Limits.TokenSilence)
+	stream, err := d.Engines.Resume(a.ctx, a.decodeEngine, a.exchange, a.next, d.Limits.TokenSilence)
 	if err != nil {
 		return false
 	}
 	a.stream = stream
 	a.record(hingeevents.StreamResumed, hingeevents.Fields{
-		Server: a.decoder.Server,
+		Server: a.decodeEngine.Server,
 		Count:  int64(a.next),
 	})
 	return true
 }
 
-// dropStream ends the work at a decode engine that failed this request. The
-// slot comes back only once the engine holds nothing for it, by rule 2.
+// dropStream cancels the exchange at a decode engine that failed the request.
+// The slot is released once the engine no longer holds memory for it (rule 2).
 func (a *Answer) dropStream(err error) {
-	d, id, target := a.dispatcher, a.exchange, a.decoder
+	d, id, target := a.dispatcher, a.exchange, a.decodeEngine
 	if a.stream != nil {
 		a.stream.Close()
 		a.stream = nil
 	}
-	a.failed(target, err)
+	a.recordServerFailure(target, err)
 	d.Cancels.Cancel(target, id, func() {
 		d.Slots.Release(id, target)
 	})
 	d.Owned.Disown(id)
 }
 
-// dropCache frees exported KV cache, if it was perhaps not imported.
+// dropCache frees exported KV cache that no decode engine is known to have
+// imported.
 func (a *Answer) dropCache() {
 	if a.cache == nil {
 		return
 	}
 	a.dispatcher.Meter.Wasted(a.cache.PromptTokens - a.cache.CachedTokens)
 	a.cache = nil
-	a.dispatcher.Cancels.Cancel(a.prefiller, a.prefillID, nil)
+	a.dispatcher.Cancels.Cancel(a.prefillEngine, a.prefillID, nil)
 	a.dispatcher.Owned.Disown(a.prefillID)
 }
 
@@ -205,28 +211,29 @@
 	}
 }
 
-// finish ends the answer, once, whole or not.
+// finish releases what the answer holds and reports its result; nil means that
+// all tokens were returned. Only the first call has an effect.
 func (a *Answer) finish(err error) {
-	if a.ended {
+	if a.done {
 		return
 	}
-	a.ended = true
+	a.done = true
 	d := a.dispatcher
 	now := d.Now()
-	took := now.Sub(a.work.Arrived)
-	a.finished(now, err)
+	elapsed := now.Sub(a.request.Arrived)
+	a.reportResult(now, err)
 	if err == nil {
 		a.stream.Close()
 		a.stream = nil
 		if a.suspect {
-			d.Poisons.Passed(a.work.Print)
+			d.Poisons.Passed(a.request.Print)
 		}
-		d.Slots.Release(a.exchange, a.decoder)
+		d.Slots.Release(a.exchange, a.decodeEngine)
 		d.Owned.Disown(a.exchange)
 		a.leave(a.next)
 		a.record(hingeevents.RequestAnswered, hingeevents.Fields{
-			Server: a.decoder.Server,
-			Took:   took,
+			Server: a.decodeEngine.Server,
+			Took:   elapsed,
 			Count:  int64(a.next),
 		})
 		return
@@ -237,21 +244,22 @@
 	a.dropCache()
 	a.leave(0)
 	a.record(hingeevents.RequestGivenUp, hingeevents.Fields{
-		Took:   took,
+		Took:   elapsed,
 		Count:  int64(a.next),
 		Detail: err.Error(),
 	})
 }
 
-// Close ends an answer that nobody reads to its end: its caller is gone.
+// Close cancels the request if it has not finished, since its caller has
+// disconnected.
 func (a *Answer) Close() {
-	a.finish(hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeCancelled, 0, errCallerGone))
+	a.finish(hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeCancelled, 0, errCallerDisconnected))
 }
 
-var errCallerGone = errors.New("caller is gone")
+var errCallerDisconnected = errors.New("caller disconnected")
 
 func (a *Answer) record(n hingeevents.Number, f hingeevents.Fields) {
-	f.Request = a.work.Request
+	f.Request = a.request.Request
 	a.dispatcher.Recorder.Record(a.dispatcher.Now(), n, f)
 }
 
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -11,7 +11,8 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// start places the request, again if need be, until its next token is there.
+// start places the request, with retries, until its next token has been
+// received.
 func (a *Answer) start() error {
 	err := a.place()
 	for err != nil {
@@ -31,49 +32,50 @@
 	return nil
 }
 
-// afterFailure asks what to do after an exchange failed, by rule 3. A final
-// error carries the most that any exchange may have done.
+// afterFailure decides how to continue after a failed exchange (rule 3). A final
+// error carries the highest verdict of all exchanges.
 func (a *Answer) afterFailure(err error, resumable bool) (hingeretry.Action, error) {
-	v, ours := fromServer(err)
+	v, retryable := fromServer(err)
 	if v == nil {
 		v = hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, err)
 	}
 	d := a.dispatcher
-	if !ours || a.refused || a.ctx.Err() != nil {
-		return hingeretry.Answer, a.worst(a.atDeadline(v))
+	if !retryable || a.refused || a.ctx.Err() != nil {
+		return hingeretry.Answer, a.withEarlierVerdict(a.withDeadlineCode(v))
 	}
 	decision := d.decide(hingeretry.Failure{
 		Err:          v,
-		Before:       a.before,
+		Before:       a.earlierVerdict,
 		Attempts:     a.attempts,
 		Arrivals:     1,
 		Resumes:      a.resumes,
-		NeverRepeat:  a.work.Class.NeverRepeat,
-		Sent:         a.sent(),
-		SameLife:     resumable && d.Gate.Lives(a.decoder),
+		NeverRepeat:  a.request.Class.NeverRepeat,
+		Sent:         a.sentTokens(),
+		SameLife:     resumable && d.Gate.Lives(a.decodeEngine),
 		CacheUntil:   a.cacheUntil(v),
 		TransferTime: transferTime,
-		Deadline:     a.work.Deadline,
+		Deadline:     a.request.Deadline,
 	})
 	if decision.Action == hingeretry.Answer {
-		return decision.Action, a.worst(decision.Err)
+		return decision.Action, a.withEarlierVerdict(decision.Err)
 	}
-	if decision.Action == hingeretry.Repeat && a.workedOnce() {
-		return hingeretry.Answer, a.worst(v)
+	if decision.Action == hingeretry.Repeat && a.prefillForbidden() {
+		return hingeretry.Answer, a.withEarlierVerdict(v)
 	}
 	d.Meter.Retried(decision.Action.String())
 	if v.Verdict != hingeverdict.NotRun {
-		a.before = hingeverdict.MayHaveRun
+		a.earlierVerdict = hingeverdict.MayHaveRun
 	}
 	return decision.Action, nil
 }
 
-// transferTime is what sending KV cache again takes at the most, on the links
-// of the brief and with prompts of some thousands of tokens.
+// transferTime is the maximum time to send the KV cache of a prompt of several
+// thousand tokens to another decode engine.
 const transferTime = 200 * time.Millisecond
 
-// cacheUntil is until when the KV cache may be sent to another decode engine.
-// One that a decode engine may have begun to fetch is gone.
+// cacheUntil returns the time until which the KV cache may be sent to another
+// decode engine. It is zero if a decode engine may already have begun to fetch
+// the cache, since it may no longer be kept then.
 func (a *Answer) cacheUntil(v *hingeverdict.Error) time.Time {
 	if a.cache == nil || v.Verdict != hingeverdict.NotRun || v.Code == hingeverdict.CodeCacheGone {
 		return time.Time{}
@@ -81,8 +83,9 @@
 	return a.cachedAt.Add(a.dispatcher.Limits.CacheKept)
 }
 
-// atDeadline tells a request that ran out of time from one whose caller left.
-func (a *Answer) atDeadline(v *hingeverdict.Error) *hingeverdict.Error {
+// withDeadlineCode sets the deadline code if the request's deadline has passed,
+// to distinguish it from a request whose caller has disconnected.
+func (a *Answer) withDeadlineCode(v *hingeverdict.Error) *hingeverdict.Error {
 	if !errors.Is(a.ctx.Err(), context.DeadlineExceeded) {
 		return v
 	}
@@ -91,35 +94,35 @@
 	return &e
 }
 
-// worst gives an error the most that the exchanges before it may have done: a
-// last one that was refused proves nothing about them.
-func (a *Answer) worst(v *hingeverdict.Error) error {
-	before := a.before
-	if a.workedOnce() {
-		before = hingeverdict.MayHaveRun
+// withEarlierVerdict raises the verdict of an error to that of the exchanges
+// before it: the refusal of the last exchange proves nothing about earlier ones.
+func (a *Answer) withEarlierVerdict(v *hingeverdict.Error) error {
+	earlierVerdict := a.earlierVerdict
+	if a.prefillForbidden() {
+		earlierVerdict = hingeverdict.MayHaveRun
 	}
-	if v.Verdict != hingeverdict.NotRun || before == hingeverdict.NotRun {
+	if v.Verdict != hingeverdict.NotRun || earlierVerdict == hingeverdict.NotRun {
 		return v
 	}
 	e := *v
-	e.Verdict = before
+	e.Verdict = earlierVerdict
 	return &e
 }
 
-// workedOnce tells whether rule 7 forbids to work the prompt from now on.
-func (a *Answer) workedOnce() bool {
-	return a.worked && a.work.Class.NeverRepeat
+// prefillForbidden reports whether rule 7 forbids another prefill.
+func (a *Answer) prefillForbidden() bool {
+	return a.prefilled && a.request.Class.NeverRepeat
 }
 
-// place carries the request through the gate to its next token. A slot that the
-// reports promised and no granter gives is no failure of the request: it enters
-// again, for as long as its time lasts.
+// place passes the request through the gate and on to its next token. If no
+// allocator grants a slot that was reported free, the request enters the gate
+// again until its deadline; this doesn't count as an attempt.
 func (a *Answer) place() error {
 	a.attempts++
 	for {
 		a.noSlot = false
 		err := a.placeOnce()
-		if err == nil || !a.noSlot || a.ctx.Err() != nil || a.workedOnce() {
+		if err == nil || !a.noSlot || a.ctx.Err() != nil || a.prefillForbidden() {
 			return err
 		}
 		a.leave(0)
@@ -129,12 +132,12 @@
 func (a *Answer) placeOnce() error {
 	d := a.dispatcher
 	// Rule 8.
-	if err := a.judge(); err != nil {
+	if err := a.checkPoison(); err != nil {
 		return err
 	}
 	a.exchange.Attempt++
 	a.entry = Entry{
-		Work:  a.work,
+		Work:  a.request,
 		ID:    a.exchange,
 		Again: a.admitted,
 		Avoid: a.avoid,
@@ -146,7 +149,7 @@
 	}
 	a.entered, a.admitted = true, true
 	if placement.Prefill == nil {
-		a.recordPlaced(placement.Decode, "prefill where it decodes")
+		a.recordPlaced(placement.Decode, "prefill on the decode engine")
 		return a.decode(placement.Decode)
 	}
 	a.recordPlaced(*placement.Prefill, "prefill")
@@ -162,10 +165,10 @@
 	return a.decode(target)
 }
 
-// transfer sends KV cache that is still there to another decode engine.
+// transfer sends KV cache that is still kept to another decode engine.
 func (a *Answer) transfer() error {
 	a.attempts++
-	target, err := a.dispatcher.Gate.Full(a.ctx, a.entry, a.decoder)
+	target, err := a.dispatcher.Gate.Full(a.ctx, a.entry, a.decodeEngine)
 	if err != nil {
 		a.refused = true
 		a.dropCache()
@@ -174,24 +177,24 @@
 	return a.decode(target)
 }
 
-// prefill works the prompt at a prefill engine.
+// prefill has a prefill engine process the prompt and export its KV cache.
 func (a *Answer) prefill(t hingeengine.Target) error {
 	d := a.dispatcher
-	a.prefiller = t
+	a.prefillEngine = t
 	began := d.Now()
 	d.Owned.Own(a.exchange)
 	a.prefillID = a.exchange
 	a.sentAt = d.Now()
-	cache, err := d.Engines.Prefill(a.ctx, t, a.engineWork(), d.Limits.PrefillSilence)
+	cache, err := d.Engines.Prefill(a.ctx, t, a.engineRequest(), d.Limits.PrefillSilence)
 	if err != nil {
-		a.failed(t, err)
+		a.recordServerFailure(t, err)
 		a.cache = &cache
 		a.dropCache()
 		return err
 	}
 	a.cache = &cache
 	a.cachedAt = d.Now()
-	a.worked = true
+	a.prefilled = true
 	d.Meter.Prefilled(cache.PromptTokens - cache.CachedTokens)
 	a.record(hingeevents.RequestPrefilled, hingeevents.Fields{
 		Server: t.Server,
@@ -201,19 +204,19 @@
 	return nil
 }
 
-// decode takes a slot and opens the stream up to its next token.
+// decode acquires a slot, opens the stream and reads its next token.
 func (a *Answer) decode(t hingeengine.Target) error {
 	d := a.dispatcher
 	a.exchange.Attempt++
-	a.decoder = t
-	granted, err := a.acquire(t)
+	a.decodeEngine = t
+	granted, err := a.acquireSlot(t)
 	if err != nil {
-		return a.slotRefused(t, err)
+		return a.handleSlotRefusal(t, err)
 	}
-	t, a.decoder = granted, granted
+	t, a.decodeEngine = granted, granted
 	d.Owned.Own(a.exchange)
 	a.sentAt = d.Now()
-	stream, err := d.Engines.Decode(a.ctx, t, a.engineWork(), a.cache, a.next, d.Limits.TokenSilence)
+	stream, err := d.Engines.Decode(a.ctx, t, a.engineRequest(), a.cache, a.next, d.Limits.TokenSilence)
 	if err == nil {
 		a.stream = stream
 		a.first, err = stream.Next()
@@ -226,38 +229,40 @@
 		}
 		return err
 	}
-	// The KV cache is here; what the prefill engine may still hold of it is nobody's.
+	// The decode engine has imported the KV cache, so that the prefill engine may
+	// free its copy.
 	a.cache = nil
 	d.Owned.Disown(a.prefillID)
-	a.gapFrom, a.gapTokens = d.Now(), 0
-	if a.firstAt.IsZero() {
-		a.firstAt = a.gapFrom
+	a.gapStart, a.gapTokens = d.Now(), 0
+	if a.firstTokenAt.IsZero() {
+		a.firstTokenAt = a.gapStart
 	}
 	a.record(hingeevents.RequestFirstToken, hingeevents.Fields{
 		Server: t.Server,
-		Took:   d.Now().Sub(a.work.Arrived),
+		Took:   d.Now().Sub(a.request.Arrived),
 		Count:  int64(a.next),
 	})
 	return nil
 }
 
-// acquire waits for a slot at the engine that was chosen, and at a second one.
-func (a *Answer) acquire(t hingeengine.Target) (hingeengine.Target, error) {
+// acquireSlot waits for a slot on the chosen engine or on an alternative one. It
+// returns the engine that granted the slot.
+func (a *Answer) acquireSlot(t hingeengine.Target) (hingeengine.Target, error) {
 	d := a.dispatcher
-	at := []hingeengine.Target{t}
+	candidates := []hingeengine.Target{t}
 	if other, ok := d.Gate.Other(a.entry); ok {
-		at = append(at, other)
+		candidates = append(candidates, other)
 	}
-	granted, err := d.Slots.Acquire(a.ctx, a.work, a.exchange, at...)
+	granted, err := d.Slots.Acquire(a.ctx, a.request, a.exchange, candidates...)
 	if err == nil && granted != t {
 		d.Gate.Rebind(a.entry, granted)
 	}
 	return granted, err
 }
 
-// slotRefused asks the gate for another engine while the KV cache is kept: a
-// slot that was there by the reports may have been taken by another host.
-func (a *Answer) slotRefused(t hingeengine.Target, err error) error {
+// handleSlotRefusal requests another engine from the gate while the KV cache is
+// kept. Another host may have acquired a slot that was reported free.
+func (a *Answer) handleSlotRefusal(t hingeengine.Target, err error) error {
 	d := a.dispatcher
 	a.record(hingeevents.SlotMissed, hingeevents.Fields{
 		Server: t.Server,
@@ -282,23 +287,24 @@
 	return errors.As(err, &v) && v.Code == hingeverdict.CodeCacheGone
 }
 
-func (a *Answer) engineWork() hingeengine.Work {
+func (a *Answer) engineRequest() hingeengine.Work {
 	return hingeengine.Work{
 		Request:  a.exchange,
-		Path:     a.work.Path,
-		Fields:   a.work.Fields,
-		Priority: a.work.Class.Priority,
+		Path:     a.request.Path,
+		Fields:   a.request.Fields,
+		Priority: a.request.Class.Priority,
 	}
 }
 
-// failed keeps later tries away from a server, but not from one that only
-// said that the KV cache from elsewhere was gone.
-func (a *Answer) failed(t hingeengine.Target, err error) {
+// recordServerFailure excludes a server from later attempts and reports its
+// failure. It ignores errors about missing KV cache, which another server had to
+// keep, and errors after the request's context has ended.
+func (a *Answer) recordServerFailure(t hingeengine.Target, err error) {
 	if isCacheGone(err) || a.ctx.Err() != nil {
 		return
 	}
 	a.avoid[t.Server] = true
-	a.broke(t, err)
+	a.reportFailedExchange(t, err)
 	a.dispatcher.Gate.Failed(a.entry, t, err)
 	a.record(hingeevents.ServerFailedRequest, hingeevents.Fields{
 		Server: t.Server,
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -1,26 +1,30 @@
-// Package hingedispatch carries one completion through prefill, transfer and
-// decode, and through the failures on the way.
+// Package hingedispatch runs completion requests through prefill, transfer and
+// decode, and recovers from failures of connections and servers. It also sends
+// calls of plain services.
 //
-//  1. A request enters the gate, which admits it, or refuses it at once, and
-//     says where its prompt is worked: at a prefill engine, or where it decodes.
+//  1. A request enters the gate, which admits or refuses it and chooses the
+//     engine for its prefill: a prefill engine or the decode engine.
 //  2. The decode engine is bound when the KV cache is ready, and its slot is
-//     granted before it is asked. The slot is given back when the engine has
-//     ended or answered a cancel, not before: until then its memory may still
-//     be held.
-//  3. What fails is decided on by hingeretry: resumed, sent to another decode
-//     engine while the KV cache is there, repeated, or answered.
-//  4. A stream that breaks goes on from the token that is due, so that its
-//     caller gets the whole answer with nothing missing and nothing doubled.
-//  5. However a request ends, every engine that may hold something for it is
-//     sent a cancel, until it answers or is known to have restarted.
-//  6. Each exchange has an id of its own: the cancel of an earlier one, late on
-//     its way, would else drop what a later one holds.
-//  7. A request that is never to be repeated is claimed in the ledger before it
-//     enters the gate. Its run begins with its prefill: once a prompt was worked,
-//     it is not worked again, though its KV cache may still be sent elsewhere
-//     after a decode engine's proof that it did not begin. Its answer is kept
-//     before it is given.
-//  8. A request that ends the servers which run it doesn't run, whatever id it comes under (hingepoison).
+//     granted before a request is sent to it. The slot is released only after
+//     the engine has finished the request or acknowledged a cancel: until then
+//     it may still hold memory for it.
+//  3. After a failure, hingeretry decides whether the stream is resumed, the KV
+//     cache is sent to another decode engine, the request is retried, or the
+//     error is returned.
+//  4. A broken stream continues from the next token, so that the caller receives
+//     every token exactly once.
+//  5. When a request finishes or fails, a cancel is sent to every engine that may
+//     hold memory for it, until the engine acknowledges the cancel or is known to
+//     have restarted.
+//  6. Each exchange has its own id. Otherwise the delayed cancel of an earlier
+//     exchange could free the memory of a later one.
+//  7. A request that must not be retried is claimed in the ledger before it
+//     enters the gate. Its run begins with its prefill: a processed prompt is not
+//     processed again, but its KV cache may be sent to another decode engine if
+//     the first one proves that it did not begin. The answer is stored before it
+//     is returned.
+//  8. A request that crashes the servers which run it is refused, whatever its id
+//     (hingepoison).
 package hingedispatch
 
 import (
@@ -38,30 +42,32 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// Work is one completion asked for by a caller.
+// Work is a caller's completion request.
 type Work struct {
 	Request hingeids.RequestID
 	Caller  hingeids.CallerID
 	Class   hingeinventory.Class
 	Model   hingeids.Model
-	// Path is the route the caller used.
+	// Path is the HTTP path of the request.
 	Path string
-	// Fields are the caller's own fields.
+	// Fields are the top-level fields of the request body.
 	Fields map[string]json.RawMessage
-	// Prompt is the prompt's text, for its prefix and length.
-	Prompt       string
+	// Prompt is the text of the prompt, from which placement derives prefixes.
+	Prompt string
+	// PromptTokens is an estimate; MaxTokens is the caller's limit or a default.
 	PromptTokens hingeids.Tokens
 	MaxTokens    hingeids.Tokens
 	Arrived      time.Time
 	Deadline     time.Time
-	// Key and Digest are for a class that is never to be repeated.
+	// Key and Digest identify the request in the ledger if its class must not be
+	// retried.
 	Key    hingeids.IdempotencyKey
 	Digest [16]byte
-	// Print is what the request has in common with all that are sent again.
+	// Print is the fingerprint that the request shares with its resends.
 	Print hingeids.Print
 }
 
-// claim names the work in the ledger.
+// claim returns the ledger claim of the request.
 func (w *Work) claim() Claim {
 	return Claim{
 		Request: w.Request,
@@ -72,24 +78,24 @@
 	}
 }
 
-// Placement says which engine works a request's prompt.
+// Placement is the gate's choice of engine for the prefill of a request.
 type Placement struct {
-	// Prefill is nil where the decode engine prefills by itself; then Decode is it.
+	// Prefill is the prefill engine. If it is nil, Decode prefills and decodes.
 	Prefill *hingeengine.Target
 	Decode  hingeengine.Target
 }
 
-// Entry is one try of a request to be placed.
+// Entry is one pass of a request through the gate.
 type Entry struct {
 	Work *Work
 	ID   hingeids.RequestID
-	// Again says that the request was admitted before.
+	// Again says that the gate has admitted the request before.
 	Again bool
 	// Avoid are servers that failed this request.
 	Avoid map[hingeids.ServerID]bool
 }
 
-// Engines make exchanges with engines; hingeengine.Client does.
+// Engines sends requests to engines; hingeengine.Client implements it.
 type Engines interface {
 	Prefill(ctx context.Context, t hingeengine.Target, w hingeengine.Work, silence time.Duration) (hingeengine.Cache, error)
 	Decode(
@@ -101,51 +107,53 @@
 	) (*hingeengine.Stream, error)
 }
 
-// Gate admits requests and places them. Its errors are final.
+// Gate admits requests and places them. Its errors are final and are returned to
+// the caller without a retry.
 type Gate interface {
 	// Enter waits until the request is placed or refused.
 	Enter(ctx context.Context, e Entry) (Placement, error)
-	// Ready says that the KV cache is ready, with so many tokens that were cached,
-	// and waits for the decode engine. Full asks for another one.
+	// Ready reports that the KV cache is ready and how many prompt tokens were
+	// found in the prefix cache, and waits for a decode engine. Full waits for
+	// another decode engine after an engine had no slot or failed.
 	Ready(ctx context.Context, e Entry, cached hingeids.Tokens) (hingeengine.Target, error)
 	Full(ctx context.Context, e Entry, refused hingeengine.Target) (hingeengine.Target, error)
-	// Other names a second decode engine for a slot, if there is one; Rebind says
-	// that the slot was granted there.
+	// Other returns an alternative decode engine for the slot, if there is one;
+	// Rebind reports that the slot was granted on it.
 	Other(e Entry) (hingeengine.Target, bool)
 	Rebind(e Entry, t hingeengine.Target)
-	// Leave says that the entry is over, with so many tokens answered.
+	// Leave finishes the entry and reports the number of tokens returned.
 	Leave(e Entry, tokens int)
-	// Failed tells of a server that failed an exchange, TokenGap of its speed.
+	// Failed reports a server that failed an exchange, TokenGap the mean time
+	// between the tokens of a stream.
 	Failed(e Entry, t hingeengine.Target, err error)
 	TokenGap(e Entry, t hingeengine.Target, gap time.Duration)
-	// Lives tells whether a life of a server is the one that is there now.
+	// Lives reports whether the target's incarnation is the server's current one.
 	Lives(t hingeengine.Target) bool
 }
 
 // Slots grants decode slots.
 type Slots interface {
-	// Acquire waits a bounded time for a slot on one of the engines, and tells
-	// which. Its error is NotRun.
+	// Acquire waits a bounded time for a slot on one of the engines and returns
+	// the engine that granted it. The verdict of its errors is NotRun.
 	Acquire(ctx context.Context, w *Work, id hingeids.RequestID, at ...hingeengine.Target) (hingeengine.Target, error)
-	// Release gives back the slot of an exchange.
 	Release(id hingeids.RequestID, t hingeengine.Target)
 }
 
-// Cancels has engines drop what they hold.
+// Cancels cancels exchanges, so that engines free the memory they hold for them.
 type Cancels interface {
-	// Cancel goes on until the engine answers or is known to have restarted,
-	// and calls after then. It returns at once.
+	// Cancel sends cancels in the background until the engine acknowledges one or
+	// is known to have restarted, and then calls after unless it is nil.
 	Cancel(t hingeengine.Target, id hingeids.RequestID, after func())
 }
 
-// Owned is told which ids this host answers for, so that others who find
-// engine memory held can ask.
+// Owned records the exchanges that this host owns. Other hosts query it about
+// exchanges for which an engine holds memory.
 type Owned interface {
 	Own(id hingeids.RequestID)
 	Disown(id hingeids.RequestID)
 }
 
-// Dispatcher carries completions.
+// Dispatcher runs completion requests. It is safe for concurrent use.
 type Dispatcher struct {
 	Engines  Engines
 	Gate     Gate
@@ -167,16 +175,19 @@
 type Limits struct {
 	// Attempts bounds how often a call of a plain service is sent.
 	Attempts int
-	// PrefillSilence bounds the wait for a prefill, with its queue.
+	// PrefillSilence bounds the wait for a prefill, including its time in the
+	// engine's queue.
 	PrefillSilence time.Duration
-	// TokenSilence bounds the wait for a token, with the transfer before the
-	// first: many token times, so that a slow engine isn't taken for a dead one.
+	// TokenSilence bounds the wait for a token; for the first token it includes
+	// the transfer of the KV cache. It must be a large multiple of the usual token
+	// gap, so that a slow engine isn't treated as failed.
 	TokenSilence time.Duration
-	// CacheKept is how long exported KV cache is surely kept.
+	// CacheKept is the minimum time for which engines keep exported KV cache.
 	CacheKept time.Duration
 }
 
-// DefaultLimits fit engines with a token time of tens of milliseconds.
+// DefaultLimits returns limits for engines with a token gap of tens of
+// milliseconds.
 func DefaultLimits() Limits {
 	return Limits{
 		Attempts:       3,
@@ -186,28 +197,28 @@
 	}
 }
 
-// Complete carries a request to its first token, or gives the answer of an
-// earlier run under the same key. An error is final: it carries the verdict, and
-// when to come back.
+// Complete runs a request up to its first token, or returns the answer of an
+// earlier run with the same key. An error is final; it carries the verdict and
+// the retry time.
 func (d *Dispatcher) Complete(ctx context.Context, w *Work) (*Answer, error) {
 	if !w.Class.NeverRepeat {
 		return d.complete(ctx, w)
 	}
 	// Rule 7.
 	claim := w.claim()
-	stored, err := claimOnce(ctx, d.Ledger, claim)
+	stored, err := claimRequest(ctx, d.Ledger, claim)
 	if err != nil {
 		return nil, err
 	}
 	if stored != nil {
 		return &Answer{
 			stored: stored,
-			ended:  true,
+			done:   true,
 		}, nil
 	}
 	a, err := d.complete(ctx, w)
 	if err != nil {
-		settleFailed(ctx, d.Ledger, claim, err)
+		releaseIfNotRun(ctx, d.Ledger, claim, err)
 		return nil, err
 	}
 	a.claimed = true
@@ -216,14 +227,14 @@
 
 func (d *Dispatcher) complete(ctx context.Context, w *Work) (*Answer, error) {
 	a := &Answer{
-		dispatcher: d,
-		ctx:        ctx,
-		work:       w,
-		exchange:   w.Request,
-		before:     hingeverdict.NotRun,
-		avoid:      make(map[hingeids.ServerID]bool),
+		dispatcher:     d,
+		ctx:            ctx,
+		request:        w,
+		exchange:       w.Request,
+		earlierVerdict: hingeverdict.NotRun,
+		avoid:          make(map[hingeids.ServerID]bool),
 	}
-	d.noteRequest()
+	d.recordRequest()
 	a.record(hingeevents.RequestArrived, hingeevents.Fields{
 		Caller: w.Caller,
 		Count:  int64(w.PromptTokens),
@@ -236,7 +247,7 @@
 	return a, nil
 }
 
-func (d *Dispatcher) noteRequest() {
+func (d *Dispatcher) recordRequest() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.budget == nil {
@@ -245,15 +256,16 @@
 	d.budget.Request()
 }
 
-// decide asks hingeretry, under the lock of the budget.
+// decide calls hingeretry.Decide with the budget locked.
 func (d *Dispatcher) decide(f hingeretry.Failure) hingeretry.Decision {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return hingeretry.Decide(d.Now(), f, d.budget)
 }
 
-// fromServer tells whether a failure is a backend server's. All others (a
-// refusal, a deadline, a caller that left) are final as they are.
+// fromServer returns the verdict error of a failure and whether a backend server
+// caused it. All other failures (a refusal, a deadline, a disconnected caller)
+// are final.
 func fromServer(err error) (*hingeverdict.Error, bool) {
 	var v *hingeverdict.Error
 	if !errors.As(err, &v) {
--- a/internal/path/hingedispatch/meter.go
+++ b/internal/path/hingedispatch/meter.go
@@ -6,19 +6,20 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Finished is how a completion ended.
+// Finished is the result of a completion request.
 type Finished struct {
 	Work *Work
 	// FirstToken is the time to the first token, zero if there was none.
 	FirstToken time.Duration
-	// Tokens were given, Gap apart on average.
+	// Tokens is the number of tokens returned, Gap the mean time between them.
 	Tokens int
 	Gap    time.Duration
-	// Err is nil if the answer was whole.
+	// Err is nil if the answer was complete.
 	Err error
 }
 
-// InTarget tells whether the answer was whole and met both of its targets.
+// InTarget reports whether the answer was complete and met the class's targets
+// for the first token and the token gap.
 func (f Finished) InTarget() bool {
 	c := f.Work.Class
 	return f.Err == nil &&
@@ -26,28 +27,30 @@
 		(c.TokenGap <= 0 || f.Gap <= c.TokenGap)
 }
 
-// Meter counts what the operators look at.
+// Meter updates the metrics of completion requests. It must be safe for
+// concurrent use.
 type Meter interface {
 	Finished(f Finished)
-	// Prefilled counts prompt tokens that were worked, Wasted those that came to
-	// nothing.
+	// Prefilled counts prompt tokens that were processed, Wasted those whose KV
+	// cache was dropped before it was decoded.
 	Prefilled(n hingeids.Tokens)
 	Wasted(n hingeids.Tokens)
-	// Retried counts attempts after the first.
+	// Retried counts resumed streams, transfers and retries; reason is the name of
+	// the hingeretry.Action.
 	Retried(reason string)
 }
 
-// finished tells the meter how the answer ended.
-func (a *Answer) finished(now time.Time, err error) {
+// reportResult passes the result of the answer to the meter.
+func (a *Answer) reportResult(now time.Time, err error) {
 	f := Finished{
-		Work:   a.work,
+		Work:   a.request,
 		Tokens: a.next,
 		Err:    err,
 	}
-	if !a.firstAt.IsZero() {
-		f.FirstToken = a.firstAt.Sub(a.work.Arrived)
+	if !a.firstTokenAt.IsZero() {
+		f.FirstToken = a.firstTokenAt.Sub(a.request.Arrived)
 		if a.next > 1 {
-			f.Gap = now.Sub(a.firstAt) / time.Duration(a.next-1)
+			f.Gap = now.Sub(a.firstTokenAt) / time.Duration(a.next-1)
 		}
 	}
 	a.dispatcher.Meter.Finished(f)
--- a/internal/path/hingedispatch/once.go
+++ b/internal/path/hingedispatch/once.go
@@ -10,52 +10,53 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// Claim names one attempt to run a request that must run at most once.
+// Claim identifies an attempt to run a request that must run at most once.
 type Claim struct {
 	Request hingeids.RequestID
 	Caller  hingeids.CallerID
 	Key     hingeids.IdempotencyKey
-	// Digest tells the same request from another under the same key.
+	// Digest distinguishes the request from others with the same key.
 	Digest [16]byte
-	// Until is when the request will surely not be sent any more.
+	// Until is the time after which this attempt is no longer sent.
 	Until time.Time
 }
 
-// Stored is an answer kept for a resend.
+// Stored is an answer that is stored for resends.
 type Stored struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Whole is false where the answer was too large to keep, or was streamed.
+	// Whole says that Body is the complete answer. It is false if the answer was
+	// streamed or too large to store.
 	Whole bool
 }
 
-// Ledger remembers which requests were run, over all hosts.
+// Ledger records for all hosts which requests have run.
 type Ledger interface {
-	// Claim gives nil when the request is to be sent now, or the answer of an
-	// earlier run. Its error is final and carries the verdict of the key.
+	// Claim returns nil if the request may be sent now, or the answer of an
+	// earlier run. Its errors are final and carry a verdict.
 	Claim(ctx context.Context, c Claim) (*Stored, error)
-	// Finish keeps the answer. Release gives the key back; it is for requests
-	// that are proved not to have run.
+	// Finish stores the answer. Release removes the claim of a request that is
+	// proved not to have run.
 	Finish(ctx context.Context, c Claim, answer Stored) error
 	Release(ctx context.Context, c Claim) error
 }
 
-// keepLimit bounds the body of an answer that is kept with its key, in bytes.
-// Status replies, guestbook pages and answers of some thousand tokens are below;
-// anything larger is given once, and a resend learns only that it ran.
-const keepLimit = 64 << 10
+// maxStoredBody is the maximum body size of a stored answer in bytes, enough for
+// several thousand tokens. For a larger answer, a resend gets only the
+// information that the request ran.
+const maxStoredBody = 64 << 10
 
-// ledgerLimit bounds the wait for the ledger after the run, when the caller
-// may be gone but the answer still has to be kept.
-const ledgerLimit = 3 * time.Second
+// ledgerTimeout bounds a call of the ledger after the run. The context of the
+// request may be cancelled by then, but the ledger must still be updated.
+const ledgerTimeout = 3 * time.Second
 
-// claimOnce claims a request before a byte of it is sent. It gives nil when the
-// request is to be sent, or the whole answer of an earlier run.
-func claimOnce(ctx context.Context, l Ledger, c Claim) (*Stored, error) {
+// claimRequest claims a request before any byte of it is sent. It returns nil if
+// the request may be sent, or the complete answer of an earlier run.
+func claimRequest(ctx context.Context, l Ledger, c Claim) (*Stored, error) {
 	if c.Key == "" {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeyMissing, 0,
-			eris.New("a request that is never to be repeated needs an Idempotency-Key"))
+			eris.New("a request that must run at most once needs an Idempotency-Key header"))
 	}
 	stored, err := l.Claim(ctx, c)
 	if err != nil || stored == nil {
@@ -63,34 +64,34 @@
 	}
 	if !stored.Whole {
 		return nil, hingeverdict.New(hingeverdict.Ran, hingeverdict.CodeKeyUncertain, 0,
-			eris.New("the request ran; its answer was streamed or too large to keep"))
+			eris.New("the request has run; its answer was streamed or too large to store"))
 	}
 	return stored, nil
 }
 
-// keepAnswer keeps the answer of a claimed request. The caller gets its answer
-// even if it could not be kept: a resend is then told that it may have run,
-// which is true.
-func keepAnswer(ctx context.Context, l Ledger, c Claim, s Stored) {
-	if len(s.Body) > keepLimit {
+// storeAnswer stores the answer of a claimed request. A failure is ignored: the
+// caller still receives its answer, and a resend gets an error that the request
+// may have run, which is true.
+func storeAnswer(ctx context.Context, l Ledger, c Claim, s Stored) {
+	if len(s.Body) > maxStoredBody {
 		s.Whole = false
 	}
 	if !s.Whole {
 		s.Body = nil
 	}
-	keep, cancel := context.WithTimeout(context.WithoutCancel(ctx), ledgerLimit)
+	ledgerCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ledgerTimeout)
 	defer cancel()
-	_ = l.Finish(keep, c, s)
+	_ = l.Finish(ledgerCtx, c, s)
 }
 
-// settleFailed gives the key of a claimed request back if it is proved that the
-// request did not run. If the release is lost the key stays claimed: a resend is
-// told that it may have run, which is cautious but not false.
-func settleFailed(ctx context.Context, l Ledger, c Claim, err error) {
+// releaseIfNotRun releases the claim of a request that is proved not to have run.
+// A failure is ignored: the key stays claimed, and a resend gets an error that
+// the request may have run, which is cautious but correct.
+func releaseIfNotRun(ctx context.Context, l Ledger, c Claim, err error) {
 	if hingeverdict.Of(err) != hingeverdict.NotRun {
 		return
 	}
-	keep, cancel := context.WithTimeout(context.WithoutCancel(ctx), ledgerLimit)
+	ledgerCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ledgerTimeout)
 	defer cancel()
-	_ = l.Release(keep, c)
+	_ = l.Release(ledgerCtx, c)
 }
--- a/internal/path/hingedispatch/poison.go
+++ b/internal/path/hingedispatch/poison.go
@@ -9,18 +9,19 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// Poisons knows which requests end the servers that run them.
+// Poisons detects poison requests, which crash the servers that run them.
 type Poisons interface {
-	// Judge gives why a request mustn't run at a model's or a service's servers, nil if it may. Suspect says that a whole answer has to
-	// be told.
+	// Judge returns an error if the request may not run on the servers of a model
+	// or service. If suspect is true, a complete answer must be reported with
+	// Passed.
 	Judge(ctx context.Context, p hingeids.Print, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
-	// Broke tells of a server that failed a request, after which it may have ended.
+	// Broke reports a server that failed a request and may have crashed.
 	Broke(ctx context.Context, b Broken)
-	// Passed tells of a suspected request that was answered whole.
+	// Passed reports a complete answer to a suspected request.
 	Passed(p hingeids.Print)
 }
 
-// Broken is an exchange that a server failed.
+// Broken describes an exchange that failed at a server.
 type Broken struct {
 	Print   hingeids.Print
 	Request hingeids.RequestID
@@ -32,10 +33,11 @@
 	Err error
 }
 
-// judge asks whether the request may run.
-func (a *Answer) judge() error {
+// checkPoison returns a final error if the request is refused as a poison
+// request.
+func (a *Answer) checkPoison() error {
 	var refused *hingeverdict.Error
-	a.suspect, refused = a.dispatcher.Poisons.Judge(a.ctx, a.work.Print, hingeids.Service(a.work.Model))
+	a.suspect, refused = a.dispatcher.Poisons.Judge(a.ctx, a.request.Print, hingeids.Service(a.request.Model))
 	if refused == nil {
 		return nil
 	}
@@ -43,14 +45,15 @@
 	return refused
 }
 
-// broke tells of a server that failed the request.
-func (a *Answer) broke(t hingeengine.Target, err error) {
+// reportFailedExchange reports the failure of an exchange to the detection of
+// poison requests.
+func (a *Answer) reportFailedExchange(t hingeengine.Target, err error) {
 	d := a.dispatcher
 	d.Poisons.Broke(a.ctx, Broken{
-		Print:   a.work.Print,
-		Request: a.work.Request,
-		Service: hingeids.Service(a.work.Model),
-		Caller:  a.work.Caller,
+		Print:   a.request.Print,
+		Request: a.request.Request,
+		Service: hingeids.Service(a.request.Model),
+		Caller:  a.request.Caller,
 		Target:  t,
 		Had:     d.Now().Sub(a.sentAt),
 		Err:     err,
--- a/internal/path/hingedispatch/poison_test.go
+++ b/internal/path/hingedispatch/poison_test.go
@@ -13,44 +13,45 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// ending is replicas of which each ends when it gets a call, and what is known of that.
-type ending struct {
-	sent  int
-	ended int
+// crashingReplicas implements the dependencies of a ServiceDispatcher whose
+// replicas crash on every call.
+type crashingReplicas struct {
+	sent    int
+	crashes int
 }
 
-func (e *ending) Replica(hingeids.Service, map[hingeids.ServerID]bool) (hingeengine.Target, error) {
+func (e *crashingReplicas) Replica(hingeids.Service, map[hingeids.ServerID]bool) (hingeengine.Target, error) {
 	return hingeengine.Target{
 		Server: "replica",
 	}, nil
 }
 
-func (e *ending) Left(hingeengine.Target, error) {}
+func (e *crashingReplicas) Left(hingeengine.Target, error) {}
 
-func (e *ending) Call(
+func (e *crashingReplicas) Call(
 	context.Context, hingeengine.Target, *fasthttp.Request, *fasthttp.Response, time.Duration,
 ) error {
 	e.sent++
-	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, eris.New("it ended"))
+	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, eris.New("replica crashed"))
 }
 
-func (e *ending) Judge(context.Context, hingeids.Print, hingeids.Service) (bool, *hingeverdict.Error) {
-	if e.ended >= 3 {
+func (e *crashingReplicas) Judge(context.Context, hingeids.Print, hingeids.Service) (bool, *hingeverdict.Error) {
+	if e.crashes >= 3 {
 		return false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodePoison, time.Hour, nil)
 	}
-	return e.ended > 0, nil
+	return e.crashes > 0, nil
 }
 
-func (e *ending) Broke(context.Context, Broken) { e.ended++ }
+func (e *crashingReplicas) Broke(context.Context, Broken) { e.crashes++ }
 
-func (e *ending) Passed(hingeids.Print) {}
+func (e *crashingReplicas) Passed(hingeids.Print) {}
 
-func (e *ending) Called(*Call, time.Duration, error) {}
+func (e *crashingReplicas) Called(*Call, time.Duration, error) {}
 
-// A call ends each replica that runs it, and its caller sends it again and again. Of an attempt that has run somewhere nobody may be
-// told that it hasn't.
-func TestCallThatEndsReplicasIsSentNoMore(t *testing.T) {
-	e := &ending{}
+// Guards against sending a poison call to further replicas, and against the
+// verdict NotRun for a call that a replica may have run before.
+func TestPoisonCallIsRefused(t *testing.T) {
+	e := &crashingReplicas{}
 	d := &ServiceDispatcher{
 		Client:   e,
 		Replicas: e,
@@ -70,9 +71,9 @@
 		verdicts = append(verdicts, hingeverdict.Of(d.Do(t.Context(), c)))
 	}
 	if e.sent != 3 {
-		t.Errorf("it was sent %d times", e.sent)
+		t.Errorf("the call was sent %d times, want 3", e.sent)
 	}
 	if verdicts[0] != hingeverdict.MayHaveRun || verdicts[3] != hingeverdict.NotRun {
-		t.Errorf("its callers are told %v", verdicts)
+		t.Errorf("verdicts %v, want mayHaveRun first and notRun last", verdicts)
 	}
 }
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -15,7 +15,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// Call is one call of a plain service.
+// Call is a caller's request to a plain service.
 type Call struct {
 	Request  hingeids.RequestID
 	Caller   hingeids.CallerID
@@ -24,22 +24,25 @@
 	Key      hingeids.IdempotencyKey
 	Arrived  time.Time
 	Deadline time.Time
-	// Sent is what goes to the replica, Answer what came back.
+	// Sent is the request to the replica; its response is written to Answer.
 	Sent   *fasthttp.Request
 	Answer *fasthttp.Response
-	// Print is what the call has in common with all that are sent again.
+	// Print is the fingerprint that the call shares with its resends.
 	Print hingeids.Print
 }
 
-// Replicas are the live replicas of plain services.
+// Replicas chooses replicas of plain services. It must be safe for concurrent
+// use.
 type Replicas interface {
-	// Replica chooses one, keeping away from those that failed this call.
+	// Replica chooses a replica and avoids those that have failed the call. Each
+	// successful call of it must be followed by one of Left.
 	Replica(service hingeids.Service, avoid map[hingeids.ServerID]bool) (hingeengine.Target, error)
-	// Left tells that a call at the replica has ended.
+	// Left reports that a call at the replica has finished, with its error.
 	Left(t hingeengine.Target, err error)
 }
 
-// Caller hands a call on to one replica; hingeengine.Client does.
+// Caller sends a call to a replica; hingeengine.Client implements it. It fails if
+// the replica sends nothing for the duration silence.
 type Caller interface {
 	Call(
 		ctx context.Context, t hingeengine.Target, req *fasthttp.Request, resp *fasthttp.Response,
@@ -47,16 +50,17 @@
 	) error
 }
 
-// ServiceDispatcher carries calls of plain services.
+// ServiceDispatcher sends calls of plain services to replicas. It is safe for
+// concurrent use.
 //
-//  1. A call that is never to be repeated needs an idempotency key, and is
-//     claimed in the ledger before a byte is sent. Then it is sent once, and
-//     again only after proof that it did not run.
-//  2. Its answer is kept before it is given, so that a resend after a lost
-//     answer gets the same one.
-//  3. Any other call is tried again if it did not run, or if its method is
-//     idempotent by the HTTP standard.
-//  4. A call that ends the replicas which run it isn't sent (hingepoison).
+//  1. A call that must not be retried needs an idempotency key and is claimed in
+//     the ledger before any byte is sent. It is sent a second time only after
+//     proof that it did not run.
+//  2. Its answer is stored before it is returned, so that a resend after a lost
+//     answer gets the same answer.
+//  3. Any other call is retried if it did not run, or if its method is GET or
+//     HEAD.
+//  4. A call that crashes the replicas which run it is not sent (hingepoison).
 type ServiceDispatcher struct {
 	Client   Caller
 	Replicas Replicas
@@ -68,12 +72,14 @@
 	Now      func() time.Time
 }
 
-// CallMeter counts calls of plain services for the operators.
+// CallMeter updates the metrics of calls of plain services. It must be safe for
+// concurrent use.
 type CallMeter interface {
 	Called(c *Call, took time.Duration, err error)
 }
 
-// Do carries a call. An error is final and carries the verdict.
+// Do runs a call and writes the response to c.Answer. An error is final and
+// carries the verdict.
 func (d *ServiceDispatcher) Do(ctx context.Context, c *Call) error {
 	err := d.do(ctx, c)
 	number := hingeevents.ServiceCalled
@@ -83,12 +89,12 @@
 		detail = err.Error()
 	}
 	now := d.Now()
-	took := now.Sub(c.Arrived)
-	d.Meter.Called(c, took, err)
+	elapsed := now.Sub(c.Arrived)
+	d.Meter.Called(c, elapsed, err)
 	d.Recorder.Record(now, number, hingeevents.Fields{
 		Request: c.Request,
 		Caller:  c.Caller,
-		Took:    took,
+		Took:    elapsed,
 		Detail:  detail,
 	})
 	return err
@@ -105,7 +111,7 @@
 		Digest:  hingeledger.DigestOf(string(c.Sent.Header.Method()), string(c.Sent.RequestURI()), c.Sent.Body()),
 		Until:   c.Deadline,
 	}
-	stored, err := claimOnce(ctx, d.Ledger, claim)
+	stored, err := claimRequest(ctx, d.Ledger, claim)
 	if err != nil {
 		return err
 	}
@@ -116,11 +122,11 @@
 		return nil
 	}
 	if err := d.send(ctx, c); err != nil {
-		settleFailed(ctx, d.Ledger, claim, err)
+		releaseIfNotRun(ctx, d.Ledger, claim, err)
 		return err
 	}
 	// Rule 2.
-	keepAnswer(ctx, d.Ledger, claim, Stored{
+	storeAnswer(ctx, d.Ledger, claim, Stored{
 		Status:      c.Answer.StatusCode(),
 		ContentType: string(c.Answer.Header.ContentType()),
 		Body:        append([]byte(nil), c.Answer.Body()...),
@@ -129,7 +135,8 @@
 	return nil
 }
 
-// send tries replicas by rule 3.
+// send tries up to Limits.Attempts replicas (rule 3). It returns the first error
+// whose verdict is not NotRun, if there is one.
 func (d *ServiceDispatcher) send(ctx context.Context, c *Call) error {
 	avoid := make(map[hingeids.ServerID]bool)
 	var worst error
@@ -151,14 +158,14 @@
 		if worst == nil || hingeverdict.Of(worst) == hingeverdict.NotRun {
 			worst = err
 		}
-		if !d.mayTryAgain(ctx, c, err) {
+		if !d.mayRetry(ctx, c, err) {
 			break
 		}
 	}
 	return worst
 }
 
-// sendOnce sends a call to one replica.
+// sendOnce sends a call to one replica and reports the outcome.
 func (d *ServiceDispatcher) sendOnce(ctx context.Context, c *Call, avoid map[hingeids.ServerID]bool) error {
 	target, err := d.Replicas.Replica(c.Service, avoid)
 	if err != nil {
@@ -182,7 +189,7 @@
 	return err
 }
 
-func (d *ServiceDispatcher) mayTryAgain(ctx context.Context, c *Call, err error) bool {
+func (d *ServiceDispatcher) mayRetry(ctx context.Context, c *Call, err error) bool {
 	if ctx.Err() != nil || !d.Now().Before(c.Deadline) {
 		return false
 	}
