--- a/internal/path/hingecaller/badinput_test.go
+++ b/internal/path/hingecaller/badinput_test.go
@@ -24,43 +24,43 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// badWorld has one model, no engine, and a fault in its own code that the model
-// named panics brings out.
-type badWorld struct {
-	asked *hingedispatch.Work
-	// customers are those whose keys are asked for, if any.
+// testBackend implements Catalogue and Completions. It has no engines, and
+// requests for the model "panics" make it panic.
+type testBackend struct {
+	requested *hingedispatch.Work
+	// customers is nil if requests need no key.
 	customers *hingecustomers.Set
 }
 
-func (b *badWorld) HasModel(m hingeids.Model) bool {
+func (b *testBackend) HasModel(m hingeids.Model) bool {
 	return m == "m" || m == "panics"
 }
 
-func (b *badWorld) Customers() *hingecustomers.Set {
+func (b *testBackend) Customers() *hingecustomers.Set {
 	return b.customers
 }
 
-func (b *badWorld) ServiceFor(string) (hingeids.Service, bool) {
+func (b *testBackend) ServiceFor(string) (hingeids.Service, bool) {
 	return "", false
 }
 
-func (b *badWorld) Classify(hingeids.Model, hingeids.Service, string, string) hingeinventory.Class {
+func (b *testBackend) Classify(hingeids.Model, hingeids.Service, string, string) hingeinventory.Class {
 	return hingeinventory.Class{
 		Name:     "text",
 		Priority: 100,
 	}
 }
 
-func (b *badWorld) Complete(_ context.Context, w *hingedispatch.Work) (*hingedispatch.Answer, error) {
-	b.asked = w
+func (b *testBackend) Complete(_ context.Context, w *hingedispatch.Work) (*hingedispatch.Answer, error) {
+	b.requested = w
 	if w.Model == "panics" {
-		panic("a fault of ours")
+		panic("injected panic")
 	}
 	return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, time.Second, errors.New("no engine"))
 }
 
-func startBad(t *testing.T) (*badWorld, *Server, string) {
-	b := &badWorld{}
+func startServer(t *testing.T) (*testBackend, *Server, string) {
+	b := &testBackend{}
 	limits := hingesettings.Defaults().Limits
 	limits.RequestBytes = 1024
 	limits.HeaderBytes = 4096
@@ -94,11 +94,11 @@
 
 const good = `{"model":"m","prompt":"p"}`
 
-// badInputs are requests as their bytes come, and the answers they get.
+// badInputs are raw requests and the status, verdict and code of their answers.
 var badInputs = []badInput{
-	bad("good, but no engine", post("", good), "503 notRun 3001"),
+	bad("valid, but no engine", post("", good), "503 notRun 3001"),
 	bad("not JSON", post("", `{"model":`), "400 notRun 1001"),
-	bad("no object", post("", `[1]`), "400 notRun 1001"),
+	bad("not an object", post("", `[1]`), "400 notRun 1001"),
 	bad("null", post("", `null`), "400 notRun 1001"),
 	bad("two objects", post("", good+good), "400 notRun 1001"),
 	bad("wrong type of model", post("", `{"model":1,"prompt":"p"}`), "400 notRun 1001"),
@@ -107,16 +107,16 @@
 	bad("no prompt", post("", `{"model":"m"}`), "400 notRun 1001"),
 	bad("empty", post("", ""), "400 notRun 1001"),
 	bad("negative max_tokens", post("", `{"model":"m","prompt":"p","max_tokens":-1}`), "400 notRun 1001"),
-	bad("broken max_tokens", post("", `{"model":"m","prompt":"p","max_tokens":1.5}`), "400 notRun 1001"),
+	bad("fractional max_tokens", post("", `{"model":"m","prompt":"p","max_tokens":1.5}`), "400 notRun 1001"),
 	bad("huge max_tokens", post("", `{"model":"m","prompt":"p","max_tokens":99999999999999999999}`), "400 notRun 1001"),
 	bad("unknown model", post("", `{"model":"x","prompt":"p"}`), "404 notRun 1003"),
-	bad("deadline of none", post("X-Deadline-Ms: 0\r\n", good), "400 notRun 1001"),
-	bad("deadline before", post("X-Deadline-Ms: -5\r\n", good), "400 notRun 1001"),
-	bad("deadline in words", post("X-Deadline-Ms: soon\r\n", good), "400 notRun 1001"),
-	bad("deadline over the top", post("X-Deadline-Ms: 99999999999999999999\r\n", good), "400 notRun 1001"),
-	bad("priority raised", post("X-Priority: 101\r\n", good), "400 notRun 1001"),
-	bad("priority below", post("X-Priority: -1\r\n", good), "400 notRun 1001"),
-	bad("priority in words", post("X-Priority: high\r\n", good), "400 notRun 1001"),
+	bad("deadline zero", post("X-Deadline-Ms: 0\r\n", good), "400 notRun 1001"),
+	bad("deadline negative", post("X-Deadline-Ms: -5\r\n", good), "400 notRun 1001"),
+	bad("deadline not a number", post("X-Deadline-Ms: soon\r\n", good), "400 notRun 1001"),
+	bad("deadline overflows", post("X-Deadline-Ms: 99999999999999999999\r\n", good), "400 notRun 1001"),
+	bad("priority above the class", post("X-Priority: 101\r\n", good), "400 notRun 1001"),
+	bad("priority negative", post("X-Priority: -1\r\n", good), "400 notRun 1001"),
+	bad("priority not a number", post("X-Priority: high\r\n", good), "400 notRun 1001"),
 	bad("deep nesting", post("", `{"model":"m","prompt":"p","x":`+strings.Repeat("[", 900)), "400 notRun 1001"),
 	bad("body over the limit", post("", `{"model":"m","prompt":"`+strings.Repeat("p", 1100)+`"}`), "413 notRun 1002"),
 	bad("body far over the limit", post("", `{"model":"m","prompt":"`+strings.Repeat("p", 1<<18)+`"}`), "413 notRun 1002"),
@@ -124,10 +124,10 @@
 	bad("GET", "GET /v1/completions HTTP/1.1\r\nHost: h\r\n\r\n", "405 notRun 1010"),
 	bad("unknown method", "BREW /v1/completions HTTP/1.1\r\nHost: h\r\n\r\n", "405 notRun 1010"),
 	bad("unknown path", "GET /coffee HTTP/1.1\r\nHost: h\r\n\r\n", "404 notRun 1004"),
-	bad("no HTTP", "what is this\r\n\r\n", "400 notRun 1001"),
+	bad("not HTTP", "what is this\r\n\r\n", "400 notRun 1001"),
 	bad("bad length", "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: x\r\n\r\n", "400 notRun 1001"),
 	bad("truncated body", "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 900\r\n\r\n{", "400 notRun 1001"),
-	bad("our own fault", post("", `{"model":"panics","prompt":"p"}`), "502 mayHaveRun 3003"),
+	bad("panic in a handler", post("", `{"model":"panics","prompt":"p"}`), "502 mayHaveRun 3003"),
 }
 
 type badInput struct {
@@ -142,11 +142,10 @@
 	}
 }
 
-// Callers send what they like. Each such request gets an answer that says what is
-// wrong and that it did not run, and its connection goes on or is closed in order;
-// the others' requests are never touched, also not by a fault of our own.
-func TestBadInputGetsItsAnswer(t *testing.T) {
-	_, server, address := startBad(t)
+// Guards against invalid requests that get no answer or the wrong one, break their
+// connection or leave state behind.
+func TestBadInputIsRefused(t *testing.T) {
+	_, server, address := startServer(t)
 	for _, b := range badInputs {
 		t.Run(b.name, func(t *testing.T) {
 			conn, err := net.Dial("tcp", address)
@@ -169,18 +168,18 @@
 			}
 			if closes {
 				if _, err := reader.ReadByte(); !errors.Is(err, io.EOF) {
-					t.Errorf("closed out of order: %v", err)
+					t.Errorf("read after the answer: %v, want EOF", err)
 				}
 				return
 			}
 			_, _ = io.WriteString(conn, "GET /livez HTTP/1.1\r\nHost: h\r\n\r\n")
 			if resp, err := http.ReadResponse(reader, nil); err != nil || resp.StatusCode != http.StatusOK {
-				t.Errorf("the next request on the connection: %v, %v", resp, err)
+				t.Errorf("next request on the connection: %v, %v", resp, err)
 			}
 		})
 	}
 	if n := server.Active(); n != 0 {
-		t.Errorf("%d requests are still counted", n)
+		t.Errorf("%d requests are still active", n)
 	}
 }
 
@@ -194,16 +193,16 @@
 	}
 	err = json.NewDecoder(resp.Body).Decode(&body)
 	if err != nil || body.Error.Verdict != resp.Header.Get("X-Verdict") || body.Error.RequestID != resp.Header.Get("X-Request-Id") {
-		t.Errorf("body %+v (%v) for %v", body, err, resp.Header)
+		t.Errorf("body %+v (%v) does not match the headers %v", body, err, resp.Header)
 	}
 	_, _ = io.Copy(io.Discard, resp.Body)
 	return fmt.Sprintf("%d %s %d", resp.StatusCode, resp.Header.Get("X-Verdict"), body.Error.Code), resp.Close
 }
 
-// A caller with background work puts it behind its own other work of the class.
-func TestACallerLowersItsPriority(t *testing.T) {
-	b, _, address := startBad(t)
-	for asked, want := range map[string]int{
+// X-Priority lowers the priority of a request, rounded down to a step of its class.
+func TestCallerLowersItsPriority(t *testing.T) {
+	b, _, address := startServer(t)
+	for requested, want := range map[string]int{
 		"100": 100,
 		"99":  75,
 		"25":  25,
@@ -214,18 +213,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		_, _ = io.WriteString(conn, post("X-Priority: "+asked+"\r\n", good))
-		if got, _ := readRefusal(t, bufio.NewReader(conn)); got != "503 notRun 3001" || b.asked.Class.Priority != want {
-			t.Errorf("%s: %s, priority %d, want %d", asked, got, b.asked.Class.Priority, want)
+		_, _ = io.WriteString(conn, post("X-Priority: "+requested+"\r\n", good))
+		if got, _ := readRefusal(t, bufio.NewReader(conn)); got != "503 notRun 3001" || b.requested.Class.Priority != want {
+			t.Errorf("%s: %s, priority %d, want %d", requested, got, b.requested.Class.Priority, want)
 		}
 		_ = conn.Close()
 	}
 }
 
-// A fault of ours strikes in the middle of a stream, when its handler has ended.
-// The caller must see that its answer is not whole, and the process must live.
-func TestAPanicInAStreamEndsOnlyTheStream(t *testing.T) {
-	_, server, _ := startBad(t)
+// Guards against a panic in a stream, after its handler has returned, that ends
+// the process or lets the answer look complete.
+func TestPanicInStreamFailsOnlyThatStream(t *testing.T) {
+	_, server, _ := startServer(t)
 	stream := &eventStream{
 		server: server,
 	}
@@ -239,7 +238,8 @@
 	}
 }
 
-// Whatever bytes a caller sends as a completion, they are taken or refused.
+// parseCompletion accepts or refuses arbitrary bytes and accepts only completions
+// with a prompt or messages.
 func FuzzCompletion(f *testing.F) {
 	f.Add([]byte(good))
 	f.Add([]byte(`{"model":"m","messages":[{"role":"user","content":"c"}],"max_tokens":3,"stream":true}`))
@@ -251,22 +251,22 @@
 			return
 		}
 		if c.MaxTokens <= 0 || len(fields) == 0 || c.Prompt == "" && len(c.Messages) == 0 {
-			t.Errorf("taken: %+v", c)
+			t.Errorf("invalid completion accepted: %+v", c)
 		}
 		_ = c.text()
 	})
 }
 
-// Whatever an engine sends as an event, its text is read or it is refused, and
-// nothing of it can be taken for another event.
+// eventText doesn't panic on arbitrary events, and appendWithID keeps valid JSON
+// valid.
 func FuzzEvent(f *testing.F) {
 	f.Add([]byte(`{"id":"a","choices":[{"text":"t"}]}`))
 	f.Add([]byte(`{"id":"a","choices":[{"delta":{"content":"c"},"finish_reason":"stop"}]}`))
 	f.Add([]byte(`{"id":"`))
 	f.Add([]byte(`{"choices":null}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		_, _, _ = tokenText(data)
-		renamed := appendRenamed(nil, data, "a-1.1.1")
+		_, _, _ = eventText(data)
+		renamed := appendWithID(nil, data, "a-1.1.1")
 		if json.Valid(data) && !json.Valid(renamed) {
 			t.Errorf("%q became %q", data, renamed)
 		}
--- a/internal/path/hingecaller/bench_test.go
+++ b/internal/path/hingecaller/bench_test.go
@@ -28,25 +28,25 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// one is everything the path asks for besides engines: one model on one
-// engine, which prefills by itself and always has a slot.
-type one struct {
+// singleEngine implements the dependencies of the request path for one model on
+// one engine, which prefills and decodes and always has a free slot.
+type singleEngine struct {
 	address string
 }
 
-func (one) HasModel(hingeids.Model) bool { return true }
+func (singleEngine) HasModel(hingeids.Model) bool { return true }
 
-func (one) ServiceFor(string) (hingeids.Service, bool) { return "", false }
+func (singleEngine) ServiceFor(string) (hingeids.Service, bool) { return "", false }
 
-func (one) Customers() *hingecustomers.Set { return nil }
+func (singleEngine) Customers() *hingecustomers.Set { return nil }
 
-func (one) Classify(hingeids.Model, hingeids.Service, string, string) hingeinventory.Class {
+func (singleEngine) Classify(hingeids.Model, hingeids.Service, string, string) hingeinventory.Class {
 	return hingeinventory.Class{
 		Name: "text",
 	}
 }
 
-func (o one) Enter(context.Context, hingedispatch.Entry) (hingedispatch.Placement, error) {
+func (o singleEngine) Enter(context.Context, hingedispatch.Entry) (hingedispatch.Placement, error) {
 	return hingedispatch.Placement{
 		Decode: hingeengine.Target{
 			Server:  "d",
@@ -55,57 +55,57 @@
 	}, nil
 }
 
-func (o one) Ready(context.Context, hingedispatch.Entry, hingeids.Tokens) (hingeengine.Target, error) {
+func (o singleEngine) Ready(context.Context, hingedispatch.Entry, hingeids.Tokens) (hingeengine.Target, error) {
 	return hingeengine.Target{}, nil
 }
 
-func (o one) Full(context.Context, hingedispatch.Entry, hingeengine.Target) (hingeengine.Target, error) {
+func (o singleEngine) Full(context.Context, hingedispatch.Entry, hingeengine.Target) (hingeengine.Target, error) {
 	return hingeengine.Target{}, nil
 }
 
-func (one) Leave(hingedispatch.Entry, int) {}
+func (singleEngine) Leave(hingedispatch.Entry, int) {}
 
-func (one) Failed(hingedispatch.Entry, hingeengine.Target, error) {}
+func (singleEngine) Failed(hingedispatch.Entry, hingeengine.Target, error) {}
 
-func (one) TokenGap(hingedispatch.Entry, hingeengine.Target, time.Duration) {}
+func (singleEngine) TokenGap(hingedispatch.Entry, hingeengine.Target, time.Duration) {}
 
-func (one) Lives(hingeengine.Target) bool { return true }
+func (singleEngine) Lives(hingeengine.Target) bool { return true }
 
-func (one) Finished(hingedispatch.Finished) {}
+func (singleEngine) Finished(hingedispatch.Finished) {}
 
-func (one) Prefilled(hingeids.Tokens) {}
+func (singleEngine) Prefilled(hingeids.Tokens) {}
 
-func (one) Wasted(hingeids.Tokens) {}
+func (singleEngine) Wasted(hingeids.Tokens) {}
 
-func (one) Retried(string) {}
+func (singleEngine) Retried(string) {}
 
-func (one) Own(hingeids.RequestID) {}
+func (singleEngine) Own(hingeids.RequestID) {}
 
-func (one) Disown(hingeids.RequestID) {}
+func (singleEngine) Disown(hingeids.RequestID) {}
 
-func (o one) Other(hingedispatch.Entry) (hingeengine.Target, bool) {
+func (o singleEngine) Other(hingedispatch.Entry) (hingeengine.Target, bool) {
 	return hingeengine.Target{}, false
 }
 
-func (o one) Rebind(hingedispatch.Entry, hingeengine.Target) {}
+func (o singleEngine) Rebind(hingedispatch.Entry, hingeengine.Target) {}
 
-func (one) Acquire(
+func (singleEngine) Acquire(
 	_ context.Context, _ *hingedispatch.Work, _ hingeids.RequestID, at ...hingeengine.Target,
 ) (hingeengine.Target, error) {
 	return at[0], nil
 }
 
-func (one) Release(hingeids.RequestID, hingeengine.Target) {}
+func (singleEngine) Release(hingeids.RequestID, hingeengine.Target) {}
 
-func (one) Cancel(_ hingeengine.Target, _ hingeids.RequestID, after func()) {
+func (singleEngine) Cancel(_ hingeengine.Target, _ hingeids.RequestID, after func()) {
 	if after != nil {
 		after()
 	}
 }
 
-// startRouter runs the request path in front of one engine, and gives its address.
+// startRouter runs the request path in front of one engine and returns its address.
 func startRouter(t testing.TB, engine string) string {
-	o := one{
+	o := singleEngine{
 		address: engine,
 	}
 	limits := hingedispatch.DefaultLimits()
@@ -143,11 +143,9 @@
 	return l.Addr().String()
 }
 
-// Relaying a token allocates nothing in the steady state, over the whole path
-// from the engine's connection to the caller's: a longer stream allocates no
-// more than a shorter one. A hundredth of an allocation a token is left for the
-// garbage collector and the test itself.
-func TestRelayingATokenAllocatesNothing(t *testing.T) {
+// Guards against allocations for each relayed token. The bound of a hundredth of
+// an allocation a token covers those of the runtime and of the test itself.
+func TestRelayingATokenDoesNotAllocate(t *testing.T) {
 	source, err := newSource()
 	if err != nil {
 		t.Fatal(err)
@@ -158,7 +156,7 @@
 		var before, after runtime.MemStats
 		runtime.ReadMemStats(&before)
 		var c callers
-		conn, err := ask(router, tokens)
+		conn, err := openStream(router, tokens)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,15 +169,15 @@
 	}
 	allocations(short)
 	few, many := allocations(short), allocations(long)
-	each := (float64(many) - float64(few)) / (long - short)
-	t.Logf("%d allocations for %d tokens, %d for %d: %.4f a token", few, short, many, long, each)
-	if each > 0.01 {
-		t.Errorf("%.4f allocations a token, want none", each)
+	perToken := (float64(many) - float64(few)) / (long - short)
+	t.Logf("%d allocations for %d tokens, %d for %d: %.4f a token", few, short, many, long, perToken)
+	if perToken > 0.01 {
+		t.Errorf("%.4f allocations a token, want none", perToken)
 	}
 }
 
-// ends are the source and the callers in a process of their own.
-type ends struct {
+// loadProcess runs the source and the callers in a separate process.
+type loadProcess struct {
 	t       testing.TB
 	command *exec.Cmd
 	in      io.WriteCloser
@@ -187,9 +185,9 @@
 	address string
 }
 
-func startEnds(t testing.TB) *ends {
+func startLoadProcess(t testing.TB) *loadProcess {
 	cmd := exec.Command(os.Args[0])
-	cmd.Env = append(os.Environ(), endsRole+"=1")
+	cmd.Env = append(os.Environ(), loadProcessEnv+"=1")
 	cmd.Stderr = os.Stderr
 	in, err := cmd.StdinPipe()
 	if err != nil {
@@ -202,7 +200,7 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	e := &ends{
+	e := &loadProcess{
 		t:       t,
 		command: cmd,
 		in:      in,
@@ -212,21 +210,22 @@
 	return e
 }
 
-// stop ends the process, and with it all streams: the router waits for them.
-func (e *ends) stop() {
+// stop ends the process and closes all streams, for which the router would
+// otherwise wait at its shutdown.
+func (e *loadProcess) stop() {
 	_ = e.in.Close()
 	_ = e.command.Wait()
 }
 
-func (e *ends) line() string {
+func (e *loadProcess) line() string {
 	if !e.out.Scan() {
-		e.t.Fatal("the process that plays the ends is gone")
+		e.t.Fatal("the load process has exited")
 	}
 	return e.out.Text()
 }
 
-// do sends a command and gives the tokens that the callers have read.
-func (e *ends) do(command string) int64 {
+// do sends a command and returns the number of tokens that the callers have read.
+func (e *loadProcess) do(command string) int64 {
 	if _, err := fmt.Fprintln(e.in, command); err != nil {
 		e.t.Fatal(err)
 	}
@@ -237,22 +236,23 @@
 	return n
 }
 
-// BenchmarkRelay offers 100,000 tokens a second over 1,000 streams and reports
-// what arrives and what that costs this process, which is the router alone.
+// BenchmarkRelay sends 100,000 tokens a second over 1,000 streams and reports the
+// throughput and the CPU time and memory of this process, which runs only the
+// router.
 func BenchmarkRelay(b *testing.B) {
 	const streams, gap = 1000, 10 * time.Millisecond
-	e := startEnds(b)
+	e := startLoadProcess(b)
 	defer e.stop()
 	router := startRouter(b, e.address)
 	e.do(fmt.Sprintf("open %s %d %s", router, streams, gap))
 	for b.Loop() {
 		began, tokens, spent := time.Now(), e.do("count"), processorTime(b)
 		time.Sleep(3 * time.Second)
-		took := time.Since(began).Seconds()
+		elapsed := time.Since(began).Seconds()
 		tokens = e.do("count") - tokens
 		spent = processorTime(b) - spent
-		b.ReportMetric(float64(tokens)/took, "tokens/s")
-		b.ReportMetric(spent.Seconds()/took, "cores")
+		b.ReportMetric(float64(tokens)/elapsed, "tokens/s")
+		b.ReportMetric(spent.Seconds()/elapsed, "cores")
 		b.ReportMetric(float64(spent.Nanoseconds())/float64(tokens), "ns-cpu/token")
 		b.ReportMetric(float64(residentBytes(b))/(1<<20), "MiB-resident")
 	}
@@ -279,12 +279,11 @@
 	return pages * int64(os.Getpagesize())
 }
 
-// An entry host holds 5,000 streams within 256 MB: what a stream that waits for
-// its next token takes, from the difference between many streams and few, times
-// 5,000, and the rest of the process.
+// Guards against more than 256 MB for 5,000 idle streams on an entry host. The
+// memory of a stream is derived from the difference between 500 and 2,000 streams.
 func TestMemoryOfIdleStreams(t *testing.T) {
 	const limit = 256_000_000
-	e := startEnds(t)
+	e := startLoadProcess(t)
 	defer e.stop()
 	router := startRouter(t, e.address)
 	steps := []int{500, 1000, 2000}
@@ -297,15 +296,16 @@
 		t.Logf("%d idle streams: %d bytes of heap and stacks, %d resident", n, used[len(used)-1], residentBytes(t))
 	}
 	last := len(steps) - 1
-	each := (used[last] - used[0]) / int64(steps[last]-steps[0])
-	whole := used[0] + each*int64(5000-steps[0])
-	t.Logf("%d bytes a stream, %d for 5,000", each, whole)
-	if whole > limit {
-		t.Errorf("5,000 idle streams take %d bytes, want at most %d", whole, limit)
+	perStream := (used[last] - used[0]) / int64(steps[last]-steps[0])
+	total := used[0] + perStream*int64(5000-steps[0])
+	t.Logf("%d bytes a stream, %d for 5,000", perStream, total)
+	if total > limit {
+		t.Errorf("5,000 idle streams use %d bytes, want at most %d", total, limit)
 	}
 }
 
-// memoryInUse counts what the process holds of the system but for free spans.
+// memoryInUse returns the bytes obtained from the system, except those in idle
+// heap spans.
 func memoryInUse() int64 {
 	var m runtime.MemStats
 	runtime.GC()
@@ -313,11 +313,9 @@
 	return int64(m.Sys - m.HeapIdle)
 }
 
-// The first token through the router is compared with the first token from the
-// same stand-in asked directly, in turn. The stand-in prefills 400 tokens in
-// 40 ms and decodes one in 10 ms, far quicker than the engines of the brief,
-// and still the router's share has to be small. The bounds leave room for a
-// machine that does other things at the same time.
+// Guards against a router that adds too much to the time to the first token, in
+// comparison with direct requests to the same stand-in engine. The bounds
+// tolerate other load on the machine.
 func TestFirstTokenAgainstDirect(t *testing.T) {
 	engine, err := hingestandin.New(hingestandin.Options{
 		Server: "d",
@@ -367,7 +365,8 @@
 	}
 }
 
-// firstToken asks with a prompt of its own, which no prefix cache holds.
+// firstToken returns the time to the first token of a prompt that no prefix cache
+// holds.
 func firstToken(t *testing.T, address string, serial int) time.Duration {
 	prompt := strings.Repeat(fmt.Sprintf("%07d ", serial), 200)
 	body := fmt.Sprintf(`{"request_id":"direct-%d","model":"m","prompt":%q,"max_tokens":1,"stream":true}`, serial, prompt)
@@ -391,10 +390,10 @@
 	return 0
 }
 
-func (o one) Judge(context.Context, hingeids.Print, hingeids.Service) (bool, *hingeverdict.Error) {
+func (o singleEngine) Judge(context.Context, hingeids.Print, hingeids.Service) (bool, *hingeverdict.Error) {
 	return false, nil
 }
 
-func (o one) Broke(context.Context, hingedispatch.Broken) {}
+func (o singleEngine) Broke(context.Context, hingedispatch.Broken) {}
 
-func (o one) Passed(hingeids.Print) {}
+func (o singleEngine) Passed(hingeids.Print) {}
--- a/internal/path/hingecaller/benchends_test.go
+++ b/internal/path/hingecaller/benchends_test.go
@@ -17,27 +17,29 @@
 	"time"
 )
 
-// The ends of the path are kept cheap, and can run in a process of their own, so
-// that what is measured is the router: a source of events in place of an
-// engine, and callers that count tokens.
+// This file holds the load generator of the benchmarks: a source of events in
+// place of an engine, and callers that count tokens. It can run in a separate
+// process, so that the cost of the router can be measured alone.
 
-// endsRole has this test binary play both ends when a benchmark starts it again.
-const endsRole = "SWIFTHINGE_BENCH_ENDS"
+// loadProcessEnv is the environment variable that makes the test binary run as
+// the load process.
+const loadProcessEnv = "SWIFTHINGE_BENCH_ENDS"
 
 func TestMain(m *testing.M) {
-	if os.Getenv(endsRole) == "" {
+	if os.Getenv(loadProcessEnv) == "" {
 		os.Exit(m.Run())
 	}
-	if err := playEnds(os.Stdin, os.Stdout); err != nil {
+	if err := runLoadProcess(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// playEnds tells its source's address, then takes a line for each command and
-// answers each with one: "open ROUTER STREAMS GAP" when all streams have a token,
-// "count" with the tokens read so far. It ends with its input.
-func playEnds(in io.Reader, out io.Writer) error {
+// runLoadProcess writes the address of its source, then reads one command a line
+// and answers each with the number of tokens read so far. "open ROUTER STREAMS
+// GAP" is answered once all streams have received a token, "count" at once. It
+// returns at the end of its input.
+func runLoadProcess(in io.Reader, out io.Writer) error {
 	source, err := newSource()
 	if err != nil {
 		return err
@@ -63,11 +65,11 @@
 	return nil
 }
 
-// source answers each completion with a stream of events, one a chunk, and
-// allocates nothing for one.
+// source answers each completion with a stream of events, one event a chunk,
+// without an allocation for each event.
 type source struct {
 	listener net.Listener
-	// gap is the time between tokens in nanoseconds; 0 is as fast as they are read.
+	// gap is the time between tokens in nanoseconds; with 0 there is no pause.
 	gap atomic.Int64
 }
 
@@ -113,7 +115,7 @@
 		return
 	}
 	var event, chunk []byte
-	due := time.Now()
+	nextAt := time.Now()
 	for i := range body.MaxTokens {
 		event = append(event[:0], "id: "...)
 		event = strconv.AppendInt(event, int64(i), 10)
@@ -124,10 +126,10 @@
 		if _, err := conn.Write(chunk); err != nil {
 			return
 		}
-		// By a schedule: a wait that ends late doesn't delay the tokens after it.
+		// The schedule is absolute, so a late wakeup doesn't delay later tokens.
 		if gap := s.gap.Load(); gap > 0 {
-			due = due.Add(time.Duration(gap))
-			time.Sleep(time.Until(due))
+			nextAt = nextAt.Add(time.Duration(gap))
+			time.Sleep(time.Until(nextAt))
 		}
 	}
 	chunk = appendChunk(chunk[:0], []byte("data: [DONE]\n\n"))
@@ -146,11 +148,11 @@
 	tokens atomic.Int64
 }
 
-// open starts streams, and waits until each has a token.
+// open starts streams and waits until each has received a token.
 func (c *callers) open(router string, streams, tokens int) error {
 	var first sync.WaitGroup
 	for range streams {
-		conn, err := ask(router, tokens)
+		conn, err := openStream(router, tokens)
 		if err != nil {
 			return err
 		}
@@ -161,7 +163,7 @@
 	return nil
 }
 
-func ask(router string, tokens int) (net.Conn, error) {
+func openStream(router string, tokens int) (net.Conn, error) {
 	conn, err := net.Dial("tcp", router)
 	if err != nil {
 		return nil, err
@@ -175,12 +177,12 @@
 	return err
 }
 
-// endMark ends a stream that is whole. The router sends it in a chunk of its
-// own, so it isn't split.
+// endMark ends a complete stream. The router sends it in its own chunk, so it is
+// not split between reads.
 var endMark = []byte("[DONE]")
 
-// read counts the closing brackets, of which each token and the end mark has
-// one, until the end mark or the end of the connection.
+// read counts tokens until the end mark or the end of the connection. It counts
+// closing brackets, since each token and the end mark contain exactly one.
 func (c *callers) read(conn net.Conn, first func()) {
 	defer func() {
 		_ = conn.Close()
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -1,21 +1,24 @@
-// Package hingecaller takes requests from callers over HTTP and gives them
-// their answers.
+// Package hingecaller serves the HTTP API for callers.
 //
-//  1. Every answer carries the request's id and its verdict in X-Request-Id
-//     and X-Verdict. A refusal that makes sense to repeat carries Retry-After.
-//  2. A request that is given up gets its final answer at once.
-//  3. A caller that leaves cancels its request, wherever it is by then:
-//     waiting, in prefill, in transfer or in decode.
-//  4. A stream that can't be made whole ends with an error event and without
-//     the end mark, so that no caller takes it for whole.
-//  5. Once draining, new requests are refused with a hint to come back at
-//     once, which reaches another host, and those in progress go on.
-//  6. A completion whose class is never to be repeated is known by its
-//     Idempotency-Key: a resend gets the whole answer of the first run, or is
-//     told that it ran. For other completions the key is ignored.
-//  7. A handler that panics ends its own request, with an event, and no other.
-//  8. Whose request it is is told by its API key, where the rules name customers; the key doesn't go on to a backend
-//     server. A name that the caller gives itself is believed only behind the operators' own gateway.
+//  1. Every answer carries the request's id and verdict in X-Request-Id and
+//     X-Verdict. A refusal of a request that may succeed later carries
+//     Retry-After.
+//  2. A request that fails gets its final answer at once.
+//  3. A caller's disconnection cancels its request in any phase: queue, prefill,
+//     transfer or decode.
+//  4. A stream that can't be completed ends with an error event and without the
+//     end marker, so that no caller treats it as complete.
+//  5. While the host drains, new requests are refused with a short retry time,
+//     since a retry reaches another host, and requests in progress continue.
+//  6. A completion whose class must not be retried is identified by its
+//     Idempotency-Key: a resend gets the complete answer of the first run, or an
+//     error that says that the request ran. For other completions the key is
+//     ignored.
+//  7. A panic in a handler fails only its own request and is recorded as an
+//     event.
+//  8. If customers are configured, a request's API key identifies its customer;
+//     the key is not forwarded to backend servers. The X-Caller header is trusted
+//     only behind the operators' own gateway.
 package hingecaller
 
 import (
@@ -38,158 +41,165 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// Catalogue is what callers can ask for, by the configuration in force.
+// Catalogue looks up models, services, classes and customers in the current
+// configuration. It must be safe for concurrent use.
 type Catalogue interface {
 	HasModel(m hingeids.Model) bool
-	// ServiceFor finds the plain service that a path is routed to.
+	// ServiceFor returns the plain service to which a path is routed.
 	ServiceFor(path string) (hingeids.Service, bool)
+	// Classify returns the class of a request. Either the model or the service is
+	// empty.
 	Classify(m hingeids.Model, s hingeids.Service, path, method string) hingeinventory.Class
-	// Customers are those whose keys are asked for, nil if nobody needs one.
+	// Customers returns the customers and their keys, nil if requests need no key.
 	Customers() *hingecustomers.Set
 }
 
-// Completions carries completions; hingedispatch.Dispatcher does.
+// Completions runs completions; hingedispatch.Dispatcher implements it.
 type Completions interface {
 	Complete(ctx context.Context, w *hingedispatch.Work) (*hingedispatch.Answer, error)
 }
 
-// Services carries calls of plain services; hingedispatch.ServiceDispatcher does.
+// Services runs calls of plain services; hingedispatch.ServiceDispatcher
+// implements it.
 type Services interface {
 	Do(ctx context.Context, c *hingedispatch.Call) error
 }
 
-// Keys issues idempotency keys that the own zone can vouch for when cut off.
+// Keys issues idempotency keys whose owner is in this host's zone, so that they
+// can be checked while the zone is disconnected.
 type Keys interface {
 	Issue(ctx context.Context, caller hingeids.CallerID) (hingeids.IdempotencyKey, error)
 }
 
-// Config is what a Server is made of.
+// Config holds the parameters and dependencies of a Server.
 type Config struct {
 	Life   hingeids.Life
 	Limits hingesettings.Limits
-	// Gateway says that callers come through a gateway of the operators' own, which names the customer.
+	// Gateway says that all requests come through the operators' own gateway,
+	// which sets X-Caller to the customer's name.
 	Gateway     bool
 	Catalogue   Catalogue
 	Completions Completions
 	Services    Services
 	Keys        Keys
-	// Ready tells whether the host should get requests from the balancer.
+	// Ready reports whether the host can serve requests.
 	Ready func() bool
-	// Gone is told of each request whose caller left before its final answer.
+	// Gone is called for each request whose caller disconnects before the final
+	// answer. It must be safe for concurrent use.
 	Gone     func()
 	Recorder *hingeevents.Recorder
 	Now      func() time.Time
 }
 
-// Server takes requests from callers.
+// Server serves the requests of callers. Run must be called only once.
 type Server struct {
-	config   Config
-	web      *fasthttp.Server
-	sequence atomic.Uint64
-	life     atomic.Pointer[hingeids.Life]
-	requests requests
-	// betweenLives says that this host's life is over and no other has begun.
-	betweenLives atomic.Bool
-	draining     atomic.Bool
-	active       atomic.Int64
-	slow         atomic.Int64
-	listener     *watchedListener
-	done         chan struct{}
+	config     Config
+	httpServer *fasthttp.Server
+	sequence   atomic.Uint64
+	instance   atomic.Pointer[hingeids.Life]
+	requests   requests
+	// betweenInstances says that this host's instance has ended and the next one
+	// has not started.
+	betweenInstances atomic.Bool
+	draining         atomic.Bool
+	active           atomic.Int64
+	writeTimeout     atomic.Int64
+	listener         *watchedListener
+	done             chan struct{}
 }
 
-// Time limits of a connection. A request's header and body must come within
-// readLimit: a caller that sends a byte now and then would hold a connection.
+// Timeouts of a connection. readTimeout covers the whole header and body of a
+// request, so that slow senders can't hold connections.
 const (
-	readLimit = 30 * time.Second
-	idleLimit = 75 * time.Second
+	readTimeout = 30 * time.Second
+	idleTimeout = 75 * time.Second
 )
 
-// New makes a server.
+// New returns a server that does not listen yet; see Run.
 func New(c Config) *Server {
 	s := &Server{
 		config: c,
 		done:   make(chan struct{}),
 	}
-	s.life.Store(&c.Life)
+	s.instance.Store(&c.Life)
 	s.listener = &watchedListener{
-		slowReader: &s.slow,
+		maxWriteTime: &s.writeTimeout,
 	}
 	s.SetSlowReader(time.Duration(c.Limits.SlowReader))
-	s.web = &fasthttp.Server{
+	s.httpServer = &fasthttp.Server{
 		Handler:               s.handle,
-		ErrorHandler:          s.handleBroken,
+		ErrorHandler:          s.handleUnreadable,
 		ReadBufferSize:        int(c.Limits.HeaderBytes),
 		MaxRequestBodySize:    int(c.Limits.RequestBytes),
 		Concurrency:           c.Limits.Connections,
-		ReadTimeout:           readLimit,
-		IdleTimeout:           idleLimit,
+		ReadTimeout:           readTimeout,
+		IdleTimeout:           idleTimeout,
 		NoDefaultServerHeader: true,
 		CloseOnShutdown:       true,
-		// Without it each stream would keep the buffer its request was read with,
-		// as large as the largest header, to its end.
+		// Otherwise each stream keeps its read buffer of HeaderBytes until its end.
 		ReduceMemoryUsage: true,
-		Logger:            quiet{},
+		Logger:            discardLogger{},
 	}
 	return s
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// Run serves on the listener until the context ends, then waits for what is in
-// progress. Connections break only when the process ends.
+// Run serves on the listener until the context is done, then drains and waits for
+// the requests in progress without a time limit.
 func (s *Server) Run(ctx context.Context, l net.Listener) error {
 	defer close(s.done)
 	s.listener.Listener = l
 	failed := make(chan error, 1)
 	go func() {
-		failed <- s.web.Serve(s.listener)
+		failed <- s.httpServer.Serve(s.listener)
 	}()
 	select {
 	case err := <-failed:
-		return eris.Wrap(err, "callers")
+		return eris.Wrap(err, "HTTP server for callers")
 	case <-ctx.Done():
 	}
 	s.Drain()
-	return eris.Wrap(s.web.ShutdownWithContext(context.WithoutCancel(ctx)), "callers")
+	return eris.Wrap(s.httpServer.ShutdownWithContext(context.WithoutCancel(ctx)), "shutdown of HTTP server for callers")
 }
 
-// Abort breaks every connection at once, as the end of the process would.
+// Abort cancels all requests and closes all connections at once.
 func (s *Server) Abort() {
 	s.Drain()
 	s.requests.cancelAll()
-	s.listener.open.breakAll()
+	s.listener.open.closeAll()
 }
 
-// Done closes when the server has ended.
+// Done returns a channel that is closed when Run returns.
 func (s *Server) Done() <-chan struct{} {
 	return s.done
 }
 
-// Drain refuses new requests from now on, by rule 5.
+// Drain makes the server refuse new requests (rule 5).
 func (s *Server) Drain() {
 	s.draining.Store(true)
 }
 
-// SetSlowReader sets how long a write to a caller may stand still.
+// SetSlowReader sets the timeout of each write to a caller.
 func (s *Server) SetSlowReader(d time.Duration) {
-	s.slow.Store(int64(d))
+	s.writeTimeout.Store(int64(d))
 }
 
-// Draining tells whether new requests are refused.
+// Draining reports whether the server drains.
 func (s *Server) Draining() bool {
 	return s.draining.Load()
 }
 
-// Active counts the requests in progress.
+// Active returns the number of requests in progress, including streams.
 func (s *Server) Active() int64 {
 	return s.active.Load()
 }
 
-// shutdownRetry is when a refused caller comes back: at once, since the
-// balancer sends it to another host.
-const shutdownRetry = time.Second
+// otherHostRetry is the retry time of callers that this host can't serve. It is
+// short, since the load balancer sends the retry to another host.
+const otherHostRetry = time.Second
 
 func (s *Server) handle(ctx *fasthttp.RequestCtx) {
 	path := string(ctx.Path())
@@ -203,22 +213,22 @@
 	}
 	id := s.nextID()
 	if s.draining.Load() {
-		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeShuttingDown, shutdownRetry,
+		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeShuttingDown, otherHostRetry,
 			eris.New("this entry host is shutting down")))
 		ctx.SetConnectionClose()
 		return
 	}
-	if !s.config.Ready() || s.betweenLives.Load() {
-		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, shutdownRetry,
+	if !s.config.Ready() || s.betweenInstances.Load() {
+		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, otherHostRetry,
 			eris.New("this entry host is not ready to serve yet")))
 		return
 	}
 	s.serve(ctx, id, path)
 }
 
-// serve carries a request to its answer. The recover is for a fault in our own
-// code that one odd request brings out: without it that request, sent again and
-// again, would end every host's process, and each time all others' streams.
+// serve handles a request. It recovers from panics: otherwise a request that
+// triggers a bug would end the process with all its streams, and its resends
+// would end the processes of the other hosts.
 func (s *Server) serve(ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string) {
 	s.active.Add(1)
 	finish := func() {
@@ -228,7 +238,7 @@
 	defer func() {
 		if cause := recover(); cause != nil {
 			ctx.Response.Reset()
-			refuse(ctx, id, s.panicked(id, cause))
+			refuse(ctx, id, s.recordPanic(id, cause))
 			ctx.SetConnectionClose()
 		}
 		if !streams {
@@ -245,25 +255,25 @@
 	}
 }
 
-// panicked records a panic, by rule 7, and gives the request's final error. How
-// far the request had come is not known.
-func (s *Server) panicked(id hingeids.RequestID, cause any) error {
+// recordPanic records a panic (rule 7) and returns the request's final error. The
+// verdict is MayHaveRun, since the progress of the request is unknown.
+func (s *Server) recordPanic(id hingeids.RequestID, cause any) error {
 	s.config.Recorder.Record(s.config.Now(), hingeevents.HandlerPanicked, hingeevents.Fields{
 		Request: id,
 		Detail:  fmt.Sprintf("%.200v", cause),
 	})
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0,
-		eris.New("this entry host failed on the request"))
+		eris.New("this entry host failed while it handled the request"))
 }
 
 func (s *Server) handleReady(ctx *fasthttp.RequestCtx) {
-	if s.draining.Load() || s.betweenLives.Load() || !s.config.Ready() {
+	if s.draining.Load() || s.betweenInstances.Load() || !s.config.Ready() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
 
-// handleBroken answers a request that could not be read.
-func (s *Server) handleBroken(ctx *fasthttp.RequestCtx, err error) {
+// handleUnreadable answers a request that could not be read or parsed.
+func (s *Server) handleUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	code := hingeverdict.CodeMalformed
 	if _, tooSmall := err.(*fasthttp.ErrSmallBuffer); tooSmall || err == fasthttp.ErrBodyTooLarge {
 		code = hingeverdict.CodeTooLarge
@@ -277,13 +287,13 @@
 
 func (s *Server) nextID() hingeids.RequestID {
 	return hingeids.RequestID{
-		Life:     *s.life.Load(),
+		Life:     *s.instance.Load(),
 		Sequence: s.sequence.Add(1),
 	}
 }
 
-// deadlineOf gives the time by which the caller wants its answer: its own
-// X-Deadline-Ms, within the class's, or the class's.
+// deadlineOf returns the deadline of a request: X-Deadline-Ms, limited by the
+// deadline of the class, which is also the default.
 func deadlineOf(ctx *fasthttp.RequestCtx, class hingeinventory.Class, now time.Time) (time.Time, error) {
 	limit := class.Deadline
 	if limit <= 0 {
@@ -300,11 +310,10 @@
 	return now.Add(limit), nil
 }
 
-// priorityOf gives the priority that the caller asks for: its own X-Priority,
-// which may lower the class's and never raise it, or the class's. Each priority in
-// use has a queue of its own, with limits of its own, and they are not taken down:
-// callers that use many numbers would add up to many queues. So it is brought down
-// to a quarter of the class's.
+// priorityOf returns the priority of a request: X-Priority, which must not exceed
+// the priority of the class, or that priority by default. Each priority in use
+// has a permanent queue with its own limits, so X-Priority is rounded down to a
+// multiple of a quarter of the class's priority to bound the number of queues.
 func priorityOf(ctx *fasthttp.RequestCtx, class hingeinventory.Class) (int, error) {
 	v := ctx.Request.Header.Peek("X-Priority")
 	if len(v) == 0 {
@@ -321,26 +330,28 @@
 	return n * prioritySteps / class.Priority * class.Priority / prioritySteps, nil
 }
 
-// prioritySteps bounds the priorities that one class can come to use.
+// prioritySteps is the number of steps below the priority of a class.
 const prioritySteps = 4
 
-// defaultDeadline is for work whose class gives none.
+// defaultDeadline applies to requests whose class has no deadline.
 const defaultDeadline = 10 * time.Minute
 
-// watch ties a request to its caller's connection, by rule 3.
+// watch returns a context that is cancelled when the caller disconnects (rule 3),
+// at the deadline and when the instance ends. The returned function releases it
+// and must be called once the request has finished.
 func (s *Server) watch(
 	ctx *fasthttp.RequestCtx, id hingeids.RequestID, deadline time.Time,
 ) (context.Context, func()) {
-	request, cancel := context.WithDeadline(context.Background(), deadline)
-	forget := s.requests.add(id, cancel)
-	if s.betweenLives.Load() {
-		// It came just before the life ended, and was not there yet to be ended.
+	requestCtx, cancel := context.WithDeadline(context.Background(), deadline)
+	remove := s.requests.add(id, cancel)
+	if s.betweenInstances.Load() {
+		// EndLife may have been called before the request was added.
 		cancel()
 	}
 	conn, ok := ctx.Conn().(*watchedConn)
 	if !ok {
-		return request, func() {
-			forget()
+		return requestCtx, func() {
+			remove()
 			cancel()
 		}
 	}
@@ -351,8 +362,8 @@
 		s.config.Gone()
 		cancel()
 	})
-	return request, func() {
-		forget()
+	return requestCtx, func() {
+		remove()
 		cancel()
 		conn.stopWatch()
 	}
--- a/internal/path/hingecaller/completion.go
+++ b/internal/path/hingecaller/completion.go
@@ -17,7 +17,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// completion is the part of a completion's body that the router reads.
+// completion holds the fields of a completion's body that the router reads.
 type completion struct {
 	Model     hingeids.Model  `json:"model"`
 	Prompt    string          `json:"prompt"`
@@ -31,15 +31,15 @@
 	Content string `json:"content"`
 }
 
-// bytesPerToken estimates a prompt's tokens from its length, for queues and
-// placement; the engine's own count corrects it.
+// bytesPerToken is the assumed length of a token, from which the number of prompt
+// tokens is estimated for queues and placement.
 const bytesPerToken = 4
 
-// guessedTokens is the answer's length where the caller gives no limit.
-const guessedTokens = 256
+// defaultMaxTokens is the limit of an answer if the caller sets none.
+const defaultMaxTokens = 256
 
-// handleCompletion tells whether the request goes on as a stream after it, which
-// then calls finish at its end.
+// handleCompletion reports whether the request continues as a stream after the
+// handler has returned. The stream then calls finish when it is closed.
 func (s *Server) handleCompletion(
 	ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string, finish func(),
 ) (streams bool) {
@@ -48,36 +48,36 @@
 		refuse(ctx, id, err)
 		return false
 	}
-	request, end := s.watch(ctx, id, w.Deadline)
+	requestCtx, release := s.watch(ctx, id, w.Deadline)
 	defer func() {
 		if !streams {
-			end()
+			release()
 		}
 	}()
-	answer, err := s.config.Completions.Complete(request, w)
+	answer, err := s.config.Completions.Complete(requestCtx, w)
 	if err != nil {
 		refuse(ctx, id, err)
 		return false
 	}
 	if stored := answer.Stored(); stored != nil {
-		giveStored(ctx, id, stored)
+		writeStored(ctx, id, stored)
 		return false
 	}
 	if stream {
-		s.giveStream(ctx, id, answer, func() {
-			end()
+		s.writeStream(ctx, id, answer, func() {
+			release()
 			finish()
 		})
 		return true
 	}
 	defer answer.Close()
-	giveWhole(ctx, id, w, answer)
+	writeWhole(ctx, id, w, answer)
 	return false
 }
 
-// giveStored gives the answer of an earlier run, by rule 6.
-func giveStored(ctx *fasthttp.RequestCtx, id hingeids.RequestID, s *hingedispatch.Stored) {
-	head(ctx, id, hingeverdict.Ran)
+// writeStored writes the answer of an earlier run (rule 6).
+func writeStored(ctx *fasthttp.RequestCtx, id hingeids.RequestID, s *hingedispatch.Stored) {
+	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	ctx.SetStatusCode(s.Status)
 	ctx.SetContentType(s.ContentType)
 	ctx.SetBody(s.Body)
@@ -88,7 +88,7 @@
 ) (w *hingedispatch.Work, stream bool, err error) {
 	if !ctx.IsPost() {
 		return nil, false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMethodNotAllowed, 0,
-			eris.New("completions take POST"))
+			eris.New("completion requests must use POST"))
 	}
 	c, fields, err := parseCompletion(ctx.PostBody())
 	if err != nil {
@@ -104,18 +104,18 @@
 	if err != nil {
 		return nil, false, err
 	}
-	who, err := s.askerOf(ctx)
+	requester, err := s.identify(ctx)
 	if err != nil {
 		return nil, false, err
 	}
-	class.Priority = who.rank(class.Priority)
+	class.Priority = requester.effectivePriority(class.Priority)
 	if class.Priority, err = priorityOf(ctx, class); err != nil {
 		return nil, false, err
 	}
 	prompt := c.text()
 	return &hingedispatch.Work{
 		Request:      id,
-		Caller:       who.name,
+		Caller:       requester.name,
 		Class:        class,
 		Model:        c.Model,
 		Path:         path,
@@ -127,32 +127,32 @@
 		Deadline:     deadline,
 		Key:          hingeids.IdempotencyKey(ctx.Request.Header.Peek("Idempotency-Key")),
 		Digest:       hingeledger.DigestOf(fasthttp.MethodPost, path, ctx.PostBody()),
-		Print:        hingepoison.PrintOf(ctx.PostBody(), string(who.name), fasthttp.MethodPost, path),
+		Print:        hingepoison.PrintOf(ctx.PostBody(), string(requester.name), fasthttp.MethodPost, path),
 	}, c.Stream, nil
 }
 
 func parseCompletion(body []byte) (completion, map[string]json.RawMessage, error) {
 	var fields map[string]json.RawMessage
 	if err := json.Unmarshal(body, &fields); err != nil {
-		return completion{}, nil, eris.Wrap(err, "body is not a JSON object")
+		return completion{}, nil, eris.Wrap(err, "request body is not a JSON object")
 	}
 	var c completion
 	if err := json.Unmarshal(body, &c); err != nil {
-		return completion{}, nil, eris.Wrap(err, "body is not a completion")
+		return completion{}, nil, eris.Wrap(err, "request body is not a valid completion request")
 	}
 	if c.Prompt == "" && len(c.Messages) == 0 {
-		return completion{}, nil, eris.New("neither prompt nor messages")
+		return completion{}, nil, eris.New("request body has neither a prompt nor messages")
 	}
 	if c.MaxTokens < 0 {
-		return completion{}, nil, eris.New("max_tokens: want a positive number")
+		return completion{}, nil, eris.New("max_tokens: want a positive number, or 0 for the default")
 	}
 	if c.MaxTokens == 0 {
-		c.MaxTokens = guessedTokens
+		c.MaxTokens = defaultMaxTokens
 	}
 	return c, fields, nil
 }
 
-// text is the prompt as one string, messages in their order.
+// text returns the prompt, or the messages in their order, as one string.
 func (c completion) text() string {
 	if len(c.Messages) == 0 {
 		return c.Prompt
@@ -167,78 +167,78 @@
 	return b.String()
 }
 
-// giveStream hands the answer on as it comes.
-func (s *Server) giveStream(ctx *fasthttp.RequestCtx, id hingeids.RequestID, a *hingedispatch.Answer, finish func()) {
-	head(ctx, id, hingeverdict.Ran)
+// writeStream sends the answer's tokens to the caller as they arrive.
+func (s *Server) writeStream(ctx *fasthttp.RequestCtx, id hingeids.RequestID, a *hingedispatch.Answer, finish func()) {
+	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	ctx.SetContentType("text/event-stream")
 	ctx.Response.Header.Set("Cache-Control", "no-store")
 	ctx.SetBodyStream(&eventStream{
 		answer: a,
 		id:     id,
-		name:   id.String(),
+		idText: id.String(),
 		finish: finish,
 		server: s,
 	}, -1)
 }
 
-// eventStream gives an answer's tokens as server-sent events. The HTTP library
-// reads it on the connection's own goroutine, so a slow caller holds back its
-// own stream only. Handing on a token allocates nothing.
+// eventStream returns an answer's tokens as server-sent events. The HTTP library
+// reads it on the connection's goroutine, so a slow caller delays only its own
+// stream. Reading a token doesn't allocate.
 type eventStream struct {
-	answer *hingedispatch.Answer
-	id     hingeids.RequestID
-	name   string
-	finish func()
-	server *Server
-	buffer []byte
-	rest   []byte
-	ended  bool
+	answer  *hingedispatch.Answer
+	id      hingeids.RequestID
+	idText  string
+	finish  func()
+	server  *Server
+	buffer  []byte
+	pending []byte
+	done    bool
 }
 
-// Read gives at most one event.
+// Read returns at most one event, in several parts if p is too small for it.
 func (s *eventStream) Read(p []byte) (int, error) {
-	if len(s.rest) == 0 {
-		if s.ended {
+	if len(s.pending) == 0 {
+		if s.done {
 			return 0, io.EOF
 		}
 		s.fill()
 	}
-	n := copy(p, s.rest)
-	s.rest = s.rest[n:]
+	n := copy(p, s.pending)
+	s.pending = s.pending[n:]
 	return n, nil
 }
 
 func (s *eventStream) fill() {
 	defer func() {
 		if cause := recover(); cause != nil {
-			s.buffer = s.errorEvent(s.server.panicked(s.id, cause))
-			s.rest, s.ended = s.buffer, true
+			s.buffer = s.errorEvent(s.server.recordPanic(s.id, cause))
+			s.pending, s.done = s.buffer, true
 		}
 	}()
 	e, err := s.answer.Next()
 	switch {
 	case err == nil:
 		s.buffer = append(s.buffer[:0], "data: "...)
-		s.buffer = appendRenamed(s.buffer, e.Data, s.name)
+		s.buffer = appendWithID(s.buffer, e.Data, s.idText)
 		s.buffer = append(s.buffer, "\n\n"...)
 	case errors.Is(err, io.EOF):
-		s.keep()
+		s.markRun()
 		s.buffer = append(s.buffer[:0], "data: [DONE]\n\n"...)
-		s.ended = true
+		s.done = true
 	default:
 		s.buffer = s.errorEvent(err)
-		s.ended = true
+		s.done = true
 	}
-	s.rest = s.buffer
+	s.pending = s.buffer
 }
 
-// idField is how engines begin an event.
-var idField = []byte(`{"id":"`)
+// idPrefix is the beginning of the events that engines send.
+var idPrefix = []byte(`{"id":"`)
 
-// appendRenamed puts the request's id, as the caller knows it, in place of that
-// of the attempt.
-func appendRenamed(dst, event []byte, name string) []byte {
-	rest, ok := bytes.CutPrefix(event, idField)
+// appendWithID appends an event with the id of the exchange replaced by the id of
+// the request, which the caller knows.
+func appendWithID(dst, event []byte, id string) []byte {
+	rest, ok := bytes.CutPrefix(event, idPrefix)
 	if !ok {
 		return append(dst, event...)
 	}
@@ -246,12 +246,12 @@
 	if end < 0 {
 		return append(dst, event...)
 	}
-	dst = append(dst, idField...)
-	dst = append(dst, name...)
+	dst = append(dst, idPrefix...)
+	dst = append(dst, id...)
 	return append(dst, rest[end:]...)
 }
 
-// errorEvent carries out rule 4.
+// errorEvent returns the error event of rule 4.
 func (s *eventStream) errorEvent(err error) []byte {
 	body, _ := refusalOf(s.id, err)
 	b, err := json.Marshal(struct {
@@ -267,26 +267,26 @@
 	return append(out, "\n\n"...)
 }
 
-// Close ends the request. The HTTP library calls it when the answer is written
-// or the caller can't be written to.
+// Close finishes the request. The HTTP library calls it after the last write or
+// a failed one.
 func (s *eventStream) Close() error {
 	s.answer.Close()
-	s.keep()
+	s.markRun()
 	s.finish()
 	return nil
 }
 
-// keep notes that a streamed answer ran. It is not kept itself: it was given
-// while it came, and nothing of it is held back here.
-func (s *eventStream) keep() {
+// markRun records in the ledger that a streamed request ran. The answer itself is
+// not stored, since its tokens are not buffered.
+func (s *eventStream) markRun() {
 	s.answer.Keep(hingedispatch.Stored{
 		Status: fasthttp.StatusOK,
 	})
 }
 
-// giveWhole collects the answer and gives it in one piece, or an error in its
-// place: never a part.
-func giveWhole(ctx *fasthttp.RequestCtx, id hingeids.RequestID, w *hingedispatch.Work, a *hingedispatch.Answer) {
+// writeWhole collects the answer and writes it in one response. If the answer is
+// incomplete, it writes only the error.
+func writeWhole(ctx *fasthttp.RequestCtx, id hingeids.RequestID, w *hingedispatch.Work, a *hingedispatch.Answer) {
 	var text strings.Builder
 	tokens := 0
 	finishReason := "stop"
@@ -299,7 +299,7 @@
 			refuse(ctx, id, err)
 			return
 		}
-		part, reason, err := tokenText(e.Data)
+		part, reason, err := eventText(e.Data)
 		if err != nil {
 			refuse(ctx, id, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, err))
 			return
@@ -310,7 +310,7 @@
 		text.WriteString(part)
 		tokens++
 	}
-	head(ctx, id, hingeverdict.Ran)
+	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	writeJSON(ctx, fasthttp.StatusOK, wholeAnswer(id, w, text.String(), finishReason, tokens))
 	a.Keep(hingedispatch.Stored{
 		Status:      fasthttp.StatusOK,
@@ -320,8 +320,9 @@
 	})
 }
 
-// tokenText reads the text of one event of either completion route.
-func tokenText(data []byte) (text, finishReason string, err error) {
+// eventText returns the text and the finish reason in an event of either
+// completion API.
+func eventText(data []byte) (text, finishReason string, err error) {
 	var body struct {
 		Choices []struct {
 			Text  string `json:"text"`
@@ -332,7 +333,7 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal(data, &body); err != nil {
-		return "", "", eris.Wrap(err, "engine's event")
+		return "", "", eris.Wrap(err, "engine sent an event that is not a valid completion")
 	}
 	if len(body.Choices) == 0 {
 		return "", "", nil
@@ -341,8 +342,8 @@
 	return c.Text + c.Delta.Content, c.FinishReason, nil
 }
 
-// wholeAnswer is the body of a completion that is not streamed, by the
-// published form of either route.
+// wholeAnswer returns the response body of a completion that is not streamed, in
+// the format of the API that the request used.
 func wholeAnswer(id hingeids.RequestID, w *hingedispatch.Work, text, reason string, tokens int) any {
 	type choice struct {
 		Index        int      `json:"index"`
--- a/internal/path/hingecaller/customer.go
+++ b/internal/path/hingecaller/customer.go
@@ -12,52 +12,56 @@
 )
 
 const (
-	// callerHeader is the customer's name, as the operators' gateway gives it to the router, and the router to backend servers.
+	// callerHeader holds the customer's name in requests from the operators'
+	// gateway and in requests to backend servers.
 	callerHeader = "X-Caller"
-	// keyHeader holds the API key behind keyScheme.
+	// keyHeader holds the API key, preceded by keyScheme.
 	keyHeader = fasthttp.HeaderAuthorization
 	keyScheme = "Bearer "
 )
 
-// anonymous is the one customer of all who aren't told apart: they share one fair share.
+// anonymous is the customer of all requests that are not identified. Together
+// they get the fair share of one customer.
 const anonymous hingeids.CallerID = "anonymous"
 
-// asker is who asks.
-type asker struct {
+// requester is the customer that a request is attributed to.
+type requester struct {
 	name hingeids.CallerID
-	// priority takes the place of the class's, nil if that stands.
+	// priority replaces the priority of the class unless it is nil.
 	priority *int
-	// byKey says that the request brought a key, which doesn't go on.
-	byKey bool
+	// hasKey says that the request has an API key, which must not be forwarded.
+	hasKey bool
 }
 
-// askerOf tells whose request it is (rule 8). The error says that nobody's key came with it.
-func (s *Server) askerOf(ctx *fasthttp.RequestCtx) (asker, error) {
-	a := asker{
+// identify returns the requester (rule 8), or an error if the request needs an
+// API key and has no valid one.
+func (s *Server) identify(ctx *fasthttp.RequestCtx) (requester, error) {
+	r := requester{
 		name: anonymous,
 	}
 	if name := ctx.Request.Header.Peek(callerHeader); s.config.Gateway && len(name) > 0 {
-		a.name = hingeids.CallerID(name)
-		return a, nil
+		r.name = hingeids.CallerID(name)
+		return r, nil
 	}
 	customers := s.config.Catalogue.Customers()
 	if customers == nil {
-		return a, nil
+		return r, nil
 	}
-	customer := customers.Holder(keyOf(ctx))
+	customer := customers.Holder(apiKeyOf(ctx))
 	if customer == nil {
-		return asker{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0,
-			eris.New("no customer has the API key that the request brings"))
+		return requester{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0,
+			eris.New("the request has no API key of a known customer"))
 	}
-	return asker{
+	return requester{
 		name:     customer.Name,
 		priority: customer.Priority,
-		byKey:    true,
+		hasKey:   true,
 	}, nil
 }
 
-// keyOf gives the one key that a request brings, empty if it brings none or several.
-func keyOf(ctx *fasthttp.RequestCtx) hingecustomers.Key {
+// apiKeyOf returns the API key of a request, or an empty key if the request has
+// several Authorization headers or none with keyScheme.
+func apiKeyOf(ctx *fasthttp.RequestCtx) hingecustomers.Key {
 	values := ctx.Request.Header.PeekAll(keyHeader)
 	if len(values) != 1 {
 		return ""
@@ -69,18 +73,20 @@
 	return hingecustomers.Key(key)
 }
 
-// rank gives the priority of a customer's request in a class.
-func (a asker) rank(class int) int {
-	if a.priority != nil {
-		return *a.priority
+// effectivePriority returns the priority of the requester in a class with the
+// given priority.
+func (r requester) effectivePriority(classPriority int) int {
+	if r.priority != nil {
+		return *r.priority
 	}
-	return class
+	return classPriority
 }
 
-// sign sets whose request it is for a backend server, and takes the key away.
-func (a asker) sign(sent *fasthttp.Request) {
-	if a.byKey {
-		sent.Header.Del(keyHeader)
+// setCallerHeader sets the customer's name in a request to a backend server and
+// removes the API key.
+func (r requester) setCallerHeader(outgoing *fasthttp.Request) {
+	if r.hasKey {
+		outgoing.Header.Del(keyHeader)
 	}
-	sent.Header.Set(callerHeader, string(a.name))
+	outgoing.Header.Set(callerHeader, string(r.name))
 }
--- a/internal/path/hingecaller/customer_test.go
+++ b/internal/path/hingecaller/customer_test.go
@@ -14,8 +14,9 @@
 	"github.com/swifthinge/swifthinge/internal/config/hingecustomers"
 )
 
-// askedBy sends a completion with these headers, and gives whose it was and with which priority, or its refusal.
-func askedBy(t *testing.T, b *badWorld, address, headers string) string {
+// sendWithHeaders sends a completion with the given headers and returns the
+// customer and priority that it was attributed to, or its refusal.
+func sendWithHeaders(t *testing.T, b *testBackend, address, headers string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
@@ -24,24 +25,24 @@
 	defer func() {
 		_ = conn.Close()
 	}()
-	b.asked = nil
+	b.requested = nil
 	_, _ = io.WriteString(conn, post(headers, good))
 	got, _ := readRefusal(t, bufio.NewReader(conn))
-	if b.asked == nil {
+	if b.requested == nil {
 		return got
 	}
-	return fmt.Sprint(b.asked.Caller, " ", b.asked.Class.Priority)
+	return fmt.Sprint(b.requested.Caller, " ", b.requested.Class.Priority)
 }
 
-// A caller that takes another customer's name uses up that customer's share, and reads the answers kept under its idempotency
-// keys. Where customers have keys, only a key tells whose a request is.
-func TestCallersAreToldByTheirKeys(t *testing.T) {
-	rank := 70
+// Guards against callers that use another customer's name, and with it that
+// customer's quota and stored answers, without its API key.
+func TestCustomerIsIdentifiedByAPIKey(t *testing.T) {
+	priority := 70
 	set, err := hingecustomers.NewSet([]hingecustomers.Customer{
 		{
 			Name:     "quay",
 			Keys:     []hingecustomers.Digest{hingecustomers.Key("quayKey").Digest()},
-			Priority: &rank,
+			Priority: &priority,
 		},
 		{
 			Name: "depot",
@@ -51,7 +52,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, _, address := startBad(t)
+	b, _, address := startServer(t)
 	b.customers = set
 	data, err := os.ReadFile("testdata/customers.txt")
 	if err != nil {
@@ -68,20 +69,20 @@
 				sent.WriteString(line + "\r\n")
 			}
 		}
-		if diff := cmp.Diff(strings.TrimSpace(want), askedBy(t, b, address, sent.String())); diff != "" {
+		if diff := cmp.Diff(strings.TrimSpace(want), sendWithHeaders(t, b, address, sent.String())); diff != "" {
 			t.Errorf("%s\n%s", headers, diff)
 		}
 	}
 }
 
-// Behind the operators' own gateway the name that it gives is the customer's. Without one the same header is anybody's, and
-// all share the share of those who aren't told apart.
-func TestNameIsBelievedOnlyBehindAGateway(t *testing.T) {
-	b, server, address := startBad(t)
+// Guards against trusting X-Caller from callers that don't come through the
+// operators' own gateway.
+func TestCallerHeaderIsTrustedOnlyBehindGateway(t *testing.T) {
+	b, server, address := startServer(t)
 	got := make(map[bool]string)
 	for _, gateway := range []bool{false, true} {
 		server.config.Gateway = gateway
-		got[gateway] = askedBy(t, b, address, "X-Caller: quay\r\n")
+		got[gateway] = sendWithHeaders(t, b, address, "X-Caller: quay\r\n")
 	}
 	want := map[bool]string{
 		false: "anonymous 100",
--- a/internal/path/hingecaller/listener.go
+++ b/internal/path/hingecaller/listener.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// watchedListener makes connections that notice when their caller leaves.
+// watchedListener accepts connections that detect when their caller disconnects.
 type watchedListener struct {
 	net.Listener
-	slowReader *atomic.Int64
-	open       openConns
+	maxWriteTime *atomic.Int64
+	open         openConns
 }
 
-// openConns are the connections that are open.
+// openConns is the set of open connections. It is safe for concurrent use.
 type openConns struct {
 	mu    sync.Mutex
 	conns map[*watchedConn]struct{}
@@ -36,8 +36,9 @@
 	delete(o.conns, c)
 }
 
-// breakAll closes every connection, whatever it is in the middle of.
-func (o *openConns) breakAll() {
+// closeAll closes every connection at once, also those with a request in
+// progress.
+func (o *openConns) closeAll() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	for c := range o.conns {
@@ -51,36 +52,37 @@
 		return nil, err
 	}
 	w := &watchedConn{
-		Conn:       c,
-		slowReader: l.slowReader,
-		open:       &l.open,
+		Conn:         c,
+		maxWriteTime: l.maxWriteTime,
+		open:         &l.open,
 	}
 	l.open.add(w)
 	return w, nil
 }
 
-// watchedConn reads ahead while a request is in progress, since the HTTP
-// library doesn't tell a handler that its caller has left: a request whose
-// caller is gone would go on holding engine memory. What is read ahead is kept
-// for the next request.
+// watchedConn reads from the connection while a request is in progress to detect
+// a disconnected caller, whose request would otherwise keep holding engine
+// memory. The HTTP library doesn't report disconnections to handlers. Bytes that
+// are read ahead are kept for the next request.
 type watchedConn struct {
 	net.Conn
-	slowReader *atomic.Int64
-	open       *openConns
+	maxWriteTime *atomic.Int64
+	open         *openConns
 
-	mu    sync.Mutex
-	ahead []byte
-	watch chan struct{}
-	// linger says that a refused request is still on its way in.
+	mu        sync.Mutex
+	readAhead []byte
+	watchDone chan struct{}
+	// linger says that the rest of a refused request may still arrive.
 	linger atomic.Bool
 }
 
-// Read gives what was read ahead first.
+// Read returns the bytes that were read ahead before it reads from the
+// connection.
 func (c *watchedConn) Read(p []byte) (int, error) {
 	c.mu.Lock()
-	if len(c.ahead) > 0 {
-		n := copy(p, c.ahead)
-		c.ahead = c.ahead[n:]
+	if len(c.readAhead) > 0 {
+		n := copy(p, c.readAhead)
+		c.readAhead = c.readAhead[n:]
 		c.mu.Unlock()
 		return n, nil
 	}
@@ -88,28 +90,28 @@
 	return c.Conn.Read(p)
 }
 
-// Close closes the connection.
+// Close closes the connection. If linger is set, it first discards the rest of the
+// refused request.
 func (c *watchedConn) Close() error {
 	c.open.remove(c)
 	if c.linger.Load() {
-		c.readOff()
+		c.discardInput()
 	}
 	return c.Conn.Close()
 }
 
-// A request that is refused before it is read whole is read on and thrown away for
-// so long and so many bytes: enough for a request some times over the limits from a
-// caller nearby, too little to be worth an attack.
+// Bounds of the time and bytes for which the rest of a refused request is read and
+// discarded. They cover requests several times larger than the limits from nearby
+// callers and bound the cost of an attack.
 const (
 	lingerLimit = time.Second
 	lingerBytes = 64 << 20
 )
 
-// readOff reads what a refused request still sends. Closed with bytes unread, the
-// connection is reset, and the system may throw away the refusal that the caller
-// hasn't read yet: it would see a broken connection and have to take its request
-// as perhaps run.
-func (c *watchedConn) readOff() {
+// discardInput reads and discards the rest of a refused request. If a connection
+// is closed with unread bytes, the kernel resets it, and the caller may lose the
+// refusal. The caller would then have to assume that its request may have run.
+func (c *watchedConn) discardInput() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
@@ -117,46 +119,47 @@
 	_, _ = io.CopyN(io.Discard, c.Conn, lingerBytes)
 }
 
-// Write bounds how long a caller may let a write stand still. The limit is for
-// each write: a limit for the whole answer would cut long streams.
+// Write writes with a timeout, so that callers that don't read can't block it. The
+// timeout applies to each write, since one for the whole answer would cut off long
+// streams.
 func (c *watchedConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(time.Duration(c.slowReader.Load()))); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(time.Duration(c.maxWriteTime.Load()))); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// startWatch calls gone, from another goroutine, if the caller closes the
-// connection or it breaks before stopWatch. A caller that closes only its
-// sending half counts as gone too, as it does for other servers of the language.
-func (c *watchedConn) startWatch(gone func()) {
-	watch := make(chan struct{})
-	c.watch = watch
+// startWatch calls onDisconnect from another goroutine if the caller closes the
+// connection or the connection fails before stopWatch. As in net/http, closing
+// only the sending half counts as a disconnection.
+func (c *watchedConn) startWatch(onDisconnect func()) {
+	watchDone := make(chan struct{})
+	c.watchDone = watchDone
 	_ = c.SetReadDeadline(time.Time{})
 	go func() {
-		defer close(watch)
+		defer close(watchDone)
 		one := make([]byte, 1)
 		n, err := c.Conn.Read(one)
 		if n > 0 {
 			c.mu.Lock()
-			c.ahead = append(c.ahead, one[:n]...)
+			c.readAhead = append(c.readAhead, one[:n]...)
 			c.mu.Unlock()
 			return
 		}
 		if timeout, ok := err.(net.Error); ok && timeout.Timeout() {
 			return
 		}
-		gone()
+		onDisconnect()
 	}()
 }
 
-// stopWatch ends the watch and waits for its goroutine.
+// stopWatch stops the goroutine of startWatch and waits for it.
 func (c *watchedConn) stopWatch() {
-	if c.watch == nil {
+	if c.watchDone == nil {
 		return
 	}
 	_ = c.SetReadDeadline(time.Unix(1, 0))
-	<-c.watch
-	c.watch = nil
+	<-c.watchDone
+	c.watchDone = nil
 	_ = c.SetReadDeadline(time.Time{})
 }
--- a/internal/path/hingecaller/lives.go
+++ b/internal/path/hingecaller/lives.go
@@ -7,13 +7,14 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// requests are the requests in progress, so that all can be ended at once.
+// requests holds the cancel functions of the requests in progress. It is safe for
+// concurrent use.
 type requests struct {
 	mu      sync.Mutex
 	cancels map[hingeids.RequestID]context.CancelFunc
 }
 
-func (r *requests) add(id hingeids.RequestID, cancel context.CancelFunc) (forget func()) {
+func (r *requests) add(id hingeids.RequestID, cancel context.CancelFunc) (remove func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.cancels == nil {
@@ -35,20 +36,21 @@
 	}
 }
 
-// EndLife gives every request in progress its final answer. Others have
-// declared this life over and cancel what engines hold for it: without this,
-// a caller would wait for tokens that never come. Requests are refused until
-// the next life begins, since one under the old life would be cancelled too.
+// EndLife cancels all requests in progress and refuses new ones until BeginLife
+// is called with another instance. It is called when the other hosts have
+// declared that this instance has ended: they cancel its requests at the engines,
+// so its callers would wait for tokens that never arrive.
 func (s *Server) EndLife() {
-	s.betweenLives.Store(true)
+	s.betweenInstances.Store(true)
 	s.requests.cancelAll()
 }
 
-// BeginLife names later requests by another life.
+// BeginLife starts another instance, whose id later requests carry. It has no
+// effect if the instance is the current one.
 func (s *Server) BeginLife(l hingeids.Life) {
-	if *s.life.Load() == l {
+	if *s.instance.Load() == l {
 		return
 	}
-	s.life.Store(&l)
-	s.betweenLives.Store(false)
+	s.instance.Store(&l)
+	s.betweenInstances.Store(false)
 }
--- a/internal/path/hingecaller/refuse.go
+++ b/internal/path/hingecaller/refuse.go
@@ -12,7 +12,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// statuses gives the HTTP status of each code; docs/INTERFACES.md has the table.
+// statuses maps verdict codes to HTTP statuses; docs/INTERFACES.md documents them.
 var statuses = map[hingeverdict.Code]int{
 	hingeverdict.CodeMalformed:         fasthttp.StatusBadRequest,
 	hingeverdict.CodeTooLarge:          fasthttp.StatusRequestEntityTooLarge,
@@ -45,7 +45,8 @@
 	hingeverdict.CodeKeeperUnreachable: fasthttp.StatusServiceUnavailable,
 }
 
-// refusal is the body of every final answer that is not the request's own.
+// refusal is the error object in the response body of a request that failed or
+// was refused.
 type refusal struct {
 	Code         hingeverdict.Code `json:"code"`
 	Verdict      string            `json:"verdict"`
@@ -68,14 +69,14 @@
 	}, v
 }
 
-// refuse gives a request its final answer.
+// refuse writes an error as the request's final answer.
 func refuse(ctx *fasthttp.RequestCtx, id hingeids.RequestID, err error) {
 	body, v := refusalOf(id, err)
 	status, ok := statuses[v.Code]
 	if !ok {
 		status = fasthttp.StatusInternalServerError
 	}
-	head(ctx, id, v.Verdict)
+	setAnswerHeaders(ctx, id, v.Verdict)
 	if v.RetryAfter > 0 {
 		seconds := (v.RetryAfter + time.Second - 1) / time.Second
 		ctx.Response.Header.Set("Retry-After", strconv.FormatInt(int64(seconds), 10))
@@ -87,8 +88,8 @@
 	})
 }
 
-// head carries out rule 1.
-func head(ctx *fasthttp.RequestCtx, id hingeids.RequestID, v hingeverdict.Verdict) {
+// setAnswerHeaders sets the headers of rule 1.
+func setAnswerHeaders(ctx *fasthttp.RequestCtx, id hingeids.RequestID, v hingeverdict.Verdict) {
 	ctx.Response.Header.Set("X-Request-Id", id.String())
 	ctx.Response.Header.Set("X-Verdict", v.String())
 }
--- a/internal/path/hingecaller/service.go
+++ b/internal/path/hingecaller/service.go
@@ -10,7 +10,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// hopHeaders belong to one connection and are not handed on.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection",
 	"Keep-Alive",
@@ -22,15 +22,15 @@
 	"Upgrade",
 }
 
-// handleService hands a call of a plain service on.
+// handleService forwards a call of a plain service to a replica.
 func (s *Server) handleService(ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string) {
 	service, ok := s.config.Catalogue.ServiceFor(path)
 	if !ok {
 		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeUnknownService, 0,
-			eris.Errorf("no service at %.200q", path)))
+			eris.Errorf("no service is configured for the path %.200q", path)))
 		return
 	}
-	who, err := s.askerOf(ctx)
+	requester, err := s.identify(ctx)
 	if err != nil {
 		refuse(ctx, id, err)
 		return
@@ -42,29 +42,29 @@
 		refuse(ctx, id, err)
 		return
 	}
-	class.Priority = who.rank(class.Priority)
-	sent := fasthttp.AcquireRequest()
-	defer fasthttp.ReleaseRequest(sent)
-	ctx.Request.CopyTo(sent)
+	class.Priority = requester.effectivePriority(class.Priority)
+	outgoing := fasthttp.AcquireRequest()
+	defer fasthttp.ReleaseRequest(outgoing)
+	ctx.Request.CopyTo(outgoing)
 	for _, h := range hopHeaders {
-		sent.Header.Del(h)
+		outgoing.Header.Del(h)
 	}
-	sent.Header.Set("X-Request-Id", id.String())
-	who.sign(sent)
-	request, end := s.watch(ctx, id, deadline)
-	defer end()
-	err = s.config.Services.Do(request, &hingedispatch.Call{
+	outgoing.Header.Set("X-Request-Id", id.String())
+	requester.setCallerHeader(outgoing)
+	requestCtx, release := s.watch(ctx, id, deadline)
+	defer release()
+	err = s.config.Services.Do(requestCtx, &hingedispatch.Call{
 		Request:  id,
-		Caller:   who.name,
+		Caller:   requester.name,
 		Class:    class,
 		Service:  service,
 		Key:      hingeids.IdempotencyKey(ctx.Request.Header.Peek("Idempotency-Key")),
 		Arrived:  now,
 		Deadline: deadline,
-		Sent:     sent,
+		Sent:     outgoing,
 		Answer:   &ctx.Response,
-		Print: hingepoison.PrintOf(sent.Body(), string(who.name), string(sent.Header.Method()),
-			string(sent.RequestURI())),
+		Print: hingepoison.PrintOf(outgoing.Body(), string(requester.name), string(outgoing.Header.Method()),
+			string(outgoing.RequestURI())),
 	})
 	if err != nil {
 		ctx.Response.Reset()
@@ -75,27 +75,27 @@
 		ctx.Response.Header.Del(h)
 	}
 	ctx.Response.Header.ResetConnectionClose()
-	head(ctx, id, hingeverdict.Ran)
+	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 }
 
 // handleKeys issues an idempotency key.
 func (s *Server) handleKeys(ctx *fasthttp.RequestCtx, id hingeids.RequestID) {
 	if !ctx.IsPost() {
 		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMethodNotAllowed, 0,
-			eris.New("keys take POST")))
+			eris.New("key requests must use POST")))
 		return
 	}
-	who, err := s.askerOf(ctx)
+	requester, err := s.identify(ctx)
 	if err != nil {
 		refuse(ctx, id, err)
 		return
 	}
-	key, err := s.config.Keys.Issue(ctx, who.name)
+	key, err := s.config.Keys.Issue(ctx, requester.name)
 	if err != nil {
 		refuse(ctx, id, err)
 		return
 	}
-	head(ctx, id, hingeverdict.Ran)
+	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	writeJSON(ctx, fasthttp.StatusOK, struct {
 		Key hingeids.IdempotencyKey `json:"key"`
 	}{
