--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -135,7 +135,7 @@
 type Slots interface {
 	// Acquire waits a bounded time for a slot on one of the engines and returns
 	// the engine that granted it. The verdict of its errors is NotRun.
-	Acquire(ctx context.Context, w *Work, id hingeids.RequestID, at ...hingeengine.Target) (hingeengine.Target, error)
+	Acquire(ctx context.Context, w *Work, id hingeids.RequestID, engines ...hingeengine.Target) (hingeengine.Target, error)
 	Release(id hingeids.RequestID, t hingeengine.Target)
 }
 
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -75,7 +75,7 @@
 // CallMeter updates the metrics of calls of plain services. It must be safe for
 // concurrent use.
 type CallMeter interface {
-	Called(c *Call, took time.Duration, err error)
+	Called(c *Call, elapsed time.Duration, err error)
 }
 
 // Do runs a call and writes the response to c.Answer. An error is final and
