--- a/internal/path/hingecaller/badinput_test.go
+++ b/internal/path/hingecaller/badinput_test.go
@@ -27,7 +27,7 @@
 // testBackend implements Catalogue and Completions. It has no engines, and
 // requests for the model "panics" make it panic.
 type testBackend struct {
-	requested *hingedispatch.Work
+	requested *hingedispatch.CompletionRequest
 	// customers is nil if requests need no key.
 	customers *hingecustomers.Set
 }
@@ -51,7 +51,7 @@
 	}
 }
 
-func (b *testBackend) Complete(_ context.Context, w *hingedispatch.Work) (*hingedispatch.Answer, error) {
+func (b *testBackend) Complete(_ context.Context, w *hingedispatch.CompletionRequest) (*hingedispatch.Answer, error) {
 	b.requested = w
 	if w.Model == "panics" {
 		panic("injected panic")
@@ -69,7 +69,7 @@
 		Catalogue:   b,
 		Completions: b,
 		Ready:       func() bool { return true },
-		Gone:        func() {},
+		OnDisconnect:        func() {},
 		Recorder:    hingeevents.NewRecorder(hingeids.Instance{}),
 		Now:         time.Now,
 	})
--- a/internal/path/hingecaller/bench_test.go
+++ b/internal/path/hingecaller/bench_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func (o singleEngine) Enter(context.Context, hingedispatch.Entry) (hingedispatch.Placement, error) {
+func (o singleEngine) Admit(context.Context, hingedispatch.Entry) (hingedispatch.Placement, error) {
 	return hingedispatch.Placement{
 		Decode: hingeengine.Target{
 			Server:  "d",
@@ -55,42 +55,42 @@
 	}, nil
 }
 
-func (o singleEngine) Ready(context.Context, hingedispatch.Entry, hingeids.Tokens) (hingeengine.Target, error) {
+func (o singleEngine) BindDecode(context.Context, hingedispatch.Entry, hingeids.Tokens) (hingeengine.Target, error) {
 	return hingeengine.Target{}, nil
 }
 
-func (o singleEngine) Full(context.Context, hingedispatch.Entry, hingeengine.Target) (hingeengine.Target, error) {
+func (o singleEngine) RetryBind(context.Context, hingedispatch.Entry, hingeengine.Target) (hingeengine.Target, error) {
 	return hingeengine.Target{}, nil
 }
 
-func (singleEngine) Leave(hingedispatch.Entry, int) {}
+func (singleEngine) Finish(hingedispatch.Entry, int) {}
 
-func (singleEngine) Failed(hingedispatch.Entry, hingeengine.Target, error) {}
+func (singleEngine) HandleFailure(hingedispatch.Entry, hingeengine.Target, error) {}
 
-func (singleEngine) TokenGap(hingedispatch.Entry, hingeengine.Target, time.Duration) {}
+func (singleEngine) HandleTokenGap(hingedispatch.Entry, hingeengine.Target, time.Duration) {}
 
-func (singleEngine) Lives(hingeengine.Target) bool { return true }
+func (singleEngine) IsCurrent(hingeengine.Target) bool { return true }
 
-func (singleEngine) Finished(hingedispatch.Finished) {}
+func (singleEngine) RecordResult(hingedispatch.Result) {}
 
-func (singleEngine) Prefilled(hingeids.Tokens) {}
+func (singleEngine) AddPrefilledTokens(hingeids.Tokens) {}
 
-func (singleEngine) Wasted(hingeids.Tokens) {}
+func (singleEngine) AddWastedTokens(hingeids.Tokens) {}
 
-func (singleEngine) Retried(string) {}
+func (singleEngine) CountRetry(string) {}
 
 func (singleEngine) Own(hingeids.RequestID) {}
 
 func (singleEngine) Disown(hingeids.RequestID) {}
 
-func (o singleEngine) Other(hingedispatch.Entry) (hingeengine.Target, bool) {
+func (o singleEngine) AlternativeEngine(hingedispatch.Entry) (hingeengine.Target, bool) {
 	return hingeengine.Target{}, false
 }
 
 func (o singleEngine) Rebind(hingedispatch.Entry, hingeengine.Target) {}
 
 func (singleEngine) Acquire(
-	_ context.Context, _ *hingedispatch.Work, _ hingeids.RequestID, at ...hingeengine.Target,
+	_ context.Context, _ *hingedispatch.CompletionRequest, _ hingeids.RequestID, at ...hingeengine.Target,
 ) (hingeengine.Target, error) {
 	return at[0], nil
 }
@@ -109,7 +109,7 @@
 		address: engine,
 	}
 	limits := hingedispatch.DefaultLimits()
-	limits.TokenSilence = time.Hour
+	limits.TokenTimeout = time.Hour
 	server := hingecaller.New(hingecaller.Config{
 		Limits:    hingesettings.Defaults().Limits,
 		Catalogue: o,
@@ -117,15 +117,15 @@
 			Engines: hingeengine.NewClient(),
 			Gate:    o,
 			Slots:   o,
-			Owned:   o,
+			OwnedRequests:   o,
 			Meter:   o,
-			Cancels: o,
-			Poisons: o,
+			Canceller: o,
+			PoisonDetector: o,
 			Limits:  limits,
 			Now:     time.Now,
 		},
 		Ready: func() bool { return true },
-		Gone:  func() {},
+		OnDisconnect:  func() {},
 		Now:   time.Now,
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -390,10 +390,10 @@
 	return 0
 }
 
-func (o singleEngine) Judge(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
+func (o singleEngine) Evaluate(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
 	return false, nil
 }
 
-func (o singleEngine) Broke(context.Context, hingedispatch.Broken) {}
+func (o singleEngine) HandleFailedExchange(context.Context, hingedispatch.FailedExchange) {}
 
-func (o singleEngine) Passed(hingeids.Fingerprint) {}
+func (o singleEngine) HandleCompletion(hingeids.Fingerprint) {}
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -56,7 +56,7 @@
 
 // Completions runs completions; hingedispatch.Dispatcher implements it.
 type Completions interface {
-	Complete(ctx context.Context, w *hingedispatch.Work) (*hingedispatch.Answer, error)
+	Complete(ctx context.Context, w *hingedispatch.CompletionRequest) (*hingedispatch.Answer, error)
 }
 
 // Services runs calls of plain services; hingedispatch.ServiceDispatcher
@@ -73,20 +73,20 @@
 
 // Config holds the parameters and dependencies of a Server.
 type Config struct {
-	Life   hingeids.Instance
+	Instance   hingeids.Instance
 	Limits hingesettings.Limits
-	// Gateway says that all requests come through the operators' own gateway,
+	// BehindGateway says that all requests come through the operators' own gateway,
 	// which sets X-Caller to the customer's name.
-	Gateway     bool
+	BehindGateway     bool
 	Catalogue   Catalogue
 	Completions Completions
 	Services    Services
 	Keys        Keys
 	// Ready reports whether the host can serve requests.
 	Ready func() bool
-	// Gone is called for each request whose caller disconnects before the final
+	// OnDisconnect is called for each request whose caller disconnects before the final
 	// answer. It must be safe for concurrent use.
-	Gone     func()
+	OnDisconnect     func()
 	Recorder *hingeevents.Recorder
 	Now      func() time.Time
 }
@@ -121,11 +121,11 @@
 		config: c,
 		done:   make(chan struct{}),
 	}
-	s.instance.Store(&c.Life)
+	s.instance.Store(&c.Instance)
 	s.listener = &watchedListener{
 		maxWriteTime: &s.writeTimeout,
 	}
-	s.SetSlowReader(time.Duration(c.Limits.SlowReader))
+	s.SetWriteTimeout(time.Duration(c.Limits.SlowReader))
 	s.httpServer = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.handleUnreadable,
@@ -182,8 +182,8 @@
 	s.draining.Store(true)
 }
 
-// SetSlowReader sets the timeout of each write to a caller.
-func (s *Server) SetSlowReader(d time.Duration) {
+// SetWriteTimeout sets the timeout of each write to a caller.
+func (s *Server) SetWriteTimeout(d time.Duration) {
 	s.writeTimeout.Store(int64(d))
 }
 
@@ -359,7 +359,7 @@
 		s.config.Recorder.Record(s.config.Now(), hingeevents.CallerGone, hingeevents.Fields{
 			Request: id,
 		})
-		s.config.Gone()
+		s.config.OnDisconnect()
 		cancel()
 	})
 	return requestCtx, func() {
--- a/internal/path/hingecaller/completion.go
+++ b/internal/path/hingecaller/completion.go
@@ -59,7 +59,7 @@
 		refuse(ctx, id, err)
 		return false
 	}
-	if stored := answer.Stored(); stored != nil {
+	if stored := answer.StoredAnswer(); stored != nil {
 		writeStored(ctx, id, stored)
 		return false
 	}
@@ -76,7 +76,7 @@
 }
 
 // writeStored writes the answer of an earlier run (rule 6).
-func writeStored(ctx *fasthttp.RequestCtx, id hingeids.RequestID, s *hingedispatch.Stored) {
+func writeStored(ctx *fasthttp.RequestCtx, id hingeids.RequestID, s *hingedispatch.StoredAnswer) {
 	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	ctx.SetStatusCode(s.Status)
 	ctx.SetContentType(s.ContentType)
@@ -85,7 +85,7 @@
 
 func (s *Server) readCompletion(
 	ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string,
-) (w *hingedispatch.Work, stream bool, err error) {
+) (w *hingedispatch.CompletionRequest, stream bool, err error) {
 	if !ctx.IsPost() {
 		return nil, false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMethodNotAllowed, 0,
 			eris.New("completion requests must use POST"))
@@ -113,7 +113,7 @@
 		return nil, false, err
 	}
 	prompt := c.text()
-	return &hingedispatch.Work{
+	return &hingedispatch.CompletionRequest{
 		Request:      id,
 		Caller:       requester.name,
 		Class:        class,
@@ -127,7 +127,7 @@
 		Deadline:     deadline,
 		Key:          hingeids.IdempotencyKey(ctx.Request.Header.Peek("Idempotency-Key")),
 		Digest:       hingeledger.DigestOf(fasthttp.MethodPost, path, ctx.PostBody()),
-		Print:        hingepoison.FingerprintOf(ctx.PostBody(), string(requester.name), fasthttp.MethodPost, path),
+		Fingerprint:        hingepoison.FingerprintOf(ctx.PostBody(), string(requester.name), fasthttp.MethodPost, path),
 	}, c.Stream, nil
 }
 
@@ -279,14 +279,14 @@
 // markRun records in the ledger that a streamed request ran. The answer itself is
 // not stored, since its tokens are not buffered.
 func (s *eventStream) markRun() {
-	s.answer.Keep(hingedispatch.Stored{
+	s.answer.Store(hingedispatch.StoredAnswer{
 		Status: fasthttp.StatusOK,
 	})
 }
 
 // writeWhole collects the answer and writes it in one response. If the answer is
 // incomplete, it writes only the error.
-func writeWhole(ctx *fasthttp.RequestCtx, id hingeids.RequestID, w *hingedispatch.Work, a *hingedispatch.Answer) {
+func writeWhole(ctx *fasthttp.RequestCtx, id hingeids.RequestID, w *hingedispatch.CompletionRequest, a *hingedispatch.Answer) {
 	var text strings.Builder
 	tokens := 0
 	finishReason := "stop"
@@ -312,11 +312,11 @@
 	}
 	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	writeJSON(ctx, fasthttp.StatusOK, wholeAnswer(id, w, text.String(), finishReason, tokens))
-	a.Keep(hingedispatch.Stored{
+	a.Store(hingedispatch.StoredAnswer{
 		Status:      fasthttp.StatusOK,
 		ContentType: string(ctx.Response.Header.ContentType()),
 		Body:        append([]byte(nil), ctx.Response.Body()...),
-		Whole:       true,
+		Complete:       true,
 	})
 }
 
@@ -344,7 +344,7 @@
 
 // wholeAnswer returns the response body of a completion that is not streamed, in
 // the format of the API that the request used.
-func wholeAnswer(id hingeids.RequestID, w *hingedispatch.Work, text, reason string, tokens int) any {
+func wholeAnswer(id hingeids.RequestID, w *hingedispatch.CompletionRequest, text, reason string, tokens int) any {
 	type choice struct {
 		Index        int      `json:"index"`
 		Text         *string  `json:"text,omitempty"`
--- a/internal/path/hingecaller/customer.go
+++ b/internal/path/hingecaller/customer.go
@@ -39,7 +39,7 @@
 	r := requester{
 		name: anonymous,
 	}
-	if name := ctx.Request.Header.Peek(callerHeader); s.config.Gateway && len(name) > 0 {
+	if name := ctx.Request.Header.Peek(callerHeader); s.config.BehindGateway && len(name) > 0 {
 		r.name = hingeids.CallerID(name)
 		return r, nil
 	}
--- a/internal/path/hingecaller/customer_test.go
+++ b/internal/path/hingecaller/customer_test.go
@@ -81,7 +81,7 @@
 	b, server, address := startServer(t)
 	got := make(map[bool]string)
 	for _, gateway := range []bool{false, true} {
-		server.config.Gateway = gateway
+		server.config.BehindGateway = gateway
 		got[gateway] = sendWithHeaders(t, b, address, "X-Caller: quay\r\n")
 	}
 	want := map[bool]string{
--- a/internal/path/hingecaller/lives.go
+++ b/internal/path/hingecaller/lives.go
@@ -36,18 +36,18 @@
 	}
 }
 
-// EndLife cancels all requests in progress and refuses new ones until BeginLife
+// EndInstance cancels all requests in progress and refuses new ones until BeginLife
 // is called with another instance. It is called when the other hosts have
 // declared that this instance has ended: they cancel its requests at the engines,
 // so its callers would wait for tokens that never arrive.
-func (s *Server) EndLife() {
+func (s *Server) EndInstance() {
 	s.betweenInstances.Store(true)
 	s.requests.cancelAll()
 }
 
-// BeginLife starts another instance, whose id later requests carry. It has no
+// StartInstance starts another instance, whose id later requests carry. It has no
 // effect if the instance is the current one.
-func (s *Server) BeginLife(l hingeids.Instance) {
+func (s *Server) StartInstance(l hingeids.Instance) {
 	if *s.instance.Load() == l {
 		return
 	}
--- a/internal/path/hingecaller/service.go
+++ b/internal/path/hingecaller/service.go
@@ -61,9 +61,9 @@
 		Key:      hingeids.IdempotencyKey(ctx.Request.Header.Peek("Idempotency-Key")),
 		Arrived:  now,
 		Deadline: deadline,
-		Sent:     outgoing,
-		Answer:   &ctx.Response,
-		Print: hingepoison.FingerprintOf(outgoing.Body(), string(requester.name), string(outgoing.Header.Method()),
+		ReplicaRequest:     outgoing,
+		Response:   &ctx.Response,
+		Fingerprint: hingepoison.FingerprintOf(outgoing.Body(), string(requester.name), string(outgoing.Header.Method()),
 			string(outgoing.RequestURI())),
 	})
 	if err != nil {
--- a/internal/path/hingedispatch/answer.go
+++ b/internal/path/hingedispatch/answer.go
@@ -20,7 +20,7 @@
 type Answer struct {
 	dispatcher *Dispatcher
 	ctx        context.Context
-	request    *Work
+	request    *CompletionRequest
 	avoid      map[hingeids.ServerID]bool
 
 	// entry is the current pass through the gate; entered says that Gate.Leave
@@ -61,7 +61,7 @@
 	// For rule 7, stored is the answer of an earlier run, claimed says that the
 	// ledger holds a claim of this run, and prefilled that a prefill engine has
 	// processed the prompt.
-	stored    *Stored
+	stored    *StoredAnswer
 	claimed   bool
 	prefilled bool
 
@@ -96,16 +96,16 @@
 	}
 }
 
-// Stored returns the answer of an earlier run, or nil if this run is the first.
+// StoredAnswer returns the answer of an earlier run, or nil if this run is the first.
 // If it is not nil, Next must not be called.
-func (a *Answer) Stored() *Stored {
+func (a *Answer) StoredAnswer() *StoredAnswer {
 	return a.stored
 }
 
-// Keep stores the answer for a resend if the request must run at most once. The
+// Store stores the answer for a resend if the request must run at most once. The
 // caller must call it before it sends the last part of the answer, since a
 // client that loses that part resends at once.
-func (a *Answer) Keep(s Stored) {
+func (a *Answer) Store(s StoredAnswer) {
 	if !a.claimed {
 		return
 	}
@@ -123,7 +123,7 @@
 		return
 	}
 	now := a.dispatcher.Now()
-	a.dispatcher.Gate.TokenGap(a.entry, a.decodeEngine, now.Sub(a.gapStart)/tokensPerGapReport)
+	a.dispatcher.Gate.HandleTokenGap(a.entry, a.decodeEngine, now.Sub(a.gapStart)/tokensPerGapReport)
 	a.gapStart, a.gapTokens = now, 0
 }
 
@@ -165,7 +165,7 @@
 func (a *Answer) resume() bool {
 	d := a.dispatcher
 	a.resumes++
-	stream, err := d.Engines.Resume(a.ctx, a.decodeEngine, a.exchange, a.next, d.Limits.TokenSilence)
+	stream, err := d.Engines.Resume(a.ctx, a.decodeEngine, a.exchange, a.next, d.Limits.TokenTimeout)
 	if err != nil {
 		return false
 	}
@@ -186,10 +186,10 @@
 		a.stream = nil
 	}
 	a.recordServerFailure(target, err)
-	d.Cancels.Cancel(target, id, func() {
+	d.Canceller.Cancel(target, id, func() {
 		d.Slots.Release(id, target)
 	})
-	d.Owned.Disown(id)
+	d.OwnedRequests.Disown(id)
 }
 
 // dropCache frees exported KV cache that no decode engine is known to have
@@ -198,16 +198,16 @@
 	if a.cache == nil {
 		return
 	}
-	a.dispatcher.Meter.Wasted(a.cache.PromptTokens - a.cache.CachedTokens)
+	a.dispatcher.Meter.AddWastedTokens(a.cache.PromptTokens - a.cache.CachedTokens)
 	a.cache = nil
-	a.dispatcher.Cancels.Cancel(a.prefillEngine, a.prefillID, nil)
-	a.dispatcher.Owned.Disown(a.prefillID)
+	a.dispatcher.Canceller.Cancel(a.prefillEngine, a.prefillID, nil)
+	a.dispatcher.OwnedRequests.Disown(a.prefillID)
 }
 
 func (a *Answer) leave(tokens int) {
 	if a.entered {
 		a.entered = false
-		a.dispatcher.Gate.Leave(a.entry, tokens)
+		a.dispatcher.Gate.Finish(a.entry, tokens)
 	}
 }
 
@@ -226,10 +226,10 @@
 		a.stream.Close()
 		a.stream = nil
 		if a.suspect {
-			d.Poisons.Passed(a.request.Print)
+			d.PoisonDetector.HandleCompletion(a.request.Fingerprint)
 		}
 		d.Slots.Release(a.exchange, a.decodeEngine)
-		d.Owned.Disown(a.exchange)
+		d.OwnedRequests.Disown(a.exchange)
 		a.leave(a.next)
 		a.record(hingeevents.RequestAnswered, hingeevents.Fields{
 			Server: a.decodeEngine.Server,
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -51,7 +51,7 @@
 		Resumes:        a.resumes,
 		NeverRepeat:    a.request.Class.NeverRepeat,
 		SentTokens:     a.sentTokens(),
-		SameInstance:   resumable && d.Gate.Lives(a.decodeEngine),
+		SameInstance:   resumable && d.Gate.IsCurrent(a.decodeEngine),
 		CacheUntil:     a.cacheUntil(v),
 		TransferTime:   transferTime,
 		Deadline:       a.request.Deadline,
@@ -62,7 +62,7 @@
 	if decision.Action == hingeretry.Retry && a.prefillForbidden() {
 		return hingeretry.ReturnError, a.withEarlierVerdict(v)
 	}
-	d.Meter.Retried(decision.Action.String())
+	d.Meter.CountRetry(decision.Action.String())
 	if v.Verdict != hingeverdict.NotRun {
 		a.earlierVerdict = hingeverdict.MayHaveRun
 	}
@@ -80,7 +80,7 @@
 	if a.cache == nil || v.Verdict != hingeverdict.NotRun || v.Code == hingeverdict.CodeCacheGone {
 		return time.Time{}
 	}
-	return a.cachedAt.Add(a.dispatcher.Limits.CacheKept)
+	return a.cachedAt.Add(a.dispatcher.Limits.CacheRetention)
 }
 
 // withDeadlineCode sets the deadline code if the request's deadline has passed,
@@ -137,12 +137,12 @@
 	}
 	a.exchange.Attempt++
 	a.entry = Entry{
-		Work:  a.request,
+		CompletionRequest:  a.request,
 		ID:    a.exchange,
-		Again: a.admitted,
+		Resubmitted: a.admitted,
 		Avoid: a.avoid,
 	}
-	placement, err := d.Gate.Enter(a.ctx, a.entry)
+	placement, err := d.Gate.Admit(a.ctx, a.entry)
 	if err != nil {
 		a.refused = true
 		return err
@@ -156,7 +156,7 @@
 	if err := a.prefill(*placement.Prefill); err != nil {
 		return err
 	}
-	target, err := d.Gate.Ready(a.ctx, a.entry, a.cache.CachedTokens)
+	target, err := d.Gate.BindDecode(a.ctx, a.entry, a.cache.CachedTokens)
 	if err != nil {
 		a.refused = true
 		a.dropCache()
@@ -168,7 +168,7 @@
 // transfer sends KV cache that is still kept to another decode engine.
 func (a *Answer) transfer() error {
 	a.attempts++
-	target, err := a.dispatcher.Gate.Full(a.ctx, a.entry, a.decodeEngine)
+	target, err := a.dispatcher.Gate.RetryBind(a.ctx, a.entry, a.decodeEngine)
 	if err != nil {
 		a.refused = true
 		a.dropCache()
@@ -182,10 +182,10 @@
 	d := a.dispatcher
 	a.prefillEngine = t
 	began := d.Now()
-	d.Owned.Own(a.exchange)
+	d.OwnedRequests.Own(a.exchange)
 	a.prefillID = a.exchange
 	a.sentAt = d.Now()
-	cache, err := d.Engines.Prefill(a.ctx, t, a.engineRequest(), d.Limits.PrefillSilence)
+	cache, err := d.Engines.Prefill(a.ctx, t, a.engineRequest(), d.Limits.PrefillTimeout)
 	if err != nil {
 		a.recordServerFailure(t, err)
 		a.cache = &cache
@@ -195,7 +195,7 @@
 	a.cache = &cache
 	a.cachedAt = d.Now()
 	a.prefilled = true
-	d.Meter.Prefilled(cache.PromptTokens - cache.CachedTokens)
+	d.Meter.AddPrefilledTokens(cache.PromptTokens - cache.CachedTokens)
 	a.record(hingeevents.RequestPrefilled, hingeevents.Fields{
 		Server: t.Server,
 		Took:   a.cachedAt.Sub(began),
@@ -214,9 +214,9 @@
 		return a.handleSlotRefusal(t, err)
 	}
 	t, a.decodeEngine = granted, granted
-	d.Owned.Own(a.exchange)
+	d.OwnedRequests.Own(a.exchange)
 	a.sentAt = d.Now()
-	stream, err := d.Engines.Decode(a.ctx, t, a.engineRequest(), a.cache, a.next, d.Limits.TokenSilence)
+	stream, err := d.Engines.Decode(a.ctx, t, a.engineRequest(), a.cache, a.next, d.Limits.TokenTimeout)
 	if err == nil {
 		a.stream = stream
 		a.first, err = stream.Next()
@@ -232,7 +232,7 @@
 	// The decode engine has imported the KV cache, so that the prefill engine may
 	// free its copy.
 	a.cache = nil
-	d.Owned.Disown(a.prefillID)
+	d.OwnedRequests.Disown(a.prefillID)
 	a.gapStart, a.gapTokens = d.Now(), 0
 	if a.firstTokenAt.IsZero() {
 		a.firstTokenAt = a.gapStart
@@ -250,7 +250,7 @@
 func (a *Answer) acquireSlot(t hingeengine.Target) (hingeengine.Target, error) {
 	d := a.dispatcher
 	candidates := []hingeengine.Target{t}
-	if other, ok := d.Gate.Other(a.entry); ok {
+	if other, ok := d.Gate.AlternativeEngine(a.entry); ok {
 		candidates = append(candidates, other)
 	}
 	granted, err := d.Slots.Acquire(a.ctx, a.request, a.exchange, candidates...)
@@ -268,12 +268,12 @@
 		Server: t.Server,
 		Detail: err.Error(),
 	})
-	if a.cache == nil || a.ctx.Err() != nil || d.Now().After(a.cachedAt.Add(d.Limits.CacheKept)) {
+	if a.cache == nil || a.ctx.Err() != nil || d.Now().After(a.cachedAt.Add(d.Limits.CacheRetention)) {
 		a.dropCache()
 		a.noSlot = true
 		return err
 	}
-	other, fullErr := d.Gate.Full(a.ctx, a.entry, t)
+	other, fullErr := d.Gate.RetryBind(a.ctx, a.entry, t)
 	if fullErr != nil {
 		a.refused = true
 		a.dropCache()
@@ -305,7 +305,7 @@
 	}
 	a.avoid[t.Server] = true
 	a.reportFailedExchange(t, err)
-	a.dispatcher.Gate.Failed(a.entry, t, err)
+	a.dispatcher.Gate.HandleFailure(a.entry, t, err)
 	a.record(hingeevents.ServerFailedRequest, hingeevents.Fields{
 		Server: t.Server,
 		Detail: err.Error(),
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -42,8 +42,8 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// Work is a caller's completion request.
-type Work struct {
+// CompletionRequest is a caller's completion request.
+type CompletionRequest struct {
 	Request hingeids.RequestID
 	Caller  hingeids.CallerID
 	Class   hingeinventory.Class
@@ -63,12 +63,12 @@
 	// retried.
 	Key    hingeids.IdempotencyKey
 	Digest [16]byte
-	// Print is the fingerprint that the request shares with its resends.
-	Print hingeids.Fingerprint
+	// Fingerprint is the fingerprint that the request shares with its resends.
+	Fingerprint hingeids.Fingerprint
 }
 
 // claim returns the ledger claim of the request.
-func (w *Work) claim() Claim {
+func (w *CompletionRequest) claim() Claim {
 	return Claim{
 		Request: w.Request,
 		Caller:  w.Caller,
@@ -87,10 +87,10 @@
 
 // Entry is one pass of a request through the gate.
 type Entry struct {
-	Work *Work
+	CompletionRequest *CompletionRequest
 	ID   hingeids.RequestID
-	// Again says that the gate has admitted the request before.
-	Again bool
+	// Resubmitted says that the gate has admitted the request before.
+	Resubmitted bool
 	// Avoid are servers that failed this request.
 	Avoid map[hingeids.ServerID]bool
 }
@@ -110,45 +110,45 @@
 // Gate admits requests and places them. Its errors are final and are returned to
 // the caller without a retry.
 type Gate interface {
-	// Enter waits until the request is placed or refused.
-	Enter(ctx context.Context, e Entry) (Placement, error)
-	// Ready reports that the KV cache is ready and how many prompt tokens were
+	// Admit waits until the request is placed or refused.
+	Admit(ctx context.Context, e Entry) (Placement, error)
+	// BindDecode reports that the KV cache is ready and how many prompt tokens were
 	// found in the prefix cache, and waits for a decode engine. Full waits for
 	// another decode engine after an engine had no slot or failed.
-	Ready(ctx context.Context, e Entry, cached hingeids.Tokens) (hingeengine.Target, error)
-	Full(ctx context.Context, e Entry, refused hingeengine.Target) (hingeengine.Target, error)
-	// Other returns an alternative decode engine for the slot, if there is one;
+	BindDecode(ctx context.Context, e Entry, cached hingeids.Tokens) (hingeengine.Target, error)
+	RetryBind(ctx context.Context, e Entry, refused hingeengine.Target) (hingeengine.Target, error)
+	// AlternativeEngine returns an alternative decode engine for the slot, if there is one;
 	// Rebind reports that the slot was granted on it.
-	Other(e Entry) (hingeengine.Target, bool)
+	AlternativeEngine(e Entry) (hingeengine.Target, bool)
 	Rebind(e Entry, t hingeengine.Target)
-	// Leave finishes the entry and reports the number of tokens returned.
-	Leave(e Entry, tokens int)
-	// Failed reports a server that failed an exchange, TokenGap the mean time
+	// Finish finishes the entry and reports the number of tokens returned.
+	Finish(e Entry, tokens int)
+	// HandleFailure reports a server that failed an exchange, TokenGap the mean time
 	// between the tokens of a stream.
-	Failed(e Entry, t hingeengine.Target, err error)
-	TokenGap(e Entry, t hingeengine.Target, gap time.Duration)
-	// Lives reports whether the target's incarnation is the server's current one.
-	Lives(t hingeengine.Target) bool
+	HandleFailure(e Entry, t hingeengine.Target, err error)
+	HandleTokenGap(e Entry, t hingeengine.Target, gap time.Duration)
+	// IsCurrent reports whether the target's incarnation is the server's current one.
+	IsCurrent(t hingeengine.Target) bool
 }
 
 // Slots grants decode slots.
 type Slots interface {
 	// Acquire waits a bounded time for a slot on one of the engines and returns
 	// the engine that granted it. The verdict of its errors is NotRun.
-	Acquire(ctx context.Context, w *Work, id hingeids.RequestID, engines ...hingeengine.Target) (hingeengine.Target, error)
+	Acquire(ctx context.Context, w *CompletionRequest, id hingeids.RequestID, engines ...hingeengine.Target) (hingeengine.Target, error)
 	Release(id hingeids.RequestID, t hingeengine.Target)
 }
 
-// Cancels cancels exchanges, so that engines free the memory they hold for them.
-type Cancels interface {
+// Canceller cancels exchanges, so that engines free the memory they hold for them.
+type Canceller interface {
 	// Cancel sends cancels in the background until the engine acknowledges one or
 	// is known to have restarted, and then calls after unless it is nil.
 	Cancel(t hingeengine.Target, id hingeids.RequestID, after func())
 }
 
-// Owned records the exchanges that this host owns. Other hosts query it about
+// OwnedRequests records the exchanges that this host owns. Other hosts query it about
 // exchanges for which an engine holds memory.
-type Owned interface {
+type OwnedRequests interface {
 	Own(id hingeids.RequestID)
 	Disown(id hingeids.RequestID)
 }
@@ -158,10 +158,10 @@
 	Engines  Engines
 	Gate     Gate
 	Slots    Slots
-	Cancels  Cancels
-	Owned    Owned
+	Canceller  Canceller
+	OwnedRequests    OwnedRequests
 	Ledger   Ledger
-	Poisons  Poisons
+	PoisonDetector  PoisonDetector
 	Meter    Meter
 	Recorder *hingeevents.Recorder
 	Limits   Limits
@@ -173,34 +173,34 @@
 
 // Limits bound the waits of a request.
 type Limits struct {
-	// Attempts bounds how often a call of a plain service is sent.
-	Attempts int
-	// PrefillSilence bounds the wait for a prefill, including its time in the
+	// MaxCallAttempts bounds how often a call of a plain service is sent.
+	MaxCallAttempts int
+	// PrefillTimeout bounds the wait for a prefill, including its time in the
 	// engine's queue.
-	PrefillSilence time.Duration
-	// TokenSilence bounds the wait for a token; for the first token it includes
+	PrefillTimeout time.Duration
+	// TokenTimeout bounds the wait for a token; for the first token it includes
 	// the transfer of the KV cache. It must be a large multiple of the usual token
 	// gap, so that a slow engine isn't treated as failed.
-	TokenSilence time.Duration
-	// CacheKept is the minimum time for which engines keep exported KV cache.
-	CacheKept time.Duration
+	TokenTimeout time.Duration
+	// CacheRetention is the minimum time for which engines keep exported KV cache.
+	CacheRetention time.Duration
 }
 
 // DefaultLimits returns limits for engines with a token gap of tens of
 // milliseconds.
 func DefaultLimits() Limits {
 	return Limits{
-		Attempts:       3,
-		PrefillSilence: 20 * time.Second,
-		TokenSilence:   time.Second,
-		CacheKept:      600 * time.Millisecond,
+		MaxCallAttempts:       3,
+		PrefillTimeout: 20 * time.Second,
+		TokenTimeout:   time.Second,
+		CacheRetention:      600 * time.Millisecond,
 	}
 }
 
 // Complete runs a request up to its first token, or returns the answer of an
 // earlier run with the same key. An error is final; it carries the verdict and
 // the retry time.
-func (d *Dispatcher) Complete(ctx context.Context, w *Work) (*Answer, error) {
+func (d *Dispatcher) Complete(ctx context.Context, w *CompletionRequest) (*Answer, error) {
 	if !w.Class.NeverRepeat {
 		return d.complete(ctx, w)
 	}
@@ -225,7 +225,7 @@
 	return a, nil
 }
 
-func (d *Dispatcher) complete(ctx context.Context, w *Work) (*Answer, error) {
+func (d *Dispatcher) complete(ctx context.Context, w *CompletionRequest) (*Answer, error) {
 	a := &Answer{
 		dispatcher:     d,
 		ctx:            ctx,
--- a/internal/path/hingedispatch/meter.go
+++ b/internal/path/hingedispatch/meter.go
@@ -6,52 +6,52 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Finished is the result of a completion request.
-type Finished struct {
-	Work *Work
+// Result is the result of a completion request.
+type Result struct {
+	CompletionRequest *CompletionRequest
 	// FirstToken is the time to the first token, zero if there was none.
 	FirstToken time.Duration
 	// Tokens is the number of tokens returned, Gap the mean time between them.
 	Tokens int
-	Gap    time.Duration
+	MeanTokenGap    time.Duration
 	// Err is nil if the answer was complete.
 	Err error
 }
 
-// InTarget reports whether the answer was complete and met the class's targets
+// MetTargets reports whether the answer was complete and met the class's targets
 // for the first token and the token gap.
-func (f Finished) InTarget() bool {
-	c := f.Work.Class
+func (f Result) MetTargets() bool {
+	c := f.CompletionRequest.Class
 	return f.Err == nil &&
 		(c.FirstToken <= 0 || f.FirstToken <= c.FirstToken) &&
-		(c.TokenGap <= 0 || f.Gap <= c.TokenGap)
+		(c.TokenGap <= 0 || f.MeanTokenGap <= c.TokenGap)
 }
 
 // Meter updates the metrics of completion requests. It must be safe for
 // concurrent use.
 type Meter interface {
-	Finished(f Finished)
-	// Prefilled counts prompt tokens that were processed, Wasted those whose KV
+	RecordResult(f Result)
+	// AddPrefilledTokens counts prompt tokens that were processed, Wasted those whose KV
 	// cache was dropped before it was decoded.
-	Prefilled(n hingeids.Tokens)
-	Wasted(n hingeids.Tokens)
-	// Retried counts resumed streams, transfers and retries; reason is the name of
+	AddPrefilledTokens(n hingeids.Tokens)
+	AddWastedTokens(n hingeids.Tokens)
+	// CountRetry counts resumed streams, transfers and retries; reason is the name of
 	// the hingeretry.Action.
-	Retried(reason string)
+	CountRetry(reason string)
 }
 
 // reportResult passes the result of the answer to the meter.
 func (a *Answer) reportResult(now time.Time, err error) {
-	f := Finished{
-		Work:   a.request,
+	f := Result{
+		CompletionRequest:   a.request,
 		Tokens: a.next,
 		Err:    err,
 	}
 	if !a.firstTokenAt.IsZero() {
 		f.FirstToken = a.firstTokenAt.Sub(a.request.Arrived)
 		if a.next > 1 {
-			f.Gap = now.Sub(a.firstTokenAt) / time.Duration(a.next-1)
+			f.MeanTokenGap = now.Sub(a.firstTokenAt) / time.Duration(a.next-1)
 		}
 	}
-	a.dispatcher.Meter.Finished(f)
+	a.dispatcher.Meter.RecordResult(f)
 }
--- a/internal/path/hingedispatch/once.go
+++ b/internal/path/hingedispatch/once.go
@@ -21,24 +21,24 @@
 	Until time.Time
 }
 
-// Stored is an answer that is stored for resends.
-type Stored struct {
+// StoredAnswer is an answer that is stored for resends.
+type StoredAnswer struct {
 	Status      int
 	ContentType string
 	Body        []byte
-	// Whole says that Body is the complete answer. It is false if the answer was
+	// Complete says that Body is the complete answer. It is false if the answer was
 	// streamed or too large to store.
-	Whole bool
+	Complete bool
 }
 
 // Ledger records for all hosts which requests have run.
 type Ledger interface {
 	// Claim returns nil if the request may be sent now, or the answer of an
 	// earlier run. Its errors are final and carry a verdict.
-	Claim(ctx context.Context, c Claim) (*Stored, error)
+	Claim(ctx context.Context, c Claim) (*StoredAnswer, error)
 	// Finish stores the answer. Release removes the claim of a request that is
 	// proved not to have run.
-	Finish(ctx context.Context, c Claim, answer Stored) error
+	Finish(ctx context.Context, c Claim, answer StoredAnswer) error
 	Release(ctx context.Context, c Claim) error
 }
 
@@ -53,7 +53,7 @@
 
 // claimRequest claims a request before any byte of it is sent. It returns nil if
 // the request may be sent, or the complete answer of an earlier run.
-func claimRequest(ctx context.Context, l Ledger, c Claim) (*Stored, error) {
+func claimRequest(ctx context.Context, l Ledger, c Claim) (*StoredAnswer, error) {
 	if c.Key == "" {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeyMissing, 0,
 			eris.New("a request that must run at most once needs an Idempotency-Key header"))
@@ -62,7 +62,7 @@
 	if err != nil || stored == nil {
 		return nil, err
 	}
-	if !stored.Whole {
+	if !stored.Complete {
 		return nil, hingeverdict.New(hingeverdict.Ran, hingeverdict.CodeKeyUncertain, 0,
 			eris.New("the request has run; its answer was streamed or too large to store"))
 	}
@@ -72,11 +72,11 @@
 // storeAnswer stores the answer of a claimed request. A failure is ignored: the
 // caller still receives its answer, and a resend gets an error that the request
 // may have run, which is true.
-func storeAnswer(ctx context.Context, l Ledger, c Claim, s Stored) {
+func storeAnswer(ctx context.Context, l Ledger, c Claim, s StoredAnswer) {
 	if len(s.Body) > maxStoredBody {
-		s.Whole = false
+		s.Complete = false
 	}
-	if !s.Whole {
+	if !s.Complete {
 		s.Body = nil
 	}
 	ledgerCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), ledgerTimeout)
--- a/internal/path/hingedispatch/poison.go
+++ b/internal/path/hingedispatch/poison.go
@@ -9,27 +9,27 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// Poisons detects poison requests, which crash the servers that run them.
-type Poisons interface {
-	// Judge returns an error if the request may not run on the servers of a model
+// PoisonDetector detects poison requests, which crash the servers that run them.
+type PoisonDetector interface {
+	// Evaluate returns an error if the request may not run on the servers of a model
 	// or service. If suspect is true, a complete answer must be reported with
 	// Passed.
-	Judge(ctx context.Context, p hingeids.Fingerprint, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
-	// Broke reports a server that failed a request and may have crashed.
-	Broke(ctx context.Context, b Broken)
-	// Passed reports a complete answer to a suspected request.
-	Passed(p hingeids.Fingerprint)
+	Evaluate(ctx context.Context, p hingeids.Fingerprint, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
+	// HandleFailedExchange reports a server that failed a request and may have crashed.
+	HandleFailedExchange(ctx context.Context, b FailedExchange)
+	// HandleCompletion reports a complete answer to a suspected request.
+	HandleCompletion(p hingeids.Fingerprint)
 }
 
-// Broken describes an exchange that failed at a server.
-type Broken struct {
-	Print   hingeids.Fingerprint
+// FailedExchange describes an exchange that failed at a server.
+type FailedExchange struct {
+	Fingerprint   hingeids.Fingerprint
 	Request hingeids.RequestID
 	Service hingeids.Service
 	Caller  hingeids.CallerID
 	Target  hingeengine.Target
-	// Had is how long the server had the request.
-	Had time.Duration
+	// Held is how long the server had the request.
+	Held time.Duration
 	Err error
 }
 
@@ -37,7 +37,7 @@
 // request.
 func (a *Answer) checkPoison() error {
 	var refused *hingeverdict.Error
-	a.suspect, refused = a.dispatcher.Poisons.Judge(a.ctx, a.request.Print, hingeids.Service(a.request.Model))
+	a.suspect, refused = a.dispatcher.PoisonDetector.Evaluate(a.ctx, a.request.Fingerprint, hingeids.Service(a.request.Model))
 	if refused == nil {
 		return nil
 	}
@@ -49,13 +49,13 @@
 // poison requests.
 func (a *Answer) reportFailedExchange(t hingeengine.Target, err error) {
 	d := a.dispatcher
-	d.Poisons.Broke(a.ctx, Broken{
-		Print:   a.request.Print,
+	d.PoisonDetector.HandleFailedExchange(a.ctx, FailedExchange{
+		Fingerprint:   a.request.Fingerprint,
 		Request: a.request.Request,
 		Service: hingeids.Service(a.request.Model),
 		Caller:  a.request.Caller,
 		Target:  t,
-		Had:     d.Now().Sub(a.sentAt),
+		Held:     d.Now().Sub(a.sentAt),
 		Err:     err,
 	})
 }
--- a/internal/path/hingedispatch/poison_test.go
+++ b/internal/path/hingedispatch/poison_test.go
@@ -20,13 +20,13 @@
 	crashes int
 }
 
-func (e *crashingReplicas) Replica(hingeids.Service, map[hingeids.ServerID]bool) (hingeengine.Target, error) {
+func (e *crashingReplicas) Choose(hingeids.Service, map[hingeids.ServerID]bool) (hingeengine.Target, error) {
 	return hingeengine.Target{
 		Server: "replica",
 	}, nil
 }
 
-func (e *crashingReplicas) Left(hingeengine.Target, error) {}
+func (e *crashingReplicas) RecordOutcome(hingeengine.Target, error) {}
 
 func (e *crashingReplicas) Call(
 	context.Context, hingeengine.Target, *fasthttp.Request, *fasthttp.Response, time.Duration,
@@ -35,18 +35,18 @@
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, eris.New("replica crashed"))
 }
 
-func (e *crashingReplicas) Judge(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
+func (e *crashingReplicas) Evaluate(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
 	if e.crashes >= 3 {
 		return false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodePoison, time.Hour, nil)
 	}
 	return e.crashes > 0, nil
 }
 
-func (e *crashingReplicas) Broke(context.Context, Broken) { e.crashes++ }
+func (e *crashingReplicas) HandleFailedExchange(context.Context, FailedExchange) { e.crashes++ }
 
-func (e *crashingReplicas) Passed(hingeids.Fingerprint) {}
+func (e *crashingReplicas) HandleCompletion(hingeids.Fingerprint) {}
 
-func (e *crashingReplicas) Called(*Call, time.Duration, error) {}
+func (e *crashingReplicas) RecordCall(*Call, time.Duration, error) {}
 
 // Guards against sending a poison call to further replicas, and against the
 // verdict NotRun for a call that a replica may have run before.
@@ -54,8 +54,8 @@
 	e := &crashingReplicas{}
 	d := &ServiceDispatcher{
 		Client:   e,
-		Replicas: e,
-		Poisons:  e,
+		ReplicaPool: e,
+		PoisonDetector:  e,
 		Meter:    e,
 		Limits:   DefaultLimits(),
 		Now:      time.Now,
@@ -63,11 +63,11 @@
 	var verdicts []hingeverdict.Verdict
 	for range 4 {
 		c := &Call{
-			Sent:     &fasthttp.Request{},
-			Answer:   &fasthttp.Response{},
+			ReplicaRequest:     &fasthttp.Request{},
+			Response:   &fasthttp.Response{},
 			Deadline: time.Now().Add(time.Minute),
 		}
-		c.Sent.Header.SetMethod(fasthttp.MethodGet)
+		c.ReplicaRequest.Header.SetMethod(fasthttp.MethodGet)
 		verdicts = append(verdicts, hingeverdict.Of(d.Do(t.Context(), c)))
 	}
 	if e.sent != 3 {
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -24,26 +24,26 @@
 	Key      hingeids.IdempotencyKey
 	Arrived  time.Time
 	Deadline time.Time
-	// Sent is the request to the replica; its response is written to Answer.
-	Sent   *fasthttp.Request
-	Answer *fasthttp.Response
-	// Print is the fingerprint that the call shares with its resends.
-	Print hingeids.Fingerprint
+	// ReplicaRequest is the request to the replica; its response is written to Answer.
+	ReplicaRequest   *fasthttp.Request
+	Response *fasthttp.Response
+	// Fingerprint is the fingerprint that the call shares with its resends.
+	Fingerprint hingeids.Fingerprint
 }
 
-// Replicas chooses replicas of plain services. It must be safe for concurrent
+// ReplicaPool chooses replicas of plain services. It must be safe for concurrent
 // use.
-type Replicas interface {
-	// Replica chooses a replica and avoids those that have failed the call. Each
+type ReplicaPool interface {
+	// Choose chooses a replica and avoids those that have failed the call. Each
 	// successful call of it must be followed by one of Left.
-	Replica(service hingeids.Service, avoid map[hingeids.ServerID]bool) (hingeengine.Target, error)
-	// Left reports that a call at the replica has finished, with its error.
-	Left(t hingeengine.Target, err error)
+	Choose(service hingeids.Service, avoid map[hingeids.ServerID]bool) (hingeengine.Target, error)
+	// RecordOutcome reports that a call at the replica has finished, with its error.
+	RecordOutcome(t hingeengine.Target, err error)
 }
 
-// Caller sends a call to a replica; hingeengine.Client implements it. It fails if
+// ReplicaClient sends a call to a replica; hingeengine.Client implements it. It fails if
 // the replica sends nothing for the duration silence.
-type Caller interface {
+type ReplicaClient interface {
 	Call(
 		ctx context.Context, t hingeengine.Target, req *fasthttp.Request, resp *fasthttp.Response,
 		silence time.Duration,
@@ -62,10 +62,10 @@
 //     HEAD.
 //  4. A call that crashes the replicas which run it is not sent (hingepoison).
 type ServiceDispatcher struct {
-	Client   Caller
-	Replicas Replicas
+	Client   ReplicaClient
+	ReplicaPool ReplicaPool
 	Ledger   Ledger
-	Poisons  Poisons
+	PoisonDetector  PoisonDetector
 	Meter    CallMeter
 	Recorder *hingeevents.Recorder
 	Limits   Limits
@@ -75,7 +75,7 @@
 // CallMeter updates the metrics of calls of plain services. It must be safe for
 // concurrent use.
 type CallMeter interface {
-	Called(c *Call, elapsed time.Duration, err error)
+	RecordCall(c *Call, elapsed time.Duration, err error)
 }
 
 // Do runs a call and writes the response to c.Answer. An error is final and
@@ -90,7 +90,7 @@
 	}
 	now := d.Now()
 	elapsed := now.Sub(c.Arrived)
-	d.Meter.Called(c, elapsed, err)
+	d.Meter.RecordCall(c, elapsed, err)
 	d.Recorder.Record(now, number, hingeevents.Fields{
 		Request: c.Request,
 		Caller:  c.Caller,
@@ -108,7 +108,7 @@
 		Request: c.Request,
 		Caller:  c.Caller,
 		Key:     c.Key,
-		Digest:  hingeledger.DigestOf(string(c.Sent.Header.Method()), string(c.Sent.RequestURI()), c.Sent.Body()),
+		Digest:  hingeledger.DigestOf(string(c.ReplicaRequest.Header.Method()), string(c.ReplicaRequest.RequestURI()), c.ReplicaRequest.Body()),
 		Until:   c.Deadline,
 	}
 	stored, err := claimRequest(ctx, d.Ledger, claim)
@@ -116,9 +116,9 @@
 		return err
 	}
 	if stored != nil {
-		c.Answer.SetStatusCode(stored.Status)
-		c.Answer.Header.SetContentType(stored.ContentType)
-		c.Answer.SetBody(stored.Body)
+		c.Response.SetStatusCode(stored.Status)
+		c.Response.Header.SetContentType(stored.ContentType)
+		c.Response.SetBody(stored.Body)
 		return nil
 	}
 	if err := d.send(ctx, c); err != nil {
@@ -126,11 +126,11 @@
 		return err
 	}
 	// Rule 2.
-	storeAnswer(ctx, d.Ledger, claim, Stored{
-		Status:      c.Answer.StatusCode(),
-		ContentType: string(c.Answer.Header.ContentType()),
-		Body:        append([]byte(nil), c.Answer.Body()...),
-		Whole:       true,
+	storeAnswer(ctx, d.Ledger, claim, StoredAnswer{
+		Status:      c.Response.StatusCode(),
+		ContentType: string(c.Response.Header.ContentType()),
+		Body:        append([]byte(nil), c.Response.Body()...),
+		Complete:       true,
 	})
 	return nil
 }
@@ -140,8 +140,8 @@
 func (d *ServiceDispatcher) send(ctx context.Context, c *Call) error {
 	avoid := make(map[hingeids.ServerID]bool)
 	var worst error
-	for range d.Limits.Attempts {
-		suspect, refused := d.Poisons.Judge(ctx, c.Print, c.Service)
+	for range d.Limits.MaxCallAttempts {
+		suspect, refused := d.PoisonDetector.Evaluate(ctx, c.Fingerprint, c.Service)
 		if refused != nil {
 			if worst == nil {
 				return refused
@@ -151,7 +151,7 @@
 		err := d.sendOnce(ctx, c, avoid)
 		if err == nil {
 			if suspect {
-				d.Poisons.Passed(c.Print)
+				d.PoisonDetector.HandleCompletion(c.Fingerprint)
 			}
 			return nil
 		}
@@ -167,22 +167,22 @@
 
 // sendOnce sends a call to one replica and reports the outcome.
 func (d *ServiceDispatcher) sendOnce(ctx context.Context, c *Call, avoid map[hingeids.ServerID]bool) error {
-	target, err := d.Replicas.Replica(c.Service, avoid)
+	target, err := d.ReplicaPool.Choose(c.Service, avoid)
 	if err != nil {
 		return err
 	}
 	began := d.Now()
-	err = d.Client.Call(ctx, target, c.Sent, c.Answer, c.Deadline.Sub(began))
-	d.Replicas.Left(target, err)
+	err = d.Client.Call(ctx, target, c.ReplicaRequest, c.Response, c.Deadline.Sub(began))
+	d.ReplicaPool.RecordOutcome(target, err)
 	avoid[target.Server] = true
 	if err != nil {
-		d.Poisons.Broke(ctx, Broken{
-			Print:   c.Print,
+		d.PoisonDetector.HandleFailedExchange(ctx, FailedExchange{
+			Fingerprint:   c.Fingerprint,
 			Request: c.Request,
 			Service: c.Service,
 			Caller:  c.Caller,
 			Target:  target,
-			Had:     d.Now().Sub(began),
+			Held:     d.Now().Sub(began),
 			Err:     err,
 		})
 	}
@@ -200,5 +200,5 @@
 	if c.Class.NeverRepeat || !errors.As(err, &v) {
 		return false
 	}
-	return c.Sent.Header.IsGet() || c.Sent.Header.IsHead()
+	return c.ReplicaRequest.Header.IsGet() || c.ReplicaRequest.Header.IsHead()
 }
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -190,12 +190,12 @@
 	longestChain        = 512
 )
 
-// Enter waits until the request is placed or refused.
-func (g *gates) Enter(ctx context.Context, e hingedispatch.Entry) (hingedispatch.Placement, error) {
-	w := e.Work
+// Admit waits until the request is placed or refused.
+func (g *gates) Admit(ctx context.Context, e hingedispatch.Entry) (hingedispatch.Placement, error) {
+	w := e.CompletionRequest
 	// With no engine at all, only work that can wait waits for one: for the rest
 	// the caller is better told now than when its target has passed.
-	if !e.Again && !w.Class.CanWait && len(g.engines(w.Model)) == 0 {
+	if !e.Resubmitted && !w.Class.CanWait && len(g.engines(w.Model)) == 0 {
 		return hingedispatch.Placement{}, noServer("model " + string(w.Model))
 	}
 	gate := g.of(w.Model)
@@ -214,7 +214,7 @@
 		Arrived:     w.Arrived,
 		FirstToken:  w.Class.FirstToken,
 		Deadline:    w.Deadline,
-		Resubmitted: e.Again,
+		Resubmitted: e.Resubmitted,
 	}
 	for {
 		d, err := g.enter(ctx, gate, ask)
@@ -308,20 +308,20 @@
 	return hingeengine.Target{}, false
 }
 
-// Ready waits for the decode engine of a KV cache that is ready.
-func (g *gates) Ready(
+// BindDecode waits for the decode engine of a KV cache that is ready.
+func (g *gates) BindDecode(
 	ctx context.Context, e hingedispatch.Entry, cached hingeids.Tokens,
 ) (hingeengine.Target, error) {
-	gate := g.of(e.Work.Model)
+	gate := g.of(e.CompletionRequest.Model)
 	id, err := gate.BindDecode(ctx, e.ID, cached)
 	return g.bound(ctx, gate, e, id, err)
 }
 
-// Full asks for another decode engine.
-func (g *gates) Full(
+// RetryBind asks for another decode engine.
+func (g *gates) RetryBind(
 	ctx context.Context, e hingedispatch.Entry, refused hingeengine.Target,
 ) (hingeengine.Target, error) {
-	gate := g.of(e.Work.Model)
+	gate := g.of(e.CompletionRequest.Model)
 	id, err := gate.RetryBind(ctx, e.ID, refused.Server)
 	return g.bound(ctx, gate, e, id, err)
 }
@@ -338,9 +338,9 @@
 	return hingeengine.Target{}, err
 }
 
-// Other names a second decode engine.
-func (g *gates) Other(e hingedispatch.Entry) (hingeengine.Target, bool) {
-	id, ok := g.of(e.Work.Model).AlternativeEngine(e.ID)
+// AlternativeEngine names a second decode engine.
+func (g *gates) AlternativeEngine(e hingedispatch.Entry) (hingeengine.Target, bool) {
+	id, ok := g.of(e.CompletionRequest.Model).AlternativeEngine(e.ID)
 	if !ok {
 		return hingeengine.Target{}, false
 	}
@@ -350,35 +350,35 @@
 
 // Rebind says that the slot was granted at another engine.
 func (g *gates) Rebind(e hingedispatch.Entry, t hingeengine.Target) {
-	g.of(e.Work.Model).Rebind(e.ID, t.Server)
+	g.of(e.CompletionRequest.Model).Rebind(e.ID, t.Server)
 }
 
-// Leave says that the entry is over.
-func (g *gates) Leave(e hingedispatch.Entry, tokens int) {
-	g.of(e.Work.Model).Finish(e.ID, hingeids.Tokens(tokens))
+// Finish says that the entry is over.
+func (g *gates) Finish(e hingedispatch.Entry, tokens int) {
+	g.of(e.CompletionRequest.Model).Finish(e.ID, hingeids.Tokens(tokens))
 }
 
-// Failed takes an engine that can't be reached out of the gate until it
+// HandleFailure takes an engine that can't be reached out of the gate until it
 // announces itself again, at most half a second later: else every request that
 // waits would be placed there, as one that answers nobody looks idle.
-func (g *gates) Failed(e hingedispatch.Entry, t hingeengine.Target, err error) {
+func (g *gates) HandleFailure(e hingedispatch.Entry, t hingeengine.Target, err error) {
 	if !isNoServer(err) {
 		return
 	}
-	gate := g.of(e.Work.Model)
+	gate := g.of(e.CompletionRequest.Model)
 	g.mu.Lock()
 	delete(gate.told, t.Server)
 	g.mu.Unlock()
 	gate.RemoveEngine(t.Server)
 }
 
-// TokenGap tells of an engine's speed.
-func (g *gates) TokenGap(e hingedispatch.Entry, t hingeengine.Target, gap time.Duration) {
-	g.of(e.Work.Model).HandleTokenGap(t.Server, gap)
+// HandleTokenGap tells of an engine's speed.
+func (g *gates) HandleTokenGap(e hingedispatch.Entry, t hingeengine.Target, gap time.Duration) {
+	g.of(e.CompletionRequest.Model).HandleTokenGap(t.Server, gap)
 }
 
-// Lives tells whether a life of a server is the one that is there now.
-func (g *gates) Lives(t hingeengine.Target) bool {
+// IsCurrent tells whether a life of a server is the one that is there now.
+func (g *gates) IsCurrent(t hingeengine.Target) bool {
 	now, ok := g.server.servers.Load().Find(t.Server)
 	return ok && now.Incarnation == t.Incarnation
 }
--- a/internal/serve/hingeserver/holds.go
+++ b/internal/serve/hingeserver/holds.go
@@ -35,8 +35,8 @@
 }
 
 var (
-	_ hingedispatch.Cancels = (*holds)(nil)
-	_ hingedispatch.Owned   = (*holds)(nil)
+	_ hingedispatch.Canceller = (*holds)(nil)
+	_ hingedispatch.OwnedRequests   = (*holds)(nil)
 	_ hingeholds.Engines    = cancelling{}
 	_ hingeholds.Owner      = (*holds)(nil)
 )
--- a/internal/serve/hingeserver/ledger.go
+++ b/internal/serve/hingeserver/ledger.go
@@ -38,7 +38,7 @@
 }
 
 // Claim gives nil when the request is to be sent, or the answer that is kept.
-func (a ledgerAdapter) Claim(ctx context.Context, c hingedispatch.Claim) (*hingedispatch.Stored, error) {
+func (a ledgerAdapter) Claim(ctx context.Context, c hingedispatch.Claim) (*hingedispatch.StoredAnswer, error) {
 	outcome, err := a.ledger.Claim(ctx, claimOf(c))
 	a.meter.claimed(c.Key, outcome.Kind == hingeledger.Answered, err)
 	if err != nil || outcome.Kind == hingeledger.Granted {
@@ -48,21 +48,21 @@
 	if err := cbor.Unmarshal(outcome.Answer, &s); err != nil {
 		return nil, eris.Wrap(err, "kept answer")
 	}
-	return &hingedispatch.Stored{
+	return &hingedispatch.StoredAnswer{
 		Status:      s.Status,
 		ContentType: s.ContentType,
 		Body:        s.Body,
-		Whole:       s.Whole,
+		Complete:       s.Whole,
 	}, nil
 }
 
 // Finish keeps the answer.
-func (a ledgerAdapter) Finish(ctx context.Context, c hingedispatch.Claim, s hingedispatch.Stored) error {
+func (a ledgerAdapter) Finish(ctx context.Context, c hingedispatch.Claim, s hingedispatch.StoredAnswer) error {
 	b, err := cbor.Marshal(storedAnswer{
 		Status:      s.Status,
 		ContentType: s.ContentType,
 		Body:        s.Body,
-		Whole:       s.Whole,
+		Whole:       s.Complete,
 	})
 	if err != nil {
 		return eris.Wrap(err, "answer to keep")
--- a/internal/serve/hingeserver/lives.go
+++ b/internal/serve/hingeserver/lives.go
@@ -86,7 +86,7 @@
 	record := recordOf(s.shared.spread.Applied().Load().View)
 	s.shared.members.SetRecord(record)
 	view := s.shared.members.Hosts().Load()
-	s.callers.BeginLife(view.Self)
+	s.callers.StartInstance(view.Self)
 	if self := view.Self; !record.Has(self) && !record.IsOver(self) && !s.callers.Draining() {
 		s.recordFact(ctx, began(self, now))
 	}
@@ -138,5 +138,5 @@
 	s.recorder.Record(time.Now(), hingeevents.LifeDeclaredOver, hingeevents.Fields{
 		Host: ended.Host,
 	})
-	s.callers.EndLife()
+	s.callers.EndInstance()
 }
--- a/internal/serve/hingeserver/meter.go
+++ b/internal/serve/hingeserver/meter.go
@@ -20,24 +20,24 @@
 
 var _ hingedispatch.Meter = meter{}
 
-// Finished counts a completion.
-func (m meter) Finished(f hingedispatch.Finished) {
-	class := f.Work.Class.Name
+// RecordResult counts a completion.
+func (m meter) RecordResult(f hingedispatch.Result) {
+	class := f.CompletionRequest.Class.Name
 	m.ended(class, f.Err)
 	m.metrics.Counter(hingemetrics.TokensRelayed).Add(f.Tokens)
-	if f.InTarget() {
+	if f.MetTargets() {
 		m.metrics.Counter(hingemetrics.WithinTargets, class).Inc()
 	}
 	if f.FirstToken > 0 {
 		m.metrics.Histogram(hingemetrics.FirstToken, class).Update(f.FirstToken.Seconds())
 	}
-	if f.Gap > 0 {
-		m.metrics.Histogram(hingemetrics.TokenGap, class).Update(f.Gap.Seconds())
+	if f.MeanTokenGap > 0 {
+		m.metrics.Histogram(hingemetrics.TokenGap, class).Update(f.MeanTokenGap.Seconds())
 	}
 }
 
-// Called counts a call of a plain service.
-func (m meter) Called(c *hingedispatch.Call, took time.Duration, err error) {
+// RecordCall counts a call of a plain service.
+func (m meter) RecordCall(c *hingedispatch.Call, took time.Duration, err error) {
 	m.ended(c.Class.Name, err)
 	if err != nil {
 		return
@@ -88,18 +88,18 @@
 	}
 }
 
-// Prefilled counts prompt tokens that were worked.
-func (m meter) Prefilled(n hingeids.Tokens) {
+// AddPrefilledTokens counts prompt tokens that were worked.
+func (m meter) AddPrefilledTokens(n hingeids.Tokens) {
 	m.metrics.Counter(hingemetrics.PrefillTokens).Add(int(n))
 }
 
-// Wasted counts prompt tokens whose KV cache was dropped before decode.
-func (m meter) Wasted(n hingeids.Tokens) {
+// AddWastedTokens counts prompt tokens whose KV cache was dropped before decode.
+func (m meter) AddWastedTokens(n hingeids.Tokens) {
 	m.metrics.Counter(hingemetrics.WastedPrefillTokens, "dropped").Add(int(n))
 }
 
-// Retried counts an attempt after the first.
-func (m meter) Retried(reason string) {
+// CountRetry counts an attempt after the first.
+func (m meter) CountRetry(reason string) {
 	m.metrics.Counter(hingemetrics.Retries, reason).Inc()
 }
 
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -106,8 +106,8 @@
 	})
 }
 
-// Judge gives why a request mustn't run, nil if it may.
-func (p *poisons) Judge(
+// Evaluate gives why a request mustn't run, nil if it may.
+func (p *poisons) Evaluate(
 	ctx context.Context, print hingeids.Fingerprint, s hingeids.Service,
 ) (suspect bool, refused *hingeverdict.Error) {
 	j := p.judge(time.Now(), print, s)
@@ -147,27 +147,27 @@
 	p.changed()
 }
 
-// Broke tells of a server that failed a request, after which it may have ended.
-func (p *poisons) Broke(ctx context.Context, b hingedispatch.Broken) {
+// HandleFailedExchange tells of a server that failed a request, after which it may have ended.
+func (p *poisons) HandleFailedExchange(ctx context.Context, b hingedispatch.FailedExchange) {
 	verdict := verdictOf(b.Err)
 	if verdict != hingeverdict.CodeServerFailed && verdict != hingeverdict.CodeAnswerCut || p.gone(b.Target.Server) ||
 		!hingewire.RefusesConnections(ctx, b.Target.Address) {
 		return
 	}
 	e := hingepoison.Crash{
-		Fingerprint: b.Print,
+		Fingerprint: b.Fingerprint,
 		Server:      b.Target.Server.WithIncarnation(b.Target.Incarnation),
 		Service:     b.Service,
 		Caller:      b.Caller,
-		Held:        b.Had,
+		Held:        b.Held,
 	}
 	now := time.Now()
 	p.recorder.Record(now, hingeevents.ServerEnded, hingeevents.Fields{
 		Request: b.Request,
-		Print:   b.Print,
+		Print:   b.Fingerprint,
 		Caller:  b.Caller,
 		Server:  b.Target.Server,
-		Took:    b.Had,
+		Took:    b.Held,
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -194,8 +194,8 @@
 	}
 }
 
-// Passed tells of a suspected request that was answered whole.
-func (p *poisons) Passed(print hingeids.Fingerprint) {
+// HandleCompletion tells of a suspected request that was answered whole.
+func (p *poisons) HandleCompletion(print hingeids.Fingerprint) {
 	now := time.Now()
 	x := hingepoison.Completion{
 		Fingerprint: print,
--- a/internal/serve/hingeserver/poisons_test.go
+++ b/internal/serve/hingeserver/poisons_test.go
@@ -137,15 +137,15 @@
 	}
 	time.Sleep(5 * poisonGather)
 	for i, p := range all {
-		if _, refused := p.Judge(t.Context(), 7, "m"); refused == nil || refused.Code != hingeverdict.CodePoison || refused.RetryAfter <= 0 {
+		if _, refused := p.Evaluate(t.Context(), 7, "m"); refused == nil || refused.Code != hingeverdict.CodePoison || refused.RetryAfter <= 0 {
 			t.Errorf("host %d: %v", i, refused)
 		}
 	}
 	time.Sleep(5 * poisonGather)
-	all[3].Passed(7)
+	all[3].HandleCompletion(7)
 	time.Sleep(5 * poisonGather)
 	for i, p := range all {
-		if _, refused := p.Judge(t.Context(), 7, "m"); refused != nil {
+		if _, refused := p.Evaluate(t.Context(), 7, "m"); refused != nil {
 			t.Errorf("host %d after a whole answer: %v", i, refused)
 		}
 	}
@@ -164,7 +164,7 @@
 	first.mu.Unlock()
 	second := startPoisons(t, network, names[1], names)
 	time.Sleep(5 * poisonGather)
-	if _, refused := second.Judge(t.Context(), 7, "m"); refused == nil {
+	if _, refused := second.Evaluate(t.Context(), 7, "m"); refused == nil {
 		t.Error("it lets the request through")
 	}
 }
--- a/internal/serve/hingeserver/replicas.go
+++ b/internal/serve/hingeserver/replicas.go
@@ -112,8 +112,8 @@
 	})
 }
 
-// Replica chooses a replica of a plain service.
-func (p *replicas) Replica(
+// Choose chooses a replica of a plain service.
+func (p *replicas) Choose(
 	service hingeids.Service, avoid map[hingeids.ServerID]bool,
 ) (hingeengine.Target, error) {
 	for _, zone := range []hingeids.Zone{p.server.settings.Zone, ""} {
@@ -125,7 +125,7 @@
 	return hingeengine.Target{}, noServer("service " + string(service))
 }
 
-// Left counts the replica free again.
-func (p *replicas) Left(t hingeengine.Target, _ error) {
+// RecordOutcome counts the replica free again.
+func (p *replicas) RecordOutcome(t hingeengine.Target, _ error) {
 	p.load.add(t.Server, -1)
 }
--- a/internal/serve/hingeserver/script_test.go
+++ b/internal/serve/hingeserver/script_test.go
@@ -524,7 +524,7 @@
 // ever: what a user notices is that others wait although nobody reads.
 func TestSlowReaderIsGivenUp(t *testing.T) {
 	s := newScript(t)
-	s.host.callers.SetSlowReader(200 * time.Millisecond)
+	s.host.callers.SetWriteTimeout(200 * time.Millisecond)
 	if err := s.engine([]string{"d", "decode", "gap=1us"}); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -249,9 +249,9 @@
 		meter:  counts,
 	}
 	return hingecaller.New(hingecaller.Config{
-		Life:    s.life,
+		Instance:    s.life,
 		Limits:  s.settings.Limits,
-		Gateway: s.settings.Callers.Gateway,
+		BehindGateway: s.settings.Callers.Gateway,
 		Catalogue: catalogue{
 			configuration: &s.configuration,
 		},
@@ -259,23 +259,23 @@
 			Engines:  client,
 			Gate:     s.gates,
 			Slots:    s.slots,
-			Owned:    s.holds,
+			OwnedRequests:    s.holds,
 			Meter:    counts,
-			Cancels:  s.holds,
+			Canceller:  s.holds,
 			Ledger:   ledger,
-			Poisons:  s.poisons,
+			PoisonDetector:  s.poisons,
 			Recorder: s.recorder,
 			Limits:   hingedispatch.DefaultLimits(),
 			Now:      time.Now,
 		},
 		Services: &hingedispatch.ServiceDispatcher{
 			Client: client,
-			Replicas: &replicas{
+			ReplicaPool: &replicas{
 				server: s,
 				load:   newInFlight(),
 			},
 			Ledger:   ledger,
-			Poisons:  s.poisons,
+			PoisonDetector:  s.poisons,
 			Meter:    counts,
 			Recorder: s.recorder,
 			Limits:   hingedispatch.DefaultLimits(),
@@ -283,7 +283,7 @@
 		},
 		Keys:     ledger,
 		Ready:    s.Ready,
-		Gone:     s.metrics.Counter(hingemetrics.CallersGone).Inc,
+		OnDisconnect:     s.metrics.Counter(hingemetrics.CallersGone).Inc,
 		Recorder: s.recorder,
 		Now:      time.Now,
 	})
--- a/internal/serve/hingeserver/slots.go
+++ b/internal/serve/hingeserver/slots.go
@@ -152,7 +152,7 @@
 // grants none to this host; it is used only where the own zone has no engine, and
 // refuses by itself what it can't hold.
 func (s *slots) Acquire(
-	ctx context.Context, w *hingedispatch.Work, id hingeids.RequestID, at ...hingeengine.Target,
+	ctx context.Context, w *hingedispatch.CompletionRequest, id hingeids.RequestID, at ...hingeengine.Target,
 ) (hingeengine.Target, error) {
 	engines := make([]hingeids.ServerID, 0, len(at))
 	for _, t := range at {
