--- a/internal/membership/hingeannounce/announce_test.go
+++ b/internal/membership/hingeannounce/announce_test.go
@@ -37,9 +37,9 @@
 		ReasonSlots:        func(a *Announcement) { a.Slots = 0 },
 		ReasonLoad:         func(a *Announcement) { a.Load.Running = -1 },
 	}
-	for want, spoil := range cases {
+	for want, corrupt := range cases {
 		a := engine(1, 1)
-		spoil(&a)
+		corrupt(&a)
 		body, err := json.Marshal(a)
 		if err != nil {
 			t.Fatal(err)
@@ -47,7 +47,7 @@
 		_, err = Parse(body)
 		var e *ParseError
 		if !errors.As(err, &e) {
-			t.Fatalf("%s: taken, or no ParseError: %v", want, err)
+			t.Fatalf("%s: accepted, or not a ParseError: %v", want, err)
 		}
 		if diff := cmp.Diff(want, e.Reason); diff != "" {
 			t.Error(diff)
@@ -63,17 +63,16 @@
 		a, err := Parse(body)
 		var e *ParseError
 		if err != nil && !errors.As(err, &e) {
-			t.Fatalf("an error without a reason: %v", err)
+			t.Fatalf("error is not a ParseError: %v", err)
 		}
 		if err == nil && a.Check() != nil {
-			t.Fatalf("taken although its check fails: %+v", a)
+			t.Fatalf("accepted although Check fails: %+v", a)
 		}
 	})
 }
 
-// A server that said it leaves has one announcement still on its way, which an
-// entry host receives last, or twice. Were it revived, callers would be sent
-// to a server that refuses them.
+// Delivers the announcements of a leaving server reordered and twice. None may revive the
+// server, or it would be sent requests that it rejects.
 func TestLeavingIsFinalInEveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Announcement
@@ -96,18 +95,17 @@
 	})
 }
 
-// A datagram with an old heartbeat is delivered after its server has restarted,
-// or after it fell silent for good. Neither may bring the old life back.
+// A delayed or repeated heartbeat must not revive an older incarnation or a dead server.
 func TestLateAnnouncementRevivesNothing(t *testing.T) {
 	table := NewTable()
 	table.Take(start, engine(1, 7), 0)
 	table.Take(start, engine(2, 1), 0)
 	if got := table.Take(start, engine(1, 8), 0); got != Old {
-		t.Errorf("an older incarnation gave outcome %d", got)
+		t.Errorf("older incarnation: outcome %d, want Old", got)
 	}
 	later := start.Add(time.Minute)
 	if got := table.Take(later, engine(2, 1), 0); got != Old {
-		t.Errorf("a repeated announcement gave outcome %d", got)
+		t.Errorf("repeated announcement: outcome %d, want Old", got)
 	}
 	table.Take(later, engine(2, 2), 50*time.Second)
 	if _, usable := table.View(later).Find("engine-1"); usable {
@@ -115,13 +113,13 @@
 	}
 	table.Take(later, engine(2, 3), 0)
 	if _, usable := table.View(later).Find("engine-1"); !usable {
-		t.Error("a fresh heartbeat of the same life did not bring the server back")
+		t.Error("a new heartbeat of the same incarnation did not make the server usable")
 	}
 }
 
-// The heartbeats of a busy server come late and unevenly. It must stay usable
-// through gaps like those seen before, and still be found gone when it dies.
-func TestSilenceIsJudgedByTheGapsSeen(t *testing.T) {
+// A server with slow and uneven heartbeats must stay usable through intervals like those
+// observed before, and must still be detected as dead when it stops.
+func TestSilenceBoundFollowsObservedIntervals(t *testing.T) {
 	table := NewTable()
 	now := start
 	for i := range 40 {
@@ -130,7 +128,7 @@
 	}
 	s, usable := table.View(now.Add(2 * time.Second)).Find("engine-1")
 	if !usable || s.Suspect {
-		t.Errorf("an ordinary gap of 2 s: usable %v, suspect %v", usable, s.Suspect)
+		t.Errorf("silent for 2 s, as before: usable %v, suspect %v", usable, s.Suspect)
 	}
 	if _, usable := table.View(now.Add(11 * time.Second)).Find("engine-1"); usable {
 		t.Error("still usable after 11 s of silence")
@@ -151,6 +149,6 @@
 	}
 	table.Step(start.Add(time.Hour))
 	if got := len(table.entries); got != 0 {
-		t.Errorf("%d tombstones after an hour", got)
+		t.Errorf("%d tombstones after an hour, want none", got)
 	}
 }
--- a/internal/membership/hingeannounce/bench_test.go
+++ b/internal/membership/hingeannounce/bench_test.go
@@ -8,8 +8,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// BenchmarkTable gives what the servers of one entry host's table cost: a View is
-// made up to ten times a second, an announcement taken twice a second a server.
+// BenchmarkTable measures a View, made up to ten times a second, and an announcement,
+// received twice a second for each server, by the number of servers.
 func BenchmarkTable(b *testing.B) {
 	for _, servers := range []int{100, 1000, 6400} {
 		names := make([]hingeids.ServerID, servers)
--- a/internal/membership/hingeannounce/directory.go
+++ b/internal/membership/hingeannounce/directory.go
@@ -8,208 +8,213 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Record is what the hosts that take announcements tell each other and their
-// followers of one backend server.
+// Record is the state of one backend server, as the hosts that receive announcements send
+// it to each other and to their followers.
 type Record struct {
 	Announcement Announcement `cbor:"1,keyasint"`
-	// Owner is the host that hears the server's heartbeats.
+	// Owner is the host that receives the server's heartbeats.
 	Owner hingeids.HostID `cbor:"2,keyasint"`
-	// Silent says that the owner has missed heartbeats.
+	// Silent reports that the owner has missed heartbeats.
 	Silent bool `cbor:"3,keyasint,omitempty"`
 }
 
-// Usable reports whether work may be sent to the server.
+// Usable reports whether the server may be sent work.
 func (r Record) Usable() bool {
 	return !r.Announcement.Leaving && !r.Silent
 }
 
-// Directory holds the record of each server, with a number for each change, so
-// that followers are sent only what they lack. Heartbeats that change nothing
-// travel no further than their owner (rule 8): with thousands of servers they would be
-// most of what the hosts say to each other. It is not safe for concurrent use.
+// Directory holds the record of each server and the revision of its last change, so that
+// followers are sent only the records that they lack. Heartbeats that change nothing are
+// not propagated beyond the owner (rule 8), which bounds the traffic between hosts. It is
+// not safe for concurrent use.
 type Directory struct {
-	self    hingeids.HostID
-	records map[hingeids.ServerID]*kept
-	change  uint64
+	self     hingeids.HostID
+	records  map[hingeids.ServerID]*directoryEntry
+	revision uint64
 }
 
-type kept struct {
-	record  Record
-	heardAt time.Time
-	change  uint64
-	// first is the number of the change with which the server became known.
-	first uint64
-	gaps  Gaps
+type directoryEntry struct {
+	record   Record
+	lastSeen time.Time
+	revision uint64
+	// firstRevision is the revision at which the present incarnation became known.
+	firstRevision uint64
+	intervals     Gaps
 }
 
-// NewDirectory makes the empty directory of a host.
+// NewDirectory returns an empty directory for the host self.
 func NewDirectory(self hingeids.HostID) *Directory {
 	return &Directory{
 		self:    self,
-		records: make(map[hingeids.ServerID]*kept),
+		records: make(map[hingeids.ServerID]*directoryEntry),
 	}
 }
 
-// Hear takes an announcement that came to this host, and reports whether
-// followers have to be told. The host becomes the server's owner.
+// Hear applies an announcement that this host received from the server itself. The host
+// becomes the server's owner. It reports whether followers have to be notified.
 func (d *Directory) Hear(now time.Time, a Announcement) bool {
 	k := d.records[a.Server]
 	if k == nil {
-		d.put(now, Record{
+		d.add(now, Record{
 			Announcement: a,
 			Owner:        d.self,
 		})
 		return true
 	}
 	if !newer(a, k.record.Announcement) {
-		return d.leave(k, a)
+		return d.markLeaving(k, a)
 	}
 	next := k.record
-	a.Leaving = a.Leaving || next.leaves(a.Incarnation)
-	same := sameServer(a, next.Announcement) && next.Owner == d.self && !next.Silent
-	d.renew(k, a.Incarnation)
+	a.Leaving = a.Leaving || next.leavingAs(a.Incarnation)
+	unchanged := sameServer(a, next.Announcement) && next.Owner == d.self && !next.Silent
+	d.startInstance(k, a.Incarnation)
 	if next.Owner == d.self {
-		k.gaps.Observe(max(now.Sub(k.heardAt), 0))
+		k.intervals.Observe(max(now.Sub(k.lastSeen), 0))
 	}
-	k.heardAt = now
+	k.lastSeen = now
 	k.record = Record{
 		Announcement: a,
 		Owner:        d.self,
 	}
-	if !same {
-		d.note(k)
+	if !unchanged {
+		d.recordChange(k)
 	}
-	return !same
+	return !unchanged
 }
 
-// leaves is rule 3: leaving is final for its incarnation, and says nothing of the next.
-func (r Record) leaves(i hingeids.Incarnation) bool {
+// leavingAs reports whether the server has announced that incarnation i leaves (rule 3).
+func (r Record) leavingAs(i hingeids.Incarnation) bool {
 	return r.Announcement.Leaving && r.Announcement.Incarnation == i
 }
 
-// renew begins a new life of a server: it became known now, and its heartbeats have a rhythm of their own.
-func (d *Directory) renew(k *kept, i hingeids.Incarnation) {
+// startInstance resets what belongs to the previous incarnation of a server if i is a
+// newer one: the revision at which it became known and its heartbeat intervals.
+func (d *Directory) startInstance(k *directoryEntry, i hingeids.Incarnation) {
 	if i <= k.record.Announcement.Incarnation {
 		return
 	}
-	k.first = d.change + 1
-	k.gaps = Gaps{}
+	k.firstRevision = d.revision + 1
+	k.intervals = Gaps{}
 }
 
-// Leave notes that a server leaves for good, and reports whether that is new. A server that doesn't say its
-// incarnation, which is zero then, means the one that is known. One that isn't known yet
-// is remembered too: its heartbeats may be on their way.
+// Leave records that a server leaves for good and reports whether that is new. An
+// incarnation of 0 means the one that is known. A server that isn't known yet is recorded
+// too, since its heartbeats may still arrive.
 func (d *Directory) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) bool {
 	k := d.records[id]
 	if k != nil && i == 0 {
 		i = k.record.Announcement.Incarnation
 	}
-	word := Announcement{
+	departure := Announcement{
 		Server:      id,
 		Incarnation: max(i, 1),
 		Leaving:     true,
 	}
-	if k != nil && word.Incarnation <= k.record.Announcement.Incarnation {
-		return d.leave(k, word)
+	if k != nil && departure.Incarnation <= k.record.Announcement.Incarnation {
+		return d.markLeaving(k, departure)
 	}
-	d.put(now, Record{
-		Announcement: word,
+	d.add(now, Record{
+		Announcement: departure,
 		Owner:        d.self,
 	})
 	return true
 }
 
-// Merge takes a record that another host told, and reports whether it changed anything.
+// Merge merges a record received from another host and reports whether it changed
+// anything.
 func (d *Directory) Merge(now time.Time, r Record) bool {
 	k := d.records[r.Announcement.Server]
 	if k == nil {
-		d.put(now, r)
+		d.add(now, r)
 		return true
 	}
-	held := k.record
+	current := k.record
 	switch {
-	case newer(held.Announcement, r.Announcement):
-		return d.leave(k, r.Announcement)
-	case newer(r.Announcement, held.Announcement):
-		r.Announcement.Leaving = r.Announcement.Leaving || held.leaves(r.Announcement.Incarnation)
-		d.renew(k, r.Announcement.Incarnation)
-		k.heardAt = now
+	case newer(current.Announcement, r.Announcement):
+		return d.markLeaving(k, r.Announcement)
+	case newer(r.Announcement, current.Announcement):
+		r.Announcement.Leaving = r.Announcement.Leaving || current.leavingAs(r.Announcement.Incarnation)
+		d.startInstance(k, r.Announcement.Incarnation)
+		k.lastSeen = now
 	default:
-		// The same heartbeat: what was found out since, a silence or a leaving, stays.
-		r.Announcement.Leaving = r.Announcement.Leaving || held.Announcement.Leaving
-		r.Silent = r.Silent || held.Silent
-		r.Owner = max(r.Owner, held.Owner)
+		// Both records are of the same heartbeat: a silence or a leaving found since is
+		// kept.
+		r.Announcement.Leaving = r.Announcement.Leaving || current.Announcement.Leaving
+		r.Silent = r.Silent || current.Silent
+		r.Owner = max(r.Owner, current.Owner)
 	}
-	same := sameServer(r.Announcement, held.Announcement) && r.Owner == held.Owner && r.Silent == held.Silent
+	unchanged := sameServer(r.Announcement, current.Announcement) && r.Owner == current.Owner && r.Silent == current.Silent
 	k.record = r
-	if !same {
-		d.note(k)
+	if !unchanged {
+		d.recordChange(k)
 	}
-	return !same
+	return !unchanged
 }
 
-// leave is rule 3 for a word that came late, or that says nothing else.
-func (d *Directory) leave(k *kept, a Announcement) bool {
-	held := &k.record.Announcement
-	if a.Incarnation != held.Incarnation || !a.Leaving || held.Leaving {
+// markLeaving applies the leaving flag of an announcement that is not newer (rule 3), and
+// reports whether that changed anything.
+func (d *Directory) markLeaving(k *directoryEntry, a Announcement) bool {
+	current := &k.record.Announcement
+	if a.Incarnation != current.Incarnation || !a.Leaving || current.Leaving {
 		return false
 	}
-	held.Leaving = true
-	d.note(k)
+	current.Leaving = true
+	d.recordChange(k)
 	return true
 }
 
-func (d *Directory) put(now time.Time, r Record) {
-	k := &kept{
-		record:  r,
-		heardAt: now,
+func (d *Directory) add(now time.Time, r Record) {
+	k := &directoryEntry{
+		record:   r,
+		lastSeen: now,
 	}
 	d.records[r.Announcement.Server] = k
-	d.note(k)
-	k.first = k.change
+	d.recordChange(k)
+	k.firstRevision = k.revision
 }
 
-func (d *Directory) note(k *kept) {
-	d.change++
-	k.change = d.change
+func (d *Directory) recordChange(k *directoryEntry) {
+	d.revision++
+	k.revision = d.revision
 }
 
-// Step notes the servers that this host owns and that have gone silent (rule 9),
-// and forgets old tombstones. It reports whether followers have to be told.
+// Step marks the servers that this host owns and that have become silent (rule 9), and
+// removes expired tombstones. It reports whether followers have to be notified.
 func (d *Directory) Step(now time.Time) bool {
 	changed := false
 	for id, k := range d.records {
-		over := k.record.Announcement.Leaving || k.record.Silent
-		if over && now.Sub(k.heardAt) > keepTombstone {
+		inactive := k.record.Announcement.Leaving || k.record.Silent
+		if inactive && now.Sub(k.lastSeen) > tombstoneTTL {
 			delete(d.records, id)
 			continue
 		}
-		silence := goneAfter * k.gaps.Bound(leastSilence, mostSilence)
-		if !over && k.record.Owner == d.self && now.Sub(k.heardAt) > silence {
+		maxSilence := deadFactor * k.intervals.Bound(minSilenceBound, maxSilenceBound)
+		if !inactive && k.record.Owner == d.self && now.Sub(k.lastSeen) > maxSilence {
 			k.record.Silent = true
-			d.note(k)
+			d.recordChange(k)
 			changed = true
 		}
 	}
 	return changed
 }
 
-// Change is the number of the newest change.
+// Change returns the directory's current revision.
 func (d *Directory) Change() uint64 {
-	return d.change
+	return d.revision
 }
 
-// Since gives the records that changed after a change, in the order in which
-// their servers became known: of two servers at one address the later is the one that is there.
+// Since returns the records changed after a revision, in the order in which their
+// incarnations became known, so that of two servers at one address the present one comes
+// last.
 func (d *Directory) Since(change uint64) []Record {
-	var list []*kept
+	var list []*directoryEntry
 	for _, k := range d.records {
-		if k.change > change {
+		if k.revision > change {
 			list = append(list, k)
 		}
 	}
-	slices.SortFunc(list, func(a, b *kept) int {
-		return cmp.Compare(a.first, b.first)
+	slices.SortFunc(list, func(a, b *directoryEntry) int {
+		return cmp.Compare(a.firstRevision, b.firstRevision)
 	})
 	out := make([]Record, 0, len(list))
 	for _, k := range list {
--- a/internal/membership/hingeannounce/directory_test.go
+++ b/internal/membership/hingeannounce/directory_test.go
@@ -10,9 +10,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func beat(id hingeids.ServerID, sequence uint64) Announcement {
+func heartbeat(id hingeids.ServerID, sequence uint64) Announcement {
 	return Announcement{
 		Server:      id,
 		Incarnation: 1,
@@ -23,7 +23,7 @@
 	}
 }
 
-// usable gives the servers that a directory would have used.
+// usable returns for each server of a directory whether it may be sent work.
 func usable(d *Directory) map[hingeids.ServerID]bool {
 	out := make(map[hingeids.ServerID]bool)
 	for _, r := range d.Since(0) {
@@ -32,16 +32,16 @@
 	return out
 }
 
-// Heartbeats are held up behind a cut and come after their server has left. If one
-// of them revived it, requests would go to a server that is ending.
+// Delayed heartbeats that arrive after their server has left must not make it usable
+// again.
 func TestLateHeartbeatDoesNotReviveALeavingServer(t *testing.T) {
 	d := NewDirectory("control-1")
-	d.Hear(began, beat("engine", 5))
-	d.Leave(began.Add(time.Second), "engine", 0)
-	d.Hear(began.Add(2*time.Second), beat("engine", 4))
-	d.Hear(began.Add(2*time.Second), beat("engine", 6))
-	d.Merge(began.Add(2*time.Second), Record{
-		Announcement: beat("engine", 7),
+	d.Hear(startTime, heartbeat("engine", 5))
+	d.Leave(startTime.Add(time.Second), "engine", 0)
+	d.Hear(startTime.Add(2*time.Second), heartbeat("engine", 4))
+	d.Hear(startTime.Add(2*time.Second), heartbeat("engine", 6))
+	d.Merge(startTime.Add(2*time.Second), Record{
+		Announcement: heartbeat("engine", 7),
 		Owner:        "control-2",
 	})
 	want := map[hingeids.ServerID]bool{
@@ -52,75 +52,75 @@
 	}
 }
 
-// A server says that it leaves at a host that hasn't heard of it, since its
-// heartbeats went elsewhere.
+// A server leaves at a host that has received none of its heartbeats, which went to
+// another host. The heartbeats that follow must not make it usable.
 func TestLeavingIsRememberedBeforeTheFirstHeartbeat(t *testing.T) {
 	d := NewDirectory("control-1")
-	if !d.Leave(began, "engine", 0) {
-		t.Fatal("the followers weren't told")
+	if !d.Leave(startTime, "engine", 0) {
+		t.Fatal("a new departure was not reported as a change")
 	}
-	d.Merge(began, Record{
-		Announcement: beat("engine", 3),
+	d.Merge(startTime, Record{
+		Announcement: heartbeat("engine", 3),
 		Owner:        "control-2",
 	})
 	if usable(d)["engine"] {
-		t.Fatal("a server that left is usable")
+		t.Fatal("a server that has left is usable")
 	}
 }
 
-// An engine crashes without a word. Its owner notices; a host that only heard of it
-// from others must not, or every server would be silent everywhere but at one host.
+// Only the owner may report a crashed engine as silent: a host that doesn't receive its
+// heartbeats directly would report every server as silent.
 func TestOnlyTheOwnerFindsSilence(t *testing.T) {
 	owner, other := NewDirectory("control-1"), NewDirectory("control-2")
-	owner.Hear(began, beat("engine", 1))
+	owner.Hear(startTime, heartbeat("engine", 1))
 	for _, r := range owner.Since(0) {
-		other.Merge(began, r)
+		other.Merge(startTime, r)
 	}
-	late := began.Add(time.Minute)
+	late := startTime.Add(time.Minute)
 	if other.Step(late) || !usable(other)["engine"] {
-		t.Fatal("a host that isn't the owner called a server silent")
+		t.Fatal("a host that isn't the owner marked the server as silent")
 	}
-	seen := other.Change()
+	revision := other.Change()
 	if !owner.Step(late) || usable(owner)["engine"] {
-		t.Fatal("the owner didn't notice the silence")
+		t.Fatal("the owner did not mark the server as silent")
 	}
 	for _, r := range owner.Since(0) {
 		other.Merge(late, r)
 	}
-	if usable(other)["engine"] || len(other.Since(seen)) != 1 {
-		t.Fatal("the silence wasn't told on")
+	if usable(other)["engine"] || len(other.Since(revision)) != 1 {
+		t.Fatal("the silence was not propagated")
 	}
-	// It was cut off from its owner only, and finds another one.
-	if !other.Hear(late, beat("engine", 2)) || !usable(other)["engine"] {
-		t.Fatal("a server that is heard again isn't usable")
+	// The server was disconnected only from its owner and finds another one.
+	if !other.Hear(late, heartbeat("engine", 2)) || !usable(other)["engine"] {
+		t.Fatal("a server that sends heartbeats again is not usable")
 	}
 	for _, r := range other.Since(0) {
 		owner.Merge(late, r)
 	}
 	if !usable(owner)["engine"] {
-		t.Fatal("the old owner still calls it silent")
+		t.Fatal("the server is still silent at its old owner")
 	}
 }
 
-// Heartbeats that change nothing stay where they are heard: told on, they would be most of what 560
-// hosts say to each other.
-func TestHeartbeatsAreNotToldOn(t *testing.T) {
+// Heartbeats that change nothing must not be propagated, or they would be most of the
+// traffic between hosts.
+func TestUnchangedHeartbeatsAreNotPropagated(t *testing.T) {
 	d := NewDirectory("control-1")
-	d.Hear(began, beat("engine", 1))
-	change := d.Change()
+	d.Hear(startTime, heartbeat("engine", 1))
+	revision := d.Change()
 	for i := range uint64(100) {
-		if d.Hear(began.Add(time.Duration(i)*time.Second), beat("engine", 2+i)) {
-			t.Fatalf("heartbeat %d is told on", i)
+		if d.Hear(startTime.Add(time.Duration(i)*time.Second), heartbeat("engine", 2+i)) {
+			t.Fatalf("heartbeat %d is propagated", i)
 		}
 	}
-	if got := d.Since(change); len(got) != 0 {
-		t.Fatalf("%d records to be told", len(got))
+	if got := d.Since(revision); len(got) != 0 {
+		t.Fatalf("%d records to propagate, want none", len(got))
 	}
 }
 
-// Three control hosts hear servers that come, fall silent and leave, and tell each other in any
-// order. If they didn't end up alike, entry hosts that ask different ones
-// would send work to different servers for good.
+// Three control hosts receive servers that start, become silent and leave, and exchange
+// records in any order. They must converge, or entry hosts that follow different ones
+// would route to different servers forever.
 func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []hingeids.HostID{"control-1", "control-2", "control-3"}
@@ -128,7 +128,7 @@
 		for _, n := range names {
 			all = append(all, NewDirectory(n))
 		}
-		now, sequence := began, uint64(0)
+		now, sequence := startTime, uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			d := all[rapid.IntRange(0, 2).Draw(t, "host")]
@@ -144,7 +144,7 @@
 				}
 			default:
 				sequence++
-				d.Hear(now, beat(id, sequence))
+				d.Hear(now, heartbeat(id, sequence))
 			}
 		}
 		for range 4 {
--- a/internal/membership/hingeannounce/gaps.go
+++ b/internal/membership/hingeannounce/gaps.go
@@ -2,17 +2,18 @@
 
 import "time"
 
-// Gaps estimates how long a silence is still ordinary, from the silences seen
-// before: a smoothed mean and a smoothed deviation, as TCP estimates its
-// retransmission timeout. The zero Gaps has seen nothing.
+// Gaps estimates from the heartbeat intervals observed so far how long a server may be
+// silent: a smoothed mean and a smoothed deviation, as TCP computes its retransmission
+// timeout. The zero value has no observations.
 type Gaps struct {
 	mean      time.Duration
 	deviation time.Duration
 }
 
-// Weights of a new observation, one part in so many. The deviation rises at
-// once and falls slowly: a server that stalls now and then answers quickly in
-// between, and a quick fall would make each stall look like the first.
+// A new observation counts as one part in meanWeight, riseWeight or fallWeight. The
+// deviation rises fast and falls slowly: a server that stalls occasionally has many short
+// intervals in between, and after a fast decay each stall would exceed the bound again.
+// Bound permits the mean plus deviations times the deviation.
 const (
 	meanWeight = 8
 	riseWeight = 2
@@ -20,7 +21,7 @@
 	deviations = 4
 )
 
-// Observe takes a silence that has ended.
+// Observe adds the interval between two heartbeats.
 func (g *Gaps) Observe(gap time.Duration) {
 	if g.mean == 0 {
 		g.mean = gap
@@ -36,9 +37,10 @@
 	g.mean += (gap - g.mean) / meanWeight
 }
 
-// Bound gives the longest silence that is still ordinary, within limits. The
-// lower limit prevents that a quiet spell makes every hiccup a death; the upper
-// one that a slow server is never found dead.
+// Bound returns the longest expected interval, limited to between least and most. The
+// lower limit keeps a short delay after very regular heartbeats from counting as a
+// failure; the upper limit ensures that a dead server is detected even if its heartbeats
+// were slow.
 func (g Gaps) Bound(least, most time.Duration) time.Duration {
 	return min(max(g.mean+deviations*g.deviation, least), most)
 }
--- a/internal/membership/hingeannounce/lives_test.go
+++ b/internal/membership/hingeannounce/lives_test.go
@@ -13,11 +13,10 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// An engine ends, with or without a word, and starts again under the id that it had. Words of both lives are
-// held up and come in any order, at one host or through another. If the new life were taken
-// for the old one, callers would be refused while a good engine stands idle; if
-// the old one came back, their requests would be sent to a process that is gone.
-func TestLivesOfOneServerAreToldApart(t *testing.T) {
+// An engine restarts under the same ID while announcements of both incarnations arrive
+// delayed and in any order. Mistaking the new incarnation for the old one leaves a good
+// engine idle; reviving the old one sends requests to a process that has ended.
+func TestInstancesOfOneServerAreDistinguished(t *testing.T) {
 	data, err := os.ReadFile("testdata/lives.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -28,16 +27,17 @@
 			continue
 		}
 		t.Run(title, func(t *testing.T) {
-			playLives(t, steps)
+			runScript(t, steps)
 		})
 	}
 }
 
-// playLives plays lines of "hear LIFE SEQUENCE [leaving]", "told LIFE SEQUENCE [leaving]" (by another host),
-// "leave LIFE" (0 if it doesn't say it), "pass MS" and "is LIFE usable|gone".
-func playLives(t *testing.T, steps string) {
+// runScript runs lines of "hear INCARNATION SEQUENCE [leaving]" (from the server), "told
+// INCARNATION SEQUENCE [leaving]" (from another host), "leave INCARNATION" (0 if
+// unspecified), "pass MS" and "is INCARNATION usable|gone".
+func runScript(t *testing.T, steps string) {
 	d := NewDirectory("control-1")
-	now := began
+	now := startTime
 	for line := range strings.Lines(steps) {
 		words := strings.Fields(line)
 		number := func(i int) uint64 {
@@ -47,18 +47,18 @@
 			}
 			return n
 		}
-		said := func() Announcement {
-			a := beat("engine", number(2))
+		announced := func() Announcement {
+			a := heartbeat("engine", number(2))
 			a.Incarnation = hingeids.Incarnation(number(1))
 			a.Leaving = len(words) > 3
 			return a
 		}
 		switch words[0] {
 		case "hear":
-			d.Hear(now, said())
+			d.Hear(now, announced())
 		case "told":
 			d.Merge(now, Record{
-				Announcement: said(),
+				Announcement: announced(),
 				Owner:        "control-2",
 			})
 		case "leave":
@@ -67,38 +67,38 @@
 			now = now.Add(time.Duration(number(1)) * time.Millisecond)
 			d.Step(now)
 		case "is":
-			held := d.Since(0)[0]
-			got := fmt.Sprintf("is %d %s", held.Announcement.Incarnation, standing(held))
+			record := d.Since(0)[0]
+			got := fmt.Sprintf("is %d %s", record.Announcement.Incarnation, usability(record))
 			if diff := cmp.Diff(strings.TrimSpace(line), got); diff != "" {
 				t.Fatal(diff)
 			}
 		default:
-			t.Fatalf("%q isn't known", line)
+			t.Fatalf("%q: unknown command", line)
 		}
 	}
 }
 
-func standing(r Record) string {
+func usability(r Record) string {
 	if r.Usable() {
 		return "usable"
 	}
 	return "gone"
 }
 
-// A server falls silent for seconds now and then. After it has started again it doesn't: what was learned of
-// the earlier life's rhythm would keep a dead engine in use for seconds.
-func TestRhythmOfAnEarlierLifeIsForgotten(t *testing.T) {
+// A restarted server must not inherit the long heartbeat intervals of its previous
+// incarnation, or a dead engine would stay in use for seconds.
+func TestIntervalsOfAnEarlierInstanceAreDropped(t *testing.T) {
 	d := NewDirectory("control-1")
-	now := began
+	now := startTime
 	for i := range uint64(20) {
 		now = now.Add(5 * time.Second)
-		d.Hear(now, beat("engine", i))
+		d.Hear(now, heartbeat("engine", i))
 	}
-	reborn := beat("engine", 1)
-	reborn.Incarnation = 2
-	d.Hear(now, reborn)
-	d.Step(now.Add(goneAfter*leastSilence + time.Millisecond))
+	restarted := heartbeat("engine", 1)
+	restarted.Incarnation = 2
+	d.Hear(now, restarted)
+	d.Step(now.Add(deadFactor*minSilenceBound + time.Millisecond))
 	if usable(d)["engine"] {
-		t.Fatal("the new life is given the silence of the old one")
+		t.Fatal("the new incarnation is permitted the silence of the old one")
 	}
 }
--- a/internal/membership/hingeannounce/parse.go
+++ b/internal/membership/hingeannounce/parse.go
@@ -8,20 +8,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// MaxBody is the largest announcement taken, in bytes.
+// MaxBody is the size limit of an announcement, in bytes.
 const MaxBody = 4096
 
-// Bounds of what an announcement may say. An announcement has to fit a datagram
-// between entry hosts beside others, hence the short names.
+// Limits on the fields of an announcement. Names are short because several announcements
+// share one datagram between entry hosts.
 const (
 	maxName  = 64
 	maxSlots = 4096
 )
 
-// Reason says why an announcement was refused.
+// Reason is the machine-readable cause of a rejected announcement.
 type Reason string
 
-// The reasons.
+// The reasons for which Parse and Check reject an announcement.
 const (
 	ReasonTooLarge     Reason = "tooLarge"
 	ReasonNotJSON      Reason = "notJSON"
@@ -34,7 +34,7 @@
 	ReasonLoad         Reason = "load"
 )
 
-// ParseError is a refused announcement.
+// ParseError is the error for a rejected announcement.
 type ParseError struct {
 	Reason Reason
 	Cause  error
@@ -44,7 +44,7 @@
 	return "announcement refused (" + string(e.Reason) + "): " + e.Cause.Error()
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ParseError) Unwrap() error {
 	return e.Cause
 }
@@ -56,8 +56,8 @@
 	}
 }
 
-// Parse reads and checks an announcement. Every error is a *ParseError. Fields
-// that it doesn't know are passed over, so that servers may say more than we read.
+// Parse decodes and validates an announcement. Every error is a *ParseError. Unknown
+// fields are ignored, so that servers can send newer ones.
 func Parse(body []byte) (Announcement, error) {
 	if len(body) > MaxBody {
 		return Announcement{}, refuse(ReasonTooLarge, "%d bytes, at most %d", len(body), MaxBody)
@@ -72,7 +72,7 @@
 	return a, nil
 }
 
-// Check reports, as a *ParseError, what is wrong with an announcement. Rule 1.
+// Check validates an announcement (rule 1). Every error is a *ParseError.
 func (a Announcement) Check() error {
 	names := []struct {
 		field string
@@ -102,8 +102,8 @@
 	return a.Load.check()
 }
 
-func checkName(field, value string, must bool) error {
-	if must && value == "" {
+func checkName(field, value string, required bool) error {
+	if required && value == "" {
 		return refuse(ReasonName, "%s is missing", field)
 	}
 	if len(value) > maxName {
--- a/internal/membership/hingeannounce/table.go
+++ b/internal/membership/hingeannounce/table.go
@@ -8,77 +8,78 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// How long a server may be silent. Heartbeats come twice a second: three missed
-// ones are a silence of note. A server that is gone too late gets work that has to
-// be retried; one that is gone too early leaves its memory unused for a while.
+// Limits on the permitted silence. Heartbeats come twice a second, so the lower one is
+// three missed heartbeats. If a dead server is detected too late, requests sent to it have
+// to be retried; if a live one is declared dead, its memory stays unused for a while.
 const (
-	leastSilence = 1500 * time.Millisecond
-	mostSilence  = 5 * time.Second
-	// goneAfter is how many times the ordinary silence makes a server gone.
-	goneAfter = 2
+	minSilenceBound = 1500 * time.Millisecond
+	maxSilenceBound = 5 * time.Second
+	// deadFactor times the permitted silence is the silence after which a server is dead.
+	deadFactor = 2
 )
 
-// Tombstones are kept far longer than a datagram or a call can be on its way.
-// Each takes some 300 bytes, so that their bound costs about a megabyte.
+// Tombstones are kept far longer than a datagram or a call can be delayed. An entry takes
+// some 300 bytes, so that the maximum is about a megabyte.
 const (
-	keepTombstone = 10 * time.Minute
+	tombstoneTTL  = 10 * time.Minute
 	maxTombstones = 4096
 )
 
-// Outcome says what an announcement changed.
+// Outcome is the effect of an announcement on a Table.
 type Outcome uint8
 
-// The outcomes: Old changed nothing, Fresh renewed a heartbeat, Changed altered
-// what the server is (new, a new life, leaving, back, another role).
+// The outcomes: Old changed nothing, Fresh was a heartbeat without other changes, Changed
+// altered the server's state or description (new, restarted, leaving, alive again, another
+// role).
 const (
 	Old Outcome = iota
 	Fresh
 	Changed
 )
 
-// Table holds the newest announcement of each server. It is not safe for
-// concurrent use: its owner's loop alone changes it.
+// Table holds the newest announcement of each server. It is not safe for concurrent use.
 type Table struct {
 	entries map[hingeids.ServerID]*entry
 }
 
 type entry struct {
-	newest  Announcement
-	heardAt time.Time
-	gaps    Gaps
+	newest    Announcement
+	lastSeen  time.Time
+	intervals Gaps
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
 		entries: make(map[hingeids.ServerID]*entry),
 	}
 }
 
-// Take takes an announcement of the given age.
+// Take applies an announcement that was sent age ago.
 func (t *Table) Take(now time.Time, a Announcement, age time.Duration) Outcome {
-	heard := now.Add(-max(age, 0))
+	seenAt := now.Add(-max(age, 0))
 	e := t.entries[a.Server]
 	if e == nil {
 		t.entries[a.Server] = &entry{
-			newest:  a,
-			heardAt: heard,
+			newest:   a,
+			lastSeen: seenAt,
 		}
 		return Changed
 	}
 	if !newer(a, e.newest) {
-		return e.takeOld(a)
+		return e.mergeStale(a)
 	}
-	return e.take(now, a, heard)
+	return e.mergeNewer(now, a, seenAt)
 }
 
-// newer orders announcements of one server. Rule 2.
+// newer reports whether a is newer than b, an announcement of the same server (rule 2).
 func newer(a, b Announcement) bool {
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence)) > 0
 }
 
-// takeOld keeps only that a server leaves. Rule 3.
-func (e *entry) takeOld(a Announcement) Outcome {
+// mergeStale applies an announcement that is not newer: only its leaving flag counts (rule
+// 3).
+func (e *entry) mergeStale(a Announcement) Outcome {
 	if a.Incarnation != e.newest.Incarnation || !a.Leaving || e.newest.Leaving {
 		return Old
 	}
@@ -86,48 +87,48 @@
 	return Changed
 }
 
-func (e *entry) take(now time.Time, a Announcement, heard time.Time) Outcome {
+func (e *entry) mergeNewer(now time.Time, a Announcement, seenAt time.Time) Outcome {
 	before := e.newest
-	wasGone := e.gone(now)
+	wasDead := e.dead(now)
 	if a.Incarnation == before.Incarnation {
 		a.Leaving = a.Leaving || before.Leaving // Rule 3.
-		e.gaps.Observe(max(heard.Sub(e.heardAt), 0))
+		e.intervals.Observe(max(seenAt.Sub(e.lastSeen), 0))
 	} else {
-		e.gaps = Gaps{}
+		e.intervals = Gaps{}
 	}
-	if heard.After(e.heardAt) {
-		e.heardAt = heard
+	if seenAt.After(e.lastSeen) {
+		e.lastSeen = seenAt
 	}
 	e.newest = a
-	if wasGone || !sameServer(before, a) {
+	if wasDead || !sameServer(before, a) {
 		return Changed
 	}
 	return Fresh
 }
 
-// sameServer reports whether two announcements differ only as heartbeats do.
+// sameServer reports whether two announcements differ only in sequence and load.
 func sameServer(a, b Announcement) bool {
 	a.Sequence, a.Load = b.Sequence, b.Load
 	return a == b
 }
 
-// gone reports a silence beyond the ordinary. Rule 5.
-func (e *entry) gone(now time.Time) bool {
-	return now.Sub(e.heardAt) > goneAfter*e.gaps.Bound(leastSilence, mostSilence)
+// dead reports whether the silence exceeds deadFactor times the permitted one (rule 5).
+func (e *entry) dead(now time.Time) bool {
+	return now.Sub(e.lastSeen) > deadFactor*e.intervals.Bound(minSilenceBound, maxSilenceBound)
 }
 
 func (e *entry) suspect(now time.Time) bool {
-	return now.Sub(e.heardAt) > e.gaps.Bound(leastSilence, mostSilence)
+	return now.Sub(e.lastSeen) > e.intervals.Bound(minSilenceBound, maxSilenceBound)
 }
 
-// Step forgets tombstones that are old or too many. Rule 6.
+// Step removes expired tombstones, and the oldest ones beyond maxTombstones (rule 6).
 func (t *Table) Step(now time.Time) {
 	var tombstones []*entry
 	for id, e := range t.entries {
-		if !e.newest.Leaving && !e.gone(now) {
+		if !e.newest.Leaving && !e.dead(now) {
 			continue
 		}
-		if now.Sub(e.heardAt) > keepTombstone {
+		if now.Sub(e.lastSeen) > tombstoneTTL {
 			delete(t.entries, id)
 			continue
 		}
@@ -137,20 +138,20 @@
 		return
 	}
 	slices.SortFunc(tombstones, func(a, b *entry) int {
-		return a.heardAt.Compare(b.heardAt)
+		return a.lastSeen.Compare(b.lastSeen)
 	})
 	for _, e := range tombstones[:len(tombstones)-maxTombstones] {
 		delete(t.entries, e.newest.Server)
 	}
 }
 
-// Aged is an announcement with its age, as it travels. Rule 4.
+// Aged is an announcement with its age, as entry hosts forward it (rule 4).
 type Aged struct {
 	Announcement Announcement  `cbor:"1,keyasint"`
 	Age          time.Duration `cbor:"2,keyasint"`
 }
 
-// Find gives the newest announcement of a server and its age.
+// Find returns the newest announcement of a server with its age.
 func (t *Table) Find(now time.Time, id hingeids.ServerID) (Aged, bool) {
 	e := t.entries[id]
 	if e == nil {
@@ -158,11 +159,12 @@
 	}
 	return Aged{
 		Announcement: e.newest,
-		Age:          now.Sub(e.heardAt),
+		Age:          now.Sub(e.lastSeen),
 	}, true
 }
 
-// All gives the newest announcement of every server, by name, tombstones included.
+// All returns the newest announcement of every server, tombstones included, sorted by
+// server ID.
 func (t *Table) All(now time.Time) []Aged {
 	out := make([]Aged, 0, len(t.entries))
 	for id := range t.entries {
--- a/internal/membership/hingeannounce/view.go
+++ b/internal/membership/hingeannounce/view.go
@@ -8,30 +8,31 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Server is a backend server as traffic sees it.
+// Server is a usable backend server in a View.
 type Server struct {
 	Announcement
-	// HeardAt is when the server said what stands here, by this host's clock.
+	// HeardAt is when the server sent the announcement, by this host's clock.
 	HeardAt time.Time
-	// Suspect says that heartbeats are missing: use it only if no other serves.
+	// Suspect reports that heartbeats are missing: use the server only if no other is
+	// available.
 	Suspect bool
 }
 
-// ReportAge is how old the load report is.
+// ReportAge returns the age of the load report.
 func (s Server) ReportAge(now time.Time) time.Duration {
 	return now.Sub(s.HeardAt)
 }
 
-// Does reports whether the server does the work of a kind.
+// Does reports whether the server does work of kind k.
 func (s Server) Does(k Kind) bool {
 	return s.Kind == k || s.Kind == Both && (k == Prefill || k == Decode)
 }
 
-// View is what was known of the backend servers at one time. Nobody changes a
-// View; the slices that its methods give are shared too.
+// View is an immutable snapshot of the usable backend servers. The slices that its methods
+// return are shared and must not be modified.
 type View struct {
 	At time.Time
-	// Servers are the usable servers, by name: neither leaving nor gone.
+	// Servers are the usable servers, neither leaving nor dead, sorted by ID.
 	Servers []Server
 	byModel map[modelKey][]Server
 	byName  map[hingeids.Service][]Server
@@ -43,7 +44,7 @@
 	kind  Kind
 }
 
-// View makes the View of the present time. Rule 7.
+// View returns a snapshot of the table at the time now (rule 7).
 func (t *Table) View(now time.Time) *View {
 	v := &View{
 		At:      now,
@@ -52,12 +53,12 @@
 		byID:    make(map[hingeids.ServerID]Server),
 	}
 	for _, e := range t.entries {
-		if e.newest.Leaving || e.gone(now) {
+		if e.newest.Leaving || e.dead(now) {
 			continue
 		}
 		v.Servers = append(v.Servers, Server{
 			Announcement: e.newest,
-			HeardAt:      e.heardAt,
+			HeardAt:      e.lastSeen,
 			Suspect:      e.suspect(now),
 		})
 	}
@@ -87,7 +88,7 @@
 	}
 }
 
-// Find gives a usable server by its name.
+// Find returns a usable server by its ID.
 func (v *View) Find(id hingeids.ServerID) (Server, bool) {
 	if v == nil {
 		return Server{}, false
@@ -96,8 +97,8 @@
 	return s, ok
 }
 
-// Engines gives the usable engines of a model that do Prefill or Decode, in all
-// zones if the zone is empty.
+// Engines returns the usable engines of a model that do work of the kind Prefill or
+// Decode, in one zone, or in all zones if zone is empty.
 func (v *View) Engines(zone hingeids.Zone, model hingeids.Model, kind Kind) []Server {
 	if v == nil {
 		return nil
@@ -105,7 +106,7 @@
 	return inZone(v.byModel[modelKey{model: model, kind: kind}], zone)
 }
 
-// Replicas gives the usable replicas of a plain service, in all zones if the
+// Replicas returns the usable replicas of a plain service in one zone, or in all zones if
 // zone is empty.
 func (v *View) Replicas(zone hingeids.Zone, service hingeids.Service) []Server {
 	if v == nil {
