--- a/internal/membership/hingeworld/world.go
+++ b/internal/membership/hingeworld/world.go
@@ -1,6 +1,5 @@
-// Package hingeworld puts together what a process knows of the fleet: the
-// routes in force and the backend servers that may be used. Traffic reads it as a value
-// that nobody changes.
+// Package hingeworld combines the routes in force and the usable backend servers into one
+// immutable view of the cluster, which request routing reads.
 package hingeworld
 
 import (
@@ -18,32 +17,33 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// World is the fleet at one moment.
+// World is an immutable view of the cluster at one time.
 type World struct {
 	table     *hingeroutes.Table
 	replicas  map[hingeids.Service][]hingebalance.Replica
 	engines   map[hingeids.Service][]hingefleet.Engine
 	addresses map[hingeids.ServerID]string
-	// gone are the servers that take no more work, as far as they are remembered.
-	gone map[hingeids.ServerID]bool
-	// digest is of the servers, whatever their order; version names it and the table.
+	// removed holds the known servers that accept no more work.
+	removed map[hingeids.ServerID]bool
+	// digest identifies the set of usable servers in any order; version also identifies
+	// the table.
 	digest  uint64
 	version string
 }
 
-// Build makes a world of a table, which may be nil, and of records in the order in
-// which their servers became known.
+// Build returns the view for a table, which may be nil, and for the records of servers in
+// the order in which they became known.
 func Build(t *hingeroutes.Table, records []hingeannounce.Record) *World {
 	w := &World{
 		table:     t,
 		replicas:  make(map[hingeids.Service][]hingebalance.Replica),
 		engines:   make(map[hingeids.Service][]hingefleet.Engine),
 		addresses: make(map[hingeids.ServerID]string),
-		gone:      make(map[hingeids.ServerID]bool),
+		removed:   make(map[hingeids.ServerID]bool),
 	}
 	for _, r := range records {
 		if !r.Usable() {
-			w.gone[r.Announcement.Server.InLife(r.Announcement.Incarnation)] = true
+			w.removed[r.Announcement.Server.InLife(r.Announcement.Incarnation)] = true
 		}
 	}
 	for _, r := range usable(t, records) {
@@ -51,34 +51,35 @@
 		a.Server = a.Server.InLife(a.Incarnation)
 		w.add(a)
 	}
-	w.version = w.named()
+	w.version = w.versionString()
 	return w
 }
 
-// usable gives the records of servers that may be used, by name. Of two at one
-// address, the one that became known last has it: the other has ended without a word, and is
-// found silent only later, or never if a heartbeat of it was held up. The later one would be
-// left without work if that news of the earlier one took the address from it. A server that fits no
-// service takes nobody's address: what it says may come from anybody.
+// usable returns the records of usable servers, sorted by ID. If two of them have the same
+// address, the one that became known last gets it: the other has crashed, and it is marked
+// as silent only later, or never if one of its heartbeats was delayed. Such late news must
+// not take the address from its successor. A server that matches no service can't claim an
+// address, since anybody may announce one.
 func usable(t *hingeroutes.Table, records []hingeannounce.Record) []hingeannounce.Record {
-	holder := make(map[string]hingeannounce.Record, len(records))
+	byAddress := make(map[string]hingeannounce.Record, len(records))
 	for _, r := range records {
-		if r.Usable() && fits(t, r.Announcement) {
-			holder[r.Announcement.Address] = r
+		if r.Usable() && matchesService(t, r.Announcement) {
+			byAddress[r.Announcement.Address] = r
 		}
 	}
-	return slices.SortedFunc(maps.Values(holder), func(a, b hingeannounce.Record) int {
+	return slices.SortedFunc(maps.Values(byAddress), func(a, b hingeannounce.Record) int {
 		return cmp.Compare(a.Announcement.Server, b.Announcement.Server)
 	})
 }
 
-// fits reports whether the configuration names a server's service, with engines if the server is one.
-func fits(t *hingeroutes.Table, a hingeannounce.Announcement) bool {
+// matchesService reports whether the configuration contains the announced service, with
+// engines if the server is one. Without a configuration every server matches.
+func matchesService(t *hingeroutes.Table, a hingeannounce.Announcement) bool {
 	if t == nil {
 		return true
 	}
-	s, there := t.Services[a.Service]
-	return there && (s.Engine != nil) == (roleOf(a.Kind) != 0)
+	s, ok := t.Services[a.Service]
+	return ok && (s.Engine != nil) == (roleOf(a.Kind) != 0)
 }
 
 func (w *World) add(a hingeannounce.Announcement) {
@@ -130,18 +131,19 @@
 	}
 	w.engines[a.Service] = append(w.engines[a.Service], e)
 	if role == hingefleet.Decode {
-		// A request of a model service that names no prompt can be taken by any of these.
+		// A request to a model service without a prompt may go to any decode engine.
 		w.addReplica(a)
 	}
 }
 
-// Version names what is known: the configuration's version and a digest of the servers. Two processes that know the same
-// servers by the same configuration give the same one, however they heard of them.
+// Version identifies the configuration version and the set of usable servers. It is equal
+// in two processes that have the same configuration and know the same servers, in whatever
+// order they received them.
 func (w *World) Version() string {
 	return w.version
 }
 
-func (w *World) named() string {
+func (w *World) versionString() string {
 	version := uint64(0)
 	if w.table != nil {
 		version = w.table.Version
@@ -149,16 +151,17 @@
 	return fmt.Sprintf("%d/%08x", version, uint32(w.digest))
 }
 
-// Since gives the servers that may be used now and couldn't in an earlier world, and the other way round.
-func (w *World) Since(earlier *World) (usable, gone []hingeids.ServerID) {
-	return missing(w.addresses, earlier.addresses), missing(earlier.addresses, w.addresses)
+// Since returns the servers that are usable now and weren't in an earlier view, and those
+// that no longer are, each sorted by ID.
+func (w *World) Since(earlier *World) (added, removed []hingeids.ServerID) {
+	return notIn(w.addresses, earlier.addresses), notIn(earlier.addresses, w.addresses)
 }
 
-// missing gives the servers of one map that another lacks, in order.
-func missing(from, in map[hingeids.ServerID]string) []hingeids.ServerID {
+// notIn returns the servers of one map that the other lacks, sorted by ID.
+func notIn(from, in map[hingeids.ServerID]string) []hingeids.ServerID {
 	var out []hingeids.ServerID
 	for id := range from {
-		if _, there := in[id]; !there {
+		if _, ok := in[id]; !ok {
 			out = append(out, id)
 		}
 	}
@@ -166,28 +169,29 @@
 	return out
 }
 
-// Table gives the routes in force, nil before any are known.
+// Table returns the routes in force, or nil before any are known.
 func (w *World) Table() *hingeroutes.Table {
 	return w.table
 }
 
-// Replicas gives the replicas of every service that may be used.
+// Replicas returns the usable replicas of every service. The map must not be modified.
 func (w *World) Replicas() map[hingeids.Service][]hingebalance.Replica {
 	return w.replicas
 }
 
-// Address gives a server's address.
+// Address returns the address of a usable server.
 func (w *World) Address(id hingeids.ServerID) (string, bool) {
 	a, ok := w.addresses[id]
 	return a, ok
 }
 
-// Gone reports whether a server is known to take no more work. One that was never heard of isn't.
+// Gone reports whether a server is known to accept no more work. It is false for an
+// unknown server.
 func (w *World) Gone(id hingeids.ServerID) bool {
-	return w.gone[id]
+	return w.removed[id]
 }
 
-// Engines gives the engines of every service that may be used.
+// Engines returns the usable engines of every service. The map must not be modified.
 func (w *World) Engines() map[hingeids.Service][]hingefleet.Engine {
 	return w.engines
 }
--- a/internal/membership/hingeworld/world_test.go
+++ b/internal/membership/hingeworld/world_test.go
@@ -11,12 +11,12 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-var began = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const fleetService = hingeids.Service("redacteur")
 
-// beat is a heartbeat of an engine at the one address of these tests.
-func beat(id hingeids.ServerID, sequence uint64) hingeannounce.Announcement {
+// heartbeat returns an engine's heartbeat; all engines have the same address.
+func heartbeat(id hingeids.ServerID, sequence uint64) hingeannounce.Announcement {
 	return hingeannounce.Announcement{
 		Server:      id,
 		Incarnation: 1,
@@ -28,8 +28,8 @@
 	}
 }
 
-// used names the engines that streams may be placed on.
-func used(d *hingeannounce.Directory) []hingeids.ServerID {
+// placeableEngines returns the engines on which streams may be placed.
+func placeableEngines(d *hingeannounce.Directory) []hingeids.ServerID {
 	var out []hingeids.ServerID
 	for _, e := range Build(nil, d.Since(0)).Engines()[fleetService] {
 		out = append(out, e.Server)
@@ -37,79 +37,77 @@
 	return out
 }
 
-// An engine crashes and is restarted at its address within two seconds, under a new
-// name. Its old life is found silent only after the new one has announced itself. If that
-// news took the address away from the new life, a healthy engine would get no work until
-// the old one is forgotten, ten minutes later, and callers would be refused meanwhile.
-func TestRestartedEngineIsUsedAfterItsOldLifeIsFoundSilent(t *testing.T) {
+// An engine crashes and restarts at the same address under a new ID. When the old instance
+// is found silent later, the address must stay with the new one, or a healthy engine gets
+// no work.
+func TestRestartedEngineIsUsedAfterOldInstanceGoesSilent(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
-	now := began
+	now := startTime
 	for i := range uint64(10) {
 		now = now.Add(time.Second)
-		d.Hear(now, beat("engine-before", i))
+		d.Hear(now, heartbeat("engine-before", i))
 	}
 	restarted := now.Add(2 * time.Second)
-	d.Hear(restarted, beat("engine-after", 0))
+	d.Hear(restarted, heartbeat("engine-after", 0))
 	for i := range uint64(40) {
 		now = restarted.Add(time.Duration(i) * 250 * time.Millisecond)
 		if i%4 == 0 {
-			d.Hear(now, beat("engine-after", i+1))
+			d.Hear(now, heartbeat("engine-after", i+1))
 		}
 		d.Step(now)
-		if diff := cmp.Diff([]hingeids.ServerID{"engine-after"}, used(d)); diff != "" {
+		if diff := cmp.Diff([]hingeids.ServerID{"engine-after"}, placeableEngines(d)); diff != "" {
 			t.Fatalf("%v after the restart: %s", now.Sub(restarted), diff)
 		}
 	}
 }
 
-// The same engine's last heartbeat was held up behind a cut and comes after its
-// successor's first. It would bring the old life back, and requests for it
-// would be turned away by the new one.
+// A delayed heartbeat of a crashed engine arrives after the first one of its successor.
+// The old instance must not get the address back, since the new one would reject its
+// requests.
 func TestHeldUpHeartbeatDoesNotTakeTheAddressBack(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
-	d.Hear(began, beat("engine-before", 1))
-	d.Hear(began.Add(2*time.Second), beat("engine-after", 0))
-	d.Hear(began.Add(3*time.Second), beat("engine-before", 2))
-	d.Merge(began.Add(3*time.Second), hingeannounce.Record{
-		Announcement: beat("engine-before", 3),
+	d.Hear(startTime, heartbeat("engine-before", 1))
+	d.Hear(startTime.Add(2*time.Second), heartbeat("engine-after", 0))
+	d.Hear(startTime.Add(3*time.Second), heartbeat("engine-before", 2))
+	d.Merge(startTime.Add(3*time.Second), hingeannounce.Record{
+		Announcement: heartbeat("engine-before", 3),
 		Owner:        "control-2",
 	})
-	if diff := cmp.Diff([]hingeids.ServerID{"engine-after"}, used(d)); diff != "" {
+	if diff := cmp.Diff([]hingeids.ServerID{"engine-after"}, placeableEngines(d)); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// An engine crashes and starts again under the id that it had, at another address. Whoever sends it
-// streams must not believe of the new life what was learned of the old one: it may have been
-// left alone for failing, or be thought full of streams that ended with it.
-func TestNewLifeHasANameOfItsOwn(t *testing.T) {
+// An engine restarts under the same ID at another address. The instances must have
+// different server IDs, so that failures and streams counted for the old one are not
+// attributed to the new one.
+func TestNewInstanceHasItsOwnServerID(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
-	old := beat("engine", 9)
+	old := heartbeat("engine", 9)
 	old.Incarnation = 100
-	d.Hear(began, old)
-	if diff := cmp.Diff([]hingeids.ServerID{"engine#100"}, used(d)); diff != "" {
+	d.Hear(startTime, old)
+	if diff := cmp.Diff([]hingeids.ServerID{"engine#100"}, placeableEngines(d)); diff != "" {
 		t.Fatal(diff)
 	}
-	reborn := beat("engine", 1)
-	reborn.Incarnation = 200
-	reborn.Address = "10.0.0.2:80"
-	d.Hear(began.Add(time.Second), reborn)
-	if diff := cmp.Diff([]hingeids.ServerID{"engine#200"}, used(d)); diff != "" {
+	restarted := heartbeat("engine", 1)
+	restarted.Incarnation = 200
+	restarted.Address = "10.0.0.2:80"
+	d.Hear(startTime.Add(time.Second), restarted)
+	if diff := cmp.Diff([]hingeids.ServerID{"engine#200"}, placeableEngines(d)); diff != "" {
 		t.Fatal(diff)
 	}
 	w := Build(nil, d.Since(0))
 	if a, _ := w.Address("engine#200"); a != "10.0.0.2:80" {
-		t.Fatalf("the new life is at %q", a)
+		t.Fatalf("the new instance has the address %q", a)
 	}
-	if a, there := w.Address("engine#100"); there {
-		t.Fatalf("the old life still is at %q", a)
+	if a, ok := w.Address("engine#100"); ok {
+		t.Fatalf("the old instance still has the address %q", a)
 	}
 }
 
-// Another writer announces a server of a service that nobody configured, or a plain replica of a service of engines,
-// at the address of a good engine. If it took the address, the engine would get no work for as
-// long as the writer goes on.
-func TestServerThatFitsNoServiceTakesNoAddress(t *testing.T) {
+// A server of an unconfigured service, or a plain replica announced for a service of
+// engines, must not take the address of an engine, which would then get no work.
+func TestUnconfiguredServerTakesNoAddress(t *testing.T) {
 	table := &hingeroutes.Table{
 		Services: map[hingeids.Service]hingeroutes.Service{
 			fleetService: {
@@ -128,14 +126,14 @@
 		},
 	} {
 		d := hingeannounce.NewDirectory("control-1")
-		d.Hear(began, beat("engine", 1))
+		d.Hear(startTime, heartbeat("engine", 1))
 		other.Server = "other"
 		other.Incarnation = 1
 		other.Address = "10.0.0.1:80"
-		d.Hear(began.Add(time.Second), other)
+		d.Hear(startTime.Add(time.Second), other)
 		w := Build(table, d.Since(0))
 		if a, _ := w.Address("engine"); a != "10.0.0.1:80" {
-			t.Errorf("%+v leaves the engine at %q", other, a)
+			t.Errorf("%+v: the engine has the address %q", other, a)
 		}
 		if len(w.Replicas()[fleetService]) != 1 {
 			t.Errorf("%+v: replicas %+v", other, w.Replicas()[fleetService])
@@ -143,35 +141,35 @@
 	}
 }
 
-// Three hundred hosts hear of two engines in different orders. Somebody who follows one request over their logs has to see which
-// of them knew the same, and what control hosts wrote at the change that made the difference.
-func TestVersionNamesWhatIsKnown(t *testing.T) {
-	other := beat("other", 1)
+// Hosts that know the same servers must report the same version in whatever order they
+// received them, so that the logs of different hosts can be compared.
+func TestVersionIdentifiesServersAndConfiguration(t *testing.T) {
+	other := heartbeat("other", 1)
 	other.Address = "10.0.0.2:80"
 	one, two := hingeannounce.NewDirectory("control-1"), hingeannounce.NewDirectory("control-2")
-	one.Hear(began, beat("engine", 1))
+	one.Hear(startTime, heartbeat("engine", 1))
 	before := Build(nil, one.Since(0))
-	one.Hear(began, other)
-	two.Hear(began, other)
-	two.Hear(began, beat("engine", 1))
+	one.Hear(startTime, other)
+	two.Hear(startTime, other)
+	two.Hear(startTime, heartbeat("engine", 1))
 	after := Build(nil, one.Since(0))
 	if x, y := after.Version(), Build(nil, two.Since(0)).Version(); x != y {
-		t.Errorf("the same servers are %s and %s", x, y)
+		t.Errorf("the same servers have versions %s and %s", x, y)
 	}
 	if after.Version() == before.Version() {
-		t.Errorf("one and two servers are both %s", after.Version())
+		t.Errorf("one and two servers both have version %s", after.Version())
 	}
-	usable, gone := after.Since(before)
-	if diff := cmp.Diff([]hingeids.ServerID{"other"}, usable); diff != "" || len(gone) > 0 {
-		t.Errorf("gone %v, usable %s", gone, diff)
+	added, removed := after.Since(before)
+	if diff := cmp.Diff([]hingeids.ServerID{"other"}, added); diff != "" || len(removed) > 0 {
+		t.Errorf("removed %v, diff of added: %s", removed, diff)
 	}
-	usable, gone = before.Since(after)
-	if diff := cmp.Diff([]hingeids.ServerID{"other"}, gone); diff != "" || len(usable) > 0 {
-		t.Errorf("usable %v, gone %s", usable, diff)
+	added, removed = before.Since(after)
+	if diff := cmp.Diff([]hingeids.ServerID{"other"}, removed); diff != "" || len(added) > 0 {
+		t.Errorf("added %v, diff of removed: %s", added, diff)
 	}
 	if v := Build(&hingeroutes.Table{
 		Version: 7,
 	}, nil).Version(); v != "7/00000000" {
-		t.Errorf("nothing but a configuration is %s", v)
+		t.Errorf("a configuration without servers has version %s", v)
 	}
 }
