--- a/internal/membership/hingemembers/bench_test.go
+++ b/internal/membership/hingemembers/bench_test.go
@@ -10,14 +10,13 @@
 )
 
 const (
-	benchSettles  = 12 * time.Second
-	benchMeasures = 2 * time.Second
+	benchWarmup   = 12 * time.Second
+	benchDuration = 2 * time.Second
 )
 
-// BenchmarkSlopes gives the slopes of docs/CAPACITY.md: bytes, messages and heap
-// of a member by the number of members and of servers, of which each announces
-// itself twice a second, and how old the newest known reports are. Time is that
-// of the whole simulation, all members one after the other.
+// BenchmarkSlopes measures the traffic, CPU time and heap of a member and the age of its
+// load reports, by the number of members and of servers, each of which announces itself
+// twice a second. The CPU time is that of the whole simulation divided by the members.
 func BenchmarkSlopes(b *testing.B) {
 	for _, size := range []struct{ hosts, servers int }{
 		{hosts: 7, servers: 12},
@@ -41,12 +40,12 @@
 func measureSize(b *testing.B, hosts, servers int) {
 	before := heapInUse()
 	s := newSimulation(1, 1, hosts, false)
-	announce(s, servers, benchSettles)
+	announce(s, servers, benchWarmup)
 	clear(s.bytes)
 	clear(s.messages)
-	begun := time.Now()
-	announce(s, servers, benchSettles+benchMeasures)
-	spent := time.Since(begun)
+	started := time.Now()
+	announce(s, servers, benchWarmup+benchDuration)
+	elapsed := time.Since(started)
 
 	bytes, messages, most := 0, 0, 0
 	for h := range s.bytes {
@@ -54,11 +53,11 @@
 		messages += s.messages[h]
 		most = max(most, s.bytes[h])
 	}
-	members, seconds := float64(hosts), benchMeasures.Seconds()
+	members, seconds := float64(hosts), benchDuration.Seconds()
 	b.ReportMetric(float64(bytes)/members/seconds, "B/s/member")
 	b.ReportMetric(float64(most)/seconds, "B/s/busiest")
 	b.ReportMetric(float64(messages)/members/seconds, "messages/s/member")
-	b.ReportMetric(float64(spent.Microseconds())/members/seconds, "µs/s/member")
+	b.ReportMetric(float64(elapsed.Microseconds())/members/seconds, "µs/s/member")
 	b.ReportMetric(float64(heapInUse()-before)/members, "heapB/member")
 	known, age := reports(s)
 	b.ReportMetric(known/members, "servers/member")
@@ -66,7 +65,7 @@
 	runtime.KeepAlive(s)
 }
 
-// announce has servers announce themselves in turn at the hosts, each twice a second.
+// announce sends the servers' announcements to the hosts, twice a second for each server.
 func announce(s *simulation, servers int, until time.Duration) {
 	pause := time.Second / time.Duration(2*servers)
 	for i := int(s.now / pause); s.now < until; i++ {
@@ -78,7 +77,8 @@
 	}
 }
 
-// reports counts the servers in all members' views and gives their mean age in ms.
+// reports returns the number of servers in all members' views and the mean age of their
+// reports in ms.
 func reports(s *simulation) (known, age float64) {
 	for _, h := range s.hosts {
 		now := s.clock(h)
@@ -97,24 +97,25 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkStanding gives the share of the time in which members stand, rule 7,
-// while nothing fails: three zones with a voter each, and so many hosts in a zone.
+// BenchmarkStanding measures the share of the time in which members hold a valid lease
+// (rule 7) without failures, in three zones with one voter each, by the number of hosts in
+// a zone.
 func BenchmarkStanding(b *testing.B) {
 	for _, inZone := range []int{2, 3, 6, 12, 31} {
 		b.Run(fmt.Sprintf("hostsInZone=%d", inZone), func(b *testing.B) {
 			for range b.N {
 				s := newSimulation(1, 3, inZone, false)
-				s.run(benchSettles, nil)
-				looks, standing := 0, 0
-				s.run(benchSettles+benchMeasures, func() {
+				s.run(benchWarmup, nil)
+				samples, leased := 0, 0
+				s.run(benchWarmup+benchDuration, func() {
 					for _, h := range s.hosts {
-						looks++
+						samples++
 						if s.clock(h).Before(h.state.StandsUntil(s.clock(h))) {
-							standing++
+							leased++
 						}
 					}
 				})
-				b.ReportMetric(100*float64(standing)/float64(looks), "%standing")
+				b.ReportMetric(100*float64(leased)/float64(samples), "%standing")
 			}
 		})
 	}
--- a/internal/membership/hingemembers/doc.go
+++ b/internal/membership/hingemembers/doc.go
@@ -1,42 +1,48 @@
-// Package hingemembers tells entry hosts of each other and carries the
-// announcements of backend servers between them. State is the pure part:
-// messages and the present time in, messages out. Members drives it.
+// Package hingemembers implements gossip membership of entry hosts and forwards the
+// announcements of backend servers between them. State is the pure part: it maps
+// messages and the present time to messages. Members runs it.
 //
-//  1. What is known are facts, one for each host and server, and a fact is
-//     joined with another, never overwritten: in whatever order, how often and
-//     how late facts come, hosts that got the same ones know the same.
-//  2. Of a host the newer incarnation stands. Within one, a higher version
-//     stands; leaving and over are final.
-//  3. Each round a host probes others, and each probe is acknowledged. While
-//     there are few hosts every one is probed each round; else a few are, in an order
-//     shuffled anew each time through, so that all get their turn.
-//  4. A host that leaves probes unanswered for longer than its ordinary gaps is
-//     probed through three others. Silent towards them as well, it is suspect. Any
-//     datagram from it is evidence that it lives: a slow host stretches its
-//     gaps and is not suspect, and a path cut one way is not a death.
-//  5. A host that hears it is suspect refutes with a higher version.
-//  6. Suspicion alone ends no life: a zone that is cut off is not dead. A life is
-//     over once it said so when it left, once a newer incarnation of its host
-//     is seen, or once the configuration log records it.
-//  7. An acknowledgement renews the life lease of the prober, counted from the
-//     sending of the probe. A host stands, and only then may use its shares of
-//     decode slots, while a majority of the voters or all other hosts of its
-//     zone have renewed it, and its life is in the record.
-//  8. A host of the same zone that heard nothing for longer than suspicion and
-//     lease promises to renew that life no more, and testifies. A voter that
-//     heard nothing either promises only after such a testimony. A promise is
-//     never taken back. With a majority of voters and one host of the zone
-//     against it a life is overdue: it does not stand, and the leader of the
-//     configuration log may record that it is over.
-//  9. A host whose own life is not in the record renews none: a voter that
-//     restarted has forgotten its promises, and by then either the record has the
-//     life that it promised against as over, or the testimony no longer counts.
-//  10. Facts ride on probes and acknowledgements, each a bounded number of
-//     times, and a datagram is bounded, so that a member's bytes are.
-//     What must be known soon is also sent at once. While there are few hosts, a
-//     server's heartbeat goes to each of them once, and a datagram takes first what its
-//     host has waited for the longest, so that none is served last each time.
-//  11. Every datagram carries a digest of the sender's lasting facts. A host whose
-//     digest keeps differing exchanges whole tables with the other, as a host
-//     that starts does with any one.
+// An instance is one run of a host, identified by host and incarnation. The registry
+// is the list of instances in the configuration log.
+//
+//  1. Knowledge consists of facts, one for each host and server. A fact is joined
+//     with another, never overwritten: hosts that received the same facts have the
+//     same state, whatever the order, number and delay of the messages.
+//  2. Of two facts of a host the newer incarnation wins. Within one incarnation, a
+//     higher version wins; leaving and ended are final.
+//  3. Each round a host probes others, and each probe is acknowledged. While there
+//     are few hosts, every one is probed each round; otherwise a few are, in an
+//     order that is shuffled again after each pass, so that every host is reached.
+//  4. A host that doesn't answer probes for longer than its usual intervals is
+//     probed through three others. If it doesn't answer those either, it is
+//     suspect. Any datagram from it is evidence that it is alive: a slow host
+//     widens its intervals and is not suspect, and a path that is cut in one
+//     direction doesn't count as a failure.
+//  5. A host that receives a suspicion of itself refutes it with a higher version.
+//  6. Suspicion alone ends no instance: the hosts of a zone that is cut off may be
+//     alive. An instance has ended once it said so when it left, once a newer
+//     incarnation of its host is seen, or once the registry has it as ended.
+//  7. An acknowledgement renews the prober's instance lease, counted from the
+//     sending of the probe. A host holds a valid lease, and only then may use its
+//     shares of decode slots, while a majority of the voters or all other hosts of
+//     its zone have renewed it and its instance is in the registry.
+//  8. A host of the same zone that received nothing for longer than the suspicion
+//     time and the lease casts a failure vote: a promise never to renew that
+//     instance's lease again. A voter that received nothing either casts one only
+//     after such a vote from the zone. A vote is never withdrawn. With the votes of
+//     a majority of voters and of one host of the zone the instance has expired: it
+//     holds no valid lease, and the leader of the configuration log may record it
+//     as ended.
+//  9. A host whose own instance is not in the registry renews no lease: a voter that
+//     restarted has lost its votes, and by then either the registry has the
+//     instance that it voted against as ended, or the vote no longer counts.
+//  10. Facts are piggybacked on probes and acknowledgements, each a bounded number of
+//     times, and the size of a datagram is bounded, so that a member's traffic is.
+//     Urgent facts are also sent at once. While there are few hosts, a server's
+//     heartbeat goes to each of them once, and a datagram takes the heartbeats first
+//     for which its recipient has waited the longest, so that no server is last
+//     every time.
+//  11. Every datagram carries a digest of the sender's lasting facts. Two hosts whose
+//     digests keep differing exchange whole tables, and a host that starts does so
+//     with any other host.
 package hingemembers
--- a/internal/membership/hingemembers/driver_test.go
+++ b/internal/membership/hingemembers/driver_test.go
@@ -12,9 +12,9 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingefake"
 )
 
-// Three hosts run on a fake network. A server announces itself to one and all
-// can use it; a host is recorded as over, answers its callers and comes back
-// under a new life; and when they end, no goroutine is left.
+// Three hosts run on a fake network: a server announced to one becomes usable at all, a
+// host declared ended gets a new instance after OnOver, and no goroutine is left at the
+// end.
 func TestDriversFindEachOther(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	network := hingefake.NewNetwork()
@@ -84,7 +84,8 @@
 	}
 }
 
-// waitFor waits without a bound of its own: the test binary's timeout is enough.
+// waitFor waits for a view that meets a condition, limited only by the test binary's
+// timeout.
 func waitFor(t *testing.T, m *Members, ready func(v *View) bool) {
 	t.Helper()
 	for {
@@ -95,7 +96,7 @@
 		select {
 		case <-changed:
 		case <-t.Context().Done():
-			t.Fatal("ended before it was ready")
+			t.Fatal("test ended before the condition was met")
 		}
 	}
 }
--- a/internal/membership/hingemembers/facts.go
+++ b/internal/membership/hingemembers/facts.go
@@ -6,7 +6,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// HostFact is what is known of one entry host.
+// HostFact is the known state of one entry host.
 type HostFact struct {
 	Life    hingeids.Life `cbor:"1,keyasint"`
 	Version uint32        `cbor:"2,keyasint,omitempty"`
@@ -15,8 +15,8 @@
 	Over    bool          `cbor:"5,keyasint,omitempty"`
 }
 
-// join joins two facts of one host. It is commutative, associative and
-// idempotent. Rules 1 and 2.
+// join merges two facts of one host. It is commutative, associative and idempotent (rules
+// 1 and 2).
 func join(a, b HostFact) HostFact {
 	if a.Life.Incarnation != b.Life.Incarnation {
 		if a.Life.Incarnation > b.Life.Incarnation {
@@ -33,31 +33,32 @@
 	return out
 }
 
-// Testimony says that the life By has promised not to renew the life Against.
+// Testimony is a failure vote: the instance By has promised never to renew the lease of
+// the instance Against.
 type Testimony struct {
 	By      hingeids.Life `cbor:"1,keyasint"`
 	Against hingeids.Life `cbor:"2,keyasint"`
 }
 
-// Recorded is what the configuration log says of a host's newest life.
+// Recorded is the registry's entry for the newest instance of a host.
 type Recorded struct {
 	Incarnation hingeids.Incarnation `json:"incarnation"`
 	Over        bool                 `json:"over,omitempty"`
 }
 
-// Record is what the configuration log says of the entry hosts' lives. A host
-// that starts has its life recorded; the leader records lives that are over.
+// Record is the registry of instances in the configuration log. A host that starts has its
+// instance added; the leader records instances as ended.
 type Record map[hingeids.HostID]Recorded
 
-// Has reports whether a life is in the record and not over.
+// Has reports whether an instance is in the registry and has not ended.
 func (r Record) Has(l hingeids.Life) bool {
 	return r[l.Host] == Recorded{
 		Incarnation: l.Incarnation,
 	}
 }
 
-// IsOver reports whether the record shows that a life is over: it says so, or
-// it has a newer one of the same host.
+// IsOver reports whether an instance has ended according to the registry, which marks it
+// as ended or has a newer one of the same host.
 func (r Record) IsOver(l hingeids.Life) bool {
 	got := r[l.Host]
 	return got.Incarnation > l.Incarnation || got.Incarnation == l.Incarnation && got.Over
--- a/internal/membership/hingemembers/members.go
+++ b/internal/membership/hingemembers/members.go
@@ -13,65 +13,65 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// The methods on the link.
+// The RPC methods on the link.
 const (
 	methodDatagram hingelink.Method = "members.datagram"
 	methodTable    hingelink.Method = "members.table"
 )
 
-// pullTimeout bounds an exchange of tables; another peer is tried after it.
+// pullTimeout limits an exchange of tables; after it another peer is tried.
 const pullTimeout = 2 * time.Second
 
-// Config says who a host is and what it works with.
+// Config holds a host's identity and dependencies.
 type Config struct {
 	StateConfig
 	Link   hingelink.Link
 	Events *hingeevents.Recorder
-	// Clock reads the present time; time.Now if nil.
+	// Clock returns the present time; nil means time.Now.
 	Clock func() time.Time
-	// OnOver is called, on a goroutine of its own, when this host learns that
-	// its life is over although it did not end it. It answers every caller
-	// finally; when it returns, a new life begins. The new life has to be recorded.
+	// OnOver is called on its own goroutine when this host's instance has been declared
+	// ended by others. It must send every caller a final response; after it returns, a new
+	// instance starts, which has to be added to the registry.
 	OnOver func(ended hingeids.Life)
 }
 
-// Members drives a State: one goroutine, the link's datagrams, and two cells for
-// traffic.
+// Members runs a State in one goroutine. It receives the link's datagrams and publishes
+// views of hosts and servers.
 type Members struct {
-	config  Config
-	state   *State
-	loop    *hingeboard.Loop
-	hosts   hingeboard.Cell[View]
-	servers hingeboard.Cell[hingeannounce.View]
-	states  map[hingeids.HostID]HostState
-	usable  map[hingeids.ServerID]bool
-	shown   uint64
-	shownAt time.Time
-	ending  bool
-	ctx     context.Context
+	config         Config
+	state          *State
+	loop           *hingeboard.Loop
+	hosts          hingeboard.Cell[View]
+	servers        hingeboard.Cell[hingeannounce.View]
+	hostStates     map[hingeids.HostID]HostState
+	usable         map[hingeids.ServerID]bool
+	publishedCount uint64
+	publishedAt    time.Time
+	endingInstance bool
+	ctx            context.Context
 }
 
-// New makes the members of one process and sets its handlers on the link.
+// New returns the membership of one process and registers its handlers on the link.
 func New(c Config) *Members {
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
 	now := c.Clock()
 	m := &Members{
-		config: c,
-		state:  NewState(now, c.StateConfig),
-		states: make(map[hingeids.HostID]HostState),
-		usable: make(map[hingeids.ServerID]bool),
-		ctx:    context.Background(),
+		config:     c,
+		state:      NewState(now, c.StateConfig),
+		hostStates: make(map[hingeids.HostID]HostState),
+		usable:     make(map[hingeids.ServerID]bool),
+		ctx:        context.Background(),
 	}
 	m.loop = hingeboard.NewLoop(c.Clock, m)
 	m.publish(now)
 	c.Link.HandleDatagram(methodDatagram, m.receive)
-	c.Link.HandleCall(methodTable, m.answerTable)
+	c.Link.HandleCall(methodTable, m.handleTable)
 	return m
 }
 
-// Run works until the context ends.
+// Run runs the membership loop until the context ends.
 func (m *Members) Run(ctx context.Context) error {
 	m.loop.Post(func(time.Time) {
 		m.ctx = ctx
@@ -79,43 +79,44 @@
 	return m.loop.Run(ctx)
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (m *Members) Done() <-chan struct{} {
 	return m.loop.Done()
 }
 
-// Hosts is what is known of the entry hosts, renewed at least each round.
+// Hosts returns the cell with the view of the entry hosts, updated at least once a round.
 func (m *Members) Hosts() *hingeboard.Cell[View] {
 	return &m.hosts
 }
 
-// Servers is what is known of the backend servers.
+// Servers returns the cell with the view of the backend servers.
 func (m *Members) Servers() *hingeboard.Cell[hingeannounce.View] {
 	return &m.servers
 }
 
-// Announce takes an announcement that a backend server gave to this host.
+// Announce applies an announcement that a backend server sent to this host.
 func (m *Members) Announce(a hingeannounce.Announcement) {
 	m.loop.Post(func(now time.Time) {
 		m.state.Announce(now, a)
 	})
 }
 
-// SetRecord takes what the configuration log says of lives.
+// SetRecord applies the registry of the configuration log.
 func (m *Members) SetRecord(r Record) {
 	m.loop.Post(func(time.Time) {
 		m.state.SetRecord(r)
 	})
 }
 
-// Leave tells all that this host takes no new work.
+// Leave announces to all hosts that this one accepts no new work.
 func (m *Members) Leave() {
 	m.loop.Post(func(time.Time) {
 		m.state.Leave()
 	})
 }
 
-// End tells all that this host's life is over. It returns once the news is sent.
+// End announces to all hosts that this instance has ended. It returns once the messages
+// are sent or the loop has stopped.
 func (m *Members) End() {
 	done := make(chan struct{})
 	posted := m.loop.Post(func(now time.Time) {
@@ -132,30 +133,30 @@
 	}
 }
 
-// Step is the controller's turn in the loop.
+// Step runs what is due, and returns when it has to run again. The loop calls it.
 func (m *Members) Step(now time.Time) time.Time {
 	send, next := m.state.Step(now)
 	m.send(send)
 	if from, due := m.state.Pull(now); due {
 		go m.pull(m.ctx, from, m.state.Table(now))
 	}
-	if m.state.DeclaredOver() && !m.ending {
-		m.ending = true
-		go m.endLife(m.state.Life())
+	if m.state.DeclaredOver() && !m.endingInstance {
+		m.endingInstance = true
+		go m.endInstance(m.state.Life())
 	}
-	if m.state.changes != m.shown || now.Sub(m.shownAt) >= roundEvery/2 {
+	if m.state.changeCount != m.publishedCount || now.Sub(m.publishedAt) >= roundInterval/2 {
 		m.publish(now)
 	}
 	return next
 }
 
-func (m *Members) endLife(l hingeids.Life) {
+func (m *Members) endInstance(l hingeids.Life) {
 	if m.config.OnOver != nil {
 		m.config.OnOver(l)
 	}
 	m.loop.Post(func(now time.Time) {
 		m.state.NewLife(now)
-		m.ending = false
+		m.endingInstance = false
 	})
 }
 
@@ -168,15 +169,15 @@
 func (m *Members) receive(from hingeids.HostID, body []byte) {
 	var msg Message
 	if decode(body, &msg) != nil {
-		return // A peer of another version, or a broken one: its silence will tell.
+		return // An incompatible or broken peer; it will become suspect.
 	}
 	m.loop.Post(func(now time.Time) {
 		m.send(m.state.Receive(now, from, msg))
 	})
 }
 
-// answerTable takes a peer's table and answers with the own one.
-func (m *Members) answerTable(ctx context.Context, _ hingeids.HostID, body []byte) ([]byte, error) {
+// handleTable merges a peer's table and returns the own one.
+func (m *Members) handleTable(ctx context.Context, _ hingeids.HostID, body []byte) ([]byte, error) {
 	var t Table
 	if err := decode(body, &t); err != nil {
 		return nil, err
@@ -187,19 +188,20 @@
 		answer <- encode(m.state.Table(now))
 	})
 	if !posted {
-		return nil, eris.New("members have ended")
+		return nil, eris.New("membership loop has stopped")
 	}
 	select {
 	case b := <-answer:
 		return b, nil
 	case <-m.loop.Done():
-		return nil, eris.New("members have ended")
+		return nil, eris.New("membership loop has stopped")
 	case <-ctx.Done():
-		return nil, eris.Wrap(ctx.Err(), "members table")
+		return nil, eris.Wrap(ctx.Err(), "waiting for the own table")
 	}
 }
 
-// pull exchanges tables with a peer. If it fails, the digest asks again.
+// pull exchanges tables with a peer. After a failure, differing digests cause another
+// attempt.
 func (m *Members) pull(ctx context.Context, from hingeids.HostID, own Table) {
 	ctx, cancel := context.WithTimeout(ctx, pullTimeout)
 	defer cancel()
@@ -217,11 +219,11 @@
 }
 
 func (m *Members) publish(now time.Time) {
-	m.shown, m.shownAt = m.state.changes, now
+	m.publishedCount, m.publishedAt = m.state.changeCount, now
 	hosts := m.state.View(now)
 	servers := m.state.servers.View(now)
-	m.recordHosts(now, hosts)
-	m.recordServers(now, servers)
+	m.recordHostEvents(now, hosts)
+	m.recordServerEvents(now, servers)
 	m.hosts.Store(hosts)
 	m.servers.Store(servers)
 }
@@ -233,12 +235,12 @@
 	Over:    hingeevents.HostOver,
 }
 
-func (m *Members) recordHosts(now time.Time, v *View) {
+func (m *Members) recordHostEvents(now time.Time, v *View) {
 	for _, h := range v.Hosts {
-		if m.states[h.Life.Host] == h.State {
+		if m.hostStates[h.Life.Host] == h.State {
 			continue
 		}
-		m.states[h.Life.Host] = h.State
+		m.hostStates[h.Life.Host] = h.State
 		m.config.Events.Record(now, hostEvents[h.State], hingeevents.Fields{
 			Host: h.Life.Host,
 			Zone: h.Zone,
@@ -246,7 +248,7 @@
 	}
 }
 
-func (m *Members) recordServers(now time.Time, v *hingeannounce.View) {
+func (m *Members) recordServerEvents(now time.Time, v *hingeannounce.View) {
 	for _, s := range v.Servers {
 		if !m.usable[s.Server] {
 			m.usable[s.Server] = true
@@ -257,7 +259,7 @@
 		}
 	}
 	for id := range m.usable {
-		if _, there := v.Find(id); !there {
+		if _, ok := v.Find(id); !ok {
 			delete(m.usable, id)
 			m.config.Events.Record(now, hingeevents.ServerGone, hingeevents.Fields{
 				Server: id,
--- a/internal/membership/hingemembers/members_test.go
+++ b/internal/membership/hingemembers/members_test.go
@@ -30,10 +30,9 @@
 	return h.State
 }
 
-// An entry host is killed. Its peers notice, the zone and a majority of voters
-// testify, and its life may be recorded as over within 3 s, so that what it held
-// can be given up before callers give up on the rest.
-func TestKilledHostIsOverdueSoon(t *testing.T) {
+// A killed entry host must expire within 3 s, so that its slots and requests can be
+// released before other callers time out.
+func TestKilledHostExpiresWithinBound(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(seed, 3, 2, true)
 		s.run(5*time.Second, nil)
@@ -47,9 +46,8 @@
 	}
 }
 
-// A host stalls for a second and a half every few seconds, as one does that
-// swaps, and some datagrams are lost. Once its stalls are known it may not be
-// taken for dead, or its callers would lose their requests again and again.
+// A host that stalls repeatedly, while some datagrams are lost, must not be suspect once
+// its stalls have been observed, or its callers would repeatedly lose their requests.
 func TestStallingHostIsNotSuspect(t *testing.T) {
 	for seed := range uint64(20) {
 		s := newSimulation(seed, 3, 2, true)
@@ -65,14 +63,14 @@
 			})
 		}
 		if suspected > 0 {
-			t.Errorf("seed %d: suspect in %d looks", seed, suspected)
+			t.Errorf("seed %d: suspect in %d checks, want none", seed, suspected)
 		}
 	}
 }
 
-// The path between two hosts is cut silently, one way or both. Both still reach
-// the rest, so neither may be suspect.
-func TestCutPathIsNotADeath(t *testing.T) {
+// A path between two hosts is cut in one or both directions. Both still reach the others,
+// so neither may become suspect.
+func TestCutPathDoesNotCauseSuspicion(t *testing.T) {
 	pairs := [][2]hingeids.HostID{{"host-0-0", "host-2-1"}, {"host-2-1", "host-0-0"}}
 	for ways := 1; ways <= 2; ways++ {
 		s := newSimulation(1, 3, 2, true)
@@ -83,25 +81,25 @@
 		s.run(20*time.Second, func() {
 			for _, pair := range pairs {
 				if got := s.stateOf(pair[0], pair[1]); got == Suspect {
-					t.Fatalf("%d ways cut, at %v: %s looks %v from %s", ways, s.now, pair[1], got, pair[0])
+					t.Fatalf("%d directions cut, at %v: %s is %v at %s", ways, s.now, pair[1], got, pair[0])
 				}
 			}
 		})
 	}
 }
 
-// A zone is cut off for a minute. Its hosts must go on standing, or its callers
-// would be refused although its engines are there; and no life may be recorded
-// as over, or all its requests would be given up when it comes back.
-func TestZoneCutOffGoesOnStanding(t *testing.T) {
+// The hosts of a zone that is cut off for a minute must keep their leases, or their
+// callers would be rejected although the zone's engines work; and no instance may be
+// recorded as ended, or all its requests would be lost.
+func TestIsolatedZoneKeepsItsLeases(t *testing.T) {
 	s := newSimulation(2, 3, 2, true)
 	s.run(5*time.Second, nil)
 	s.cutZone("zone-2", true)
 	s.run(60*time.Second, func() {
 		for _, h := range s.hosts {
-			s.lead(h)
+			s.recordExpired(h)
 			if now := s.clock(h); h.state.StandsUntil(now).Before(now) {
-				t.Fatalf("at %v host %s does not stand", s.now, h.config.Life.Host)
+				t.Fatalf("at %v host %s has no valid lease", s.now, h.config.Life.Host)
 			}
 		}
 	})
@@ -110,7 +108,7 @@
 	for _, a := range s.names() {
 		for _, b := range s.names() {
 			if got := s.stateOf(a, b); got != Alive {
-				t.Errorf("after the cut %s looks %v from %s", b, got, a)
+				t.Errorf("after the partition %s is %v at %s", b, got, a)
 			}
 		}
 	}
@@ -126,9 +124,8 @@
 	}
 }
 
-// A backend server tells one entry host that it leaves. Until then every host can
-// use it, and within 2 s of it none may, with a tenth of all datagrams lost and
-// the path from that host to another cut.
+// A backend server announces itself to one entry host and leaves. With lost datagrams and
+// a cut path every host must find it usable before, and unusable within 2 s after.
 func TestLeavingServerIsKnownEverywhereSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		s := newSimulation(seed, 3, 2, true)
@@ -142,16 +139,16 @@
 			first.state.Announce(s.clock(first), announcement(sequence))
 			s.run(s.now+500*time.Millisecond, nil)
 		}
-		s.wantUsable(t, true)
+		s.checkUsable(t, true)
 		leaving := announcement(sequence + 1)
 		leaving.Leaving = true
 		first.state.Announce(s.clock(first), leaving)
 		s.run(s.now+2*time.Second, nil)
-		s.wantUsable(t, false)
+		s.checkUsable(t, false)
 	}
 }
 
-func (s *simulation) wantUsable(t *testing.T, want bool) {
+func (s *simulation) checkUsable(t *testing.T, want bool) {
 	t.Helper()
 	for _, h := range s.hosts {
 		_, got := h.state.servers.View(s.clock(h)).Find("engine-1")
@@ -161,36 +158,36 @@
 	}
 }
 
-// A host that was frozen long enough to be recorded as over wakes up. It must
-// learn that its life is over, and come back under a new one.
-func TestFrozenHostLearnsThatItsLifeIsOver(t *testing.T) {
+// A frozen host that was recorded as ended resumes. It must learn that its instance has
+// ended, and rejoin with a new one.
+func TestFrozenHostLearnsThatItsInstanceHasEnded(t *testing.T) {
 	s := newSimulation(3, 3, 2, true)
 	s.run(5*time.Second, nil)
 	frozen := s.byName["host-1-1"]
 	before := frozen.state.Life()
 	frozen.dead = true
 	s.run(12*time.Second, func() {
-		s.lead(s.byName["host-0-0"])
+		s.recordExpired(s.byName["host-0-0"])
 	})
-	if !s.record.IsOver(before) {
-		t.Fatal("the frozen life was not recorded as over")
+	if !s.registry.IsOver(before) {
+		t.Fatal("the frozen instance was not recorded as ended")
 	}
 	frozen.dead = false
 	s.step(frozen, frozen.state)
 	s.run(16*time.Second, func() {
-		s.lead(s.byName["host-0-0"])
+		s.recordExpired(s.byName["host-0-0"])
 	})
 	after := frozen.state.Life()
-	if after.Incarnation <= before.Incarnation || !s.record.Has(after) {
-		t.Errorf("life %v after %v, record %v", after, before, s.record[before.Host])
+	if after.Incarnation <= before.Incarnation || !s.registry.Has(after) {
+		t.Errorf("instance %v after %v, registry entry %v", after, before, s.registry[before.Host])
 	}
 	if got := s.stateOf("host-0-0", "host-1-1"); got != Alive {
-		t.Errorf("the new life looks %v", got)
+		t.Errorf("the new instance is %v, want alive", got)
 	}
 }
 
-// Facts arrive in any order, doubled and late: what a host knows at the end must
-// not depend on it, or hosts would disagree for good.
+// The result of joining facts must not depend on their order and repetition, or hosts
+// would disagree permanently.
 func TestJoinIsTheSameInAnyOrder(t *testing.T) {
 	fact := rapid.Custom(func(t *rapid.T) HostFact {
 		return HostFact{
@@ -220,32 +217,32 @@
 	})
 }
 
-// Hosts are killed, restarted, frozen, slow and cut off in any combination, with
-// clocks that differ by up to six in a hundred. A life recorded as over may not
-// stand, or two hosts could grant one slot; and when all is well again all agree.
+// Hosts are killed, restarted, frozen, slow and cut off in random combinations, with clock
+// rates that differ by up to 6 %. An instance recorded as ended must hold no valid lease,
+// or two hosts could grant one slot; and after the faults all hosts must converge.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), 3, 2, true)
-		standsNot := func() {
+		checkLeases := func() {
 			for _, h := range s.hosts {
-				s.lead(h)
+				s.recordExpired(h)
 				now := s.clock(h)
-				if s.record.IsOver(h.state.Life()) && h.state.StandsUntil(now).After(now) {
-					t.Fatalf("at %v life %v is over and stands", s.now, h.state.Life())
+				if s.registry.IsOver(h.state.Life()) && h.state.StandsUntil(now).After(now) {
+					t.Fatalf("at %v instance %v has ended and holds a valid lease", s.now, h.state.Life())
 				}
 			}
 		}
-		s.run(3*time.Second, standsNot)
+		s.run(3*time.Second, checkLeases)
 		for range rapid.IntRange(1, 12).Draw(t, "faults") {
 			s.fault(t)
-			s.run(s.now+time.Duration(rapid.IntRange(50, 2500).Draw(t, "wait"))*time.Millisecond, standsNot)
+			s.run(s.now+time.Duration(rapid.IntRange(50, 2500).Draw(t, "wait"))*time.Millisecond, checkLeases)
 		}
-		s.mend()
-		s.run(s.now+15*time.Second, standsNot)
+		s.repair()
+		s.run(s.now+15*time.Second, checkLeases)
 		for _, a := range s.names() {
 			for _, b := range s.names() {
 				if got := s.stateOf(a, b); got != Alive {
-					t.Fatalf("at the end %s looks %v from %s", b, got, a)
+					t.Fatalf("at the end %s is %v at %s", b, got, a)
 				}
 			}
 		}
@@ -283,7 +280,7 @@
 	}
 }
 
-func (s *simulation) mend() {
+func (s *simulation) repair() {
 	clear(s.cuts)
 	s.loss = 0
 	for _, h := range s.hosts {
@@ -292,12 +289,12 @@
 			s.start(h)
 			continue
 		}
-		h.state.SetRecord(s.record)
+		h.state.SetRecord(s.registry)
 	}
 }
 
-// BenchmarkBytes reports what a member sends, with twelve servers that announce
-// themselves twice a second each, at the sizes of today and at 560 hosts.
+// BenchmarkBytes reports the traffic of a member, with twelve servers that each announce
+// themselves twice a second, for 6 and for 560 hosts.
 func BenchmarkBytes(b *testing.B) {
 	for _, size := range []struct{ zones, hosts int }{{3, 2}, {4, 140}} {
 		b.Run(fmt.Sprint(size.zones*size.hosts), func(b *testing.B) {
@@ -328,10 +325,9 @@
 	}
 }
 
-// A host shuts down in good order. Its peers learn it within a round or two and the
-// record may show it at once, so that its slots are not idle for the time that a
-// death takes to be certain.
-func TestEndedLifeIsOverdueAtOnce(t *testing.T) {
+// A host that shuts down in an orderly way must expire within a round or two, so that its
+// slots are not idle until its lease has run out.
+func TestEndedInstanceExpiresAtOnce(t *testing.T) {
 	s := newSimulation(1, 3, 2, true)
 	s.run(5*time.Second, nil)
 	ending := s.byName["host-2-1"]
@@ -347,22 +343,21 @@
 		t.Error(diff)
 	}
 	if ending.state.DeclaredOver() {
-		t.Error("a life that ended itself takes itself for declared over")
+		t.Error("an instance that ended itself is declared ended by others")
 	}
 }
 
-// Probes and acknowledgements fall into a rhythm: between two heartbeats of a
-// server a host may answer four peers and then probe all in the same order. Were
-// a heartbeat sent a number of times and not to each peer, the first ones would
-// use it up each time, and the last would take the server for gone.
+// Every peer must get each server's heartbeats even if the datagrams to the peers always
+// go out in the same order. Otherwise the first peers use up the sends, and the last ones
+// consider the server dead.
 func TestEachPeerGetsTheHeartbeats(t *testing.T) {
 	s := newSimulation(1, 3, 2, false)
 	s.run(3*time.Second, nil)
 	h := s.hosts[0]
-	told := make(map[hingeids.HostID]int)
-	tell := func(to hingeids.HostID) {
+	received := make(map[hingeids.HostID]int)
+	sendTo := func(to hingeids.HostID) {
 		out := h.state.outgoing(s.clock(h), to, Message{})
-		told[to] += len(out.Message.Servers)
+		received[to] += len(out.Message.Servers)
 	}
 	for sequence := uint64(1); sequence <= 20; sequence++ {
 		for n := range 3 {
@@ -371,15 +366,15 @@
 			h.state.Announce(s.clock(h), a)
 		}
 		for _, p := range h.state.peers[:4] {
-			tell(p.Host)
+			sendTo(p.Host)
 		}
 		for _, p := range h.state.peers {
-			tell(p.Host)
+			sendTo(p.Host)
 		}
 	}
 	for _, p := range h.state.peers {
-		if told[p.Host] < 20 {
-			t.Errorf("%s was told %d heartbeats of 60, others: %v", p.Host, told[p.Host], told)
+		if received[p.Host] < 20 {
+			t.Errorf("%s received %d of 60 heartbeats, want at least 20; all: %v", p.Host, received[p.Host], received)
 		}
 	}
 }
--- a/internal/membership/hingemembers/probe.go
+++ b/internal/membership/hingemembers/probe.go
@@ -6,219 +6,222 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Rounds and how silence is judged, in rule 4.
+// Timing of probe rounds and of failure detection (rule 4).
 const (
-	roundEvery = 200 * time.Millisecond
-	// sentRounds is how many rounds an answer may be late and still count.
-	sentRounds = 64
-	// fewPeers is up to how many peers every one is probed each round; with more,
-	// probesPerRound are. Both keep a member under its bytes, see spread.go.
-	fewPeers       = 8
+	roundInterval = 200 * time.Millisecond
+	// roundHistory is the number of rounds after which an acknowledgement is ignored.
+	roundHistory = 64
+	// fullProbePeers is the largest number of peers of which all are probed each round; of
+	// more, probesPerRound are. Both limit a member's traffic, see spread.go.
+	fullProbePeers = 8
 	probesPerRound = 4
-	// overdueProbes bounds how many silent peers are probed beyond that.
-	overdueProbes = 4
-	// leastGap bears three lost probes in a row; mostGap bounds how long a
-	// slow host can put off being found dead.
-	leastGap = 700 * time.Millisecond
-	mostGap  = 2 * time.Second
-	// askedPeers is through how many others a silent host is probed.
-	askedPeers = 3
+	// maxOverdueProbes limits the additional probes a round to peers that don't answer.
+	maxOverdueProbes = 4
+	// minSilenceBound tolerates three lost probes in a row; maxSilenceBound limits how
+	// long slow answers can delay the detection of a dead host.
+	minSilenceBound = 700 * time.Millisecond
+	maxSilenceBound = 2 * time.Second
+	// indirectProbePeers is the number of other hosts through which a silent host is
+	// probed.
+	indirectProbePeers = 3
 )
 
-// Step does what is due: a round of probes. It gives what to send, and when to
-// step again.
+// Step runs a round of probes if one is due. It returns the datagrams to send and the time
+// of the next step.
 func (s *State) Step(now time.Time) (send []Outgoing, next time.Time) {
 	send = s.flushUrgent(now)
-	if now.Before(s.nextAt) {
-		return send, s.nextAt
+	if now.Before(s.nextRoundAt) {
+		return send, s.nextRoundAt
 	}
-	s.nextAt = now.Add(roundEvery)
+	s.nextRoundAt = now.Add(roundInterval)
 	s.round++
-	s.sentAt[s.round%sentRounds] = now
+	s.sentAt[s.round%roundHistory] = now
 	s.servers.Step(now)
-	s.forgetTurns(now)
-	for _, p := range s.targets(now) {
-		if p.waitingSince.IsZero() {
-			p.waitingSince = now
+	s.pruneHeartbeats(now)
+	for _, p := range s.probeTargets(now) {
+		if p.unansweredSince.IsZero() {
+			p.unansweredSince = now
 		}
 		send = append(send, s.outgoing(now, p.Host, Message{
 			Kind:   kindProbe,
-			Origin: s.life,
+			Origin: s.instance,
 			Round:  s.round,
 		}))
 	}
-	send = append(send, s.judge(now)...)
-	return send, s.nextAt
+	send = append(send, s.evaluatePeers(now)...)
+	return send, s.nextRoundAt
 }
 
-// targets chooses whom to probe this round. Rule 3.
-func (s *State) targets(now time.Time) []*peer {
-	if len(s.peers) <= fewPeers {
+// probeTargets returns the peers to probe this round (rule 3).
+func (s *State) probeTargets(now time.Time) []*peer {
+	if len(s.peers) <= fullProbePeers {
 		return s.peers
 	}
 	var out []*peer
 	for _, p := range s.peers {
-		if len(out) < overdueProbes && p.overdue(now) && !p.fact.Over {
+		if len(out) < maxOverdueProbes && p.probeOverdue(now) && !p.fact.Over {
 			out = append(out, p)
 		}
 	}
 	for range probesPerRound {
-		out = append(out, s.nextInOrder())
+		out = append(out, s.nextShuffled())
 	}
 	return out
 }
 
-func (s *State) nextInOrder() *peer {
-	if len(s.order) == 0 {
-		s.order = append(s.order, s.peers...)
-		s.random.Shuffle(len(s.order), func(i, j int) {
-			s.order[i], s.order[j] = s.order[j], s.order[i]
+func (s *State) nextShuffled() *peer {
+	if len(s.probeOrder) == 0 {
+		s.probeOrder = append(s.probeOrder, s.peers...)
+		s.random.Shuffle(len(s.probeOrder), func(i, j int) {
+			s.probeOrder[i], s.probeOrder[j] = s.probeOrder[j], s.probeOrder[i]
 		})
 	}
-	p := s.order[0]
-	s.order = s.order[1:]
+	p := s.probeOrder[0]
+	s.probeOrder = s.probeOrder[1:]
 	return p
 }
 
-// gap is the longest ordinary wait for an answer of the peer.
-func (p *peer) gap() time.Duration {
-	return p.gaps.Bound(leastGap, mostGap)
+// silenceBound is the longest expected delay of an answer from the peer.
+func (p *peer) silenceBound() time.Duration {
+	return p.intervals.Bound(minSilenceBound, maxSilenceBound)
 }
 
-func (p *peer) overdue(now time.Time) bool {
-	return !p.waitingSince.IsZero() && now.Sub(p.waitingSince) > p.gap()
+func (p *peer) probeOverdue(now time.Time) bool {
+	return !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > p.silenceBound()
 }
 
-// silent reports that the peer has answered nobody we asked for twice its
-// ordinary gap.
+// silent reports whether the peer has answered neither direct nor indirect probes for
+// twice its silence bound.
 func (p *peer) silent(now time.Time) bool {
-	return p.silentFor(now) > 2*p.gap()
+	return p.silentFor(now) > 2*p.silenceBound()
 }
 
 func (p *peer) silentFor(now time.Time) time.Duration {
-	if p.waitingSince.IsZero() {
+	if p.unansweredSince.IsZero() {
 		return 0
 	}
-	since := p.waitingSince
-	if p.evidence.After(since) {
-		since = p.evidence
+	since := p.unansweredSince
+	if p.lastSeen.After(since) {
+		since = p.lastSeen
 	}
 	return now.Sub(since)
 }
 
-// judge asks others about overdue peers, suspects silent ones and promises.
-func (s *State) judge(now time.Time) []Outgoing {
+// evaluatePeers requests indirect probes of peers that don't answer, marks silent ones as
+// suspect and casts failure votes that are due.
+func (s *State) evaluatePeers(now time.Time) []Outgoing {
 	var send []Outgoing
 	for _, p := range s.peers {
 		if !p.known || p.fact.Over {
 			continue
 		}
-		if p.overdue(now) && now.Sub(p.askedAt) > p.gap() {
-			p.askedAt = now
-			send = append(send, s.ask(now, p)...)
+		if p.probeOverdue(now) && now.Sub(p.indirectProbeAt) > p.silenceBound() {
+			p.indirectProbeAt = now
+			send = append(send, s.requestIndirectProbes(now, p)...)
 		}
 		if p.silent(now) && !p.fact.Suspect {
 			suspected := p.fact
 			suspected.Suspect = true
-			s.takeHost(suspected)
+			s.mergeHost(suspected)
 		}
-		s.promise(now, p)
+		s.voteIfDue(now, p)
 	}
 	return send
 }
 
-// ask asks others to probe a peer. Rule 4.
-func (s *State) ask(now time.Time, about *peer) []Outgoing {
+// requestIndirectProbes requests that other hosts probe a peer (rule 4).
+func (s *State) requestIndirectProbes(now time.Time, about *peer) []Outgoing {
 	var send []Outgoing
 	for _, i := range s.random.Perm(len(s.peers)) {
 		p := s.peers[i]
-		if p == about || p.overdue(now) || p.fact.Over {
+		if p == about || p.probeOverdue(now) || p.fact.Over {
 			continue
 		}
 		send = append(send, s.outgoing(now, p.Host, Message{
-			Kind:   kindAsk,
-			Origin: s.life,
+			Kind:   kindProbeRequest,
+			Origin: s.instance,
 			Round:  s.round,
 			About:  about.fact.Life,
 		}))
-		if len(send) == askedPeers {
+		if len(send) == indirectProbePeers {
 			break
 		}
 	}
 	return send
 }
 
-// Receive takes a datagram from a peer and gives what to send at once.
+// Receive applies a datagram from a peer and returns the datagrams to send in response.
 func (s *State) Receive(now time.Time, from hingeids.HostID, m Message) []Outgoing {
 	p := s.byHost[from]
 	if p == nil || m.From.Host != from {
 		return nil
 	}
-	s.takeHost(HostFact{
+	s.mergeHost(HostFact{
 		Life: m.From,
 	})
 	if m.From.Incarnation < p.fact.Life.Incarnation {
-		return s.tellOver(now, p)
+		return s.replyEnded(now, p)
 	}
-	p.evidence = now
-	s.takeFacts(now, m)
+	p.lastSeen = now
+	s.mergeFacts(now, m)
 	s.compareDigest(p, m)
 	switch m.Kind {
 	case kindProbe:
 		return s.acknowledge(now, p, m)
 	case kindAck:
-		return s.takeAck(now, p, m)
-	case kindAsk:
-		return s.passAsk(now, m)
+		return s.handleAck(now, p, m)
+	case kindProbeRequest:
+		return s.relayProbe(now, m)
 	}
 	return nil
 }
 
-// tellOver answers a life that ended: whoever lives it must learn of it.
-func (s *State) tellOver(now time.Time, p *peer) []Outgoing {
+// replyEnded notifies an instance that it has ended, since it may still be running.
+func (s *State) replyEnded(now time.Time, p *peer) []Outgoing {
 	o := s.outgoing(now, p.Host, Message{
-		Kind: kindNews,
+		Kind: kindGossip,
 	})
 	o.Message.Hosts = append(o.Message.Hosts, p.fact)
 	return []Outgoing{o}
 }
 
-func (s *State) takeFacts(now time.Time, m Message) {
+func (s *State) mergeFacts(now time.Time, m Message) {
 	for _, f := range m.Hosts {
-		s.takeHost(f)
+		s.mergeHost(f)
 	}
 	for _, a := range m.Against {
-		s.takeTestimony(a)
+		s.mergeVote(a)
 	}
 	for _, a := range m.Servers {
 		if a.Announcement.Check() == nil {
-			s.takeServer(now, a.Announcement, a.Age, false)
+			s.mergeServer(now, a.Announcement, a.Age, false)
 		}
 	}
 }
 
-// acknowledge answers a probe. One that came on another's behalf renews nothing.
+// acknowledge answers a probe. An indirect probe renews no lease.
 func (s *State) acknowledge(now time.Time, p *peer, m Message) []Outgoing {
 	answer := Message{
 		Kind:   kindAck,
 		Origin: m.Origin,
 		Round:  m.Round,
-		About:  s.life,
+		About:  s.instance,
 	}
 	if m.Origin == m.From && s.mayRenew(m.From) {
 		answer.Leased = true
-		p.leasedAt = now
+		p.renewedAt = now
 	}
 	out := s.outgoing(now, p.Host, answer)
 	if p.fact.Suspect || p.fact.Over {
-		out.Message.Hosts = append(out.Message.Hosts, p.fact) // So that it can refute, or end. Rule 5.
+		out.Message.Hosts = append(out.Message.Hosts, p.fact) // Lets it refute the suspicion, or end (rule 5).
 	}
 	return []Outgoing{out}
 }
 
-// takeAck takes the answer to an own probe, or passes it on to who asked.
-func (s *State) takeAck(now time.Time, p *peer, m Message) []Outgoing {
-	if m.Origin.Host != s.life.Host {
+// handleAck applies the answer to an own probe, or forwards the answer to an indirect one
+// to the host that requested it.
+func (s *State) handleAck(now time.Time, p *peer, m Message) []Outgoing {
+	if m.Origin.Host != s.instance.Host {
 		if s.byHost[m.Origin.Host] == nil || m.About != m.From {
 			return nil
 		}
@@ -229,34 +232,34 @@
 			About:  m.About,
 		})}
 	}
-	if m.Origin != s.life || m.Round > s.round || s.round-m.Round >= sentRounds {
+	if m.Origin != s.instance || m.Round > s.round || s.round-m.Round >= roundHistory {
 		return nil
 	}
-	sent := s.sentAt[m.Round%sentRounds]
+	sent := s.sentAt[m.Round%roundHistory]
 	if m.About != m.From {
-		s.takeRelayed(sent, m.About)
+		s.handleRelayedAck(sent, m.About)
 		return nil
 	}
-	if !p.waitingSince.IsZero() {
-		p.gaps.Observe(now.Sub(p.waitingSince))
-		p.waitingSince = time.Time{}
+	if !p.unansweredSince.IsZero() {
+		p.intervals.Observe(now.Sub(p.unansweredSince))
+		p.unansweredSince = time.Time{}
 	}
-	if until := sent.Add(lifeLease); m.Leased && until.After(p.standUntil) {
-		p.standUntil = until
+	if until := sent.Add(instanceLease); m.Leased && until.After(p.grantedUntil) {
+		p.grantedUntil = until
 	}
 	return nil
 }
 
-// takeRelayed takes that a peer answered another who probed it for us.
-func (s *State) takeRelayed(sent time.Time, about hingeids.Life) {
+// handleRelayedAck records that a peer answered an indirect probe of this host.
+func (s *State) handleRelayedAck(sent time.Time, about hingeids.Life) {
 	p := s.byHost[about.Host]
-	if p != nil && p.fact.Life == about && sent.After(p.evidence) {
-		p.evidence = sent
+	if p != nil && p.fact.Life == about && sent.After(p.lastSeen) {
+		p.lastSeen = sent
 	}
 }
 
-// passAsk probes a host on another's behalf.
-func (s *State) passAsk(now time.Time, m Message) []Outgoing {
+// relayProbe sends a probe on behalf of another host.
+func (s *State) relayProbe(now time.Time, m Message) []Outgoing {
 	if s.byHost[m.About.Host] == nil {
 		return nil
 	}
--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -12,19 +12,19 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-// simulation runs the States of several hosts in simulated time, with delays,
-// losses, cuts, slow hosts, wrong clocks and a record that a leader changes.
+// simulation runs the States of several hosts in simulated time, with delays, losses, cut
+// paths, slow hosts, wrong clocks and a registry that a leader changes.
 type simulation struct {
-	random *rand.Rand
-	now    time.Duration
-	hosts  []*simHost
-	byName map[hingeids.HostID]*simHost
-	events []simEvent
-	serial int
-	loss   float64
-	cuts   map[[2]hingeids.HostID]bool
-	record Record
-	// proposing says that a change of the record is on its way.
+	random   *rand.Rand
+	now      time.Duration
+	hosts    []*simHost
+	byName   map[hingeids.HostID]*simHost
+	events   []simEvent
+	serial   int
+	loss     float64
+	cuts     map[[2]hingeids.HostID]bool
+	registry Record
+	// proposing reports that a change of the registry is pending.
 	proposing bool
 	// bytes and messages count what each host sent.
 	bytes    map[hingeids.HostID]int
@@ -35,12 +35,12 @@
 	config StateConfig
 	state  *State
 	rate   float64
-	// slowBy delays everything the host does; nothing is done before
-	// stalledUntil; dead hosts do nothing.
+	// slowBy delays everything that the host does; until stalledUntil and while dead it
+	// does nothing.
 	slowBy       time.Duration
 	stalledUntil time.Duration
 	dead         bool
-	lives        int
+	incarnations int
 }
 
 type simEvent struct {
@@ -54,7 +54,7 @@
 		random:   rand.New(rand.NewPCG(seed, 1)),
 		byName:   make(map[hingeids.HostID]*simHost),
 		cuts:     make(map[[2]hingeids.HostID]bool),
-		record:   make(Record),
+		registry: make(Record),
 		bytes:    make(map[hingeids.HostID]int),
 		messages: make(map[hingeids.HostID]int),
 	}
@@ -89,44 +89,44 @@
 	return s
 }
 
-// start begins a new life of a host and has it recorded.
+// start starts a new instance of a host and adds it to the registry.
 func (s *simulation) start(h *simHost) {
-	h.lives++
+	h.incarnations++
 	h.dead = false
-	h.config.Life.Incarnation = hingeids.Incarnation(h.lives)
+	h.config.Life.Incarnation = hingeids.Incarnation(h.incarnations)
 	h.state = NewState(s.clock(h), h.config)
-	s.admit(h, h.state)
+	s.register(h, h.state)
 	s.step(h, h.state)
 }
 
-func (s *simulation) admit(h *simHost, state *State) {
+func (s *simulation) register(h *simHost, state *State) {
 	s.after(s.delay(), func() {
 		if h.state == state && !h.dead {
-			s.recordLife(state.Life(), false)
+			s.setRegistry(state.Life(), false)
 		}
 	})
 }
 
-func (s *simulation) recordLife(l hingeids.Life, over bool) {
+func (s *simulation) setRegistry(l hingeids.Life, over bool) {
 	next := make(Record)
-	for k, v := range s.record {
+	for k, v := range s.registry {
 		next[k] = v
 	}
 	next[l.Host] = Recorded{
 		Incarnation: l.Incarnation,
 		Over:        over,
 	}
-	s.record = next
+	s.registry = next
 	for _, h := range s.hosts {
 		s.after(s.delay(), func() {
 			if !h.dead && !s.isolated(h) {
-				h.state.SetRecord(s.record)
+				h.state.SetRecord(s.registry)
 			}
 		})
 	}
 }
 
-// isolated reports a host that can't reach a voter other than itself.
+// isolated reports whether a host can receive from no voter other than itself.
 func (s *simulation) isolated(h *simHost) bool {
 	for _, o := range s.hosts {
 		if o != h && o.config.Voter && !s.cuts[[2]hingeids.HostID{o.config.Life.Host, h.config.Life.Host}] {
@@ -183,7 +183,7 @@
 	}
 }
 
-// step steps a host's state again and again for as long as it lives.
+// step runs a host's state until the host dies or restarts.
 func (s *simulation) step(h *simHost, state *State) {
 	s.after(s.slowness(h)+time.Duration(s.random.IntN(50))*time.Millisecond, func() {
 		if h.state != state || h.dead {
@@ -197,7 +197,7 @@
 		}
 		if state.DeclaredOver() {
 			state.NewLife(now)
-			s.admit(h, state)
+			s.register(h, state)
 		}
 		s.after(max(next.Sub(now), 0), func() {
 			s.step(h, state)
@@ -249,10 +249,10 @@
 	})
 }
 
-// checkEvery is how often checks run, in simulated time.
+// checkEvery is the interval between checks, in simulated time.
 const checkEvery = 10 * time.Millisecond
 
-// run runs until a time and calls check, if any, again and again.
+// run advances the simulated time to until and calls check, if not nil, at intervals.
 func (s *simulation) run(until time.Duration, check func()) {
 	checked := s.now
 	for len(s.events) > 0 && s.events[0].at <= until {
@@ -267,27 +267,27 @@
 	s.now = until
 }
 
-// lead records overdue lives as the leader of the configuration log does. The
-// record is committed some time after it was proposed, and only if nothing else
-// was recorded meanwhile.
-func (s *simulation) lead(h *simHost) {
-	if h.dead || s.proposing || s.isolated(h) || !sameRecord(h.state.record, s.record) {
+// recordExpired records an expired instance as the leader of the configuration log does:
+// the change is committed some time after it was proposed, and only if the registry hasn't
+// changed meanwhile.
+func (s *simulation) recordExpired(h *simHost) {
+	if h.dead || s.proposing || s.isolated(h) || !sameRegistry(h.state.registry, s.registry) {
 		return
 	}
 	for _, l := range h.state.Overdue() {
 		s.proposing = true
-		proposed := s.record
+		proposed := s.registry
 		s.after(time.Duration(s.random.IntN(2000))*time.Millisecond, func() {
 			s.proposing = false
-			if sameRecord(proposed, s.record) {
-				s.recordLife(l, true)
+			if sameRegistry(proposed, s.registry) {
+				s.setRegistry(l, true)
 			}
 		})
 		return
 	}
 }
 
-func sameRecord(a, b Record) bool {
+func sameRegistry(a, b Record) bool {
 	if len(a) != len(b) {
 		return false
 	}
--- a/internal/membership/hingemembers/spread.go
+++ b/internal/membership/hingemembers/spread.go
@@ -12,122 +12,124 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// The bounds of rule 10. A member sends at most probesPerRound+overdueProbes
-// probes a round and answers as many on average: (4+4) datagrams of up to 600
-// bytes five times a second make 24 KB/s, under the 29 KB/s that it may cost.
+// Traffic limits of rule 10. On average a member sends at most
+// probesPerRound+maxOverdueProbes probes a round and as many acknowledgements.
 const (
-	datagramFacts = 480
-	// A heartbeat that is missed is followed by another: it is sent on little.
+	maxFactBytes = 480
+	// A heartbeat is sent few times, since the next one replaces it.
 	heartbeatSends = 4
 	relaySends     = 2
-	// lastingSends times the binary logarithm of the hosts reaches all of them.
+	// lastingSends times the binary logarithm of the number of hosts is enough sends for a
+	// lasting fact to reach all of them.
 	lastingSends = 3
-	// urgentTargets bounds who is told at once.
-	urgentTargets = 8
-	// digestRounds is how many datagrams in a row may differ in digest: news on its way.
-	digestRounds = 8
-	// A whole table is exchanged once in pullEvery for each pullHosts of the hosts
-	// at most, since it grows with them.
-	pullEvery = time.Second
-	pullHosts = 64
+	// maxUrgentTargets limits the peers that urgent facts are sent to at once.
+	maxUrgentTargets = 8
+	// maxDigestMismatches is the number of mismatching digests in a row that cause an
+	// exchange of tables; fewer may be due to facts that are still being sent.
+	maxDigestMismatches = 8
+	// Whole tables grow with the number of hosts: after the first one, the interval
+	// between exchanges is one pullInterval, plus another for each hostsPerPullInterval
+	// peers.
+	pullInterval         = time.Second
+	hostsPerPullInterval = 64
 )
 
 type factKey struct {
-	host      hingeids.HostID
-	server    hingeids.ServerID
-	testimony Testimony
+	host   hingeids.HostID
+	server hingeids.ServerID
+	vote   Testimony
 }
 
-type queued struct {
-	key  factKey
-	size int
-	left int
-	fact HostFact
-	// told are the peers that have had this heartbeat, and lastTold when each had
-	// the newest one it was told, by the number of the datagram. Only kept while
-	// there are few peers.
+type queuedFact struct {
+	key       factKey
+	size      int
+	remaining int
+	fact      HostFact
+	// sentTo holds the peers that this heartbeat was sent to, and lastSent for each peer
+	// the number of the datagram with the last heartbeat of this server that it was sent.
+	// Both are nil if there are many peers.
 	heartbeat bool
-	told      map[hingeids.HostID]bool
-	lastTold  map[hingeids.HostID]uint64
+	sentTo    map[hingeids.HostID]bool
+	lastSent  map[hingeids.HostID]uint64
 }
 
-// dueTo reports whether a fact is to be sent to a peer. A heartbeat goes to each
-// peer once: sent a number of times to whoever is next, it would be used up by
-// the peers that happen to be served first, each time.
-func (q *queued) dueTo(to hingeids.HostID) bool {
-	return q.left > 0 && (!q.heartbeat || !q.told[to])
+// pendingFor reports whether the fact is still to be sent to a peer. A heartbeat goes to
+// each peer once: with a plain limit on the number of sends, the same first peers could
+// use it up each time.
+func (q *queuedFact) pendingFor(to hingeids.HostID) bool {
+	return q.remaining > 0 && (!q.heartbeat || !q.sentTo[to])
 }
 
-// noteSent counts a fact as sent to a peer.
-func (q *queued) noteSent(to hingeids.HostID, datagram uint64) {
-	q.left--
-	if q.told == nil {
+// recordSent counts a transmission of the fact to a peer.
+func (q *queuedFact) recordSent(to hingeids.HostID, datagram uint64) {
+	q.remaining--
+	if q.sentTo == nil {
 		return
 	}
-	q.told[to] = true
-	q.lastTold[to] = datagram
+	q.sentTo[to] = true
+	q.lastSent[to] = datagram
 }
 
-type spreadQueue struct {
-	items       map[factKey]*queued
+type gossipQueue struct {
+	items       map[factKey]*queuedFact
 	urgent      bool
 	datagrams   uint64
 	digest      uint64
 	digestKnown bool
 }
 
-func newSpreadQueue() spreadQueue {
-	return spreadQueue{
-		items: make(map[factKey]*queued),
+func newGossipQueue() gossipQueue {
+	return gossipQueue{
+		items: make(map[factKey]*queuedFact),
 	}
 }
 
-type pulls struct {
-	have bool
-	at   time.Time
-	from hingeids.HostID
+type pullState struct {
+	synced bool
+	lastAt time.Time
+	peer   hingeids.HostID
 }
 
-// lasting is how often a fact is sent that no later one replaces.
-func (s *State) lasting() int {
-	if len(s.peers) <= fewPeers {
+// lastingFactSends is how often a fact is sent that no later one replaces.
+func (s *State) lastingFactSends() int {
+	if len(s.peers) <= fullProbePeers {
 		return 2 * len(s.peers)
 	}
 	return lastingSends * bits.Len(uint(len(s.peers)))
 }
 
-func (s *State) spreadHost(f HostFact, urgent bool) {
+func (s *State) queueHost(f HostFact, urgent bool) {
 	key := factKey{
 		host: f.Life.Host,
 	}
-	s.queue.items[key] = &queued{
-		key:  key,
-		size: len(encode(f)),
-		left: s.lasting(),
-		fact: f,
+	s.queue.items[key] = &queuedFact{
+		key:       key,
+		size:      len(encode(f)),
+		remaining: s.lastingFactSends(),
+		fact:      f,
 	}
 	s.queue.urgent = s.queue.urgent || urgent
 }
 
-func (s *State) spreadTestimony(a Testimony) {
+func (s *State) queueVote(a Testimony) {
 	key := factKey{
-		testimony: a,
+		vote: a,
 	}
-	s.queue.items[key] = &queued{
-		key:  key,
-		size: len(encode(a)),
-		left: s.lasting(),
+	s.queue.items[key] = &queuedFact{
+		key:       key,
+		size:      len(encode(a)),
+		remaining: s.lastingFactSends(),
 	}
 	s.queue.urgent = true
 }
 
-func (s *State) spreadServer(a hingeannounce.Announcement, out hingeannounce.Outcome, direct bool) {
+func (s *State) queueServer(a hingeannounce.Announcement, out hingeannounce.Outcome, direct bool) {
 	sends := relaySends
 	switch {
 	case out == hingeannounce.Changed:
-		sends = s.lasting()
+		sends = s.lastingFactSends()
 		s.queue.urgent = true
-	case len(s.peers) > fewPeers:
+	case len(s.peers) > fullProbePeers:
 		sends = heartbeatSends
 	case direct:
 		sends = len(s.peers)
@@ -135,31 +137,32 @@
 	key := factKey{
 		server: a.Server,
 	}
-	item := &queued{
+	item := &queuedFact{
 		key:       key,
 		size:      len(encode(a)) + 10,
-		left:      sends,
+		remaining: sends,
 		heartbeat: out != hingeannounce.Changed,
 	}
-	if len(s.peers) <= fewPeers {
-		item.told = make(map[hingeids.HostID]bool)
-		item.lastTold = make(map[hingeids.HostID]uint64)
+	if len(s.peers) <= fullProbePeers {
+		item.sentTo = make(map[hingeids.HostID]bool)
+		item.lastSent = make(map[hingeids.HostID]uint64)
 	}
 	if old := s.queue.items[key]; old != nil {
-		item.left = max(sends, old.left)
-		// What is lasting in the one before must still reach everyone.
-		item.heartbeat = item.heartbeat && (old.heartbeat || old.left <= 0)
-		if item.lastTold != nil && old.lastTold != nil {
-			item.lastTold = old.lastTold
+		item.remaining = max(sends, old.remaining)
+		// A pending change in the previous announcement must still reach every peer.
+		item.heartbeat = item.heartbeat && (old.heartbeat || old.remaining <= 0)
+		if item.lastSent != nil && old.lastSent != nil {
+			item.lastSent = old.lastSent
 		}
 	}
 	s.queue.items[key] = item
 }
 
-// forgetTurns drops the turns kept for servers that the table has forgotten.
-func (s *State) forgetTurns(now time.Time) {
+// pruneHeartbeats removes items that are kept only for their lastSent, of servers that are
+// no longer in the table.
+func (s *State) pruneHeartbeats(now time.Time) {
 	for key, q := range s.queue.items {
-		if key.server == "" || q.left > 0 {
+		if key.server == "" || q.remaining > 0 {
 			continue
 		}
 		if _, ok := s.servers.Find(now, key.server); !ok {
@@ -168,7 +171,7 @@
 	}
 }
 
-// flushUrgent sends what must be known soon without waiting for the round.
+// flushUrgent returns datagrams with urgent facts, which don't wait for the next round.
 func (s *State) flushUrgent(now time.Time) []Outgoing {
 	if !s.queue.urgent {
 		return nil
@@ -176,31 +179,31 @@
 	s.queue.urgent = false
 	var send []Outgoing
 	for _, i := range s.random.Perm(len(s.peers)) {
-		if len(send) == urgentTargets || len(s.queue.items) == 0 {
+		if len(send) == maxUrgentTargets || len(s.queue.items) == 0 {
 			break
 		}
 		send = append(send, s.outgoing(now, s.peers[i].Host, Message{
-			Kind: kindNews,
+			Kind: kindGossip,
 		}))
 	}
 	return send
 }
 
-// outgoing completes a message with the facts that were sent least so far.
+// outgoing adds sender, digest and pending facts to a message.
 func (s *State) outgoing(now time.Time, to hingeids.HostID, m Message) Outgoing {
-	m.From = s.life
+	m.From = s.instance
 	m.Digest = s.digest(now)
-	room := datagramFacts
+	free := maxFactBytes
 	s.queue.datagrams++
-	for _, q := range s.due(to) {
-		if q.size > room || q.key.host == to && !q.fact.Suspect {
+	for _, q := range s.factsFor(to) {
+		if q.size > free || q.key.host == to && !q.fact.Suspect {
 			continue
 		}
-		room -= q.size
-		there := s.attach(now, &m, q)
-		q.noteSent(to, s.queue.datagrams)
-		// Where turns are kept, a heartbeat's item stays for the next one.
-		if q.left <= 0 && (q.lastTold == nil || !there) {
+		free -= q.size
+		found := s.attach(now, &m, q)
+		q.recordSent(to, s.queue.datagrams)
+		// Keeps a heartbeat's item that has a lastSent for the next heartbeat.
+		if q.remaining <= 0 && (q.lastSent == nil || !found) {
 			delete(s.queue.items, q.key)
 		}
 	}
@@ -210,35 +213,36 @@
 	}
 }
 
-// due gives what is to be sent to a peer: lasting facts first, then the
-// heartbeats that the peer has waited for the longest, then what was sent least.
-func (s *State) due(to hingeids.HostID) []*queued {
-	out := make([]*queued, 0, len(s.queue.items))
+// factsFor returns the facts to send to a peer: lasting facts first, then the heartbeats
+// for which the peer has waited the longest, then the facts that were sent least.
+func (s *State) factsFor(to hingeids.HostID) []*queuedFact {
+	out := make([]*queuedFact, 0, len(s.queue.items))
 	for _, q := range s.queue.items {
-		if q.dueTo(to) {
+		if q.pendingFor(to) {
 			out = append(out, q)
 		}
 	}
-	turn := func(q *queued) uint64 {
+	lastServed := func(q *queuedFact) uint64 {
 		if !q.heartbeat {
 			return 0
 		}
-		return 1 + q.lastTold[to]
+		return 1 + q.lastSent[to]
 	}
-	slices.SortFunc(out, func(a, b *queued) int {
+	slices.SortFunc(out, func(a, b *queuedFact) int {
 		return cmp.Or(
-			cmp.Compare(turn(a), turn(b)),
-			cmp.Compare(b.left, a.left),
+			cmp.Compare(lastServed(a), lastServed(b)),
+			cmp.Compare(b.remaining, a.remaining),
 			cmp.Compare(a.key.host, b.key.host),
 			cmp.Compare(a.key.server, b.key.server),
-			compareTestimonies(a.key.testimony, b.key.testimony),
+			compareVotes(a.key.vote, b.key.vote),
 		)
 	})
 	return out
 }
 
-// attach puts a fact into a message; false if the server is forgotten by now.
-func (s *State) attach(now time.Time, m *Message, q *queued) bool {
+// attach adds a fact to a message. It returns false if the fact is of a server that is no
+// longer in the table.
+func (s *State) attach(now time.Time, m *Message, q *queuedFact) bool {
 	switch {
 	case q.key.host != "":
 		m.Hosts = append(m.Hosts, q.fact)
@@ -249,13 +253,14 @@
 		}
 		return ok
 	default:
-		m.Against = append(m.Against, q.key.testimony)
+		m.Against = append(m.Against, q.key.vote)
 	}
 	return true
 }
 
-// digest sums up the lasting facts: lives, their ends, servers' incarnations and
-// departures. What heartbeats and suspicions change is left out. Rule 11.
+// digest is a checksum of the lasting facts: instances and which of them have ended,
+// failure votes, and the servers' incarnations and departures. It excludes what heartbeats
+// and suspicions change (rule 11).
 func (s *State) digest(now time.Time) uint64 {
 	if s.queue.digestKnown {
 		return s.queue.digest
@@ -268,13 +273,13 @@
 		f.Version, f.Suspect = 0, false
 		add(f)
 	}
-	lasting(s.own)
+	lasting(s.ownFact)
 	for _, p := range s.peers {
 		if p.known {
 			lasting(p.fact)
 		}
 	}
-	for a := range s.against {
+	for a := range s.votes {
 		add(a)
 	}
 	for _, a := range s.servers.All(now) {
@@ -286,31 +291,31 @@
 
 func (s *State) compareDigest(p *peer, m Message) {
 	if m.Digest == s.queue.digest && s.queue.digestKnown {
-		p.differs = 0
+		p.digestMismatches = 0
 		return
 	}
-	if p.differs++; p.differs >= digestRounds {
-		s.pulls.from = p.Host
+	if p.digestMismatches++; p.digestMismatches >= maxDigestMismatches {
+		s.pullState.peer = p.Host
 	}
 }
 
-// Pull gives the peer to exchange whole tables with now, if that is due.
+// Pull returns the peer to exchange whole tables with, if an exchange is due now.
 func (s *State) Pull(now time.Time) (hingeids.HostID, bool) {
-	every := pullEvery
-	if s.pulls.have {
-		every += pullEvery * time.Duration(len(s.peers)/pullHosts)
+	every := pullInterval
+	if s.pullState.synced {
+		every += pullInterval * time.Duration(len(s.peers)/hostsPerPullInterval)
 	}
-	if now.Sub(s.pulls.at) < every || len(s.peers) == 0 {
+	if now.Sub(s.pullState.lastAt) < every || len(s.peers) == 0 {
 		return "", false
 	}
-	from := s.pulls.from
-	if !s.pulls.have {
+	from := s.pullState.peer
+	if !s.pullState.synced {
 		from = s.peers[s.random.IntN(len(s.peers))].Host
 	}
 	if from == "" {
 		return "", false
 	}
-	s.pulls.at, s.pulls.from = now, ""
-	s.byHost[from].differs = 0
+	s.pullState.lastAt, s.pullState.peer = now, ""
+	s.byHost[from].digestMismatches = 0
 	return from, true
 }
--- a/internal/membership/hingemembers/standing.go
+++ b/internal/membership/hingemembers/standing.go
@@ -7,56 +7,58 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// The life lease of rule 7. Its giver counts it longer by clockMargin, one part in
-// so many: both clocks may be wrong in rate by a twentieth. It outlasts seven
-// lost probes; a dead host's slots are idle about as long.
+// instanceLease is the duration of the lease of rule 7. It outlasts seven lost probes, and
+// a dead host's slots stay idle for about as long. The granter waits longer by one part in
+// clockMarginDivisor: the clock rates of both hosts may be wrong by a twentieth.
 const (
-	lifeLease   = 1500 * time.Millisecond
-	clockMargin = 10
-	// promiseAfter is how long after suspicion a promise is made, so that a host
-	// that was slow for a moment can refute first.
-	promiseAfter = 300 * time.Millisecond
+	instanceLease      = 1500 * time.Millisecond
+	clockMarginDivisor = 10
+	// voteDelay is the time between suspicion and a failure vote, in which a host that was
+	// slow for a moment can refute.
+	voteDelay = 300 * time.Millisecond
 )
 
-// mayRenew reports whether this host may renew a life's lease. Rules 8 and 9.
+// mayRenew reports whether this host may renew an instance's lease (rules 8 and 9).
 func (s *State) mayRenew(l hingeids.Life) bool {
-	return s.record.Has(s.life) && !s.record.IsOver(l) && !s.promised(l)
+	return s.registry.Has(s.instance) && !s.registry.IsOver(l) && !s.hasVoted(l)
 }
 
-// promised reports whether this host has promised against a life, in whichever
-// life of its own.
-func (s *State) promised(against hingeids.Life) bool {
-	for a := range s.against {
-		if a.Against == against && a.By.Host == s.life.Host {
+// hasVoted reports whether any instance of this host has cast a failure vote against an
+// instance.
+func (s *State) hasVoted(against hingeids.Life) bool {
+	for a := range s.votes {
+		if a.Against == against && a.By.Host == s.instance.Host {
 			return true
 		}
 	}
 	return false
 }
 
-// promise promises against a peer's life if that is due. Rule 8.
-func (s *State) promise(now time.Time, p *peer) {
-	if p.silentFor(now) < 2*p.gap()+promiseAfter {
+// voteIfDue casts a failure vote against a peer's instance if the conditions of rule 8
+// hold.
+func (s *State) voteIfDue(now time.Time, p *peer) {
+	if p.silentFor(now) < 2*p.silenceBound()+voteDelay {
 		return
 	}
-	if now.Sub(p.leasedAt) <= lifeLease+lifeLease/clockMargin {
+	if now.Sub(p.renewedAt) <= instanceLease+instanceLease/clockMarginDivisor {
 		return
 	}
-	if p.Zone != s.zone && (!s.voter || !s.witnessed(p)) {
+	if p.Zone != s.zone && (!s.voter || !s.zoneHasVoted(p)) {
 		return
 	}
-	if !s.record.Has(s.life) || s.promised(p.fact.Life) {
+	if !s.registry.Has(s.instance) || s.hasVoted(p.fact.Life) {
 		return
 	}
-	s.takeTestimony(Testimony{
-		By:      s.life,
+	s.mergeVote(Testimony{
+		By:      s.instance,
 		Against: p.fact.Life,
 	})
 }
 
-// witnessed reports a testimony of a host of the peer's own zone.
-func (s *State) witnessed(p *peer) bool {
-	for a := range s.against {
+// zoneHasVoted reports whether a host of the peer's own zone has cast a failure vote
+// against it.
+func (s *State) zoneHasVoted(p *peer) bool {
+	for a := range s.votes {
 		if a.Against == p.fact.Life && s.zoneOf(a.By.Host) == p.Zone {
 			return true
 		}
@@ -68,49 +70,50 @@
 	if p := s.byHost[h]; p != nil {
 		return p.Zone
 	}
-	if h == s.life.Host {
+	if h == s.instance.Host {
 		return s.zone
 	}
 	return ""
 }
 
-func (s *State) takeTestimony(a Testimony) {
-	if s.against[a] || s.lifeIsPast(a.Against) {
+func (s *State) mergeVote(a Testimony) {
+	if s.votes[a] || s.superseded(a.Against) {
 		return
 	}
-	s.against[a] = true
-	s.changed()
-	s.spreadTestimony(a)
-	for old := range s.against {
-		if s.lifeIsPast(old.Against) {
-			delete(s.against, old) // Bounds them: over, nobody renews it anyway.
+	s.votes[a] = true
+	s.markChanged()
+	s.queueVote(a)
+	for old := range s.votes {
+		if s.superseded(old.Against) {
+			delete(s.votes, old) // Bounds their number: an ended instance gets no lease anyway.
 		}
 	}
 }
 
-// lifeIsPast reports a life after which the record has a newer one. One that is
-// merely over keeps its testimonies, since a host whose record is behind asks.
-func (s *State) lifeIsPast(l hingeids.Life) bool {
-	return s.record[l.Host].Incarnation > l.Incarnation
+// superseded reports whether the registry has a newer instance of the host. The votes
+// against an instance that has only ended are kept, since a host with an older registry
+// may still request its lease.
+func (s *State) superseded(l hingeids.Life) bool {
+	return s.registry[l.Host].Incarnation > l.Incarnation
 }
 
-// Overdue gives the lives that do not stand, or have ended themselves, and that the
-// record may show as over, if the one who records it finds the testifying lives still in the same
-// record. Rule 8.
+// Overdue returns the instances that have expired or have ended themselves. They may be
+// recorded as ended, provided that the instances that voted are still in the registry at
+// that time (rule 8).
 func (s *State) Overdue() []hingeids.Life {
 	var out []hingeids.Life
 	for _, p := range s.peers {
-		if p.known && s.record.Has(p.fact.Life) && (p.fact.Over || s.overdue(p)) {
+		if p.known && s.registry.Has(p.fact.Life) && (p.fact.Over || s.expired(p)) {
 			out = append(out, p.fact.Life)
 		}
 	}
 	return out
 }
 
-func (s *State) overdue(p *peer) bool {
+func (s *State) expired(p *peer) bool {
 	voters, zone := 0, false
-	for a := range s.against {
-		if a.Against != p.fact.Life || !s.record.Has(a.By) {
+	for a := range s.votes {
+		if a.Against != p.fact.Life || !s.registry.Has(a.By) {
 			continue
 		}
 		if s.isVoter(a.By.Host) {
@@ -122,7 +125,7 @@
 }
 
 func (s *State) isVoter(h hingeids.HostID) bool {
-	if h == s.life.Host {
+	if h == s.instance.Host {
 		return s.voter
 	}
 	p := s.byHost[h]
@@ -142,26 +145,27 @@
 	return voters/2 + 1
 }
 
-// StandsUntil gives when this host's standing ends unless renewed. Rule 7.
+// StandsUntil returns when this host's lease ends unless it is renewed (rule 7). It is
+// zero if the host can't hold one.
 func (s *State) StandsUntil(now time.Time) time.Time {
-	if s.own.Over || !s.record.Has(s.life) {
+	if s.ownFact.Over || !s.registry.Has(s.instance) {
 		return time.Time{}
 	}
-	byVoters, byZone := s.byVoters(now), s.byZone(now)
+	byVoters, byZone := s.voterLeaseUntil(now), s.zoneLeaseUntil(now)
 	if byVoters.After(byZone) {
 		return byVoters
 	}
 	return byZone
 }
 
-func (s *State) byVoters(now time.Time) time.Time {
+func (s *State) voterLeaseUntil(now time.Time) time.Time {
 	var until []time.Time
 	if s.voter {
-		until = append(until, now.Add(lifeLease))
+		until = append(until, now.Add(instanceLease))
 	}
 	for _, p := range s.peers {
 		if p.Voter {
-			until = append(until, p.standUntil)
+			until = append(until, p.grantedUntil)
 		}
 	}
 	if len(until) == 0 {
@@ -173,13 +177,13 @@
 	return until[s.majority()-1]
 }
 
-// byZone asks every other host of the zone, dead ones too: whether a dead one
-// has come back unknown to us can't be told while we are cut off.
-func (s *State) byZone(now time.Time) time.Time {
-	until := now.Add(lifeLease)
+// zoneLeaseUntil requires every other host of the zone, dead ones too: while this host is
+// cut off, it can't know whether a dead one has restarted.
+func (s *State) zoneLeaseUntil(now time.Time) time.Time {
+	until := now.Add(instanceLease)
 	for _, p := range s.peers {
-		if p.Zone == s.zone && p.standUntil.Before(until) {
-			until = p.standUntil
+		if p.Zone == s.zone && p.grantedUntil.Before(until) {
+			until = p.grantedUntil
 		}
 	}
 	return until
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -10,85 +10,86 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Peer is another entry host, from the settings.
+// Peer is another entry host in the settings.
 type Peer struct {
 	Host hingeids.HostID
 	Zone hingeids.Zone
-	// Voter says that the host votes on the configuration log.
+	// Voter reports that the host votes on the configuration log.
 	Voter bool
 }
 
-// StateConfig says who a State is.
+// StateConfig holds a host's identity and peers.
 type StateConfig struct {
 	Life hingeids.Life
 	Zone hingeids.Zone
-	// Voter says that this host votes on the configuration log.
+	// Voter reports that this host votes on the configuration log.
 	Voter bool
-	// Peers are the other entry hosts.
+	// Peers are the entry hosts; this one is ignored among them.
 	Peers []Peer
-	// Seed sets the order of probes.
+	// Seed seeds the order of probes.
 	Seed uint64
 }
 
-// State is what one entry host knows and owes. It is not safe for concurrent use.
+// State is the membership state of one entry host. It is not safe for concurrent use.
 type State struct {
-	life    hingeids.Life
-	zone    hingeids.Zone
-	voter   bool
-	own     HostFact
-	peers   []*peer
-	byHost  map[hingeids.HostID]*peer
-	servers *hingeannounce.Table
-	record  Record
-	// against holds every testimony known; own promises are among them.
-	against map[Testimony]bool
-	random  *rand.Rand
-	order   []*peer
-	round   uint64
-	sentAt  [sentRounds]time.Time
-	nextAt  time.Time
-	queue   spreadQueue
-	pulls   pulls
-	// seen is the highest incarnation heard of for this host.
-	seen hingeids.Incarnation
-	// changes counts what a View has to show anew.
-	changes uint64
-	// ended says that this host itself ended its life.
-	ended bool
+	instance hingeids.Life
+	zone     hingeids.Zone
+	voter    bool
+	ownFact  HostFact
+	peers    []*peer
+	byHost   map[hingeids.HostID]*peer
+	servers  *hingeannounce.Table
+	registry Record
+	// votes holds every known failure vote, own ones included.
+	votes       map[Testimony]bool
+	random      *rand.Rand
+	probeOrder  []*peer
+	round       uint64
+	sentAt      [roundHistory]time.Time
+	nextRoundAt time.Time
+	queue       gossipQueue
+	pullState   pullState
+	// highestSeen is the highest incarnation received for this host.
+	highestSeen hingeids.Incarnation
+	// changeCount counts the changes that require a new View.
+	changeCount uint64
+	// selfEnded reports that this host ended its instance itself.
+	selfEnded bool
 }
 
 type peer struct {
 	Peer
 	known bool
 	fact  HostFact
-	// waitingSince is when the oldest probe without an answer was sent, zero if none.
-	waitingSince time.Time
-	askedAt      time.Time
-	// evidence is when the life was last heard from, directly or through others.
-	evidence time.Time
-	gaps     hingeannounce.Gaps
-	// standUntil is when the life lease that this peer gave us ends.
-	standUntil time.Time
-	// leasedAt is when we last renewed this peer's life lease.
-	leasedAt time.Time
-	// differs counts datagrams in a row whose digest differed from ours.
-	differs int
+	// unansweredSince is when the oldest unanswered probe was sent, or zero.
+	unansweredSince time.Time
+	indirectProbeAt time.Time
+	// lastSeen is when the instance was last known to be alive, directly or through
+	// others.
+	lastSeen  time.Time
+	intervals hingeannounce.Gaps
+	// grantedUntil is when the lease that this peer granted to this host ends.
+	grantedUntil time.Time
+	// renewedAt is when this host last renewed the peer's lease.
+	renewedAt time.Time
+	// digestMismatches counts datagrams in a row whose digest differed from the own one.
+	digestMismatches int
 }
 
-// NewState makes the state of a host that knows nothing yet.
+// NewState returns the state of a host that knows only its peers' names and zones.
 func NewState(now time.Time, c StateConfig) *State {
 	s := &State{
-		life:    c.Life,
-		zone:    c.Zone,
-		voter:   c.Voter,
-		own:     HostFact{Life: c.Life},
-		byHost:  make(map[hingeids.HostID]*peer),
-		servers: hingeannounce.NewTable(),
-		against: make(map[Testimony]bool),
-		random:  rand.New(rand.NewPCG(c.Seed, uint64(c.Life.Incarnation))),
-		nextAt:  now,
-		queue:   newSpreadQueue(),
-		seen:    c.Life.Incarnation,
+		instance:    c.Life,
+		zone:        c.Zone,
+		voter:       c.Voter,
+		ownFact:     HostFact{Life: c.Life},
+		byHost:      make(map[hingeids.HostID]*peer),
+		servers:     hingeannounce.NewTable(),
+		votes:       make(map[Testimony]bool),
+		random:      rand.New(rand.NewPCG(c.Seed, uint64(c.Life.Incarnation))),
+		nextRoundAt: now,
+		queue:       newGossipQueue(),
+		highestSeen: c.Life.Incarnation,
 	}
 	for _, p := range c.Peers {
 		if p.Host == c.Life.Host {
@@ -100,48 +101,48 @@
 		s.peers = append(s.peers, added)
 		s.byHost[p.Host] = added
 	}
-	s.spreadHost(s.own, true)
+	s.queueHost(s.ownFact, true)
 	return s
 }
 
-// Life gives the life that this host leads now.
+// Life returns this host's present instance.
 func (s *State) Life() hingeids.Life {
-	return s.life
+	return s.instance
 }
 
-// NewLife ends this host's life and begins another, after the old one was
-// found to be over. The new incarnation is above every one heard of.
+// NewLife replaces this host's instance, which was declared ended, by a new one. The new
+// incarnation is higher than every one received for this host.
 func (s *State) NewLife(now time.Time) hingeids.Life {
-	s.seen = max(s.seen+1, hingeids.Incarnation(now.UnixNano()))
-	s.life.Incarnation = s.seen
-	s.own = HostFact{Life: s.life}
+	s.highestSeen = max(s.highestSeen+1, hingeids.Incarnation(now.UnixNano()))
+	s.instance.Incarnation = s.highestSeen
+	s.ownFact = HostFact{Life: s.instance}
 	for _, p := range s.peers {
-		p.standUntil = time.Time{}
+		p.grantedUntil = time.Time{}
 	}
-	s.changed()
-	s.spreadHost(s.own, true)
-	return s.life
+	s.markChanged()
+	s.queueHost(s.ownFact, true)
+	return s.instance
 }
 
-// Leave says that this host takes no new work. It is final for this life.
+// Leave announces that this host accepts no new work, which is final for its instance.
 func (s *State) Leave() {
-	s.own.Leaving = true
-	s.changed()
-	s.spreadHost(s.own, true)
+	s.ownFact.Leaving = true
+	s.markChanged()
+	s.queueHost(s.ownFact, true)
 }
 
-// End says that this host's life is over: all its work is done or given up.
+// End announces that this instance has ended: all its work is finished or abandoned.
 func (s *State) End() {
-	s.own.Leaving, s.own.Over, s.ended = true, true, true
-	s.changed()
-	s.spreadHost(s.own, true)
+	s.ownFact.Leaving, s.ownFact.Over, s.selfEnded = true, true, true
+	s.markChanged()
+	s.queueHost(s.ownFact, true)
 }
 
-// SetRecord takes what the configuration log says of lives. Rule 6.
+// SetRecord applies the registry of the configuration log (rule 6).
 func (s *State) SetRecord(r Record) {
-	s.record = r
+	s.registry = r
 	for host, got := range r {
-		s.takeHost(HostFact{
+		s.mergeHost(HostFact{
 			Life: hingeids.Life{
 				Host:        host,
 				Incarnation: got.Incarnation,
@@ -149,74 +150,74 @@
 			Over: got.Over,
 		})
 	}
-	s.changed()
+	s.markChanged()
 }
 
-// Announce takes an announcement from the backend server itself.
+// Announce applies an announcement that a backend server sent to this host.
 func (s *State) Announce(now time.Time, a hingeannounce.Announcement) hingeannounce.Outcome {
-	return s.takeServer(now, a, 0, true)
+	return s.mergeServer(now, a, 0, true)
 }
 
-func (s *State) changed() {
-	s.changes++
+func (s *State) markChanged() {
+	s.changeCount++
 	s.queue.digestKnown = false
 }
 
-// takeHost joins a fact with what is known and passes on what is new.
-func (s *State) takeHost(f HostFact) {
-	if f.Life.Host == s.life.Host {
-		s.takeOwn(f)
+// mergeHost joins a fact with the known one, and queues the result if it is new.
+func (s *State) mergeHost(f HostFact) {
+	if f.Life.Host == s.instance.Host {
+		s.mergeOwn(f)
 		return
 	}
 	p := s.byHost[f.Life.Host]
 	if p == nil {
-		return // Not in this host's settings: nothing could be sent to it.
+		return // Not in this host's settings, so it has no address.
 	}
 	if p.known && join(p.fact, f) == p.fact {
 		return
 	}
 	if f.Life.Incarnation > p.fact.Life.Incarnation {
-		p.begin()
+		p.resetInstance()
 	}
 	p.fact = join(p.fact, f)
 	p.known = true
-	s.changed()
-	s.spreadHost(p.fact, false)
+	s.markChanged()
+	s.queueHost(p.fact, false)
 }
 
-// begin forgets what was true of an earlier life of the peer only.
-func (p *peer) begin() {
-	p.waitingSince, p.evidence, p.leasedAt = time.Time{}, time.Time{}, time.Time{}
-	p.gaps = hingeannounce.Gaps{}
+// resetInstance clears what belongs to the peer's previous instance.
+func (p *peer) resetInstance() {
+	p.unansweredSince, p.lastSeen, p.renewedAt = time.Time{}, time.Time{}, time.Time{}
+	p.intervals = hingeannounce.Gaps{}
 }
 
-// takeOwn takes what others say of this host. Rule 5, and rule 6: a newer
-// incarnation of this host, or one said to be over, ends this life.
-func (s *State) takeOwn(f HostFact) {
-	s.seen = max(s.seen, f.Life.Incarnation)
-	if f.Life.Incarnation > s.life.Incarnation || f.Life == s.life && f.Over && !s.own.Over {
-		s.own.Over = true
-		s.changed()
+// mergeOwn applies a fact about this host from others. A suspicion is refuted (rule 5); a
+// newer incarnation, or this one marked as ended, ends the instance (rule 6).
+func (s *State) mergeOwn(f HostFact) {
+	s.highestSeen = max(s.highestSeen, f.Life.Incarnation)
+	if f.Life.Incarnation > s.instance.Incarnation || f.Life == s.instance && f.Over && !s.ownFact.Over {
+		s.ownFact.Over = true
+		s.markChanged()
 		return
 	}
-	if f.Life != s.life || !f.Suspect || f.Version < s.own.Version {
+	if f.Life != s.instance || !f.Suspect || f.Version < s.ownFact.Version {
 		return
 	}
-	s.own.Version = f.Version + 1
-	s.changed()
-	s.spreadHost(s.own, true)
+	s.ownFact.Version = f.Version + 1
+	s.markChanged()
+	s.queueHost(s.ownFact, true)
 }
 
-// DeclaredOver reports that this host's life is over although it did not end
-// it: its callers must be answered finally, then NewLife begins another.
+// DeclaredOver reports whether others have declared this host's instance ended. Its
+// callers must get a final response before NewLife is called.
 func (s *State) DeclaredOver() bool {
-	if s.ended {
+	if s.selfEnded {
 		return false
 	}
-	return s.own.Over || s.seen > s.life.Incarnation || s.record.IsOver(s.life)
+	return s.ownFact.Over || s.highestSeen > s.instance.Incarnation || s.registry.IsOver(s.instance)
 }
 
-func (s *State) takeServer(
+func (s *State) mergeServer(
 	now time.Time, a hingeannounce.Announcement, age time.Duration, direct bool,
 ) hingeannounce.Outcome {
 	out := s.servers.Take(now, a, age)
@@ -224,17 +225,17 @@
 		return out
 	}
 	if out == hingeannounce.Changed {
-		s.changed()
+		s.markChanged()
 	}
-	s.spreadServer(a, out, direct)
+	s.queueServer(a, out, direct)
 	return out
 }
 
-// Table gives everything known. Rule 11.
+// Table returns everything known (rule 11).
 func (s *State) Table(now time.Time) Table {
 	t := Table{
-		From:    s.life,
-		Hosts:   []HostFact{s.own},
+		From:    s.instance,
+		Hosts:   []HostFact{s.ownFact},
 		Servers: s.servers.All(now),
 	}
 	for _, p := range s.peers {
@@ -242,14 +243,14 @@
 			t.Hosts = append(t.Hosts, p.fact)
 		}
 	}
-	for a := range s.against {
+	for a := range s.votes {
 		t.Against = append(t.Against, a)
 	}
-	slices.SortFunc(t.Against, compareTestimonies)
+	slices.SortFunc(t.Against, compareVotes)
 	return t
 }
 
-func compareTestimonies(a, b Testimony) int {
+func compareVotes(a, b Testimony) int {
 	return cmp.Or(
 		cmp.Compare(a.Against.Host, b.Against.Host),
 		cmp.Compare(a.Against.Incarnation, b.Against.Incarnation),
@@ -258,18 +259,18 @@
 	)
 }
 
-// TakeTable joins another host's table with what is known.
+// TakeTable merges another host's table.
 func (s *State) TakeTable(now time.Time, t Table) {
-	s.pulls.have = true
+	s.pullState.synced = true
 	for _, f := range t.Hosts {
-		s.takeHost(f)
+		s.mergeHost(f)
 	}
 	for _, a := range t.Against {
-		s.takeTestimony(a)
+		s.mergeVote(a)
 	}
 	for _, a := range t.Servers {
 		if a.Announcement.Check() == nil {
-			s.takeServer(now, a.Announcement, a.Age, false)
+			s.mergeServer(now, a.Announcement, a.Age, false)
 		}
 	}
 }
--- a/internal/membership/hingemembers/view.go
+++ b/internal/membership/hingemembers/view.go
@@ -6,10 +6,10 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// HostState is how an entry host looks from here.
+// HostState is the state of an entry host in a View.
 type HostState uint8
 
-// The states of an entry host. Unknown was never heard of.
+// The states of an entry host. Unknown means that nothing was received about it.
 const (
 	Unknown HostState = iota
 	Alive
@@ -18,43 +18,43 @@
 	Over
 )
 
-// String names the state.
+// String returns the state's name.
 func (h HostState) String() string {
 	return [...]string{"unknown", "alive", "suspect", "leaving", "over"}[h]
 }
 
-// Host is an entry host as it looks from here.
+// Host is an entry host in a View.
 type Host struct {
 	Life  hingeids.Life
 	Zone  hingeids.Zone
 	State HostState
 }
 
-// View is what a host knew of all entry hosts at one time. Nobody changes it.
+// View is an immutable snapshot of what a host knows of all entry hosts.
 type View struct {
 	Self hingeids.Life
-	// Hosts are all entry hosts of the settings, this one first.
+	// Hosts are all entry hosts in the settings, this one first.
 	Hosts []Host
-	// StandsUntil is when this host's life lease ends; rule 7.
+	// StandsUntil is when this host's instance lease ends (rule 7).
 	StandsUntil time.Time
-	// Overdue are lives that the record may show as over; rule 8.
+	// Overdue are the instances that may be recorded as ended (rule 8).
 	Overdue []hingeids.Life
-	// Record is what the configuration log says of lives.
+	// Record is the registry of instances.
 	Record Record
 }
 
-// View makes the View of the present time.
+// View returns a snapshot of the state at the time now.
 func (s *State) View(now time.Time) *View {
 	v := &View{
-		Self: s.life,
+		Self: s.instance,
 		Hosts: []Host{{
-			Life:  s.life,
+			Life:  s.instance,
 			Zone:  s.zone,
-			State: s.own.state(),
+			State: s.ownFact.state(),
 		}},
 		StandsUntil: s.StandsUntil(now),
 		Overdue:     s.Overdue(),
-		Record:      s.record,
+		Record:      s.registry,
 	}
 	for _, p := range s.peers {
 		v.Hosts = append(v.Hosts, Host{
@@ -81,19 +81,19 @@
 	return Alive
 }
 
-// state prefers own fresh evidence to another's suspicion.
+// state gives this host's own recent evidence precedence over a suspicion from others.
 func (p *peer) state(now time.Time) HostState {
 	if !p.known {
 		return Unknown
 	}
 	f := p.fact
-	if f.Suspect && now.Sub(p.evidence) < p.gap() {
+	if f.Suspect && now.Sub(p.lastSeen) < p.silenceBound() {
 		f.Suspect = false
 	}
 	return f.state()
 }
 
-// Alive gives the lives in a zone that look alive, this host's own if it is.
+// Alive returns the instances in a zone in the state Alive, possibly this host's own.
 func (v *View) Alive(zone hingeids.Zone) []hingeids.Life {
 	var out []hingeids.Life
 	for _, h := range v.Hosts {
@@ -104,7 +104,7 @@
 	return out
 }
 
-// Find gives a host by its name.
+// Find returns a host by its ID.
 func (v *View) Find(id hingeids.HostID) (Host, bool) {
 	for _, h := range v.Hosts {
 		if h.Life.Host == id {
--- a/internal/membership/hingemembers/wire.go
+++ b/internal/membership/hingemembers/wire.go
@@ -10,25 +10,25 @@
 
 type messageKind uint8
 
-// A probe asks for an acknowledgement, an ask for a probe on the sender's
-// behalf, and news carries facts only.
+// A probe is answered by an acknowledgement, a probe request asks the receiver to probe
+// another host, and gossip carries facts only.
 const (
 	kindProbe messageKind = iota + 1
 	kindAck
-	kindAsk
-	kindNews
+	kindProbeRequest
+	kindGossip
 )
 
 // Message is a datagram between entry hosts.
 type Message struct {
 	Kind messageKind   `cbor:"1,keyasint"`
 	From hingeids.Life `cbor:"2,keyasint"`
-	// Origin is the life that wants to know, Round its round.
+	// Origin is the instance that started the probe, Round its round number.
 	Origin hingeids.Life `cbor:"3,keyasint"`
 	Round  uint64        `cbor:"4,keyasint"`
-	// About is the life that acknowledged, or the host to probe.
+	// About is the instance that acknowledged, or the host to probe.
 	About hingeids.Life `cbor:"5,keyasint"`
-	// Leased says that the acknowledgement renews the origin's life lease.
+	// Leased reports that the acknowledgement renews the origin's instance lease.
 	Leased  bool                 `cbor:"6,keyasint,omitempty"`
 	Digest  uint64               `cbor:"7,keyasint"`
 	Hosts   []HostFact           `cbor:"8,keyasint,omitempty"`
@@ -36,7 +36,7 @@
 	Servers []hingeannounce.Aged `cbor:"10,keyasint,omitempty"`
 }
 
-// Table is everything a host knows, exchanged whole. Rule 11.
+// Table is everything that a host knows (rule 11).
 type Table struct {
 	From    hingeids.Life        `cbor:"1,keyasint"`
 	Hosts   []HostFact           `cbor:"2,keyasint"`
@@ -53,11 +53,11 @@
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		panic(err) // Only types that CBOR can't hold fail, and these are ours.
+		panic(err) // Can't happen: all encoded types are representable in CBOR.
 	}
 	return b
 }
 
 func decode(b []byte, v any) error {
-	return eris.Wrap(cbor.Unmarshal(b, v), "members")
+	return eris.Wrap(cbor.Unmarshal(b, v), "decoding a membership message")
 }
