--- a/internal/capacity/hingeholds/driver.go
+++ b/internal/capacity/hingeholds/driver.go
@@ -100,7 +100,7 @@
 }
 
 // SetRecord replaces the record of host instances from the configuration log.
-func (h *Collector) SetRecord(r hingemembers.Record) {
+func (h *Collector) SetRecord(r hingemembers.Registry) {
 	h.loop.Post(func(time.Time) {
 		h.state.SetRecord(r)
 	})
--- a/internal/capacity/hingeholds/holds.go
+++ b/internal/capacity/hingeholds/holds.go
@@ -51,7 +51,7 @@
 
 // State decides what to cancel. It is not safe for concurrent use.
 type State struct {
-	record  hingemembers.Record
+	record  hingemembers.Registry
 	engines map[hingeids.ServerID]*engineState
 	out     Output
 }
@@ -81,7 +81,7 @@
 }
 
 // SetRecord replaces the record of host instances from the configuration log.
-func (s *State) SetRecord(r hingemembers.Record) {
+func (s *State) SetRecord(r hingemembers.Registry) {
 	s.record = r
 }
 
@@ -213,7 +213,7 @@
 			continue
 		}
 		seen[h.ID] = true
-		if s.record.IsOver(h.ID.Instance) {
+		if s.record.HasEnded(h.ID.Instance) {
 			s.scheduleCancel(now, e, h.ID)
 			continue
 		}
--- a/internal/capacity/hingeholds/sim_test.go
+++ b/internal/capacity/hingeholds/sim_test.go
@@ -22,7 +22,7 @@
 	hosts        []*simHost
 	byID         map[hingeids.HostID]*simHost
 	engines      []*simEngine
-	record       hingemembers.Record
+	record       hingemembers.Registry
 	blockedLinks map[string]bool
 	// violations describes each active request that was cancelled.
 	violations []string
@@ -67,7 +67,7 @@
 	s := &simulation{
 		random:       rand.New(rand.NewPCG(seed, 3)),
 		byID:         make(map[hingeids.HostID]*simHost),
-		record:       make(hingemembers.Record),
+		record:       make(hingemembers.Registry),
 		blockedLinks: make(map[string]bool),
 	}
 	for i := range 2 {
@@ -106,13 +106,13 @@
 }
 
 func (s *simulation) recordInstance(l hingeids.Instance, over bool) {
-	next := hingemembers.Record{}
+	next := hingemembers.Registry{}
 	for k, v := range s.record {
 		next[k] = v
 	}
-	next[l.Host] = hingemembers.Recorded{
+	next[l.Host] = hingemembers.RegistryEntry{
 		Incarnation: l.Incarnation,
-		Over:        over,
+		Ended:       over,
 	}
 	s.record = next
 }
@@ -153,7 +153,7 @@
 		return
 	}
 	if !h.down {
-		if s.record.IsOver(h.instance) {
+		if s.record.HasEnded(h.instance) {
 			s.restart(h) // All its callers have received a final response.
 			return
 		}
@@ -258,7 +258,7 @@
 	}
 	s.schedule(s.delay(), func() {
 		owner := s.byID[c.ID.Host]
-		if owner.known[c.ID] && !s.record.IsOver(c.ID.Instance) {
+		if owner.known[c.ID] && !s.record.HasEnded(c.ID.Instance) {
 			s.violations = append(s.violations, fmt.Sprintf("at %v %s cancelled active request %v", s.now, h.id, c.ID))
 		}
 		delete(s.engine(c.Engine).allocations, c.ID)
--- a/internal/capacity/hingeslots/members.go
+++ b/internal/capacity/hingeslots/members.go
@@ -9,17 +9,17 @@
 func NewView(m *hingemembers.View, zone hingeids.Zone) View {
 	v := View{
 		Recorded:   make(map[hingeids.HostID]hingeids.Incarnation),
-		LeaseUntil: m.StandsUntil,
+		LeaseUntil: m.LeaseUntil,
 	}
 	for _, h := range m.Hosts {
 		if h.Zone != zone {
 			continue
 		}
 		if h.State == hingemembers.Alive {
-			v.Alive = append(v.Alive, h.Life.Host)
+			v.Alive = append(v.Alive, h.Instance.Host)
 		}
-		if r, ok := m.Record[h.Life.Host]; ok && !r.Over {
-			v.Recorded[h.Life.Host] = r.Incarnation
+		if r, ok := m.Registry[h.Instance.Host]; ok && !r.Ended {
+			v.Recorded[h.Instance.Host] = r.Incarnation
 		}
 	}
 	return v
--- a/internal/decide/hingeadmit/rate.go
+++ b/internal/decide/hingeadmit/rate.go
@@ -112,11 +112,11 @@
 
 // reasons are the error texts of the refusals.
 var reasons = map[hingeverdict.Code]string{
-	hingeverdict.CodeQueueFull:           "the queue is full",
-	hingeverdict.CodeCallerShare: "the caller's share of the queue is full",
-	hingeverdict.CodeTargetOutOfReach:   "the latency target is out of reach",
-	hingeverdict.CodeDeadline:            "the deadline is out of reach",
-	hingeverdict.CodeNoServer:            "there is no engine",
+	hingeverdict.CodeQueueFull:        "the queue is full",
+	hingeverdict.CodeCallerShare:      "the caller's share of the queue is full",
+	hingeverdict.CodeTargetOutOfReach: "the latency target is out of reach",
+	hingeverdict.CodeDeadline:         "the deadline is out of reach",
+	hingeverdict.CodeNoServer:         "there is no engine",
 }
 
 // unitFraction hashes a number to a fraction in [0, 1).
--- a/internal/membership/hingeannounce/announce_test.go
+++ b/internal/membership/hingeannounce/announce_test.go
@@ -65,7 +65,7 @@
 		if err != nil && !errors.As(err, &e) {
 			t.Fatalf("error is not a ParseError: %v", err)
 		}
-		if err == nil && a.Check() != nil {
+		if err == nil && a.Validate() != nil {
 			t.Fatalf("accepted although Check fails: %+v", a)
 		}
 	})
@@ -86,7 +86,7 @@
 		left := false
 		for i, a := range order {
 			now := start.Add(time.Duration(i) * 50 * time.Millisecond)
-			table.Take(now, a, 0)
+			table.Apply(now, a, 0)
 			left = left || a.Leaving
 			if _, usable := table.View(now).Find("engine-1"); usable == left {
 				t.Fatalf("after %d: left %v, usable %v", i, left, usable)
@@ -98,20 +98,20 @@
 // A delayed or repeated heartbeat must not revive an older incarnation or a dead server.
 func TestLateAnnouncementRevivesNothing(t *testing.T) {
 	table := NewTable()
-	table.Take(start, engine(1, 7), 0)
-	table.Take(start, engine(2, 1), 0)
-	if got := table.Take(start, engine(1, 8), 0); got != Old {
+	table.Apply(start, engine(1, 7), 0)
+	table.Apply(start, engine(2, 1), 0)
+	if got := table.Apply(start, engine(1, 8), 0); got != Stale {
 		t.Errorf("older incarnation: outcome %d, want Old", got)
 	}
 	later := start.Add(time.Minute)
-	if got := table.Take(later, engine(2, 1), 0); got != Old {
+	if got := table.Apply(later, engine(2, 1), 0); got != Stale {
 		t.Errorf("repeated announcement: outcome %d, want Old", got)
 	}
-	table.Take(later, engine(2, 2), 50*time.Second)
+	table.Apply(later, engine(2, 2), 50*time.Second)
 	if _, usable := table.View(later).Find("engine-1"); usable {
 		t.Error("an announcement 50 s old revived its server")
 	}
-	table.Take(later, engine(2, 3), 0)
+	table.Apply(later, engine(2, 3), 0)
 	if _, usable := table.View(later).Find("engine-1"); !usable {
 		t.Error("a new heartbeat of the same incarnation did not make the server usable")
 	}
@@ -124,7 +124,7 @@
 	now := start
 	for i := range 40 {
 		now = now.Add([]time.Duration{300 * time.Millisecond, 1900 * time.Millisecond}[i%2])
-		table.Take(now, engine(1, uint64(i+1)), 0)
+		table.Apply(now, engine(1, uint64(i+1)), 0)
 	}
 	s, usable := table.View(now.Add(2 * time.Second)).Find("engine-1")
 	if !usable || s.Suspect {
@@ -141,7 +141,7 @@
 		a := engine(1, 1)
 		a.Server = hingeids.ServerID(rune(0x4e00 + i))
 		a.Leaving = true
-		table.Take(start.Add(time.Duration(i)*time.Millisecond), a, 0)
+		table.Apply(start.Add(time.Duration(i)*time.Millisecond), a, 0)
 	}
 	table.Step(start.Add(20 * time.Second))
 	if got := len(table.entries); got != maxTombstones {
--- a/internal/membership/hingeannounce/bench_test.go
+++ b/internal/membership/hingeannounce/bench_test.go
@@ -19,7 +19,7 @@
 			a := engine(1, 1)
 			a.Server = names[i]
 			a.Model = hingeids.Model(fmt.Sprintf("model-%d", i%7))
-			table.Take(start, a, 0)
+			table.Apply(start, a, 0)
 		}
 		b.Run(fmt.Sprintf("view/servers=%d", servers), func(b *testing.B) {
 			b.ReportAllocs()
@@ -32,7 +32,7 @@
 			for i := range b.N {
 				a := engine(1, uint64(i+2))
 				a.Server = names[i%servers]
-				table.Take(start.Add(time.Duration(i/servers)*500*time.Millisecond), a, 0)
+				table.Apply(start.Add(time.Duration(i/servers)*500*time.Millisecond), a, 0)
 			}
 		})
 	}
--- a/internal/membership/hingeannounce/directory.go
+++ b/internal/membership/hingeannounce/directory.go
@@ -39,7 +39,7 @@
 	revision uint64
 	// firstRevision is the revision at which the present incarnation became known.
 	firstRevision uint64
-	intervals     Gaps
+	intervals     IntervalEstimator
 }
 
 // NewDirectory returns an empty directory for the host self.
@@ -50,9 +50,9 @@
 	}
 }
 
-// Hear applies an announcement that this host received from the server itself. The host
+// Receive applies an announcement that this host received from the server itself. The host
 // becomes the server's owner. It reports whether followers have to be notified.
-func (d *Directory) Hear(now time.Time, a Announcement) bool {
+func (d *Directory) Receive(now time.Time, a Announcement) bool {
 	k := d.records[a.Server]
 	if k == nil {
 		d.add(now, Record{
@@ -62,7 +62,7 @@
 		return true
 	}
 	if !newer(a, k.record.Announcement) {
-		return d.markLeaving(k, a)
+		return d.applyLeaving(k, a)
 	}
 	next := k.record
 	a.Leaving = a.Leaving || next.leavingAs(a.Incarnation)
@@ -94,13 +94,13 @@
 		return
 	}
 	k.firstRevision = d.revision + 1
-	k.intervals = Gaps{}
+	k.intervals = IntervalEstimator{}
 }
 
-// Leave records that a server leaves for good and reports whether that is new. An
+// MarkLeaving records that a server leaves for good and reports whether that is new. An
 // incarnation of 0 means the one that is known. A server that isn't known yet is recorded
 // too, since its heartbeats may still arrive.
-func (d *Directory) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) bool {
+func (d *Directory) MarkLeaving(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) bool {
 	k := d.records[id]
 	if k != nil && i == 0 {
 		i = k.record.Announcement.Incarnation
@@ -111,7 +111,7 @@
 		Leaving:     true,
 	}
 	if k != nil && departure.Incarnation <= k.record.Announcement.Incarnation {
-		return d.markLeaving(k, departure)
+		return d.applyLeaving(k, departure)
 	}
 	d.add(now, Record{
 		Announcement: departure,
@@ -131,7 +131,7 @@
 	current := k.record
 	switch {
 	case newer(current.Announcement, r.Announcement):
-		return d.markLeaving(k, r.Announcement)
+		return d.applyLeaving(k, r.Announcement)
 	case newer(r.Announcement, current.Announcement):
 		r.Announcement.Leaving = r.Announcement.Leaving || current.leavingAs(r.Announcement.Incarnation)
 		d.startInstance(k, r.Announcement.Incarnation)
@@ -151,9 +151,9 @@
 	return !unchanged
 }
 
-// markLeaving applies the leaving flag of an announcement that is not newer (rule 3), and
+// applyLeaving applies the leaving flag of an announcement that is not newer (rule 3), and
 // reports whether that changed anything.
-func (d *Directory) markLeaving(k *directoryEntry, a Announcement) bool {
+func (d *Directory) applyLeaving(k *directoryEntry, a Announcement) bool {
 	current := &k.record.Announcement
 	if a.Incarnation != current.Incarnation || !a.Leaving || current.Leaving {
 		return false
@@ -206,10 +206,10 @@
 // Since returns the records changed after a revision, in the order in which their
 // incarnations became known, so that of two servers at one address the present one comes
 // last.
-func (d *Directory) Since(change uint64) []Record {
+func (d *Directory) Since(revision uint64) []Record {
 	var list []*directoryEntry
 	for _, k := range d.records {
-		if k.revision > change {
+		if k.revision > revision {
 			list = append(list, k)
 		}
 	}
--- a/internal/membership/hingeannounce/directory_test.go
+++ b/internal/membership/hingeannounce/directory_test.go
@@ -36,10 +36,10 @@
 // again.
 func TestLateHeartbeatDoesNotReviveALeavingServer(t *testing.T) {
 	d := NewDirectory("control-1")
-	d.Hear(startTime, heartbeat("engine", 5))
-	d.Leave(startTime.Add(time.Second), "engine", 0)
-	d.Hear(startTime.Add(2*time.Second), heartbeat("engine", 4))
-	d.Hear(startTime.Add(2*time.Second), heartbeat("engine", 6))
+	d.Receive(startTime, heartbeat("engine", 5))
+	d.MarkLeaving(startTime.Add(time.Second), "engine", 0)
+	d.Receive(startTime.Add(2*time.Second), heartbeat("engine", 4))
+	d.Receive(startTime.Add(2*time.Second), heartbeat("engine", 6))
 	d.Merge(startTime.Add(2*time.Second), Record{
 		Announcement: heartbeat("engine", 7),
 		Owner:        "control-2",
@@ -56,7 +56,7 @@
 // another host. The heartbeats that follow must not make it usable.
 func TestLeavingIsRememberedBeforeTheFirstHeartbeat(t *testing.T) {
 	d := NewDirectory("control-1")
-	if !d.Leave(startTime, "engine", 0) {
+	if !d.MarkLeaving(startTime, "engine", 0) {
 		t.Fatal("a new departure was not reported as a change")
 	}
 	d.Merge(startTime, Record{
@@ -72,7 +72,7 @@
 // heartbeats directly would report every server as silent.
 func TestOnlyTheOwnerFindsSilence(t *testing.T) {
 	owner, other := NewDirectory("control-1"), NewDirectory("control-2")
-	owner.Hear(startTime, heartbeat("engine", 1))
+	owner.Receive(startTime, heartbeat("engine", 1))
 	for _, r := range owner.Since(0) {
 		other.Merge(startTime, r)
 	}
@@ -91,7 +91,7 @@
 		t.Fatal("the silence was not propagated")
 	}
 	// The server was disconnected only from its owner and finds another one.
-	if !other.Hear(late, heartbeat("engine", 2)) || !usable(other)["engine"] {
+	if !other.Receive(late, heartbeat("engine", 2)) || !usable(other)["engine"] {
 		t.Fatal("a server that sends heartbeats again is not usable")
 	}
 	for _, r := range other.Since(0) {
@@ -106,10 +106,10 @@
 // traffic between hosts.
 func TestUnchangedHeartbeatsAreNotPropagated(t *testing.T) {
 	d := NewDirectory("control-1")
-	d.Hear(startTime, heartbeat("engine", 1))
+	d.Receive(startTime, heartbeat("engine", 1))
 	revision := d.Change()
 	for i := range uint64(100) {
-		if d.Hear(startTime.Add(time.Duration(i)*time.Second), heartbeat("engine", 2+i)) {
+		if d.Receive(startTime.Add(time.Duration(i)*time.Second), heartbeat("engine", 2+i)) {
 			t.Fatalf("heartbeat %d is propagated", i)
 		}
 	}
@@ -135,7 +135,7 @@
 			id := hingeids.ServerID(rapid.SampledFrom([]string{"a", "b"}).Draw(t, "server"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				d.Leave(now, id, 0)
+				d.MarkLeaving(now, id, 0)
 			case 1:
 				d.Step(now)
 			case 2:
@@ -144,7 +144,7 @@
 				}
 			default:
 				sequence++
-				d.Hear(now, heartbeat(id, sequence))
+				d.Receive(now, heartbeat(id, sequence))
 			}
 		}
 		for range 4 {
--- a/internal/membership/hingeannounce/gaps.go
+++ b/internal/membership/hingeannounce/gaps.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// Gaps estimates from the heartbeat intervals observed so far how long a server may be
+// IntervalEstimator estimates from the heartbeat intervals observed so far how long a server may be
 // silent: a smoothed mean and a smoothed deviation, as TCP computes its retransmission
 // timeout. The zero value has no observations.
-type Gaps struct {
+type IntervalEstimator struct {
 	mean      time.Duration
 	deviation time.Duration
 }
@@ -22,25 +22,25 @@
 )
 
 // Observe adds the interval between two heartbeats.
-func (g *Gaps) Observe(gap time.Duration) {
+func (g *IntervalEstimator) Observe(interval time.Duration) {
 	if g.mean == 0 {
-		g.mean = gap
-		g.deviation = gap / 2
+		g.mean = interval
+		g.deviation = interval / 2
 		return
 	}
-	change := (gap - g.mean).Abs() - g.deviation
+	change := (interval - g.mean).Abs() - g.deviation
 	if change > 0 {
 		g.deviation += change / riseWeight
 	} else {
 		g.deviation += change / fallWeight
 	}
-	g.mean += (gap - g.mean) / meanWeight
+	g.mean += (interval - g.mean) / meanWeight
 }
 
 // Bound returns the longest expected interval, limited to between least and most. The
 // lower limit keeps a short delay after very regular heartbeats from counting as a
 // failure; the upper limit ensures that a dead server is detected even if its heartbeats
 // were slow.
-func (g Gaps) Bound(least, most time.Duration) time.Duration {
-	return min(max(g.mean+deviations*g.deviation, least), most)
+func (g IntervalEstimator) Bound(lower, upper time.Duration) time.Duration {
+	return min(max(g.mean+deviations*g.deviation, lower), upper)
 }
--- a/internal/membership/hingeannounce/lives_test.go
+++ b/internal/membership/hingeannounce/lives_test.go
@@ -55,14 +55,14 @@
 		}
 		switch words[0] {
 		case "hear":
-			d.Hear(now, announced())
+			d.Receive(now, announced())
 		case "told":
 			d.Merge(now, Record{
 				Announcement: announced(),
 				Owner:        "control-2",
 			})
 		case "leave":
-			d.Leave(now, "engine", hingeids.Incarnation(number(1)))
+			d.MarkLeaving(now, "engine", hingeids.Incarnation(number(1)))
 		case "pass":
 			now = now.Add(time.Duration(number(1)) * time.Millisecond)
 			d.Step(now)
@@ -92,11 +92,11 @@
 	now := startTime
 	for i := range uint64(20) {
 		now = now.Add(5 * time.Second)
-		d.Hear(now, heartbeat("engine", i))
+		d.Receive(now, heartbeat("engine", i))
 	}
 	restarted := heartbeat("engine", 1)
 	restarted.Incarnation = 2
-	d.Hear(now, restarted)
+	d.Receive(now, restarted)
 	d.Step(now.Add(deadFactor*minSilenceBound + time.Millisecond))
 	if usable(d)["engine"] {
 		t.Fatal("the new incarnation is permitted the silence of the old one")
--- a/internal/membership/hingeannounce/parse.go
+++ b/internal/membership/hingeannounce/parse.go
@@ -66,14 +66,14 @@
 	if err := json.Unmarshal(body, &a); err != nil {
 		return Announcement{}, refuse(ReasonNotJSON, "%v", err)
 	}
-	if err := a.Check(); err != nil {
+	if err := a.Validate(); err != nil {
 		return Announcement{}, err
 	}
 	return a, nil
 }
 
-// Check validates an announcement (rule 1). Every error is a *ParseError.
-func (a Announcement) Check() error {
+// Validate validates an announcement (rule 1). Every error is a *ParseError.
+func (a Announcement) Validate() error {
 	names := []struct {
 		field string
 		value string
--- a/internal/membership/hingeannounce/table.go
+++ b/internal/membership/hingeannounce/table.go
@@ -32,8 +32,8 @@
 // altered the server's state or description (new, restarted, leaving, alive again, another
 // role).
 const (
-	Old Outcome = iota
-	Fresh
+	Stale Outcome = iota
+	Refreshed
 	Changed
 )
 
@@ -45,7 +45,7 @@
 type entry struct {
 	newest    Announcement
 	lastSeen  time.Time
-	intervals Gaps
+	intervals IntervalEstimator
 }
 
 // NewTable returns an empty table.
@@ -55,8 +55,8 @@
 	}
 }
 
-// Take applies an announcement that was sent age ago.
-func (t *Table) Take(now time.Time, a Announcement, age time.Duration) Outcome {
+// Apply applies an announcement that was sent age ago.
+func (t *Table) Apply(now time.Time, a Announcement, age time.Duration) Outcome {
 	seenAt := now.Add(-max(age, 0))
 	e := t.entries[a.Server]
 	if e == nil {
@@ -81,7 +81,7 @@
 // 3).
 func (e *entry) mergeStale(a Announcement) Outcome {
 	if a.Incarnation != e.newest.Incarnation || !a.Leaving || e.newest.Leaving {
-		return Old
+		return Stale
 	}
 	e.newest.Leaving = true
 	return Changed
@@ -94,7 +94,7 @@
 		a.Leaving = a.Leaving || before.Leaving // Rule 3.
 		e.intervals.Observe(max(seenAt.Sub(e.lastSeen), 0))
 	} else {
-		e.intervals = Gaps{}
+		e.intervals = IntervalEstimator{}
 	}
 	if seenAt.After(e.lastSeen) {
 		e.lastSeen = seenAt
@@ -103,7 +103,7 @@
 	if wasDead || !sameServer(before, a) {
 		return Changed
 	}
-	return Fresh
+	return Refreshed
 }
 
 // sameServer reports whether two announcements differ only in sequence and load.
@@ -145,19 +145,19 @@
 	}
 }
 
-// Aged is an announcement with its age, as entry hosts forward it (rule 4).
-type Aged struct {
+// AgedAnnouncement is an announcement with its age, as entry hosts forward it (rule 4).
+type AgedAnnouncement struct {
 	Announcement Announcement  `cbor:"1,keyasint"`
 	Age          time.Duration `cbor:"2,keyasint"`
 }
 
 // Find returns the newest announcement of a server with its age.
-func (t *Table) Find(now time.Time, id hingeids.ServerID) (Aged, bool) {
+func (t *Table) Find(now time.Time, id hingeids.ServerID) (AgedAnnouncement, bool) {
 	e := t.entries[id]
 	if e == nil {
-		return Aged{}, false
+		return AgedAnnouncement{}, false
 	}
-	return Aged{
+	return AgedAnnouncement{
 		Announcement: e.newest,
 		Age:          now.Sub(e.lastSeen),
 	}, true
@@ -165,13 +165,13 @@
 
 // All returns the newest announcement of every server, tombstones included, sorted by
 // server ID.
-func (t *Table) All(now time.Time) []Aged {
-	out := make([]Aged, 0, len(t.entries))
+func (t *Table) All(now time.Time) []AgedAnnouncement {
+	out := make([]AgedAnnouncement, 0, len(t.entries))
 	for id := range t.entries {
 		a, _ := t.Find(now, id)
 		out = append(out, a)
 	}
-	slices.SortFunc(out, func(a, b Aged) int {
+	slices.SortFunc(out, func(a, b AgedAnnouncement) int {
 		return cmp.Compare(a.Announcement.Server, b.Announcement.Server)
 	})
 	return out
--- a/internal/membership/hingeannounce/view.go
+++ b/internal/membership/hingeannounce/view.go
@@ -11,8 +11,8 @@
 // Server is a usable backend server in a View.
 type Server struct {
 	Announcement
-	// HeardAt is when the server sent the announcement, by this host's clock.
-	HeardAt time.Time
+	// LastSeen is when the server sent the announcement, by this host's clock.
+	LastSeen time.Time
 	// Suspect reports that heartbeats are missing: use the server only if no other is
 	// available.
 	Suspect bool
@@ -20,11 +20,11 @@
 
 // ReportAge returns the age of the load report.
 func (s Server) ReportAge(now time.Time) time.Duration {
-	return now.Sub(s.HeardAt)
+	return now.Sub(s.LastSeen)
 }
 
-// Does reports whether the server does work of kind k.
-func (s Server) Does(k Kind) bool {
+// Performs reports whether the server does work of kind k.
+func (s Server) Performs(k Kind) bool {
 	return s.Kind == k || s.Kind == Both && (k == Prefill || k == Decode)
 }
 
@@ -58,7 +58,7 @@
 		}
 		v.Servers = append(v.Servers, Server{
 			Announcement: e.newest,
-			HeardAt:      e.lastSeen,
+			LastSeen:     e.lastSeen,
 			Suspect:      e.suspect(now),
 		})
 	}
@@ -78,7 +78,7 @@
 		return
 	}
 	for _, k := range []Kind{Prefill, Decode} {
-		if s.Does(k) {
+		if s.Performs(k) {
 			key := modelKey{
 				model: s.Model,
 				kind:  k,
--- a/internal/membership/hingefollow/source.go
+++ b/internal/membership/hingefollow/source.go
@@ -107,7 +107,7 @@
 func (s *Source) Hear(now time.Time, a hingeannounce.Announcement) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	changed := s.directory.Hear(now, a)
+	changed := s.directory.Receive(now, a)
 	s.told(changed)
 	return changed
 }
@@ -116,7 +116,7 @@
 func (s *Source) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told(s.directory.Leave(now, id, i))
+	s.told(s.directory.MarkLeaving(now, id, i))
 }
 
 // Wake has waiting questions look again.
--- a/internal/membership/hingemembers/bench_test.go
+++ b/internal/membership/hingemembers/bench_test.go
@@ -110,7 +110,7 @@
 				s.run(benchWarmup+benchDuration, func() {
 					for _, h := range s.hosts {
 						samples++
-						if s.clock(h).Before(h.state.StandsUntil(s.clock(h))) {
+						if s.clock(h).Before(h.state.LeaseUntil(s.clock(h))) {
 							leased++
 						}
 					}
--- a/internal/membership/hingemembers/driver_test.go
+++ b/internal/membership/hingemembers/driver_test.go
@@ -31,11 +31,11 @@
 	group, ctx := errgroup.WithContext(ctx)
 	over := make(chan hingeids.Instance, 1)
 	all := make(map[hingeids.HostID]*Members)
-	record := make(Record)
+	record := make(Registry)
 	for _, n := range names {
 		m := New(Config{
 			StateConfig: StateConfig{
-				Life: hingeids.Instance{
+				Instance: hingeids.Instance{
 					Host:        n,
 					Incarnation: 1,
 				},
@@ -44,12 +44,12 @@
 				Peers: peers,
 			},
 			Link: network.Link(n),
-			OnOver: func(ended hingeids.Instance) {
+			OnDeclaredEnded: func(ended hingeids.Instance) {
 				over <- ended
 			},
 		})
 		all[n] = m
-		record[n] = Recorded{
+		record[n] = RegistryEntry{
 			Incarnation: 1,
 		}
 		group.Go(func() error {
@@ -57,26 +57,26 @@
 		})
 	}
 	for _, m := range all {
-		m.SetRecord(record)
+		m.SetRegistry(record)
 	}
 	all["a"].Announce(announcement(1))
 	for _, m := range all {
 		waitFor(t, m, func(v *View) bool {
 			_, usable := m.Servers().Load().Find("engine-1")
-			return len(v.Alive("zone-0")) == 3 && usable && v.StandsUntil.After(time.Now())
+			return len(v.Alive("zone-0")) == 3 && usable && v.LeaseUntil.After(time.Now())
 		})
 	}
-	ended := Record{
-		"a": Recorded{
+	ended := Registry{
+		"a": RegistryEntry{
 			Incarnation: 1,
-			Over:        true,
+			Ended:       true,
 		},
 	}
-	all["a"].SetRecord(ended)
+	all["a"].SetRegistry(ended)
 	<-over
 	waitFor(t, all["b"], func(v *View) bool {
 		h, _ := v.Find("a")
-		return h.Life.Incarnation > 1 && h.State == Alive
+		return h.Instance.Incarnation > 1 && h.State == Alive
 	})
 	cancel()
 	if err := group.Wait(); err != nil {
--- a/internal/membership/hingemembers/members.go
+++ b/internal/membership/hingemembers/members.go
@@ -29,10 +29,10 @@
 	Events *hingeevents.Recorder
 	// Clock returns the present time; nil means time.Now.
 	Clock func() time.Time
-	// OnOver is called on its own goroutine when this host's instance has been declared
+	// OnDeclaredEnded is called on its own goroutine when this host's instance has been declared
 	// ended by others. It must send every caller a final response; after it returns, a new
 	// instance starts, which has to be added to the registry.
-	OnOver func(ended hingeids.Instance)
+	OnDeclaredEnded func(ended hingeids.Instance)
 }
 
 // Members runs a State in one goroutine. It receives the link's datagrams and publishes
@@ -101,10 +101,10 @@
 	})
 }
 
-// SetRecord applies the registry of the configuration log.
-func (m *Members) SetRecord(r Record) {
+// SetRegistry applies the registry of the configuration log.
+func (m *Members) SetRegistry(r Registry) {
 	m.loop.Post(func(time.Time) {
-		m.state.SetRecord(r)
+		m.state.SetRegistry(r)
 	})
 }
 
@@ -137,12 +137,12 @@
 func (m *Members) Step(now time.Time) time.Time {
 	send, next := m.state.Step(now)
 	m.send(send)
-	if from, due := m.state.Pull(now); due {
+	if from, due := m.state.PullTarget(now); due {
 		go m.pull(m.ctx, from, m.state.Table(now))
 	}
-	if m.state.DeclaredOver() && !m.endingInstance {
+	if m.state.DeclaredEnded() && !m.endingInstance {
 		m.endingInstance = true
-		go m.endInstance(m.state.Life())
+		go m.endInstance(m.state.Instance())
 	}
 	if m.state.changeCount != m.publishedCount || now.Sub(m.publishedAt) >= roundInterval/2 {
 		m.publish(now)
@@ -151,11 +151,11 @@
 }
 
 func (m *Members) endInstance(l hingeids.Instance) {
-	if m.config.OnOver != nil {
-		m.config.OnOver(l)
+	if m.config.OnDeclaredEnded != nil {
+		m.config.OnDeclaredEnded(l)
 	}
 	m.loop.Post(func(now time.Time) {
-		m.state.NewLife(now)
+		m.state.StartInstance(now)
 		m.endingInstance = false
 	})
 }
@@ -184,7 +184,7 @@
 	}
 	answer := make(chan []byte, 1)
 	posted := m.loop.Post(func(now time.Time) {
-		m.state.TakeTable(now, t)
+		m.state.MergeTable(now, t)
 		answer <- encode(m.state.Table(now))
 	})
 	if !posted {
@@ -214,7 +214,7 @@
 		return
 	}
 	m.loop.Post(func(now time.Time) {
-		m.state.TakeTable(now, t)
+		m.state.MergeTable(now, t)
 	})
 }
 
@@ -232,17 +232,17 @@
 	Alive:   hingeevents.HostAlive,
 	Suspect: hingeevents.HostSuspect,
 	Leaving: hingeevents.HostLeaving,
-	Over:    hingeevents.HostOver,
+	Ended:   hingeevents.HostOver,
 }
 
 func (m *Members) recordHostEvents(now time.Time, v *View) {
 	for _, h := range v.Hosts {
-		if m.hostStates[h.Life.Host] == h.State {
+		if m.hostStates[h.Instance.Host] == h.State {
 			continue
 		}
-		m.hostStates[h.Life.Host] = h.State
+		m.hostStates[h.Instance.Host] = h.State
 		m.config.Events.Record(now, hostEvents[h.State], hingeevents.Fields{
-			Host: h.Life.Host,
+			Host: h.Instance.Host,
 			Zone: h.Zone,
 		})
 	}
--- a/internal/membership/hingemembers/members_test.go
+++ b/internal/membership/hingemembers/members_test.go
@@ -39,8 +39,8 @@
 		killed := s.byName["host-1-1"]
 		killed.dead = true
 		s.run(s.now+3*time.Second, nil)
-		got := s.byName["host-0-0"].state.Overdue()
-		if diff := cmp.Diff([]hingeids.Instance{killed.state.Life()}, got); diff != "" {
+		got := s.byName["host-0-0"].state.Expired()
+		if diff := cmp.Diff([]hingeids.Instance{killed.state.Instance()}, got); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
@@ -98,8 +98,8 @@
 	s.run(60*time.Second, func() {
 		for _, h := range s.hosts {
 			s.recordExpired(h)
-			if now := s.clock(h); h.state.StandsUntil(now).Before(now) {
-				t.Fatalf("at %v host %s has no valid lease", s.now, h.config.Life.Host)
+			if now := s.clock(h); h.state.LeaseUntil(now).Before(now) {
+				t.Fatalf("at %v host %s has no valid lease", s.now, h.config.Instance.Host)
 			}
 		}
 	})
@@ -118,7 +118,7 @@
 	for _, a := range s.hosts {
 		for _, b := range s.hosts {
 			if (a.config.Zone == z) != (b.config.Zone == z) {
-				s.cuts[[2]hingeids.HostID{a.config.Life.Host, b.config.Life.Host}] = on
+				s.cuts[[2]hingeids.HostID{a.config.Instance.Host, b.config.Instance.Host}] = on
 			}
 		}
 	}
@@ -153,7 +153,7 @@
 	for _, h := range s.hosts {
 		_, got := h.state.servers.View(s.clock(h)).Find("engine-1")
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("usable at host %s at %v: %s", h.config.Life.Host, s.now, diff)
+			t.Errorf("usable at host %s at %v: %s", h.config.Instance.Host, s.now, diff)
 		}
 	}
 }
@@ -164,12 +164,12 @@
 	s := newSimulation(3, 3, 2, true)
 	s.run(5*time.Second, nil)
 	frozen := s.byName["host-1-1"]
-	before := frozen.state.Life()
+	before := frozen.state.Instance()
 	frozen.dead = true
 	s.run(12*time.Second, func() {
 		s.recordExpired(s.byName["host-0-0"])
 	})
-	if !s.registry.IsOver(before) {
+	if !s.registry.HasEnded(before) {
 		t.Fatal("the frozen instance was not recorded as ended")
 	}
 	frozen.dead = false
@@ -177,7 +177,7 @@
 	s.run(16*time.Second, func() {
 		s.recordExpired(s.byName["host-0-0"])
 	})
-	after := frozen.state.Life()
+	after := frozen.state.Instance()
 	if after.Incarnation <= before.Incarnation || !s.registry.Has(after) {
 		t.Errorf("instance %v after %v, registry entry %v", after, before, s.registry[before.Host])
 	}
@@ -191,14 +191,14 @@
 func TestJoinIsTheSameInAnyOrder(t *testing.T) {
 	fact := rapid.Custom(func(t *rapid.T) HostFact {
 		return HostFact{
-			Life: hingeids.Instance{
+			Instance: hingeids.Instance{
 				Host:        "host-0-0",
 				Incarnation: hingeids.Incarnation(rapid.IntRange(1, 2).Draw(t, "incarnation")),
 			},
 			Version: rapid.Uint32Range(0, 2).Draw(t, "version"),
 			Suspect: rapid.Bool().Draw(t, "suspect"),
 			Leaving: rapid.Bool().Draw(t, "leaving"),
-			Over:    rapid.Bool().Draw(t, "over"),
+			Ended:   rapid.Bool().Draw(t, "over"),
 		}
 	})
 	rapid.Check(t, func(t *rapid.T) {
@@ -227,8 +227,8 @@
 			for _, h := range s.hosts {
 				s.recordExpired(h)
 				now := s.clock(h)
-				if s.registry.IsOver(h.state.Life()) && h.state.StandsUntil(now).After(now) {
-					t.Fatalf("at %v instance %v has ended and holds a valid lease", s.now, h.state.Life())
+				if s.registry.HasEnded(h.state.Instance()) && h.state.LeaseUntil(now).After(now) {
+					t.Fatalf("at %v instance %v has ended and holds a valid lease", s.now, h.state.Instance())
 				}
 			}
 		}
@@ -265,13 +265,13 @@
 		h.slowBy = 200 * time.Millisecond
 	case "cut":
 		o := rapid.SampledFrom(s.hosts).Draw(t, "to")
-		s.cuts[[2]hingeids.HostID{h.config.Life.Host, o.config.Life.Host}] = true
+		s.cuts[[2]hingeids.HostID{h.config.Instance.Host, o.config.Instance.Host}] = true
 	case "zone":
 		s.cutZone(h.config.Zone, true)
 	case "away":
 		for _, o := range s.hosts {
-			s.cuts[[2]hingeids.HostID{h.config.Life.Host, o.config.Life.Host}] = true
-			s.cuts[[2]hingeids.HostID{o.config.Life.Host, h.config.Life.Host}] = true
+			s.cuts[[2]hingeids.HostID{h.config.Instance.Host, o.config.Instance.Host}] = true
+			s.cuts[[2]hingeids.HostID{o.config.Instance.Host, h.config.Instance.Host}] = true
 		}
 	case "heal":
 		clear(s.cuts)
@@ -289,7 +289,7 @@
 			s.start(h)
 			continue
 		}
-		h.state.SetRecord(s.registry)
+		h.state.SetRegistry(s.registry)
 	}
 }
 
@@ -338,11 +338,11 @@
 	}
 	ending.state.End()
 	s.run(6*time.Second, nil)
-	got := s.byName["host-0-0"].state.Overdue()
-	if diff := cmp.Diff([]hingeids.Instance{ending.state.Life()}, got); diff != "" {
+	got := s.byName["host-0-0"].state.Expired()
+	if diff := cmp.Diff([]hingeids.Instance{ending.state.Instance()}, got); diff != "" {
 		t.Error(diff)
 	}
-	if ending.state.DeclaredOver() {
+	if ending.state.DeclaredEnded() {
 		t.Error("an instance that ended itself is declared ended by others")
 	}
 }
--- a/internal/membership/hingemembers/probe.go
+++ b/internal/membership/hingemembers/probe.go
@@ -59,7 +59,7 @@
 	}
 	var out []*peer
 	for _, p := range s.peers {
-		if len(out) < maxOverdueProbes && p.probeOverdue(now) && !p.fact.Over {
+		if len(out) < maxOverdueProbes && p.probeOverdue(now) && !p.fact.Ended {
 			out = append(out, p)
 		}
 	}
@@ -112,7 +112,7 @@
 func (s *State) evaluatePeers(now time.Time) []Outgoing {
 	var send []Outgoing
 	for _, p := range s.peers {
-		if !p.known || p.fact.Over {
+		if !p.known || p.fact.Ended {
 			continue
 		}
 		if p.probeOverdue(now) && now.Sub(p.indirectProbeAt) > p.silenceBound() {
@@ -134,14 +134,14 @@
 	var send []Outgoing
 	for _, i := range s.random.Perm(len(s.peers)) {
 		p := s.peers[i]
-		if p == about || p.probeOverdue(now) || p.fact.Over {
+		if p == about || p.probeOverdue(now) || p.fact.Ended {
 			continue
 		}
 		send = append(send, s.outgoing(now, p.Host, Message{
 			Kind:   kindProbeRequest,
 			Origin: s.instance,
 			Round:  s.round,
-			About:  about.fact.Life,
+			About:  about.fact.Instance,
 		}))
 		if len(send) == indirectProbePeers {
 			break
@@ -157,9 +157,9 @@
 		return nil
 	}
 	s.mergeHost(HostFact{
-		Life: m.From,
+		Instance: m.From,
 	})
-	if m.From.Incarnation < p.fact.Life.Incarnation {
+	if m.From.Incarnation < p.fact.Instance.Incarnation {
 		return s.replyEnded(now, p)
 	}
 	p.lastSeen = now
@@ -189,11 +189,11 @@
 	for _, f := range m.Hosts {
 		s.mergeHost(f)
 	}
-	for _, a := range m.Against {
+	for _, a := range m.FailureVotes {
 		s.mergeVote(a)
 	}
 	for _, a := range m.Servers {
-		if a.Announcement.Check() == nil {
+		if a.Announcement.Validate() == nil {
 			s.mergeServer(now, a.Announcement, a.Age, false)
 		}
 	}
@@ -212,7 +212,7 @@
 		p.renewedAt = now
 	}
 	out := s.outgoing(now, p.Host, answer)
-	if p.fact.Suspect || p.fact.Over {
+	if p.fact.Suspect || p.fact.Ended {
 		out.Message.Hosts = append(out.Message.Hosts, p.fact) // Lets it refute the suspicion, or end (rule 5).
 	}
 	return []Outgoing{out}
@@ -253,7 +253,7 @@
 // handleRelayedAck records that a peer answered an indirect probe of this host.
 func (s *State) handleRelayedAck(sent time.Time, about hingeids.Instance) {
 	p := s.byHost[about.Host]
-	if p != nil && p.fact.Life == about && sent.After(p.lastSeen) {
+	if p != nil && p.fact.Instance == about && sent.After(p.lastSeen) {
 		p.lastSeen = sent
 	}
 }
--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -23,7 +23,7 @@
 	serial   int
 	loss     float64
 	cuts     map[[2]hingeids.HostID]bool
-	registry Record
+	registry Registry
 	// proposing reports that a change of the registry is pending.
 	proposing bool
 	// bytes and messages count what each host sent.
@@ -54,7 +54,7 @@
 		random:   rand.New(rand.NewPCG(seed, 1)),
 		byName:   make(map[hingeids.HostID]*simHost),
 		cuts:     make(map[[2]hingeids.HostID]bool),
-		registry: make(Record),
+		registry: make(Registry),
 		bytes:    make(map[hingeids.HostID]int),
 		messages: make(map[hingeids.HostID]int),
 	}
@@ -71,11 +71,11 @@
 	for _, p := range peers {
 		h := &simHost{
 			config: StateConfig{
-				Life:  hingeids.Instance{Host: p.Host},
-				Zone:  p.Zone,
-				Voter: p.Voter,
-				Peers: peers,
-				Seed:  seed,
+				Instance: hingeids.Instance{Host: p.Host},
+				Zone:     p.Zone,
+				Voter:    p.Voter,
+				Peers:    peers,
+				Seed:     seed,
 			},
 			rate: 1,
 		}
@@ -93,7 +93,7 @@
 func (s *simulation) start(h *simHost) {
 	h.incarnations++
 	h.dead = false
-	h.config.Life.Incarnation = hingeids.Incarnation(h.incarnations)
+	h.config.Instance.Incarnation = hingeids.Incarnation(h.incarnations)
 	h.state = NewState(s.clock(h), h.config)
 	s.register(h, h.state)
 	s.step(h, h.state)
@@ -102,25 +102,25 @@
 func (s *simulation) register(h *simHost, state *State) {
 	s.after(s.delay(), func() {
 		if h.state == state && !h.dead {
-			s.setRegistry(state.Life(), false)
+			s.setRegistry(state.Instance(), false)
 		}
 	})
 }
 
 func (s *simulation) setRegistry(l hingeids.Instance, over bool) {
-	next := make(Record)
+	next := make(Registry)
 	for k, v := range s.registry {
 		next[k] = v
 	}
-	next[l.Host] = Recorded{
+	next[l.Host] = RegistryEntry{
 		Incarnation: l.Incarnation,
-		Over:        over,
+		Ended:       over,
 	}
 	s.registry = next
 	for _, h := range s.hosts {
 		s.after(s.delay(), func() {
 			if !h.dead && !s.isolated(h) {
-				h.state.SetRecord(s.registry)
+				h.state.SetRegistry(s.registry)
 			}
 		})
 	}
@@ -129,7 +129,7 @@
 // isolated reports whether a host can receive from no voter other than itself.
 func (s *simulation) isolated(h *simHost) bool {
 	for _, o := range s.hosts {
-		if o != h && o.config.Voter && !s.cuts[[2]hingeids.HostID{o.config.Life.Host, h.config.Life.Host}] {
+		if o != h && o.config.Voter && !s.cuts[[2]hingeids.HostID{o.config.Instance.Host, h.config.Instance.Host}] {
 			return false
 		}
 	}
@@ -192,11 +192,11 @@
 		now := s.clock(h)
 		send, next := state.Step(now)
 		s.send(h, send)
-		if from, due := state.Pull(now); due {
+		if from, due := state.PullTarget(now); due {
 			s.pull(h, state, from)
 		}
-		if state.DeclaredOver() {
-			state.NewLife(now)
+		if state.DeclaredEnded() {
+			state.StartInstance(now)
 			s.register(h, state)
 		}
 		s.after(max(next.Sub(now), 0), func() {
@@ -214,7 +214,7 @@
 }
 
 func (s *simulation) send(h *simHost, all []Outgoing) {
-	from := h.config.Life.Host
+	from := h.config.Instance.Host
 	for _, o := range all {
 		s.bytes[from] += len(encode(o.Message))
 		s.messages[from]++
@@ -231,19 +231,19 @@
 }
 
 func (s *simulation) pull(h *simHost, state *State, from hingeids.HostID) {
-	to, self := s.byName[from], h.config.Life.Host
+	to, self := s.byName[from], h.config.Instance.Host
 	if to.dead || s.cut(self, from) || s.cut(from, self) {
 		return
 	}
 	table := state.Table(s.clock(h))
 	s.bytes[self] += len(encode(table))
 	s.after(s.delay(), func() {
-		to.state.TakeTable(s.clock(to), table)
+		to.state.MergeTable(s.clock(to), table)
 		answer := to.state.Table(s.clock(to))
 		s.bytes[from] += len(encode(answer))
 		s.after(s.delay(), func() {
 			if h.state == state && !h.dead {
-				state.TakeTable(s.clock(h), answer)
+				state.MergeTable(s.clock(h), answer)
 			}
 		})
 	})
@@ -274,7 +274,7 @@
 	if h.dead || s.proposing || s.isolated(h) || !sameRegistry(h.state.registry, s.registry) {
 		return
 	}
-	for _, l := range h.state.Overdue() {
+	for _, l := range h.state.Expired() {
 		s.proposing = true
 		proposed := s.registry
 		s.after(time.Duration(s.random.IntN(2000))*time.Millisecond, func() {
@@ -287,7 +287,7 @@
 	}
 }
 
-func sameRegistry(a, b Record) bool {
+func sameRegistry(a, b Registry) bool {
 	if len(a) != len(b) {
 		return false
 	}
@@ -302,7 +302,7 @@
 func (s *simulation) names() []hingeids.HostID {
 	var out []hingeids.HostID
 	for _, h := range s.hosts {
-		out = append(out, h.config.Life.Host)
+		out = append(out, h.config.Instance.Host)
 	}
 	slices.Sort(out)
 	return out
--- a/internal/membership/hingemembers/spread.go
+++ b/internal/membership/hingemembers/spread.go
@@ -37,7 +37,7 @@
 type factKey struct {
 	host   hingeids.HostID
 	server hingeids.ServerID
-	vote   Testimony
+	vote   FailureVote
 }
 
 type queuedFact struct {
@@ -100,7 +100,7 @@
 
 func (s *State) queueHost(f HostFact, urgent bool) {
 	key := factKey{
-		host: f.Life.Host,
+		host: f.Instance.Host,
 	}
 	s.queue.items[key] = &queuedFact{
 		key:       key,
@@ -111,7 +111,7 @@
 	s.queue.urgent = s.queue.urgent || urgent
 }
 
-func (s *State) queueVote(a Testimony) {
+func (s *State) queueVote(a FailureVote) {
 	key := factKey{
 		vote: a,
 	}
@@ -253,7 +253,7 @@
 		}
 		return ok
 	default:
-		m.Against = append(m.Against, q.key.vote)
+		m.FailureVotes = append(m.FailureVotes, q.key.vote)
 	}
 	return true
 }
@@ -299,8 +299,8 @@
 	}
 }
 
-// Pull returns the peer to exchange whole tables with, if an exchange is due now.
-func (s *State) Pull(now time.Time) (hingeids.HostID, bool) {
+// PullTarget returns the peer to exchange whole tables with, if an exchange is due now.
+func (s *State) PullTarget(now time.Time) (hingeids.HostID, bool) {
 	every := pullInterval
 	if s.pullState.synced {
 		every += pullInterval * time.Duration(len(s.peers)/hostsPerPullInterval)
--- a/internal/membership/hingemembers/standing.go
+++ b/internal/membership/hingemembers/standing.go
@@ -20,7 +20,7 @@
 
 // mayRenew reports whether this host may renew an instance's lease (rules 8 and 9).
 func (s *State) mayRenew(l hingeids.Instance) bool {
-	return s.registry.Has(s.instance) && !s.registry.IsOver(l) && !s.hasVoted(l)
+	return s.registry.Has(s.instance) && !s.registry.HasEnded(l) && !s.hasVoted(l)
 }
 
 // hasVoted reports whether any instance of this host has cast a failure vote against an
@@ -46,12 +46,12 @@
 	if p.Zone != s.zone && (!s.voter || !s.zoneHasVoted(p)) {
 		return
 	}
-	if !s.registry.Has(s.instance) || s.hasVoted(p.fact.Life) {
+	if !s.registry.Has(s.instance) || s.hasVoted(p.fact.Instance) {
 		return
 	}
-	s.mergeVote(Testimony{
+	s.mergeVote(FailureVote{
 		By:      s.instance,
-		Against: p.fact.Life,
+		Against: p.fact.Instance,
 	})
 }
 
@@ -59,7 +59,7 @@
 // against it.
 func (s *State) zoneHasVoted(p *peer) bool {
 	for a := range s.votes {
-		if a.Against == p.fact.Life && s.zoneOf(a.By.Host) == p.Zone {
+		if a.Against == p.fact.Instance && s.zoneOf(a.By.Host) == p.Zone {
 			return true
 		}
 	}
@@ -76,7 +76,7 @@
 	return ""
 }
 
-func (s *State) mergeVote(a Testimony) {
+func (s *State) mergeVote(a FailureVote) {
 	if s.votes[a] || s.superseded(a.Against) {
 		return
 	}
@@ -97,23 +97,23 @@
 	return s.registry[l.Host].Incarnation > l.Incarnation
 }
 
-// Overdue returns the instances that have expired or have ended themselves. They may be
+// Expired returns the instances that have expired or have ended themselves. They may be
 // recorded as ended, provided that the instances that voted are still in the registry at
 // that time (rule 8).
-func (s *State) Overdue() []hingeids.Instance {
+func (s *State) Expired() []hingeids.Instance {
 	var out []hingeids.Instance
 	for _, p := range s.peers {
-		if p.known && s.registry.Has(p.fact.Life) && (p.fact.Over || s.expired(p)) {
-			out = append(out, p.fact.Life)
+		if p.known && s.registry.Has(p.fact.Instance) && (p.fact.Ended || s.hasExpired(p)) {
+			out = append(out, p.fact.Instance)
 		}
 	}
 	return out
 }
 
-func (s *State) expired(p *peer) bool {
+func (s *State) hasExpired(p *peer) bool {
 	voters, zone := 0, false
 	for a := range s.votes {
-		if a.Against != p.fact.Life || !s.registry.Has(a.By) {
+		if a.Against != p.fact.Instance || !s.registry.Has(a.By) {
 			continue
 		}
 		if s.isVoter(a.By.Host) {
@@ -145,10 +145,10 @@
 	return voters/2 + 1
 }
 
-// StandsUntil returns when this host's lease ends unless it is renewed (rule 7). It is
+// LeaseUntil returns when this host's lease ends unless it is renewed (rule 7). It is
 // zero if the host can't hold one.
-func (s *State) StandsUntil(now time.Time) time.Time {
-	if s.ownFact.Over || !s.registry.Has(s.instance) {
+func (s *State) LeaseUntil(now time.Time) time.Time {
+	if s.ownFact.Ended || !s.registry.Has(s.instance) {
 		return time.Time{}
 	}
 	byVoters, byZone := s.voterLeaseUntil(now), s.zoneLeaseUntil(now)
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -20,8 +20,8 @@
 
 // StateConfig holds a host's identity and peers.
 type StateConfig struct {
-	Life hingeids.Instance
-	Zone hingeids.Zone
+	Instance hingeids.Instance
+	Zone     hingeids.Zone
 	// Voter reports that this host votes on the configuration log.
 	Voter bool
 	// Peers are the entry hosts; this one is ignored among them.
@@ -39,9 +39,9 @@
 	peers    []*peer
 	byHost   map[hingeids.HostID]*peer
 	servers  *hingeannounce.Table
-	registry Record
+	registry Registry
 	// votes holds every known failure vote, own ones included.
-	votes       map[Testimony]bool
+	votes       map[FailureVote]bool
 	random      *rand.Rand
 	probeOrder  []*peer
 	round       uint64
@@ -67,7 +67,7 @@
 	// lastSeen is when the instance was last known to be alive, directly or through
 	// others.
 	lastSeen  time.Time
-	intervals hingeannounce.Gaps
+	intervals hingeannounce.IntervalEstimator
 	// grantedUntil is when the lease that this peer granted to this host ends.
 	grantedUntil time.Time
 	// renewedAt is when this host last renewed the peer's lease.
@@ -79,20 +79,20 @@
 // NewState returns the state of a host that knows only its peers' names and zones.
 func NewState(now time.Time, c StateConfig) *State {
 	s := &State{
-		instance:    c.Life,
+		instance:    c.Instance,
 		zone:        c.Zone,
 		voter:       c.Voter,
-		ownFact:     HostFact{Life: c.Life},
+		ownFact:     HostFact{Instance: c.Instance},
 		byHost:      make(map[hingeids.HostID]*peer),
 		servers:     hingeannounce.NewTable(),
-		votes:       make(map[Testimony]bool),
-		random:      rand.New(rand.NewPCG(c.Seed, uint64(c.Life.Incarnation))),
+		votes:       make(map[FailureVote]bool),
+		random:      rand.New(rand.NewPCG(c.Seed, uint64(c.Instance.Incarnation))),
 		nextRoundAt: now,
 		queue:       newGossipQueue(),
-		highestSeen: c.Life.Incarnation,
+		highestSeen: c.Instance.Incarnation,
 	}
 	for _, p := range c.Peers {
-		if p.Host == c.Life.Host {
+		if p.Host == c.Instance.Host {
 			continue
 		}
 		added := &peer{
@@ -105,17 +105,17 @@
 	return s
 }
 
-// Life returns this host's present instance.
-func (s *State) Life() hingeids.Instance {
+// Instance returns this host's present instance.
+func (s *State) Instance() hingeids.Instance {
 	return s.instance
 }
 
-// NewLife replaces this host's instance, which was declared ended, by a new one. The new
+// StartInstance replaces this host's instance, which was declared ended, by a new one. The new
 // incarnation is higher than every one received for this host.
-func (s *State) NewLife(now time.Time) hingeids.Instance {
+func (s *State) StartInstance(now time.Time) hingeids.Instance {
 	s.highestSeen = max(s.highestSeen+1, hingeids.Incarnation(now.UnixNano()))
 	s.instance.Incarnation = s.highestSeen
-	s.ownFact = HostFact{Life: s.instance}
+	s.ownFact = HostFact{Instance: s.instance}
 	for _, p := range s.peers {
 		p.grantedUntil = time.Time{}
 	}
@@ -133,21 +133,21 @@
 
 // End announces that this instance has ended: all its work is finished or abandoned.
 func (s *State) End() {
-	s.ownFact.Leaving, s.ownFact.Over, s.selfEnded = true, true, true
+	s.ownFact.Leaving, s.ownFact.Ended, s.selfEnded = true, true, true
 	s.markChanged()
 	s.queueHost(s.ownFact, true)
 }
 
-// SetRecord applies the registry of the configuration log (rule 6).
-func (s *State) SetRecord(r Record) {
+// SetRegistry applies the registry of the configuration log (rule 6).
+func (s *State) SetRegistry(r Registry) {
 	s.registry = r
 	for host, got := range r {
 		s.mergeHost(HostFact{
-			Life: hingeids.Instance{
+			Instance: hingeids.Instance{
 				Host:        host,
 				Incarnation: got.Incarnation,
 			},
-			Over: got.Over,
+			Ended: got.Ended,
 		})
 	}
 	s.markChanged()
@@ -165,18 +165,18 @@
 
 // mergeHost joins a fact with the known one, and queues the result if it is new.
 func (s *State) mergeHost(f HostFact) {
-	if f.Life.Host == s.instance.Host {
+	if f.Instance.Host == s.instance.Host {
 		s.mergeOwn(f)
 		return
 	}
-	p := s.byHost[f.Life.Host]
+	p := s.byHost[f.Instance.Host]
 	if p == nil {
 		return // Not in this host's settings, so it has no address.
 	}
 	if p.known && join(p.fact, f) == p.fact {
 		return
 	}
-	if f.Life.Incarnation > p.fact.Life.Incarnation {
+	if f.Instance.Incarnation > p.fact.Instance.Incarnation {
 		p.resetInstance()
 	}
 	p.fact = join(p.fact, f)
@@ -188,19 +188,19 @@
 // resetInstance clears what belongs to the peer's previous instance.
 func (p *peer) resetInstance() {
 	p.unansweredSince, p.lastSeen, p.renewedAt = time.Time{}, time.Time{}, time.Time{}
-	p.intervals = hingeannounce.Gaps{}
+	p.intervals = hingeannounce.IntervalEstimator{}
 }
 
 // mergeOwn applies a fact about this host from others. A suspicion is refuted (rule 5); a
 // newer incarnation, or this one marked as ended, ends the instance (rule 6).
 func (s *State) mergeOwn(f HostFact) {
-	s.highestSeen = max(s.highestSeen, f.Life.Incarnation)
-	if f.Life.Incarnation > s.instance.Incarnation || f.Life == s.instance && f.Over && !s.ownFact.Over {
-		s.ownFact.Over = true
+	s.highestSeen = max(s.highestSeen, f.Instance.Incarnation)
+	if f.Instance.Incarnation > s.instance.Incarnation || f.Instance == s.instance && f.Ended && !s.ownFact.Ended {
+		s.ownFact.Ended = true
 		s.markChanged()
 		return
 	}
-	if f.Life != s.instance || !f.Suspect || f.Version < s.ownFact.Version {
+	if f.Instance != s.instance || !f.Suspect || f.Version < s.ownFact.Version {
 		return
 	}
 	s.ownFact.Version = f.Version + 1
@@ -208,20 +208,20 @@
 	s.queueHost(s.ownFact, true)
 }
 
-// DeclaredOver reports whether others have declared this host's instance ended. Its
+// DeclaredEnded reports whether others have declared this host's instance ended. Its
 // callers must get a final response before NewLife is called.
-func (s *State) DeclaredOver() bool {
+func (s *State) DeclaredEnded() bool {
 	if s.selfEnded {
 		return false
 	}
-	return s.ownFact.Over || s.highestSeen > s.instance.Incarnation || s.registry.IsOver(s.instance)
+	return s.ownFact.Ended || s.highestSeen > s.instance.Incarnation || s.registry.HasEnded(s.instance)
 }
 
 func (s *State) mergeServer(
 	now time.Time, a hingeannounce.Announcement, age time.Duration, direct bool,
 ) hingeannounce.Outcome {
-	out := s.servers.Take(now, a, age)
-	if out == hingeannounce.Old {
+	out := s.servers.Apply(now, a, age)
+	if out == hingeannounce.Stale {
 		return out
 	}
 	if out == hingeannounce.Changed {
@@ -244,13 +244,13 @@
 		}
 	}
 	for a := range s.votes {
-		t.Against = append(t.Against, a)
+		t.FailureVotes = append(t.FailureVotes, a)
 	}
-	slices.SortFunc(t.Against, compareVotes)
+	slices.SortFunc(t.FailureVotes, compareVotes)
 	return t
 }
 
-func compareVotes(a, b Testimony) int {
+func compareVotes(a, b FailureVote) int {
 	return cmp.Or(
 		cmp.Compare(a.Against.Host, b.Against.Host),
 		cmp.Compare(a.Against.Incarnation, b.Against.Incarnation),
@@ -259,17 +259,17 @@
 	)
 }
 
-// TakeTable merges another host's table.
-func (s *State) TakeTable(now time.Time, t Table) {
+// MergeTable merges another host's table.
+func (s *State) MergeTable(now time.Time, t Table) {
 	s.pullState.synced = true
 	for _, f := range t.Hosts {
 		s.mergeHost(f)
 	}
-	for _, a := range t.Against {
+	for _, a := range t.FailureVotes {
 		s.mergeVote(a)
 	}
 	for _, a := range t.Servers {
-		if a.Announcement.Check() == nil {
+		if a.Announcement.Validate() == nil {
 			s.mergeServer(now, a.Announcement, a.Age, false)
 		}
 	}
--- a/internal/membership/hingemembers/view.go
+++ b/internal/membership/hingemembers/view.go
@@ -15,7 +15,7 @@
 	Alive
 	Suspect
 	Leaving
-	Over
+	Ended
 )
 
 // String returns the state's name.
@@ -25,9 +25,9 @@
 
 // Host is an entry host in a View.
 type Host struct {
-	Life  hingeids.Instance
-	Zone  hingeids.Zone
-	State HostState
+	Instance hingeids.Instance
+	Zone     hingeids.Zone
+	State    HostState
 }
 
 // View is an immutable snapshot of what a host knows of all entry hosts.
@@ -35,12 +35,12 @@
 	Self hingeids.Instance
 	// Hosts are all entry hosts in the settings, this one first.
 	Hosts []Host
-	// StandsUntil is when this host's instance lease ends (rule 7).
-	StandsUntil time.Time
-	// Overdue are the instances that may be recorded as ended (rule 8).
-	Overdue []hingeids.Instance
-	// Record is the registry of instances.
-	Record Record
+	// LeaseUntil is when this host's instance lease ends (rule 7).
+	LeaseUntil time.Time
+	// Expired are the instances that may be recorded as ended (rule 8).
+	Expired []hingeids.Instance
+	// Registry is the registry of instances.
+	Registry Registry
 }
 
 // View returns a snapshot of the state at the time now.
@@ -48,19 +48,19 @@
 	v := &View{
 		Self: s.instance,
 		Hosts: []Host{{
-			Life:  s.instance,
-			Zone:  s.zone,
-			State: s.ownFact.state(),
+			Instance: s.instance,
+			Zone:     s.zone,
+			State:    s.ownFact.state(),
 		}},
-		StandsUntil: s.StandsUntil(now),
-		Overdue:     s.Overdue(),
-		Record:      s.registry,
+		LeaseUntil: s.LeaseUntil(now),
+		Expired:    s.Expired(),
+		Registry:   s.registry,
 	}
 	for _, p := range s.peers {
 		v.Hosts = append(v.Hosts, Host{
-			Life: hingeids.Instance{
+			Instance: hingeids.Instance{
 				Host:        p.Host,
-				Incarnation: p.fact.Life.Incarnation,
+				Incarnation: p.fact.Instance.Incarnation,
 			},
 			Zone:  p.Zone,
 			State: p.state(now),
@@ -71,8 +71,8 @@
 
 func (f HostFact) state() HostState {
 	switch {
-	case f.Over:
-		return Over
+	case f.Ended:
+		return Ended
 	case f.Suspect:
 		return Suspect
 	case f.Leaving:
@@ -98,7 +98,7 @@
 	var out []hingeids.Instance
 	for _, h := range v.Hosts {
 		if h.Zone == zone && h.State == Alive {
-			out = append(out, h.Life)
+			out = append(out, h.Instance)
 		}
 	}
 	return out
@@ -107,7 +107,7 @@
 // Find returns a host by its ID.
 func (v *View) Find(id hingeids.HostID) (Host, bool) {
 	for _, h := range v.Hosts {
-		if h.Life.Host == id {
+		if h.Instance.Host == id {
 			return h, true
 		}
 	}
--- a/internal/membership/hingemembers/wire.go
+++ b/internal/membership/hingemembers/wire.go
@@ -29,19 +29,19 @@
 	// About is the instance that acknowledged, or the host to probe.
 	About hingeids.Instance `cbor:"5,keyasint"`
 	// Leased reports that the acknowledgement renews the origin's instance lease.
-	Leased  bool                 `cbor:"6,keyasint,omitempty"`
-	Digest  uint64               `cbor:"7,keyasint"`
-	Hosts   []HostFact           `cbor:"8,keyasint,omitempty"`
-	Against []Testimony          `cbor:"9,keyasint,omitempty"`
-	Servers []hingeannounce.Aged `cbor:"10,keyasint,omitempty"`
+	Leased       bool                             `cbor:"6,keyasint,omitempty"`
+	Digest       uint64                           `cbor:"7,keyasint"`
+	Hosts        []HostFact                       `cbor:"8,keyasint,omitempty"`
+	FailureVotes []FailureVote                    `cbor:"9,keyasint,omitempty"`
+	Servers      []hingeannounce.AgedAnnouncement `cbor:"10,keyasint,omitempty"`
 }
 
 // Table is everything that a host knows (rule 11).
 type Table struct {
-	From    hingeids.Instance    `cbor:"1,keyasint"`
-	Hosts   []HostFact           `cbor:"2,keyasint"`
-	Against []Testimony          `cbor:"3,keyasint"`
-	Servers []hingeannounce.Aged `cbor:"4,keyasint"`
+	From         hingeids.Instance                `cbor:"1,keyasint"`
+	Hosts        []HostFact                       `cbor:"2,keyasint"`
+	FailureVotes []FailureVote                    `cbor:"3,keyasint"`
+	Servers      []hingeannounce.AgedAnnouncement `cbor:"4,keyasint"`
 }
 
 // Outgoing is a datagram to send.
--- a/internal/membership/hingeworld/world.go
+++ b/internal/membership/hingeworld/world.go
@@ -17,14 +17,14 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// World is an immutable view of the cluster at one time.
-type World struct {
+// ClusterView is an immutable view of the cluster at one time.
+type ClusterView struct {
 	table     *hingeroutes.Table
 	replicas  map[hingeids.Service][]hingebalance.Replica
 	engines   map[hingeids.Service][]hingefleet.Engine
 	addresses map[hingeids.ServerID]string
-	// removed holds the known servers that accept no more work.
-	removed map[hingeids.ServerID]bool
+	// removedServers holds the known servers that accept no more work.
+	removedServers map[hingeids.ServerID]bool
 	// digest identifies the set of usable servers in any order; version also identifies
 	// the table.
 	digest  uint64
@@ -33,17 +33,17 @@
 
 // Build returns the view for a table, which may be nil, and for the records of servers in
 // the order in which they became known.
-func Build(t *hingeroutes.Table, records []hingeannounce.Record) *World {
-	w := &World{
-		table:     t,
-		replicas:  make(map[hingeids.Service][]hingebalance.Replica),
-		engines:   make(map[hingeids.Service][]hingefleet.Engine),
-		addresses: make(map[hingeids.ServerID]string),
-		removed:   make(map[hingeids.ServerID]bool),
+func Build(t *hingeroutes.Table, records []hingeannounce.Record) *ClusterView {
+	w := &ClusterView{
+		table:          t,
+		replicas:       make(map[hingeids.Service][]hingebalance.Replica),
+		engines:        make(map[hingeids.Service][]hingefleet.Engine),
+		addresses:      make(map[hingeids.ServerID]string),
+		removedServers: make(map[hingeids.ServerID]bool),
 	}
 	for _, r := range records {
 		if !r.Usable() {
-			w.removed[r.Announcement.Server.WithIncarnation(r.Announcement.Incarnation)] = true
+			w.removedServers[r.Announcement.Server.WithIncarnation(r.Announcement.Incarnation)] = true
 		}
 	}
 	for _, r := range usable(t, records) {
@@ -82,7 +82,7 @@
 	return ok && (s.Engine != nil) == (roleOf(a.Kind) != 0)
 }
 
-func (w *World) add(a hingeannounce.Announcement) {
+func (w *ClusterView) add(a hingeannounce.Announcement) {
 	w.addresses[a.Server] = a.Address
 	w.digest ^= xxhash.Sum64String(string(a.Server) + "/" + string(a.Kind))
 	if role := roleOf(a.Kind); role != 0 {
@@ -92,7 +92,7 @@
 	w.addReplica(a)
 }
 
-func (w *World) addReplica(a hingeannounce.Announcement) {
+func (w *ClusterView) addReplica(a hingeannounce.Announcement) {
 	r := hingebalance.Replica{
 		Server:  a.Server,
 		Address: a.Address,
@@ -115,7 +115,7 @@
 	return 0
 }
 
-func (w *World) addEngine(a hingeannounce.Announcement, role hingefleet.Role) {
+func (w *ClusterView) addEngine(a hingeannounce.Announcement, role hingefleet.Role) {
 	e := hingefleet.Engine{
 		Server: a.Server,
 		Zone:   a.Zone,
@@ -139,11 +139,11 @@
 // Version identifies the configuration version and the set of usable servers. It is equal
 // in two processes that have the same configuration and know the same servers, in whatever
 // order they received them.
-func (w *World) Version() string {
+func (w *ClusterView) Version() string {
 	return w.version
 }
 
-func (w *World) versionString() string {
+func (w *ClusterView) versionString() string {
 	version := uint64(0)
 	if w.table != nil {
 		version = w.table.Version
@@ -153,7 +153,7 @@
 
 // Since returns the servers that are usable now and weren't in an earlier view, and those
 // that no longer are, each sorted by ID.
-func (w *World) Since(earlier *World) (added, removed []hingeids.ServerID) {
+func (w *ClusterView) Since(earlier *ClusterView) (added, removed []hingeids.ServerID) {
 	return notIn(w.addresses, earlier.addresses), notIn(earlier.addresses, w.addresses)
 }
 
@@ -170,28 +170,28 @@
 }
 
 // Table returns the routes in force, or nil before any are known.
-func (w *World) Table() *hingeroutes.Table {
+func (w *ClusterView) Table() *hingeroutes.Table {
 	return w.table
 }
 
 // Replicas returns the usable replicas of every service. The map must not be modified.
-func (w *World) Replicas() map[hingeids.Service][]hingebalance.Replica {
+func (w *ClusterView) Replicas() map[hingeids.Service][]hingebalance.Replica {
 	return w.replicas
 }
 
 // Address returns the address of a usable server.
-func (w *World) Address(id hingeids.ServerID) (string, bool) {
+func (w *ClusterView) Address(id hingeids.ServerID) (string, bool) {
 	a, ok := w.addresses[id]
 	return a, ok
 }
 
-// Gone reports whether a server is known to accept no more work. It is false for an
+// Removed reports whether a server is known to accept no more work. It is false for an
 // unknown server.
-func (w *World) Gone(id hingeids.ServerID) bool {
-	return w.removed[id]
+func (w *ClusterView) Removed(id hingeids.ServerID) bool {
+	return w.removedServers[id]
 }
 
 // Engines returns the usable engines of every service. The map must not be modified.
-func (w *World) Engines() map[hingeids.Service][]hingefleet.Engine {
+func (w *ClusterView) Engines() map[hingeids.Service][]hingefleet.Engine {
 	return w.engines
 }
--- a/internal/membership/hingeworld/world_test.go
+++ b/internal/membership/hingeworld/world_test.go
@@ -45,14 +45,14 @@
 	now := startTime
 	for i := range uint64(10) {
 		now = now.Add(time.Second)
-		d.Hear(now, heartbeat("engine-before", i))
+		d.Receive(now, heartbeat("engine-before", i))
 	}
 	restarted := now.Add(2 * time.Second)
-	d.Hear(restarted, heartbeat("engine-after", 0))
+	d.Receive(restarted, heartbeat("engine-after", 0))
 	for i := range uint64(40) {
 		now = restarted.Add(time.Duration(i) * 250 * time.Millisecond)
 		if i%4 == 0 {
-			d.Hear(now, heartbeat("engine-after", i+1))
+			d.Receive(now, heartbeat("engine-after", i+1))
 		}
 		d.Step(now)
 		if diff := cmp.Diff([]hingeids.ServerID{"engine-after"}, placeableEngines(d)); diff != "" {
@@ -66,9 +66,9 @@
 // requests.
 func TestHeldUpHeartbeatDoesNotTakeTheAddressBack(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
-	d.Hear(startTime, heartbeat("engine-before", 1))
-	d.Hear(startTime.Add(2*time.Second), heartbeat("engine-after", 0))
-	d.Hear(startTime.Add(3*time.Second), heartbeat("engine-before", 2))
+	d.Receive(startTime, heartbeat("engine-before", 1))
+	d.Receive(startTime.Add(2*time.Second), heartbeat("engine-after", 0))
+	d.Receive(startTime.Add(3*time.Second), heartbeat("engine-before", 2))
 	d.Merge(startTime.Add(3*time.Second), hingeannounce.Record{
 		Announcement: heartbeat("engine-before", 3),
 		Owner:        "control-2",
@@ -85,14 +85,14 @@
 	d := hingeannounce.NewDirectory("control-1")
 	old := heartbeat("engine", 9)
 	old.Incarnation = 100
-	d.Hear(startTime, old)
+	d.Receive(startTime, old)
 	if diff := cmp.Diff([]hingeids.ServerID{"engine#100"}, placeableEngines(d)); diff != "" {
 		t.Fatal(diff)
 	}
 	restarted := heartbeat("engine", 1)
 	restarted.Incarnation = 200
 	restarted.Address = "10.0.0.2:80"
-	d.Hear(startTime.Add(time.Second), restarted)
+	d.Receive(startTime.Add(time.Second), restarted)
 	if diff := cmp.Diff([]hingeids.ServerID{"engine#200"}, placeableEngines(d)); diff != "" {
 		t.Fatal(diff)
 	}
@@ -126,11 +126,11 @@
 		},
 	} {
 		d := hingeannounce.NewDirectory("control-1")
-		d.Hear(startTime, heartbeat("engine", 1))
+		d.Receive(startTime, heartbeat("engine", 1))
 		other.Server = "other"
 		other.Incarnation = 1
 		other.Address = "10.0.0.1:80"
-		d.Hear(startTime.Add(time.Second), other)
+		d.Receive(startTime.Add(time.Second), other)
 		w := Build(table, d.Since(0))
 		if a, _ := w.Address("engine"); a != "10.0.0.1:80" {
 			t.Errorf("%+v: the engine has the address %q", other, a)
@@ -147,11 +147,11 @@
 	other := heartbeat("other", 1)
 	other.Address = "10.0.0.2:80"
 	one, two := hingeannounce.NewDirectory("control-1"), hingeannounce.NewDirectory("control-2")
-	one.Hear(startTime, heartbeat("engine", 1))
+	one.Receive(startTime, heartbeat("engine", 1))
 	before := Build(nil, one.Since(0))
-	one.Hear(startTime, other)
-	two.Hear(startTime, other)
-	two.Hear(startTime, heartbeat("engine", 1))
+	one.Receive(startTime, other)
+	two.Receive(startTime, other)
+	two.Receive(startTime, heartbeat("engine", 1))
 	after := Build(nil, one.Since(0))
 	if x, y := after.Version(), Build(nil, two.Since(0)).Version(); x != y {
 		t.Errorf("the same servers have versions %s and %s", x, y)
--- a/internal/path/hingecaller/badinput_test.go
+++ b/internal/path/hingecaller/badinput_test.go
@@ -65,13 +65,13 @@
 	limits.RequestBytes = 1024
 	limits.HeaderBytes = 4096
 	s := New(Config{
-		Limits:      limits,
-		Catalogue:   b,
-		Completions: b,
-		Ready:       func() bool { return true },
-		OnDisconnect:        func() {},
-		Recorder:    hingeevents.NewRecorder(hingeids.Instance{}),
-		Now:         time.Now,
+		Limits:       limits,
+		Catalogue:    b,
+		Completions:  b,
+		Ready:        func() bool { return true },
+		OnDisconnect: func() {},
+		Recorder:     hingeevents.NewRecorder(hingeids.Instance{}),
+		Now:          time.Now,
 	})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -73,22 +73,22 @@
 
 // Config holds the parameters and dependencies of a Server.
 type Config struct {
-	Instance   hingeids.Instance
-	Limits hingesettings.Limits
+	Instance hingeids.Instance
+	Limits   hingesettings.Limits
 	// BehindGateway says that all requests come through the operators' own gateway,
 	// which sets X-Caller to the customer's name.
-	BehindGateway     bool
-	Catalogue   Catalogue
-	Completions Completions
-	Services    Services
-	Keys        Keys
+	BehindGateway bool
+	Catalogue     Catalogue
+	Completions   Completions
+	Services      Services
+	Keys          Keys
 	// Ready reports whether the host can serve requests.
 	Ready func() bool
 	// OnDisconnect is called for each request whose caller disconnects before the final
 	// answer. It must be safe for concurrent use.
-	OnDisconnect     func()
-	Recorder *hingeevents.Recorder
-	Now      func() time.Time
+	OnDisconnect func()
+	Recorder     *hingeevents.Recorder
+	Now          func() time.Time
 }
 
 // Server serves the requests of callers. Run must be called only once.
--- a/internal/path/hingecaller/completion.go
+++ b/internal/path/hingecaller/completion.go
@@ -127,7 +127,7 @@
 		Deadline:     deadline,
 		Key:          hingeids.IdempotencyKey(ctx.Request.Header.Peek("Idempotency-Key")),
 		Digest:       hingeledger.DigestOf(fasthttp.MethodPost, path, ctx.PostBody()),
-		Fingerprint:        hingepoison.FingerprintOf(ctx.PostBody(), string(requester.name), fasthttp.MethodPost, path),
+		Fingerprint:  hingepoison.FingerprintOf(ctx.PostBody(), string(requester.name), fasthttp.MethodPost, path),
 	}, c.Stream, nil
 }
 
@@ -316,7 +316,7 @@
 		Status:      fasthttp.StatusOK,
 		ContentType: string(ctx.Response.Header.ContentType()),
 		Body:        append([]byte(nil), ctx.Response.Body()...),
-		Complete:       true,
+		Complete:    true,
 	})
 }
 
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -137,10 +137,10 @@
 	}
 	a.exchange.Attempt++
 	a.entry = Entry{
-		CompletionRequest:  a.request,
-		ID:    a.exchange,
-		Resubmitted: a.admitted,
-		Avoid: a.avoid,
+		CompletionRequest: a.request,
+		ID:                a.exchange,
+		Resubmitted:       a.admitted,
+		Avoid:             a.avoid,
 	}
 	placement, err := d.Gate.Admit(a.ctx, a.entry)
 	if err != nil {
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -88,7 +88,7 @@
 // Entry is one pass of a request through the gate.
 type Entry struct {
 	CompletionRequest *CompletionRequest
-	ID   hingeids.RequestID
+	ID                hingeids.RequestID
 	// Resubmitted says that the gate has admitted the request before.
 	Resubmitted bool
 	// Avoid are servers that failed this request.
@@ -155,17 +155,17 @@
 
 // Dispatcher runs completion requests. It is safe for concurrent use.
 type Dispatcher struct {
-	Engines  Engines
-	Gate     Gate
-	Slots    Slots
-	Canceller  Canceller
-	OwnedRequests    OwnedRequests
-	Ledger   Ledger
-	PoisonDetector  PoisonDetector
-	Meter    Meter
-	Recorder *hingeevents.Recorder
-	Limits   Limits
-	Now      func() time.Time
+	Engines        Engines
+	Gate           Gate
+	Slots          Slots
+	Canceller      Canceller
+	OwnedRequests  OwnedRequests
+	Ledger         Ledger
+	PoisonDetector PoisonDetector
+	Meter          Meter
+	Recorder       *hingeevents.Recorder
+	Limits         Limits
+	Now            func() time.Time
 
 	mu     sync.Mutex
 	budget *hingeretry.Budget
@@ -190,10 +190,10 @@
 // milliseconds.
 func DefaultLimits() Limits {
 	return Limits{
-		MaxCallAttempts:       3,
-		PrefillTimeout: 20 * time.Second,
-		TokenTimeout:   time.Second,
-		CacheRetention:      600 * time.Millisecond,
+		MaxCallAttempts: 3,
+		PrefillTimeout:  20 * time.Second,
+		TokenTimeout:    time.Second,
+		CacheRetention:  600 * time.Millisecond,
 	}
 }
 
--- a/internal/path/hingedispatch/meter.go
+++ b/internal/path/hingedispatch/meter.go
@@ -12,8 +12,8 @@
 	// FirstToken is the time to the first token, zero if there was none.
 	FirstToken time.Duration
 	// Tokens is the number of tokens returned, Gap the mean time between them.
-	Tokens int
-	MeanTokenGap    time.Duration
+	Tokens       int
+	MeanTokenGap time.Duration
 	// Err is nil if the answer was complete.
 	Err error
 }
@@ -43,9 +43,9 @@
 // reportResult passes the result of the answer to the meter.
 func (a *Answer) reportResult(now time.Time, err error) {
 	f := Result{
-		CompletionRequest:   a.request,
-		Tokens: a.next,
-		Err:    err,
+		CompletionRequest: a.request,
+		Tokens:            a.next,
+		Err:               err,
 	}
 	if !a.firstTokenAt.IsZero() {
 		f.FirstToken = a.firstTokenAt.Sub(a.request.Arrived)
--- a/internal/path/hingedispatch/poison.go
+++ b/internal/path/hingedispatch/poison.go
@@ -23,14 +23,14 @@
 
 // FailedExchange describes an exchange that failed at a server.
 type FailedExchange struct {
-	Fingerprint   hingeids.Fingerprint
-	Request hingeids.RequestID
-	Service hingeids.Service
-	Caller  hingeids.CallerID
-	Target  hingeengine.Target
+	Fingerprint hingeids.Fingerprint
+	Request     hingeids.RequestID
+	Service     hingeids.Service
+	Caller      hingeids.CallerID
+	Target      hingeengine.Target
 	// Held is how long the server had the request.
 	Held time.Duration
-	Err error
+	Err  error
 }
 
 // checkPoison returns a final error if the request is refused as a poison
@@ -50,12 +50,12 @@
 func (a *Answer) reportFailedExchange(t hingeengine.Target, err error) {
 	d := a.dispatcher
 	d.PoisonDetector.HandleFailedExchange(a.ctx, FailedExchange{
-		Fingerprint:   a.request.Fingerprint,
-		Request: a.request.Request,
-		Service: hingeids.Service(a.request.Model),
-		Caller:  a.request.Caller,
-		Target:  t,
-		Held:     d.Now().Sub(a.sentAt),
-		Err:     err,
+		Fingerprint: a.request.Fingerprint,
+		Request:     a.request.Request,
+		Service:     hingeids.Service(a.request.Model),
+		Caller:      a.request.Caller,
+		Target:      t,
+		Held:        d.Now().Sub(a.sentAt),
+		Err:         err,
 	})
 }
--- a/internal/path/hingedispatch/poison_test.go
+++ b/internal/path/hingedispatch/poison_test.go
@@ -53,19 +53,19 @@
 func TestPoisonCallIsRefused(t *testing.T) {
 	e := &crashingReplicas{}
 	d := &ServiceDispatcher{
-		Client:   e,
-		ReplicaPool: e,
-		PoisonDetector:  e,
-		Meter:    e,
-		Limits:   DefaultLimits(),
-		Now:      time.Now,
+		Client:         e,
+		ReplicaPool:    e,
+		PoisonDetector: e,
+		Meter:          e,
+		Limits:         DefaultLimits(),
+		Now:            time.Now,
 	}
 	var verdicts []hingeverdict.Verdict
 	for range 4 {
 		c := &Call{
-			ReplicaRequest:     &fasthttp.Request{},
-			Response:   &fasthttp.Response{},
-			Deadline: time.Now().Add(time.Minute),
+			ReplicaRequest: &fasthttp.Request{},
+			Response:       &fasthttp.Response{},
+			Deadline:       time.Now().Add(time.Minute),
 		}
 		c.ReplicaRequest.Header.SetMethod(fasthttp.MethodGet)
 		verdicts = append(verdicts, hingeverdict.Of(d.Do(t.Context(), c)))
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -25,8 +25,8 @@
 	Arrived  time.Time
 	Deadline time.Time
 	// ReplicaRequest is the request to the replica; its response is written to Answer.
-	ReplicaRequest   *fasthttp.Request
-	Response *fasthttp.Response
+	ReplicaRequest *fasthttp.Request
+	Response       *fasthttp.Response
 	// Fingerprint is the fingerprint that the call shares with its resends.
 	Fingerprint hingeids.Fingerprint
 }
@@ -62,14 +62,14 @@
 //     HEAD.
 //  4. A call that crashes the replicas which run it is not sent (hingepoison).
 type ServiceDispatcher struct {
-	Client   ReplicaClient
-	ReplicaPool ReplicaPool
-	Ledger   Ledger
-	PoisonDetector  PoisonDetector
-	Meter    CallMeter
-	Recorder *hingeevents.Recorder
-	Limits   Limits
-	Now      func() time.Time
+	Client         ReplicaClient
+	ReplicaPool    ReplicaPool
+	Ledger         Ledger
+	PoisonDetector PoisonDetector
+	Meter          CallMeter
+	Recorder       *hingeevents.Recorder
+	Limits         Limits
+	Now            func() time.Time
 }
 
 // CallMeter updates the metrics of calls of plain services. It must be safe for
@@ -130,7 +130,7 @@
 		Status:      c.Response.StatusCode(),
 		ContentType: string(c.Response.Header.ContentType()),
 		Body:        append([]byte(nil), c.Response.Body()...),
-		Complete:       true,
+		Complete:    true,
 	})
 	return nil
 }
@@ -177,13 +177,13 @@
 	avoid[target.Server] = true
 	if err != nil {
 		d.PoisonDetector.HandleFailedExchange(ctx, FailedExchange{
-			Fingerprint:   c.Fingerprint,
-			Request: c.Request,
-			Service: c.Service,
-			Caller:  c.Caller,
-			Target:  target,
-			Held:     d.Now().Sub(began),
-			Err:     err,
+			Fingerprint: c.Fingerprint,
+			Request:     c.Request,
+			Service:     c.Service,
+			Caller:      c.Caller,
+			Target:      target,
+			Held:        d.Now().Sub(began),
+			Err:         err,
 		})
 	}
 	return err
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -92,7 +92,7 @@
 	// this host has led for long enough to give orders.
 	away    hingeboard.Cell[map[hingeids.ServerID]bool]
 	settled hingeboard.Cell[hingeids.Fence]
-	world   hingeboard.Cell[hingeworld.World]
+	world   hingeboard.Cell[hingeworld.ClusterView]
 	// entries is how many entry hosts there were when they were last counted: the placer asks for it with each report, and must not wait for
 	// the lock of whoever answers hundreds of followers.
 	entries atomic.Int64
@@ -262,7 +262,7 @@
 
 // tellChanges records which servers may be used now and which no longer, with the version of the world that lines on
 // requests name. Entry hosts write no lines of their own on it: hundreds would say the same.
-func (c *Control) tellChanges(earlier, now *hingeworld.World) {
+func (c *Control) tellChanges(earlier, now *hingeworld.ClusterView) {
 	usable, gone := now.Since(earlier)
 	for _, id := range usable {
 		c.tellServer(hingeevents.ServerUsable, id, now)
@@ -272,7 +272,7 @@
 	}
 }
 
-func (c *Control) tellServer(n hingeevents.Number, id hingeids.ServerID, w *hingeworld.World) {
+func (c *Control) tellServer(n hingeevents.Number, id hingeids.ServerID, w *hingeworld.ClusterView) {
 	c.options.Recorder.Record(time.Now(), n, hingeevents.Fields{
 		Server: id,
 		World:  w.Version(),
--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -82,7 +82,7 @@
 	owner    *hingeplacer.Owner
 	proxy    *hingeproxy.Proxy
 	server   *hingewire.Server
-	world    hingeboard.Cell[hingeworld.World]
+	world    hingeboard.Cell[hingeworld.ClusterView]
 	done     chan struct{}
 
 	mu        sync.Mutex
--- a/internal/serve/hingefront/world.go
+++ b/internal/serve/hingefront/world.go
@@ -67,7 +67,7 @@
 
 // Removed reports whether a server is known to take no more work.
 func (f *Front) Removed(id hingeids.ServerID) bool {
-	return f.world.Load().Gone(id)
+	return f.world.Load().Removed(id)
 }
 
 // Engines gives the engines that may be used.
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -158,7 +158,7 @@
 		all = append(all, s)
 		if s.Zone == g.server.settings.Zone {
 			own = append(own, s)
-			decodes = decodes || s.Does(hingeannounce.Decode)
+			decodes = decodes || s.Performs(hingeannounce.Decode)
 		}
 	}
 	if decodes {
@@ -283,13 +283,13 @@
 	out := maps.Clone(failed)
 	for _, kind := range []hingeannounce.Kind{hingeannounce.Prefill, hingeannounce.Decode} {
 		other := slices.ContainsFunc(engines, func(s hingeannounce.Server) bool {
-			return s.Does(kind) && !failed[s.Server]
+			return s.Performs(kind) && !failed[s.Server]
 		})
 		if other {
 			continue
 		}
 		for _, s := range engines {
-			if s.Does(kind) {
+			if s.Performs(kind) {
 				delete(out, s.Server)
 			}
 		}
--- a/internal/serve/hingeserver/holds.go
+++ b/internal/serve/hingeserver/holds.go
@@ -35,10 +35,10 @@
 }
 
 var (
-	_ hingedispatch.Canceller = (*holds)(nil)
-	_ hingedispatch.OwnedRequests   = (*holds)(nil)
-	_ hingeholds.Engines    = cancelling{}
-	_ hingeholds.Owner      = (*holds)(nil)
+	_ hingedispatch.Canceller     = (*holds)(nil)
+	_ hingedispatch.OwnedRequests = (*holds)(nil)
+	_ hingeholds.Engines          = cancelling{}
+	_ hingeholds.Owner            = (*holds)(nil)
 )
 
 // cancelling is the engines' side of holds.
@@ -182,7 +182,7 @@
 // feed tells what the view and the record show. It runs in the control loop.
 func (h *holds) feed() {
 	members := h.server.shared.members.Hosts().Load()
-	h.driver.SetRecord(members.Record)
+	h.driver.SetRecord(members.Registry)
 	if engines := h.engines(members); !slices.Equal(engines, h.told) {
 		h.told = engines
 		h.driver.SetEngines(engines)
@@ -194,7 +194,7 @@
 	alive := make(map[hingeids.Zone][]hingeids.HostID)
 	for _, host := range members.Hosts {
 		if host.State == hingemembers.Alive {
-			alive[host.Zone] = append(alive[host.Zone], host.Life.Host)
+			alive[host.Zone] = append(alive[host.Zone], host.Instance.Host)
 		}
 	}
 	var out []hingeholds.Engine
--- a/internal/serve/hingeserver/ledger.go
+++ b/internal/serve/hingeserver/ledger.go
@@ -52,7 +52,7 @@
 		Status:      s.Status,
 		ContentType: s.ContentType,
 		Body:        s.Body,
-		Complete:       s.Whole,
+		Complete:    s.Whole,
 	}, nil
 }
 
--- a/internal/serve/hingeserver/lives.go
+++ b/internal/serve/hingeserver/lives.go
@@ -44,8 +44,8 @@
 }
 
 // recordOf reads the lives out of a configuration.
-func recordOf(v *hingeconfig.View) hingemembers.Record {
-	record := make(hingemembers.Record)
+func recordOf(v *hingeconfig.View) hingemembers.Registry {
+	record := make(hingemembers.Registry)
 	for path, document := range v.Documents {
 		name, there := strings.CutPrefix(string(path), livesPrefix)
 		host, isBegan := strings.CutSuffix(name, beganSuffix)
@@ -55,9 +55,9 @@
 		id := hingeids.HostID(host)
 		incarnation := hingeids.Incarnation(binary.BigEndian.Uint64(document))
 		over := v.OverUpTo(id)
-		record[id] = hingemembers.Recorded{
+		record[id] = hingemembers.RegistryEntry{
 			Incarnation: max(incarnation, over),
-			Over:        over >= incarnation,
+			Ended:       over >= incarnation,
 		}
 	}
 	return record
@@ -84,17 +84,17 @@
 
 func (s *Server) compareLives(ctx context.Context, now time.Time) {
 	record := recordOf(s.shared.spread.Applied().Load().View)
-	s.shared.members.SetRecord(record)
+	s.shared.members.SetRegistry(record)
 	view := s.shared.members.Hosts().Load()
 	s.callers.StartInstance(view.Self)
-	if self := view.Self; !record.Has(self) && !record.IsOver(self) && !s.callers.Draining() {
+	if self := view.Self; !record.Has(self) && !record.HasEnded(self) && !s.callers.Draining() {
 		s.recordFact(ctx, began(self, now))
 	}
 	if _, leads := s.shared.config.Leading(now); !leads {
 		return
 	}
 	for _, life := range livesToEnd(view) {
-		if record.IsOver(life) {
+		if record.HasEnded(life) {
 			continue
 		}
 		if !s.recordFact(ctx, hingeconfig.LifeOver(life, s.settings.Host, now)) {
@@ -113,10 +113,10 @@
 // hears any more, and those that said so themselves when they left. Without the
 // second, what a host could not hand on at its end would be held for good.
 func livesToEnd(v *hingemembers.View) []hingeids.Instance {
-	out := slices.Clone(v.Overdue)
+	out := slices.Clone(v.Expired)
 	for _, h := range v.Hosts {
-		if h.State == hingemembers.Over {
-			out = append(out, h.Life)
+		if h.State == hingemembers.Ended {
+			out = append(out, h.Instance)
 		}
 	}
 	return out
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -286,7 +286,7 @@
 			Operators:   p.Operators,
 			Disk:        p.Disk,
 			Alive:       host.State == hingemembers.Alive,
-			Incarnation: host.Life.Incarnation,
+			Incarnation: host.Instance.Incarnation,
 			Revision:    lags[p.Host].Applied,
 		}
 		if p.Host == s.settings.Host {
--- a/internal/serve/hingeserver/script_test.go
+++ b/internal/serve/hingeserver/script_test.go
@@ -95,7 +95,7 @@
 	})
 	// A host grants slots once its life is recorded.
 	if err := eventually(func() error {
-		if !host.shared.members.Hosts().Load().StandsUntil.After(time.Now()) {
+		if !host.shared.members.Hosts().Load().LeaseUntil.After(time.Now()) {
 			return errors.New("the host does not stand yet")
 		}
 		return nil
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -67,13 +67,13 @@
 func (s *shared) openMembers(c sharedConfig) {
 	config := hingemembers.Config{
 		StateConfig: hingemembers.StateConfig{
-			Life: c.life,
-			Zone: c.settings.Zone,
-			Seed: uint64(c.life.Incarnation),
+			Instance: c.life,
+			Zone:     c.settings.Zone,
+			Seed:     uint64(c.life.Incarnation),
 		},
-		Link:   s.link,
-		Events: c.recorder,
-		OnOver: c.onOver,
+		Link:            s.link,
+		Events:          c.recorder,
+		OnDeclaredEnded: c.onOver,
 	}
 	for _, p := range c.settings.Peers {
 		if p.Host == c.settings.Host {
--- a/internal/serve/hingeserver/slots.go
+++ b/internal/serve/hingeserver/slots.go
@@ -101,7 +101,7 @@
 	}
 	var out []hingeslots.Engine
 	for _, x := range s.server.listed(s.server.servers.Load().Servers) {
-		if x.Zone == s.server.settings.Zone && x.Does(hingeannounce.Decode) {
+		if x.Zone == s.server.settings.Zone && x.Performs(hingeannounce.Decode) {
 			out = append(out, slotEngine(x))
 		}
 	}
@@ -121,7 +121,7 @@
 // are too few to stand, a request would be prefilled again and again for a slot
 // that nobody may grant.
 func (s *slots) canGrant(now time.Time, x hingeannounce.Server) bool {
-	if x.Zone != s.server.settings.Zone || !x.Does(hingeannounce.Decode) {
+	if x.Zone != s.server.settings.Zone || !x.Performs(hingeannounce.Decode) {
 		return true
 	}
 	return s.driver.HasOpened(slotEngine(x)) && s.prospect(now)
@@ -133,7 +133,7 @@
 // prospect tells whether this host stands, or another one has granted it a slot
 // just now.
 func (s *slots) prospect(now time.Time) bool {
-	if s.server.shared.members.Hosts().Load().StandsUntil.After(now) {
+	if s.server.shared.members.Hosts().Load().LeaseUntil.After(now) {
 		return true
 	}
 	return now.Sub(time.Unix(0, s.lastGrant.Load())) < grantFresh
