--- a/internal/membership/hingefollow/askers.go
+++ b/internal/membership/hingefollow/askers.go
@@ -9,26 +9,26 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// askerBits is the size of a set of askers: it tells 69 hosts to two, and 560 to two in a hundred, in 512 bytes.
-const askerBits = 4096
+// followerSetBits is the size of the bitmap. In 512 bytes it counts 69 hosts to within two, and 560 to within two percent.
+const followerSetBits = 4096
 
-// Askers is the set of entry hosts that ask a control host, as a bitmap by a hash of their names. Each entry host asks several control
-// hosts, and for some seconds others as well when it turns from one to another: added up, their numbers say a fifth
-// too much just when something fails. Sets that are joined count each host once.
+// Askers is the set of entry hosts that follow a control host, a bitmap indexed by a hash of the host name (linear counting).
+// An entry host follows several control hosts, and for a few seconds one more while it switches between them, so the sum of
+// the control hosts' counts is too high. A union of their sets counts each entry host once.
 type Askers []byte
 
-// NewAskers makes an empty set.
+// NewAskers returns an empty set.
 func NewAskers() Askers {
-	return make(Askers, askerBits/8)
+	return make(Askers, followerSetBits/8)
 }
 
-// Add adds a host.
+// Add adds an entry host to the set.
 func (a Askers) Add(h hingeids.HostID) {
-	bit := xxhash.Sum64String(string(h)) % askerBits
+	bit := xxhash.Sum64String(string(h)) % followerSetBits
 	a[bit/8] |= 1 << (bit % 8)
 }
 
-// Join adds the hosts of another set. One of another size, from another build, is passed over.
+// Join adds all hosts of another set. It ignores a set of another size, which comes from a different build.
 func (a Askers) Join(o Askers) {
 	if len(o) != len(a) {
 		return
@@ -38,12 +38,12 @@
 	}
 }
 
-// Count is how many hosts there are: hosts that share a bit are made up for by how many bits would be shared by chance.
+// Count estimates the number of hosts in the set. It corrects for hosts whose hashes share a bit.
 func (a Askers) Count() int {
 	set := 0
 	for _, b := range a {
 		set += bits.OnesCount8(b)
 	}
-	free := max(askerBits-set, 1)
-	return int(math.Round(-askerBits * math.Log(float64(free)/askerBits)))
+	zeroBits := max(followerSetBits-set, 1)
+	return int(math.Round(-followerSetBits * math.Log(float64(zeroBits)/followerSetBits)))
 }
--- a/internal/membership/hingefollow/follow.go
+++ b/internal/membership/hingefollow/follow.go
@@ -1,32 +1,32 @@
-// Package hingefollow takes what the control hosts know to everyone else: the
-// configuration in force and the directory of backend servers.
+// Package hingefollow replicates the state of the control hosts to all other hosts: the
+// configuration in force, the directory of backend servers and the list of poison requests.
 //
-//  1. A follower asks a few control hosts (mostFollowed), each with one long
-//     question at a time: those of its own zone first, then others by
-//     lot. The leader isn't preferred: it places requests, and needs its processor
-//     for that. An answer comes at a change, or when the hold time is over. Each
-//     answer is whole in itself, so a lost one costs a question and nothing else.
-//  2. A follower takes the newest of all that it hears: of the configuration the
-//     highest version, of a backend server the newest record. So a control host that is cut
-//     off can hold nobody back, and nothing in force ever goes back to an older state.
-//  3. A follower learns control hosts from its seeds and from answers, and forgets one
-//     that no control host names and that doesn't answer.
-//  4. A follower is ready once a control host has confirmed, by asking the leader,
-//     that its configuration isn't older than one that was accepted before the
-//     question: a process that restarts must not come up with an older one.
+//  1. A follower polls a few control hosts (maxFollowed), each with one long poll
+//     at a time. It prefers those of its own zone, then orders by a hash. The leader
+//     isn't preferred, because it needs its processor to place requests. A control host responds
+//     after a change, or when the long-poll time is over. Each response is complete
+//     in itself, so a lost one costs only another poll.
+//  2. A follower applies the newest state that it receives: the highest version
+//     of the configuration, and the newest record of each backend server. A partitioned control host
+//     therefore can't delay a follower, and no state in force is ever replaced by an older one.
+//  3. A follower learns of control hosts from its seeds and from responses. It removes one
+//     that no control host names and that doesn't respond.
+//  4. A follower is ready once a control host has confirmed with the leader
+//     that its configuration is no older than any accepted before the
+//     request. A restarted process therefore never serves with an older configuration.
 //  5. Control hosts follow each other too, so a follower that reaches only one of them
-//     still hears everything. Records that are merged twice change nothing, which
-//     ends the round.
-//  6. A configuration comes from the first of those that are asked; the others only say its
-//     version, and send it when they are asked once more because it hasn't come.
-//  7. After a change of servers all followers have to be answered, hundreds of them. A
-//     control host gathers changes for as long as these answers take it, so that many
-//     changes in a row (a cut that ends, a start of everything) don't keep it from
-//     placing requests; followers that know as much get the same answer. A new leader
-//     or configuration is told at once.
-//  8. What the configuration lacks is not denied by a follower that may be behind: it asks first whether
-//     there is a newer one, which a control host confirms by asking the leader.
-//  9. The list of the requests that end servers goes the same way, at once and whole: it is short, and changes a few times a day.
+//     still receives all changes. Merging a record twice changes nothing, which
+//     ends the propagation.
+//  6. Only the first of the polled control hosts sends new configurations. The others send
+//     the version, and the configuration on the next poll if it hasn't arrived by then.
+//  7. A change of servers has to be sent to hundreds of followers. A control host
+//     batches such changes for about as long as the responses take it, so that a series
+//     of changes (a healed partition, a cold start) doesn't keep it from
+//     placing requests. Followers with the same state get the same encoded response. A new leader
+//     or configuration is sent without batching.
+//  8. A follower that may be behind doesn't reject a caller for something that its configuration lacks. It first queries
+//     whether there is a newer configuration, which a control host confirms with the leader.
+//  9. The list of poison requests is replicated the same way, complete and without batching: it is short and changes a few times a day.
 package hingefollow
 
 import (
@@ -50,125 +50,126 @@
 const methodFollow hingelink.Method = "follow.ask"
 
 const (
-	// hold is how long a question waits for a change. A host that is asked once
-	// in two seconds by each of 560 followers spends 280 small answers a second on it.
-	hold = 2 * time.Second
-	// answerGrace is how long after the hold time an answer may come; a link that has
-	// gone silent is given up by then.
-	answerGrace = 500 * time.Millisecond
-	// freshWait bounds how long a control host asks the leader for rule 4.
-	freshWait = time.Second
-	// retryPause keeps a follower from asking a host that is away without a break.
-	retryPause = 150 * time.Millisecond
-	// forgetAfter is how long a control host that nobody names may go unheard.
-	forgetAfter = 10 * time.Second
-	// mostFollowed is how many control hosts an entry host asks. One may be cut off, and
-	// another be ending: with three somebody is always heard, and 560 hosts ask
-	// 840 questions a second of 15 control hosts, not 4,200.
-	mostFollowed = 3
-	// briefWait is how long a configuration may be late behind its version (rule 6).
-	briefWait = 150 * time.Millisecond
-	// leastGather is how long an answer waits for more after a change: a control host that
-	// comes back hears dozens of servers at once.
-	leastGather = 2 * time.Millisecond
-	// gatherPerFollower lengthens it with those who ask (rule 7): a call takes 0.17 ms of a server-class core, a control host
-	// may have half of one, and two thirds of that are for requests.
-	gatherPerFollower = time.Millisecond
-	// mostGather bounds it: a server that leaves may get no work two seconds later, and what one control host heard is gathered by
-	// a second one.
-	mostGather = 300 * time.Millisecond
-	// shareFor is how long an answer is given to others who know as much: those who wait are answered within it.
-	shareFor = 20 * time.Millisecond
+	// longPollTime is how long a control host holds a request while nothing changes. With 560
+	// followers it causes at most 280 small responses per second.
+	longPollTime = 2 * time.Second
+	// responseGrace is added to longPollTime for the timeout of a request, to detect
+	// a connection that has failed without an error.
+	responseGrace = 500 * time.Millisecond
+	// leaderReadTimeout bounds the control host's read from the leader (rule 4).
+	leaderReadTimeout = time.Second
+	// retryDelay is the delay after a failed request.
+	retryDelay = 150 * time.Millisecond
+	// removeAfter is how long a host may be unnamed and unresponsive before it is removed (rule 3).
+	removeAfter = 10 * time.Second
+	// maxFollowed is the number of control hosts that an entry host polls. With three,
+	// one may be partitioned and another shutting down. Polling all of 15 control hosts
+	// would cost 560 entry hosts 4,200 requests per second instead of 840.
+	maxFollowed = 3
+	// documentWait is how long a configuration may arrive after its version (rule 6).
+	documentWait = 150 * time.Millisecond
+	// minBatchDelay is the shortest delay between a change and the response: a control host that
+	// reconnects receives dozens of announcements in a burst.
+	minBatchDelay = 2 * time.Millisecond
+	// batchDelayPerFollower makes the delay proportional to the number of followers (rule 7). At 0.17 ms of processor time per
+	// response, it leaves two thirds of half a core for placing requests.
+	batchDelayPerFollower = time.Millisecond
+	// maxBatchDelay bounds the delay. A change may be batched by two control hosts in a row, and a leaving server must get no
+	// work after two seconds.
+	maxBatchDelay = 300 * time.Millisecond
+	// responseCacheTime is how long an encoded response is reused for followers with the same state (rule 7).
+	responseCacheTime = 20 * time.Millisecond
 )
 
-// question is what a follower asks.
-type question struct {
-	// Life is the life of the asked host that Change speaks of.
-	Life   hingeids.Incarnation `cbor:"1,keyasint"`
-	Change uint64               `cbor:"2,keyasint"`
-	// Version is that of the configuration held.
+// followRequest is a follower's long poll.
+type followRequest struct {
+	// Incarnation is the control host's incarnation when it sent Change, the number of the last change that the follower has.
+	Incarnation hingeids.Incarnation `cbor:"1,keyasint"`
+	Change      uint64               `cbor:"2,keyasint"`
+	// Version is the version of the follower's configuration.
 	Version hingeversion.Version `cbor:"3,keyasint"`
-	// Fresh asks for rule 4.
-	Fresh bool `cbor:"4,keyasint,omitempty"`
-	// Entry says that the follower takes requests from callers.
-	Entry bool `cbor:"5,keyasint,omitempty"`
-	// Brief asks for the version of a newer configuration only (rule 6).
-	Brief bool `cbor:"6,keyasint,omitempty"`
-	// Once says that the follower asks this host for rule 8, and doesn't follow it.
-	Once bool `cbor:"7,keyasint,omitempty"`
-	// Poisons is the revision of the list held (rule 9).
+	// ConfirmNewest requests a confirmation by the leader (rules 4 and 8).
+	ConfirmNewest bool `cbor:"4,keyasint,omitempty"`
+	// EntryHost is set if the follower accepts requests from callers.
+	EntryHost bool `cbor:"5,keyasint,omitempty"`
+	// VersionOnly requests a newer configuration's version without its content (rule 6).
+	VersionOnly bool `cbor:"6,keyasint,omitempty"`
+	// Single marks a query of rule 8: the control host doesn't count the sender as its follower.
+	Single bool `cbor:"7,keyasint,omitempty"`
+	// Poisons is the revision of the follower's list of poison requests (rule 9).
 	Poisons uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// named is a control host as others name it.
-type named struct {
+// memberInfo names a control host in a response. Zone is empty if it isn't known.
+type memberInfo struct {
 	Host hingeids.HostID `cbor:"1,keyasint"`
 	Zone hingeids.Zone   `cbor:"2,keyasint,omitempty"`
 }
 
-// answer is what a control host says.
-type answer struct {
-	Life     hingeids.Incarnation   `cbor:"1,keyasint"`
-	Change   uint64                 `cbor:"2,keyasint"`
-	Records  []hingeannounce.Record `cbor:"3,keyasint,omitempty"`
-	Document *hingeversion.Document `cbor:"4,keyasint,omitempty"`
-	Leader   hingeids.HostID        `cbor:"5,keyasint,omitempty"`
-	Control  []named                `cbor:"6,keyasint,omitempty"`
-	// Version is that of the newest configuration, whether or not Document is sent.
+// followResponse is a control host's response to a follower.
+type followResponse struct {
+	Incarnation hingeids.Incarnation   `cbor:"1,keyasint"`
+	Change      uint64                 `cbor:"2,keyasint"`
+	Records     []hingeannounce.Record `cbor:"3,keyasint,omitempty"`
+	Document    *hingeversion.Document `cbor:"4,keyasint,omitempty"`
+	Leader      hingeids.HostID        `cbor:"5,keyasint,omitempty"`
+	Control     []memberInfo           `cbor:"6,keyasint,omitempty"`
+	// Version is the version of the newest configuration, also if Document is nil.
 	Version hingeversion.Version `cbor:"12,keyasint,omitempty"`
-	// Askers are the entry hosts that ask this host, told to control hosts only; Entries is how many there are in all.
-	Askers  Askers        `cbor:"15,keyasint,omitempty"`
-	Entries int           `cbor:"7,keyasint,omitempty"`
-	Fresh   bool          `cbor:"8,keyasint,omitempty"`
-	InTouch bool          `cbor:"9,keyasint,omitempty"`
-	Term    uint64        `cbor:"10,keyasint,omitempty"`
-	Zone    hingeids.Zone `cbor:"11,keyasint,omitempty"`
-	// Poisons is the list of the requests that end servers, if it is newer than the follower's.
+	// Askers are the entry hosts that follow the control host; it is sent only to control hosts. Entries counts the entry
+	// hosts of all control hosts.
+	Askers          Askers        `cbor:"15,keyasint,omitempty"`
+	Entries         int           `cbor:"7,keyasint,omitempty"`
+	NewestConfirmed bool          `cbor:"8,keyasint,omitempty"`
+	InTouch         bool          `cbor:"9,keyasint,omitempty"`
+	Term            uint64        `cbor:"10,keyasint,omitempty"`
+	Zone            hingeids.Zone `cbor:"11,keyasint,omitempty"`
+	// Poisons is the list of poison requests if it is newer than the follower's, otherwise nil.
 	Poisons *hingepoison.List `cbor:"16,keyasint,omitempty"`
 }
 
-// State is what a follower knows; nobody changes it.
+// State is the replicated state of a follower. A published state is immutable.
 type State struct {
 	Document hingeversion.Document
-	// Poisons are the requests that end servers.
+	// Poisons is the list of poison requests, which crash servers.
 	Poisons hingepoison.List
-	// Ready is rule 4.
+	// Ready is set once a configuration was confirmed by the leader (rule 4).
 	Ready bool
-	// Leader is the control host that leads, as heard last, in its term.
+	// Leader is the last reported leader of the control hosts, in Term.
 	Leader hingeids.HostID
 	Term   uint64
-	// Entries is how many hosts take requests from callers, as heard last.
+	// Entries is the last reported number of entry hosts.
 	Entries int
-	// Control are the control hosts known of, by name.
+	// Control lists the known control hosts, ordered by name.
 	Control []ControlHost
-	// HeardAt is when a control host in touch with the leader was heard last.
+	// HeardAt is when the last response came from a control host that hears a leader.
 	HeardAt time.Time
 }
 
-// ControlHost is a control host as it was heard last.
+// ControlHost is a control host and its last reported state.
 type ControlHost struct {
 	Host hingeids.HostID
 	Zone hingeids.Zone
-	// InTouch says that it heard a leader, HeardAt when it said so; zero before it said anything.
+	// InTouch is set if it heard a leader at its last response. HeardAt is the time of that response, zero before the first.
 	InTouch bool
 	HeardAt time.Time
-	// Askers are the entry hosts that ask it.
+	// Askers are the entry hosts that follow it.
 	Askers Askers
 }
 
-// Settings of a follower.
+// Settings configures a Follower.
 type Settings struct {
 	Self hingeids.HostID
 	Zone hingeids.Zone
-	// Entry says that the host takes requests from callers. Others are control hosts, and
-	// follow all of their kind (rule 5).
+	// Entry is set on hosts that accept requests from callers. Other followers are control hosts,
+	// which follow all control hosts (rule 5).
 	Entry bool
 	Clock func() time.Time
-	// Took is called for each record that is new here, in no goroutine of its own.
+	// Took is called with the records of each response, from the goroutine that received it.
 	Took func(now time.Time, records []hingeannounce.Record)
 }
 
-// Follower follows the control hosts.
+// Follower polls the control hosts and publishes the newest state.
 type Follower struct {
 	settings Settings
 	link     hingelink.Link
@@ -178,12 +179,12 @@
 	mu    sync.Mutex
 	hosts map[hingeids.HostID]*host
 	seeds []hingeids.HostID
-	// newest is the last search of rule 8.
-	newest *finding
-	all    sync.WaitGroup
+	// newestQuery is the last query for the newest version (rule 8).
+	newestQuery *versionQuery
+	pollers     sync.WaitGroup
 }
 
-// New makes a follower of the seeds.
+// New returns a follower that starts with the seeds. Run starts the polling.
 func New(s Settings, link hingelink.Link, seeds []hingeids.HostID) *Follower {
 	f := &Follower{
 		settings: s,
@@ -196,34 +197,34 @@
 	return f
 }
 
-// State is where what is known is published.
+// State returns the cell in which the state is published.
 func (f *Follower) State() *hingeboard.Cell[State] {
 	return &f.state
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (f *Follower) Done() <-chan struct{} {
 	return f.done
 }
 
-// Reseed takes other seeds.
+// Reseed replaces the seeds.
 func (f *Follower) Reseed(seeds []hingeids.HostID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = slices.Clone(seeds)
 }
 
-// lookEvery is how often the list of control hosts is gone through.
-const lookEvery = 250 * time.Millisecond
+// refreshInterval is the interval at which the choice of polled control hosts is updated.
+const refreshInterval = 250 * time.Millisecond
 
-// Run follows until the context ends.
+// Run polls the control hosts until the context is done, and then waits for the pollers.
 func (f *Follower) Run(ctx context.Context) error {
 	defer close(f.done)
-	defer f.all.Wait()
-	ticker := time.NewTicker(lookEvery)
+	defer f.pollers.Wait()
+	ticker := time.NewTicker(refreshInterval)
 	defer ticker.Stop()
 	for {
-		f.look(ctx, f.settings.Clock())
+		f.refreshHosts(ctx, f.settings.Clock())
 		select {
 		case <-ctx.Done():
 			return nil
@@ -232,81 +233,81 @@
 	}
 }
 
-// follow asks one control host until the context ends.
-func (f *Follower) follow(ctx context.Context, id hingeids.HostID, h *host) {
+// poll sends long polls to one control host until the context is done.
+func (f *Follower) poll(ctx context.Context, id hingeids.HostID, h *host) {
 	for ctx.Err() == nil {
-		a, err := f.ask(ctx, id, h)
+		a, err := f.pollOnce(ctx, id, h)
 		now := f.settings.Clock()
 		if err != nil {
-			hingeclock.Pause(ctx, retryPause)
+			hingeclock.Pause(ctx, retryDelay)
 			continue
 		}
-		f.take(now, h, a)
-		if f.lacks(a.Version) {
-			hingeclock.Pause(ctx, briefWait)
-			f.note(h, f.lacks(a.Version))
+		f.apply(now, h, a)
+		if f.documentMissing(a.Version) {
+			hingeclock.Pause(ctx, documentWait)
+			f.setDocumentLate(h, f.documentMissing(a.Version))
 		}
 	}
 }
 
-// lacks reports whether a configuration has been told of that hasn't come.
-func (f *Follower) lacks(v hingeversion.Version) bool {
-	return f.state.Load().Document.Version < v
+// documentMissing reports whether the follower lacks the configuration of a version (rule 6).
+func (f *Follower) documentMissing(newest hingeversion.Version) bool {
+	return f.state.Load().Document.Version < newest
 }
 
-// note notes whether a host has to send a configuration whole.
-func (f *Follower) note(h *host, behind bool) {
+// setDocumentLate records whether the host's next response has to include the configuration.
+func (f *Follower) setDocumentLate(h *host, late bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h.behind = behind
+	h.documentLate = late
 }
 
-func (f *Follower) ask(ctx context.Context, id hingeids.HostID, h *host) (answer, error) {
+func (f *Follower) pollOnce(ctx context.Context, id hingeids.HostID, h *host) (followResponse, error) {
 	s := f.state.Load()
 	f.mu.Lock()
-	q := question{
-		Life:    h.life,
-		Change:  h.change,
-		Version: s.Document.Version,
-		Poisons: s.Poisons.Revision,
-		Fresh:   !s.Ready,
-		Entry:   f.settings.Entry,
-		Brief:   s.Ready && !h.first && !h.behind,
+	q := followRequest{
+		Incarnation:   h.incarnation,
+		Change:        h.change,
+		Version:       s.Document.Version,
+		Poisons:       s.Poisons.Revision,
+		ConfirmNewest: !s.Ready,
+		EntryHost:     f.settings.Entry,
+		VersionOnly:   s.Ready && !h.sendsDocuments && !h.documentLate,
 	}
 	f.mu.Unlock()
-	one, stop := context.WithTimeout(ctx, hold+answerGrace)
+	callCtx, stop := context.WithTimeout(ctx, longPollTime+responseGrace)
 	defer stop()
-	return f.put(one, id, q)
+	return f.call(callCtx, id, q)
 }
 
-// put puts a question to a control host.
-func (f *Follower) put(ctx context.Context, id hingeids.HostID, q question) (answer, error) {
+// call sends a request to a control host.
+func (f *Follower) call(ctx context.Context, id hingeids.HostID, q followRequest) (followResponse, error) {
 	body, err := cbor.Marshal(q)
 	if err != nil {
-		return answer{}, eris.Wrap(err, "question to a control host")
+		return followResponse{}, eris.Wrap(err, "encode a follow request")
 	}
 	b, err := f.link.Call(ctx, id, methodFollow, body)
 	if err != nil {
-		return answer{}, err
+		return followResponse{}, err
 	}
-	var a answer
-	return a, eris.Wrap(cbor.Unmarshal(b, &a), "answer of a control host")
+	var a followResponse
+	return a, eris.Wrap(cbor.Unmarshal(b, &a), "decode a control host's response")
 }
 
-// take brings an answer into the state (rule 2).
-func (f *Follower) take(now time.Time, h *host, a answer) {
+// apply merges a response into the state (rule 2).
+func (f *Follower) apply(now time.Time, h *host, a followResponse) {
 	if len(a.Records) > 0 {
 		f.settings.Took(now, a.Records)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	h.heard = now
-	h.life = a.Life
+	h.lastSeen = now
+	h.incarnation = a.Incarnation
 	h.change = a.Change
 	h.zone = a.Zone
-	h.behind = false
-	h.inTouch = a.InTouch
-	h.askers = a.Askers
+	h.documentLate = false
+	h.hasLeader = a.InTouch
+	h.followers = a.Askers
 	next := *f.state.Load()
 	if a.Document != nil && a.Document.Version > next.Document.Version {
 		next.Document = *a.Document
@@ -314,14 +315,14 @@
 	if a.Poisons != nil && a.Poisons.Revision > next.Poisons.Revision {
 		next.Poisons = *a.Poisons
 	}
-	// What a host that hears no leader says of control hosts may be old.
+	// A control host that hears no leader may have an outdated list of members.
 	if a.InTouch {
 		next.HeardAt = now
 		if a.Entries > 0 {
 			next.Entries = a.Entries
 		}
 		for _, c := range a.Control {
-			f.name(now, c.Host)
+			f.markNamed(now, c.Host)
 			if h := f.hosts[c.Host]; h != nil && c.Zone != "" {
 				h.zone = c.Zone
 			}
@@ -331,7 +332,7 @@
 		next.Leader = a.Leader
 		next.Term = a.Term
 	}
-	next.Ready = next.Ready || a.Fresh && next.Document.Version > 0
-	next.Control = f.control()
+	next.Ready = next.Ready || a.NewestConfirmed && next.Document.Version > 0
+	next.Control = f.controlHosts()
 	f.state.Store(&next)
 }
--- a/internal/membership/hingefollow/follow_test.go
+++ b/internal/membership/hingefollow/follow_test.go
@@ -19,14 +19,14 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// origin is what a control host of the test knows of the group.
+// origin is the state of a simulated control host.
 type origin struct {
 	documents hingeboard.Cell[hingeversion.Document]
 	poisons   hingeboard.Cell[hingepoison.List]
 	mu        sync.Mutex
 	standing  Standing
-	// alone says that no leader can be asked.
-	alone bool
+	// noLeader makes Read fail.
+	noLeader bool
 }
 
 func (o *origin) Documents() *hingeboard.Cell[hingeversion.Document] { return &o.documents }
@@ -39,33 +39,33 @@
 	return o.standing
 }
 
-func (o *origin) stands(s Standing) {
+func (o *origin) setStanding(s Standing) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.standing = s
 }
 
-// directory is what a follower has heard of servers.
+// directory holds the server records that a follower received.
 type directory struct {
 	mu      sync.Mutex
 	records *hingeannounce.Directory
-	// news counts answers with news.
-	news int
+	// updates counts the responses with records.
+	updates int
 }
 
-func (d *directory) took(now time.Time, records []hingeannounce.Record) {
+func (d *directory) addRecords(now time.Time, records []hingeannounce.Record) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.news++
+	d.updates++
 	for _, r := range records {
 		d.records.Merge(now, r)
 	}
 }
 
-func (d *directory) answers() int {
+func (d *directory) updateCount() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.news
+	return d.updates
 }
 
 func (d *directory) servers() map[hingeids.ServerID]bool {
@@ -79,7 +79,7 @@
 }
 
 func (o *origin) Read(context.Context) error {
-	if o.alone {
+	if o.noLeader {
 		return eris.New("no leader")
 	}
 	return nil
@@ -92,51 +92,51 @@
 	})
 }
 
-// control is a control host.
-type control struct {
+// testControl is a simulated control host.
+type testControl struct {
 	*origin
-	source *Source
-	askers []Askers
+	source    *Source
+	followers []Askers
 }
 
-func (c *control) ZoneOf(hingeids.HostID) hingeids.Zone { return "" }
+func (c *testControl) ZoneOf(hingeids.HostID) hingeids.Zone { return "" }
 
-func (c *control) Askers() []Askers { return c.askers }
+func (c *testControl) Askers() []Askers { return c.followers }
 
-// fleet is two control hosts and what follows them, under a fake clock.
-type fleet struct {
-	t       *testing.T
-	network *hingefake.Network
-	ctx     context.Context
-	stop    context.CancelFunc
-	all     map[hingeids.HostID]*control
-	running []*Follower
+// cluster is a simulated cluster of two control hosts and their followers, under a fake clock.
+type cluster struct {
+	t         *testing.T
+	network   *hingefake.Network
+	ctx       context.Context
+	stop      context.CancelFunc
+	hosts     map[hingeids.HostID]*testControl
+	followers []*Follower
 }
 
-func inBubble(t *testing.T, f func(t *testing.T, x *fleet)) {
+func withCluster(t *testing.T, f func(t *testing.T, x *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithCancel(context.Background())
-		x := &fleet{
+		x := &cluster{
 			t:       t,
 			network: hingefake.NewNetwork(),
 			ctx:     ctx,
 			stop:    stop,
-			all:     make(map[hingeids.HostID]*control),
+			hosts:   make(map[hingeids.HostID]*testControl),
 		}
 		for _, h := range []hingeids.HostID{"control-1", "control-2"} {
 			x.start(h, 1)
 		}
 		f(t, x)
 		stop()
-		for _, r := range x.running {
+		for _, r := range x.followers {
 			<-r.Done()
 		}
 	})
 }
 
-// start begins a life of a control host.
-func (x *fleet) start(h hingeids.HostID, life hingeids.Incarnation) *control {
-	c := &control{
+// start starts an instance of a control host.
+func (x *cluster) start(h hingeids.HostID, incarnation hingeids.Incarnation) *testControl {
+	c := &testControl{
 		origin: &origin{
 			standing: Standing{
 				Leader:  "control-1",
@@ -150,14 +150,14 @@
 	c.poisons.Store(&hingepoison.List{})
 	c.source = NewSource(hingeids.Life{
 		Host:        h,
-		Incarnation: life,
+		Incarnation: incarnation,
 	}, c.origin, c, time.Now, x.network.Link(h))
-	x.all[h] = c
+	x.hosts[h] = c
 	return c
 }
 
-// follow starts a follower that knows one seed.
-func (x *fleet) follow(self, seed hingeids.HostID) (*Follower, *directory) {
+// startFollower starts an entry host's follower with one seed.
+func (x *cluster) startFollower(self, seed hingeids.HostID) (*Follower, *directory) {
 	d := &directory{
 		records: hingeannounce.NewDirectory(self),
 	}
@@ -165,9 +165,9 @@
 		Self:  self,
 		Entry: true,
 		Clock: time.Now,
-		Took:  d.took,
+		Took:  d.addRecords,
 	}, x.network.Link(self), []hingeids.HostID{seed})
-	x.running = append(x.running, f)
+	x.followers = append(x.followers, f)
 	go func() {
 		_ = f.Run(x.ctx)
 	}()
@@ -183,32 +183,31 @@
 	}
 }
 
-// A follower that knows one seed learns the other control host from it, and hears what
-// only that one knows.
+// A follower with one seed must discover the other control host through it, and receive
+// records that only the other one holds.
 func TestFollowerFindsAllControlHosts(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		f, d := x.follow("entry-1", "control-1")
-		x.all["control-1"].accept(1)
-		x.all["control-2"].source.Hear(time.Now(), announcement("engine"))
+	withCluster(t, func(t *testing.T, x *cluster) {
+		f, d := x.startFollower("entry-1", "control-1")
+		x.hosts["control-1"].accept(1)
+		x.hosts["control-2"].source.Hear(time.Now(), announcement("engine"))
 		time.Sleep(3 * time.Second)
 		if got := len(d.servers()); got != 1 {
-			t.Fatalf("%d servers are known", got)
+			t.Fatalf("%d servers are known, want 1", got)
 		}
 		s := f.State().Load()
 		if !s.Ready || s.Document.Version != 1 || s.Entries != 1 {
-			t.Fatalf("%+v", s)
+			t.Fatalf("state is %+v", s)
 		}
 	})
 }
 
-// A change is accepted. It is in force at a follower within milliseconds, not at the
-// end of the hold time.
-func TestChangeComesAtOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		f, _ := x.follow("entry-1", "control-1")
-		x.all["control-1"].accept(1)
+// Guards against a follower that gets an accepted change only at the end of the long-poll time.
+func TestChangeIsAppliedImmediately(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		f, _ := x.startFollower("entry-1", "control-1")
+		x.hosts["control-1"].accept(1)
 		time.Sleep(5 * time.Second)
-		x.all["control-1"].accept(2)
+		x.hosts["control-1"].accept(2)
 		time.Sleep(20 * time.Millisecond)
 		if v := f.State().Load().Document.Version; v != 2 {
 			t.Fatalf("version %d is in force", v)
@@ -216,45 +215,45 @@
 	})
 }
 
-// A control host is cut off from the group and has an old configuration. A process that
-// starts and asks it first must not serve by that.
-func TestFollowerIsNotReadyByAnOldWord(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		cutOff := x.all["control-1"]
-		cutOff.alone = true
-		cutOff.stands(Standing{})
-		cutOff.accept(1)
-		f, _ := x.follow("entry-1", "control-1")
+// Guards against a starting process that becomes ready with the outdated configuration of
+// a partitioned control host.
+func TestFollowerIsNotReadyOnAStaleResponse(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		partitioned := x.hosts["control-1"]
+		partitioned.noLeader = true
+		partitioned.setStanding(Standing{})
+		partitioned.accept(1)
+		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
 		if s := f.State().Load(); s.Ready || s.Document.Version != 1 {
-			t.Fatalf("%+v", s)
+			t.Fatalf("state is %+v after an outdated response", s)
 		}
-		x.all["control-2"].accept(5)
+		x.hosts["control-2"].accept(5)
 		f.Reseed([]hingeids.HostID{"control-2"})
 		time.Sleep(3 * time.Second)
 		if s := f.State().Load(); !s.Ready || s.Document.Version != 5 {
-			t.Fatalf("%+v", s)
+			t.Fatalf("state is %+v", s)
 		}
 	})
 }
 
-// The host that sends configurations whole is cut off from the group, and goes on answering with
-// what it has. The others only tell that there is a newer one, and have to send it.
-func TestConfigurationComesFromAnotherHost(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		f, _ := x.follow("entry-1", "control-1")
-		for _, c := range x.all {
+// The control host that sends configurations is partitioned and responds with an outdated one.
+// The follower must fetch the newer one from a host that sent only its version.
+func TestConfigurationIsFetchedFromAnotherHost(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		f, _ := x.startFollower("entry-1", "control-1")
+		for _, c := range x.hosts {
 			c.accept(1)
 		}
 		time.Sleep(5 * time.Second)
 		for _, h := range []hingeids.HostID{"control-1", "control-2"} {
 			next := f.State().Load().Document.Version + 1
-			x.all[h].accept(next)
+			x.hosts[h].accept(next)
 			time.Sleep(500 * time.Millisecond)
 			if v := f.State().Load().Document.Version; v != next {
 				t.Fatalf("version %d is in force while %s has %d", v, h, next)
 			}
-			for _, c := range x.all {
+			for _, c := range x.hosts {
 				c.accept(next)
 			}
 			time.Sleep(3 * time.Second)
@@ -262,34 +261,33 @@
 	})
 }
 
-// askedBy gives the sets of so many control hosts, of which each entry host asks as many as it may, and some of them one more since they
-// have just turned from one to another.
-func askedBy(controls, entries, turned int) []Askers {
+// followerSets returns the set of each control host if each entry host follows maxFollowed of them, and the first ones, which are
+// switching, one more.
+func followerSets(controls, entries, switching int) []Askers {
 	out := make([]Askers, controls)
 	for i := range out {
 		out[i] = NewAskers()
 	}
 	for i := range entries {
-		asked := min(mostFollowed, controls)
-		if i < turned {
-			asked = min(asked+1, controls)
+		followed := min(maxFollowed, controls)
+		if i < switching {
+			followed = min(followed+1, controls)
 		}
-		for j := range asked {
+		for j := range followed {
 			out[(i+j)%controls].Add(hingeids.HostID(fmt.Sprint("entry-", i)))
 		}
 	}
 	return out
 }
 
-// Entry hosts ask three control hosts each. Counted by one of eight alone there would seem to be a third of them, and each would
-// take three times its part of what they share; added up, those that have just turned to another control host would count
-// more than once, and all would take less.
+// Guards against entry hosts that are counted by one control host only, or several times while they switch between control
+// hosts. Either would give each host a wrong share of the quotas.
 func TestAllEntryHostsAreCounted(t *testing.T) {
 	for _, c := range []struct {
-		controls int
-		entries  int
-		turned   int
-		off      int
+		controls  int
+		entries   int
+		switching int
+		tolerance int
 	}{
 		{
 			controls: 3,
@@ -303,35 +301,35 @@
 			entries:  6,
 		},
 		{
-			controls: 6,
-			entries:  69,
-			turned:   30,
-			off:      1,
+			controls:  6,
+			entries:   69,
+			switching: 30,
+			tolerance: 1,
 		},
 		{
-			controls: 8,
-			entries:  74,
-			off:      1,
+			controls:  8,
+			entries:   74,
+			tolerance: 1,
 		},
 		{
-			controls: 15,
-			entries:  560,
-			turned:   200,
-			off:      11,
+			controls:  15,
+			entries:   560,
+			switching: 200,
+			tolerance: 11,
 		},
 	} {
 		all := NewAskers()
-		for _, a := range askedBy(c.controls, c.entries, c.turned) {
+		for _, a := range followerSets(c.controls, c.entries, c.switching) {
 			all.Join(a)
 		}
-		if got := all.Count(); got < c.entries-c.off || got > c.entries+c.off {
+		if got := all.Count(); got < c.entries-c.tolerance || got > c.entries+c.tolerance {
 			t.Errorf("%d entry hosts at %d control hosts: %d were counted", c.entries, c.controls, got)
 		}
 	}
-	inBubble(t, func(t *testing.T, x *fleet) {
-		x.all["control-1"].askers = askedBy(7, 64, 10)
-		x.all["control-1"].accept(1)
-		f, _ := x.follow("entry-of-its-own", "control-1")
+	withCluster(t, func(t *testing.T, x *cluster) {
+		x.hosts["control-1"].followers = followerSets(7, 64, 10)
+		x.hosts["control-1"].accept(1)
+		f, _ := x.startFollower("entry-of-its-own", "control-1")
 		x.network.Remove("control-2")
 		time.Sleep(5 * time.Second)
 		if n := f.State().Load().Entries; n < 63 || n > 67 {
@@ -340,18 +338,18 @@
 	})
 }
 
-// Control hosts tell each other who asks them, so that each counts all.
-func TestControlHostsTellWhoAsksThem(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		x.all["control-1"].accept(1)
-		x.follow("entry-1", "control-1")
-		x.follow("entry-2", "control-1")
+// Control hosts must exchange their follower sets, so that each counts all entry hosts.
+func TestControlHostsExchangeTheirFollowers(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		x.hosts["control-1"].accept(1)
+		x.startFollower("entry-1", "control-1")
+		x.startFollower("entry-2", "control-1")
 		f := New(Settings{
 			Self:  "control-3",
 			Clock: time.Now,
 			Took:  func(time.Time, []hingeannounce.Record) {},
 		}, x.network.Link("control-3"), []hingeids.HostID{"control-1"})
-		x.running = append(x.running, f)
+		x.followers = append(x.followers, f)
 		go func() {
 			_ = f.Run(x.ctx)
 		}()
@@ -366,15 +364,15 @@
 	})
 }
 
-// The leader dies and a host that was behind answers first. What is in force must
-// not go back.
+// Guards against a follower that returns to an older configuration when the leader fails
+// and a lagging control host responds.
 func TestConfigurationNeverGoesBack(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		f, _ := x.follow("entry-1", "control-1")
-		x.all["control-1"].accept(7)
+	withCluster(t, func(t *testing.T, x *cluster) {
+		f, _ := x.startFollower("entry-1", "control-1")
+		x.hosts["control-1"].accept(7)
 		time.Sleep(3 * time.Second)
 		x.network.Remove("control-1")
-		x.all["control-2"].accept(6)
+		x.hosts["control-2"].accept(6)
 		time.Sleep(10 * time.Second)
 		if v := f.State().Load().Document.Version; v != 7 {
 			t.Fatalf("version %d is in force", v)
@@ -382,13 +380,13 @@
 	})
 }
 
-// A control host restarts and has forgotten its servers. What it says of its new life's
-// changes mustn't be taken for those of the old one, or new servers would never be heard of.
-func TestRestartedControlHostIsHeardAnew(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		_, d := x.follow("entry-1", "control-1")
+// Guards against a follower that compares the change numbers of two incarnations of a restarted
+// control host, and so never receives its new records.
+func TestRestartedControlHostSendsItsNewRecords(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		_, d := x.startFollower("entry-1", "control-1")
 		for _, id := range []hingeids.ServerID{"a", "b", "c"} {
-			x.all["control-1"].source.Hear(time.Now(), announcement(id))
+			x.hosts["control-1"].source.Hear(time.Now(), announcement(id))
 		}
 		time.Sleep(3 * time.Second)
 		next := x.start("control-1", 2)
@@ -406,14 +404,13 @@
 	})
 }
 
-// Seeds are exchanged for other hosts and the old ones are gone. They must not be
-// asked for ever.
-func TestGoneControlHostIsForgotten(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		f, _ := x.follow("entry-1", "control-1")
+// Guards against a follower that polls a former seed forever after the seeds were replaced.
+func TestUnreachableControlHostIsRemoved(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
 		x.network.Remove("control-1")
-		x.all["control-2"].stands(Standing{
+		x.hosts["control-2"].setStanding(Standing{
 			Leader:  "control-2",
 			Term:    2,
 			Members: []hingeids.HostID{"control-2"},
@@ -431,75 +428,75 @@
 	})
 }
 
-// A cut ends, and a control host hears of eighty servers within a fifth of a second, one after the other. Each is news for its hundred
-// followers. If it told them one by one, it would give ten thousand answers meanwhile, and have no time to place what callers ask.
-func TestManyChangesAreToldTogether(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
+// Guards against a control host that sends each of 80 changes in a row to each of its 100 followers separately, and has no
+// processor time left to place requests.
+func TestChangesAreBatched(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
 		const followers, servers = 100, 80
-		var heard []*directory
+		var directories []*directory
 		for i := range followers {
-			_, d := x.follow(hingeids.HostID(fmt.Sprint("entry-", i)), "control-1")
-			heard = append(heard, d)
+			_, d := x.startFollower(hingeids.HostID(fmt.Sprint("entry-", i)), "control-1")
+			directories = append(directories, d)
 		}
-		x.all["control-1"].accept(1)
+		x.hosts["control-1"].accept(1)
 		time.Sleep(3 * time.Second)
 		before := 0
-		for _, d := range heard {
-			before += d.answers()
+		for _, d := range directories {
+			before += d.updateCount()
 		}
 		for i := range servers {
 			a := announcement(hingeids.ServerID(fmt.Sprint("server-", i)))
 			a.Address = fmt.Sprint("10.0.0.1:", 1000+i)
-			x.all["control-1"].source.Hear(time.Now(), a)
+			x.hosts["control-1"].source.Hear(time.Now(), a)
 			time.Sleep(2500 * time.Microsecond)
 		}
 		time.Sleep(time.Second)
-		answers := -before
-		for i, d := range heard {
-			answers += d.answers()
+		updates := -before
+		for i, d := range directories {
+			updates += d.updateCount()
 			if got := len(d.servers()); got != servers {
 				t.Fatalf("follower %d knows %d servers", i, got)
 			}
 		}
-		// An answer takes 0.1 ms of a core of which half is there: a quarter of 0.2 s is 250 answers; the first and the last round come beside.
-		if most := 10 * followers; answers > most {
-			t.Fatalf("%d answers with news, %d at most", answers, most)
+		// Batching allows about 250 responses during the 0.2 s of changes, and one round to all followers before and after them.
+		if limit := 10 * followers; updates > limit {
+			t.Fatalf("%d responses with records, want at most %d", updates, limit)
 		}
 	})
 }
 
-// The leader changes while servers come and go. Entry hosts ask it for places, so each millisecond until they hear of it is one of waiting.
-func TestNewLeaderIsToldAtOnceWhileServersChange(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
+// Guards against a leader change that is delayed by the batching of server changes. Entry hosts need the leader to place requests.
+func TestLeaderChangeIsNotBatched(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
 		var all []*Follower
 		for i := range 100 {
-			f, _ := x.follow(hingeids.HostID(fmt.Sprint("entry-", i)), "control-1")
+			f, _ := x.startFollower(hingeids.HostID(fmt.Sprint("entry-", i)), "control-1")
 			all = append(all, f)
 		}
-		x.all["control-1"].accept(1)
+		x.hosts["control-1"].accept(1)
 		time.Sleep(3 * time.Second)
-		x.all["control-1"].source.Hear(time.Now(), announcement("server"))
+		x.hosts["control-1"].source.Hear(time.Now(), announcement("server"))
 		time.Sleep(time.Millisecond)
-		x.all["control-1"].stands(Standing{
+		x.hosts["control-1"].setStanding(Standing{
 			Leader:  "control-2",
 			Term:    2,
 			InTouch: true,
 		})
-		x.all["control-1"].source.Wake()
+		x.hosts["control-1"].source.Wake()
 		time.Sleep(5 * time.Millisecond)
 		for i, f := range all {
 			if l := f.State().Load().Leader; l != "control-2" {
-				t.Fatalf("follower %d still takes %q for the leader", i, l)
+				t.Fatalf("follower %d still has %q as the leader", i, l)
 			}
 		}
 	})
 }
 
-// A control host with a hundred followers hears of a server. The other control hosts place requests by what they hear, and are told at once.
-func TestControlHostsHearAtOnce(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
+// Guards against other control hosts that get a server record only after the batch delay for 100 entry hosts.
+func TestControlHostsGetChangesAfterMinimumDelay(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
 		for i := range 100 {
-			x.follow(hingeids.HostID(fmt.Sprint("entry-", i)), "control-1")
+			x.startFollower(hingeids.HostID(fmt.Sprint("entry-", i)), "control-1")
 		}
 		d := &directory{
 			records: hingeannounce.NewDirectory("control-2"),
@@ -507,73 +504,72 @@
 		f := New(Settings{
 			Self:  "control-2",
 			Clock: time.Now,
-			Took:  d.took,
+			Took:  d.addRecords,
 		}, x.network.Link("control-3"), []hingeids.HostID{"control-1"})
-		x.running = append(x.running, f)
+		x.followers = append(x.followers, f)
 		go func() {
 			_ = f.Run(x.ctx)
 		}()
-		x.all["control-1"].accept(1)
+		x.hosts["control-1"].accept(1)
 		time.Sleep(3 * time.Second)
-		x.all["control-1"].source.Hear(time.Now(), announcement("server"))
-		time.Sleep(2 * leastGather)
+		x.hosts["control-1"].source.Hear(time.Now(), announcement("server"))
+		time.Sleep(2 * minBatchDelay)
 		if len(d.servers()) != 1 {
-			t.Error("another control host hasn't heard of the server")
+			t.Error("the other control host didn't receive the server's record")
 		}
 	})
 }
 
-// A caller brings a key that this host doesn't know. Whether it was added a moment ago, only the leader can tell: a control
-// host that is in touch with it sends the newer configuration, one that hears no leader can't tell, and nobody is denied on its word.
-func TestNewestIsFoundOutBeforeADenial(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		for _, c := range x.all {
+// Guards against rejecting a key that was added a moment ago: Newest must fetch the newer configuration through a control host
+// with a leader, and must confirm nothing without a leader.
+func TestNewestVersionIsConfirmedByTheLeader(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		for _, c := range x.hosts {
 			c.accept(3)
 		}
-		f, _ := x.follow("entry-1", "control-1")
+		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(time.Second)
-		for _, c := range x.all {
-			// Nobody is woken, as if the change were still on its way.
+		for _, c := range x.hosts {
+			// No long poll is woken, as if the change were still in transit.
 			c.documents.Load().Version = 4
 		}
 		if v, known := f.Newest(context.Background()); !known || v != 4 {
 			t.Fatalf("version %d, known %v", v, known)
 		}
-		for _, c := range x.all {
-			c.alone = true
+		for _, c := range x.hosts {
+			c.noLeader = true
 		}
 		time.Sleep(time.Second)
 		if v, known := f.Newest(context.Background()); known {
-			t.Fatalf("version %d is said to be the newest by hosts that hear no leader", v)
+			t.Fatalf("version %d was confirmed as the newest without a leader", v)
 		}
 	})
 }
 
-// Thousands of requests a second bring unknown keys. They share what was found out, or the leader would be asked by each.
-func TestFindingsAreShared(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		x.all["control-1"].accept(3)
-		x.all["control-2"].accept(3)
-		f, _ := x.follow("entry-1", "control-1")
+// Guards against a query to the leader for each of thousands of requests with unknown keys.
+func TestVersionQueriesAreShared(t *testing.T) {
+	withCluster(t, func(t *testing.T, x *cluster) {
+		x.hosts["control-1"].accept(3)
+		x.hosts["control-2"].accept(3)
+		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(time.Second)
-		searches := make(map[*finding]bool)
+		queries := make(map[*versionQuery]bool)
 		for range 1000 {
-			searches[f.findNewest(time.Now())] = true
+			queries[f.currentQuery(time.Now())] = true
 			time.Sleep(time.Millisecond)
 		}
-		if n := len(searches); n > 11 {
-			t.Fatalf("%d searches in a second", n)
+		if n := len(queries); n > 11 {
+			t.Fatalf("%d version queries in a second", n)
 		}
 	})
 }
 
-// A request was found that ends servers. A host that isn't told goes on sending it to them whenever it reaches nobody who places; one
-// that hears an older list afterwards mustn't forget it again.
+// Guards against a follower that gets the list of poison requests late, or replaces it by an older list from another control host.
 func TestListOfPoisonRequestsReachesEveryHost(t *testing.T) {
-	inBubble(t, func(t *testing.T, x *fleet) {
-		x.all["control-1"].accept(1)
-		x.all["control-2"].accept(1)
-		f, _ := x.follow("entry-1", "control-1")
+	withCluster(t, func(t *testing.T, x *cluster) {
+		x.hosts["control-1"].accept(1)
+		x.hosts["control-2"].accept(1)
+		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
 		older := (&hingepoison.List{}).With(hingepoison.Record{
 			Print: 7,
@@ -581,15 +577,15 @@
 		newer := older.With(hingepoison.Record{
 			Print: 8,
 		})
-		began := time.Now()
-		x.all["control-2"].poisons.Store(newer)
-		for len(f.State().Load().Poisons.Records) == 0 && time.Since(began) < time.Second {
+		start := time.Now()
+		x.hosts["control-2"].poisons.Store(newer)
+		for len(f.State().Load().Poisons.Records) == 0 && time.Since(start) < time.Second {
 			time.Sleep(time.Millisecond)
 		}
-		if took := time.Since(began); took > 20*time.Millisecond {
-			t.Errorf("it took %v", took)
+		if elapsed := time.Since(start); elapsed > 20*time.Millisecond {
+			t.Errorf("the list arrived after %v", elapsed)
 		}
-		x.all["control-1"].poisons.Store(older)
+		x.hosts["control-1"].poisons.Store(older)
 		time.Sleep(3 * time.Second)
 		if diff := cmp.Diff(*newer, f.State().Load().Poisons); diff != "" {
 			t.Error(diff)
--- a/internal/membership/hingefollow/hosts.go
+++ b/internal/membership/hingefollow/hosts.go
@@ -13,73 +13,72 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// host is a control host as this follower knows it.
+// host is a follower's state for one control host.
 type host struct {
-	named   time.Time
-	heard   time.Time
-	life    hingeids.Incarnation
-	change  uint64
-	zone    hingeids.Zone
-	inTouch bool
-	askers  Askers
-	// first says that it sends configurations whole, and behind that it has told
-	// of one that hasn't come (rule 6).
-	first  bool
-	behind bool
-	// askedAt is when the follower began to ask it.
-	askedAt time.Time
-	stop    context.CancelFunc
-	started bool
+	lastNamed   time.Time
+	lastSeen    time.Time
+	incarnation hingeids.Incarnation
+	change      uint64
+	zone        hingeids.Zone
+	hasLeader   bool
+	followers   Askers
+	// sendsDocuments is set if the host sends new configurations. documentLate is set if it
+	// reported the version of one that hasn't arrived (rule 6).
+	sendsDocuments bool
+	documentLate   bool
+	// pollingSince is when the follower started to poll the host.
+	pollingSince time.Time
+	stop         context.CancelFunc
+	polling      bool
 }
 
-// look begins to ask hosts that are new, and forgets others (rule 3).
-func (f *Follower) look(ctx context.Context, now time.Time) {
+// refreshHosts starts to poll the best control hosts, stops polling the others and removes hosts that are gone (rules 1 and 3).
+func (f *Follower) refreshHosts(ctx context.Context, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, h := range f.seeds {
-		f.name(now, h)
+		f.markNamed(now, h)
 	}
 	for id, h := range f.hosts {
-		if now.Sub(h.named) > forgetAfter && now.Sub(h.heard) > forgetAfter {
-			h.end()
+		if now.Sub(h.lastNamed) > removeAfter && now.Sub(h.lastSeen) > removeAfter {
+			h.stopPolling()
 			delete(f.hosts, id)
 		}
 	}
 	for i, id := range f.ranked(now) {
 		h := f.hosts[id]
-		if f.settings.Entry && i >= mostFollowed {
-			h.end()
+		if f.settings.Entry && i >= maxFollowed {
+			h.stopPolling()
 			continue
 		}
-		h.first = i == 0
-		if h.started {
+		h.sendsDocuments = i == 0
+		if h.polling {
 			continue
 		}
-		h.started = true
-		h.askedAt = now
-		var inner context.Context
-		inner, h.stop = context.WithCancel(ctx)
-		f.all.Go(func() {
-			f.follow(inner, id, h)
+		h.polling = true
+		h.pollingSince = now
+		var pollCtx context.Context
+		pollCtx, h.stop = context.WithCancel(ctx)
+		f.pollers.Go(func() {
+			f.poll(pollCtx, id, h)
 		})
 	}
 }
 
-// end stops asking a host.
-func (h *host) end() {
-	if h.started {
+func (h *host) stopPolling() {
+	if h.polling {
 		h.stop()
-		h.started = false
+		h.polling = false
 	}
 }
 
-// ranked gives the control hosts, the best to ask first (rule 1). One that is asked and
-// hasn't answered for a while goes behind the others. The caller holds the lock.
+// ranked returns the control hosts in order of preference (rule 1). A polled host whose
+// response is overdue comes last. The caller holds the lock.
 func (f *Follower) ranked(now time.Time) []hingeids.HostID {
 	rank := func(id hingeids.HostID) int {
 		h := f.hosts[id]
 		switch {
-		case h.started && now.Sub(hingeclock.Later(h.heard, h.askedAt)) > hold+answerGrace:
+		case h.polling && now.Sub(hingeclock.Later(h.lastSeen, h.pollingSince)) > longPollTime+responseGrace:
 			return 2
 		case h.zone == f.settings.Zone:
 			return 0
@@ -88,18 +87,18 @@
 	}
 	list := slices.Collect(maps.Keys(f.hosts))
 	slices.SortFunc(list, func(a, b hingeids.HostID) int {
-		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(f.lot(a), f.lot(b)))
+		return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(f.hashRank(a), f.hashRank(b)))
 	})
 	return list
 }
 
-// lot orders control hosts differently for each follower.
-func (f *Follower) lot(id hingeids.HostID) uint64 {
+// hashRank orders the control hosts differently for each follower, which spreads the followers over them.
+func (f *Follower) hashRank(id hingeids.HostID) uint64 {
 	return xxhash.Sum64String(string(f.settings.Self) + "/" + string(id))
 }
 
-// name notes that somebody speaks of a control host. The caller holds the lock.
-func (f *Follower) name(now time.Time, id hingeids.HostID) {
+// markNamed records that a seed or response names a control host. The caller holds the lock.
+func (f *Follower) markNamed(now time.Time, id hingeids.HostID) {
 	if id == f.settings.Self {
 		return
 	}
@@ -108,19 +107,19 @@
 		h = &host{}
 		f.hosts[id] = h
 	}
-	h.named = now
+	h.lastNamed = now
 }
 
-// control lists the control hosts. The caller holds the lock.
-func (f *Follower) control() []ControlHost {
+// controlHosts returns the known control hosts, ordered by name. The caller holds the lock.
+func (f *Follower) controlHosts() []ControlHost {
 	out := make([]ControlHost, 0, len(f.hosts))
 	for id, h := range f.hosts {
 		out = append(out, ControlHost{
 			Host:    id,
 			Zone:    h.zone,
-			InTouch: h.inTouch,
-			HeardAt: h.heard,
-			Askers:  h.askers,
+			InTouch: h.hasLeader,
+			HeardAt: h.lastSeen,
+			Askers:  h.followers,
 		})
 	}
 	slices.SortFunc(out, func(a, b ControlHost) int {
--- a/internal/membership/hingefollow/newest.go
+++ b/internal/membership/hingefollow/newest.go
@@ -10,106 +10,107 @@
 )
 
 const (
-	// newestAge is how old a finding may be that is given to several who ask: a configuration that was accepted so
-	// shortly before counts as accepted after. It bounds the questions that a host asks to ten a second, whatever its callers send.
-	newestAge = 100 * time.Millisecond
-	// newestTries is how many control hosts are asked in turn, newestTime how long each has.
-	newestTries = 3
-	newestTime  = 200 * time.Millisecond
+	// versionQueryMaxAge is how long callers share a query, which limits a host to ten queries per second. A configuration
+	// that was accepted within this time before the call may be missed.
+	versionQueryMaxAge = 100 * time.Millisecond
+	// versionQueryHosts is the number of control hosts that are queried in turn, each with versionQueryTimeout.
+	versionQueryHosts   = 3
+	versionQueryTimeout = 200 * time.Millisecond
 )
 
-// finding is one search for the newest version. Its fields are set before done closes.
-type finding struct {
-	began   time.Time
+// versionQuery is a query for the newest version. version and known are set before done is closed.
+type versionQuery struct {
+	started time.Time
 	done    chan struct{}
 	version hingeversion.Version
 	known   bool
 }
 
-// Newest gives the version of the newest configuration that was accepted before the call, which is held then; false if
-// no control host can tell (rule 8).
+// Newest returns the version of the newest configuration accepted before the call, to within versionQueryMaxAge. The follower
+// holds that configuration when Newest returns. It returns false if no control host confirmed one (rule 8).
 func (f *Follower) Newest(ctx context.Context) (hingeversion.Version, bool) {
-	x := f.findNewest(f.settings.Clock())
+	q := f.currentQuery(f.settings.Clock())
 	select {
-	case <-x.done:
-		return x.version, x.known
+	case <-q.done:
+		return q.version, q.known
 	case <-ctx.Done():
 		return 0, false
 	}
 }
 
-// findNewest gives the search that is new enough, or begins one.
-func (f *Follower) findNewest(now time.Time) *finding {
+// currentQuery returns the last query if it is recent enough, else it starts one.
+func (f *Follower) currentQuery(now time.Time) *versionQuery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if x := f.newest; x != nil && now.Sub(x.began) < newestAge {
-		return x
+	if q := f.newestQuery; q != nil && now.Sub(q.started) < versionQueryMaxAge {
+		return q
 	}
-	x := &finding{
-		began: now,
-		done:  make(chan struct{}),
+	q := &versionQuery{
+		started: now,
+		done:    make(chan struct{}),
 	}
-	f.newest = x
-	go f.find(x)
-	return x
+	f.newestQuery = q
+	go f.runQuery(q)
+	return q
 }
 
-// find asks control hosts in turn. It ends within newestTries times newestTime.
-func (f *Follower) find(x *finding) {
-	defer close(x.done)
-	for _, id := range f.likely() {
-		ctx, stop := context.WithTimeout(context.Background(), newestTime)
-		fresh := f.askFresh(ctx, id)
+// runQuery queries control hosts in turn, for at most versionQueryHosts times versionQueryTimeout.
+func (f *Follower) runQuery(q *versionQuery) {
+	defer close(q.done)
+	for _, id := range f.queryCandidates() {
+		ctx, stop := context.WithTimeout(context.Background(), versionQueryTimeout)
+		confirmed := f.confirmNewest(ctx, id)
 		stop()
-		if fresh {
-			x.version = f.state.Load().Document.Version
-			x.known = true
+		if confirmed {
+			q.version = f.state.Load().Document.Version
+			q.known = true
 			return
 		}
 	}
 }
 
-// likely gives the control hosts that can probably tell: those that were heard last and hear the leader, the nearest first.
-func (f *Follower) likely() []hingeids.HostID {
+// queryCandidates returns the control hosts to query: those that reported a leader in their last response come first, in order of rank.
+func (f *Follower) queryCandidates() []hingeids.HostID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	list := f.ranked(f.settings.Clock())
 	slices.SortStableFunc(list, func(a, b hingeids.HostID) int {
-		return f.hosts[b].touchRank() - f.hosts[a].touchRank()
+		return f.hosts[b].leaderRank() - f.hosts[a].leaderRank()
 	})
-	return list[:min(len(list), newestTries)]
+	return list[:min(len(list), versionQueryHosts)]
 }
 
-// touchRank is higher for a host that heard the leader when it was heard itself.
-func (h *host) touchRank() int {
-	if h.inTouch {
+// leaderRank is 1 for a host that reported a leader in its last response, else 0.
+func (h *host) leaderRank() int {
+	if h.hasLeader {
 		return 1
 	}
 	return 0
 }
 
-// askFresh asks a control host to confirm by the leader what is newest, and takes its answer.
-func (f *Follower) askFresh(ctx context.Context, id hingeids.HostID) bool {
+// confirmNewest has a control host confirm the newest version with the leader. It applies the response and reports whether the
+// follower now holds that version.
+func (f *Follower) confirmNewest(ctx context.Context, id hingeids.HostID) bool {
 	f.mu.Lock()
 	h := f.hosts[id]
 	if h == nil {
 		f.mu.Unlock()
 		return false
 	}
-	q := question{
-		Life:    h.life,
-		Change:  h.change,
-		Version: f.state.Load().Document.Version,
-		Fresh:   true,
-		Entry:   f.settings.Entry,
-		Once:    true,
+	q := followRequest{
+		Incarnation:   h.incarnation,
+		Change:        h.change,
+		Version:       f.state.Load().Document.Version,
+		ConfirmNewest: true,
+		EntryHost:     f.settings.Entry,
+		Single:        true,
 	}
 	f.mu.Unlock()
-	a, err := f.put(ctx, id, q)
+	a, err := f.call(ctx, id, q)
 	if err != nil {
-		// Another is asked, and the caller is told to come back if none answers.
+		// The next control host is queried.
 		return false
 	}
-	f.take(f.settings.Clock(), h, a)
-	return a.Fresh && f.state.Load().Document.Version >= a.Version
+	f.apply(f.settings.Clock(), h, a)
+	return a.NewestConfirmed && f.state.Load().Document.Version >= a.Version
 }
--- a/internal/membership/hingefollow/source.go
+++ b/internal/membership/hingefollow/source.go
@@ -18,122 +18,123 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Standing is what a control host knows of the group that agrees on the configuration.
+// Standing is a control host's view of the consensus group of the configuration.
 type Standing struct {
 	Leader  hingeids.HostID
 	Term    uint64
 	Members []hingeids.HostID
-	// InTouch says that a leader is heard.
+	// InTouch is set while the host hears a leader.
 	InTouch bool
-	// Zone is the host's own.
+	// Zone is the host's own zone.
 	Zone hingeids.Zone
 }
 
-// Origin is what a control host knows itself.
+// Origin provides a control host's own copy of the replicated state.
 type Origin interface {
-	// Documents is where each accepted configuration is published.
+	// Documents returns the cell in which accepted configurations are published.
 	Documents() *hingeboard.Cell[hingeversion.Document]
-	// Poisons is where the list of the requests that end servers is published.
+	// Poisons returns the cell in which the list of poison requests is published.
 	Poisons() *hingeboard.Cell[hingepoison.List]
-	// Read waits until the newest document is no older than any accepted before the call.
+	// Read waits until the published configuration is no older than any accepted before the call.
 	Read(ctx context.Context) error
 	Standing() Standing
 }
 
-// Peers is what a control host knows of the others.
+// Peers provides what a control host knows of the other control hosts.
 type Peers interface {
-	// ZoneOf gives the zone of a control host, empty if it isn't known.
+	// ZoneOf returns the zone of a control host, empty if it isn't known.
 	ZoneOf(h hingeids.HostID) hingeids.Zone
-	// Askers gives the entry hosts that ask each of the others.
+	// Askers returns the set of entry hosts that follow each of the others.
 	Askers() []Askers
 }
 
-// Source answers followers, and holds the directory of a control host.
+// Source responds to followers and holds the directory of a control host. Its methods are safe for concurrent use.
 type Source struct {
-	life   hingeids.Incarnation
+	// self is the incarnation of this control host.
+	self   hingeids.Incarnation
 	origin Origin
 	clock  func() time.Time
 	peers  Peers
 
-	mu        sync.Mutex
-	directory *hingeannounce.Directory
-	changed   chan struct{}
-	entries   map[hingeids.HostID]time.Time
-	// shared are the answers of the last moment (rule 7).
-	shared map[known]shared
+	mu         sync.Mutex
+	directory  *hingeannounce.Directory
+	changed    chan struct{}
+	entryHosts map[hingeids.HostID]time.Time
+	// cached are the encoded responses of the last responseCacheTime (rule 7).
+	cached map[responseKey]cached
 }
 
-// known is all that an answer to a question depends on within a moment.
-type known struct {
-	since   uint64
-	change  uint64
-	held    hingeversion.Version
-	version hingeversion.Version
-	poisons uint64
-	listed  uint64
-	leader  hingeids.HostID
-	term    uint64
-	brief   bool
-	inTouch bool
-	fresh   bool
-	entry   bool
+// responseKey holds all that a response depends on within responseCacheTime.
+type responseKey struct {
+	since              uint64
+	change             uint64
+	heldVersion        hingeversion.Version
+	version            hingeversion.Version
+	heldPoisonRevision uint64
+	poisonRevision     uint64
+	leader             hingeids.HostID
+	term               uint64
+	versionOnly        bool
+	hasLeader          bool
+	confirmed          bool
+	entryHost          bool
 }
 
-// shared is an answer as it travels.
-type shared struct {
-	body []byte
-	at   time.Time
+// cached is an encoded response.
+type cached struct {
+	body      []byte
+	createdAt time.Time
 }
 
-// NewSource makes the source of a control host and sets its handler.
+// NewSource returns the source of a control host and registers its handler with the link.
 func NewSource(
-	life hingeids.Life, o Origin, p Peers, clock func() time.Time, link hingelink.Link,
+	self hingeids.Life, o Origin, p Peers, clock func() time.Time, link hingelink.Link,
 ) *Source {
 	s := &Source{
-		peers:     p,
-		life:      life.Incarnation,
-		origin:    o,
-		clock:     clock,
-		directory: hingeannounce.NewDirectory(life.Host),
-		changed:   make(chan struct{}),
-		entries:   make(map[hingeids.HostID]time.Time),
-		shared:    make(map[known]shared),
+		peers:      p,
+		self:       self.Incarnation,
+		origin:     o,
+		clock:      clock,
+		directory:  hingeannounce.NewDirectory(self.Host),
+		changed:    make(chan struct{}),
+		entryHosts: make(map[hingeids.HostID]time.Time),
+		cached:     make(map[responseKey]cached),
 	}
-	link.HandleCall(methodFollow, s.follow)
+	link.HandleCall(methodFollow, s.handleFollow)
 	return s
 }
 
-// Hear takes an announcement that a backend server made here.
+// Hear merges a backend server's announcement to this host, and reports whether it changed the directory.
 func (s *Source) Hear(now time.Time, a hingeannounce.Announcement) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.directory.Hear(now, a)
-	s.told(changed)
+	s.notifyIfChanged(changed)
 	return changed
 }
 
-// Leave takes a backend server's word that it leaves, in an incarnation that is zero if it doesn't say it.
+// Leave records that a backend server leaves. The incarnation is zero if the server didn't send it.
 func (s *Source) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told(s.directory.Leave(now, id, i))
+	s.notifyIfChanged(s.directory.Leave(now, id, i))
 }
 
-// Wake has waiting questions look again.
+// Wake makes waiting long polls check for changes of Origin.
 func (s *Source) Wake() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told(true)
+	s.notifyIfChanged(true)
 }
 
-// Changed gives a channel that closes at the next change of the directory.
+// Changed returns a channel that is closed at the next change of the directory.
 func (s *Source) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Merge takes what another control host told.
+// Merge merges the records of another control host.
 func (s *Source) Merge(now time.Time, records []hingeannounce.Record) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -141,126 +142,126 @@
 	for _, r := range records {
 		changed = s.directory.Merge(now, r) || changed
 	}
-	s.told(changed)
+	s.notifyIfChanged(changed)
 }
 
-// Step does what is due.
+// Step removes expired records and entry hosts. It is called periodically.
 func (s *Source) Step(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.told(s.directory.Step(now))
-	for h, at := range s.entries {
-		if now.Sub(at) > forgetAfter {
-			delete(s.entries, h)
+	s.notifyIfChanged(s.directory.Step(now))
+	for h, at := range s.entryHosts {
+		if now.Sub(at) > removeAfter {
+			delete(s.entryHosts, h)
 		}
 	}
 }
 
-// Records gives all that is known of backend servers.
+// Records returns the records of all backend servers.
 func (s *Source) Records() []hingeannounce.Record {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.directory.Since(0)
 }
 
-// told wakes the questions that wait. The caller holds the lock.
-func (s *Source) told(changed bool) {
+// notifyIfChanged wakes waiting long polls. The caller holds the lock.
+func (s *Source) notifyIfChanged(changed bool) {
 	if changed {
 		close(s.changed)
 		s.changed = make(chan struct{})
 	}
 }
 
-// follow answers one question.
-func (s *Source) follow(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
-	var q question
+// handleFollow handles a follower's request.
+func (s *Source) handleFollow(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
+	var q followRequest
 	if err := cbor.Unmarshal(body, &q); err != nil {
-		return nil, eris.Wrap(err, "question of a follower")
+		return nil, eris.Wrap(err, "decode a follow request")
 	}
-	if q.Life != s.life {
+	if q.Incarnation != s.self {
 		q.Change = 0
 	}
-	if q.Entry && !q.Once {
+	if q.EntryHost && !q.Single {
 		s.mu.Lock()
-		s.entries[from] = s.clock()
+		s.entryHosts[from] = s.clock()
 		s.mu.Unlock()
 	}
-	fresh := q.Fresh && s.readFresh(ctx)
-	// A host that waits to become ready is answered at once, unless there is nothing
-	// that it could become ready with: it would ask again without a break.
-	if !fresh || s.origin.Documents().Load().Version == 0 {
-		s.wait(ctx, q)
+	confirmed := q.ConfirmNewest && s.readFromLeader(ctx)
+	// A follower that isn't ready gets its response immediately, but not while there is
+	// no configuration: it would poll in a busy loop.
+	if !confirmed || s.origin.Documents().Load().Version == 0 {
+		s.waitForChange(ctx, q)
 	}
-	return s.share(q, fresh)
+	return s.respond(q, confirmed)
 }
 
-// share gives the answer that another follower got who knows as much, or a new one.
-func (s *Source) share(q question, fresh bool) ([]byte, error) {
+// respond returns a cached response to a follower with the same state, or a new one.
+func (s *Source) respond(q followRequest, confirmed bool) ([]byte, error) {
 	standing := s.origin.Standing()
-	k := known{
-		since:   q.Change,
-		held:    q.Version,
-		version: s.origin.Documents().Load().Version,
-		poisons: q.Poisons,
-		listed:  s.origin.Poisons().Load().Revision,
-		leader:  standing.Leader,
-		term:    standing.Term,
-		brief:   q.Brief,
-		inTouch: standing.InTouch,
-		fresh:   fresh,
-		entry:   q.Entry,
+	k := responseKey{
+		since:              q.Change,
+		heldVersion:        q.Version,
+		version:            s.origin.Documents().Load().Version,
+		heldPoisonRevision: q.Poisons,
+		poisonRevision:     s.origin.Poisons().Load().Revision,
+		leader:             standing.Leader,
+		term:               standing.Term,
+		versionOnly:        q.VersionOnly,
+		hasLeader:          standing.InTouch,
+		confirmed:          confirmed,
+		entryHost:          q.EntryHost,
 	}
 	now := s.clock()
 	s.mu.Lock()
 	k.change = s.directory.Change()
-	old, there := s.shared[k]
+	old, found := s.cached[k]
 	s.mu.Unlock()
-	if there && now.Sub(old.at) < shareFor {
+	if found && now.Sub(old.createdAt) < responseCacheTime {
 		return old.body, nil
 	}
-	a := s.answer(q)
-	a.Fresh = fresh
+	a := s.followResponse(q)
+	a.NewestConfirmed = confirmed
 	b, err := cbor.Marshal(a)
 	if err != nil {
-		return nil, eris.Wrap(err, "answer to a follower")
+		return nil, eris.Wrap(err, "encode a response to a follower")
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	maps.DeleteFunc(s.shared, func(_ known, x shared) bool {
-		return now.Sub(x.at) >= shareFor
+	maps.DeleteFunc(s.cached, func(_ responseKey, x cached) bool {
+		return now.Sub(x.createdAt) >= responseCacheTime
 	})
-	s.shared[k] = shared{
-		body: b,
-		at:   now,
+	s.cached[k] = cached{
+		body:      b,
+		createdAt: now,
 	}
 	return b, nil
 }
 
-// readFresh asks the leader, but not for long: it may be gone without a word.
-func (s *Source) readFresh(ctx context.Context) bool {
-	one, stop := context.WithTimeout(ctx, freshWait)
+// readFromLeader reads the newest configuration from the leader. The timeout covers a leader that has failed silently.
+func (s *Source) readFromLeader(ctx context.Context) bool {
+	readCtx, stop := context.WithTimeout(ctx, leaderReadTimeout)
 	defer stop()
-	if err := s.origin.Read(one); err != nil {
-		// The follower asks again; without the pause it would do so without a break.
-		hingeclock.Pause(ctx, retryPause)
+	if err := s.origin.Read(readCtx); err != nil {
+		// Keeps the follower from polling in a busy loop.
+		hingeclock.Pause(ctx, retryDelay)
 		return false
 	}
 	return true
 }
 
-func (s *Source) answer(q question) answer {
+func (s *Source) followResponse(q followRequest) followResponse {
 	standing := s.origin.Standing()
-	a := answer{
-		Life:    s.life,
-		Leader:  standing.Leader,
-		Term:    standing.Term,
-		Control: s.named(standing.Members),
-		InTouch: standing.InTouch,
-		Zone:    standing.Zone,
+	a := followResponse{
+		Incarnation: s.self,
+		Leader:      standing.Leader,
+		Term:        standing.Term,
+		Control:     s.memberInfo(standing.Members),
+		InTouch:     standing.InTouch,
+		Zone:        standing.Zone,
 	}
 	d := s.origin.Documents().Load()
 	a.Version = d.Version
-	if d.Version > q.Version && !q.Brief {
+	if d.Version > q.Version && !q.VersionOnly {
 		a.Document = d
 	}
 	if l := s.origin.Poisons().Load(); l.Revision > q.Poisons {
@@ -270,32 +271,32 @@
 	defer s.mu.Unlock()
 	a.Change = s.directory.Change()
 	a.Records = s.directory.Since(q.Change)
-	own := s.askers()
-	if !q.Entry {
+	own := s.followerSet()
+	if !q.EntryHost {
 		a.Askers = own
 	}
-	a.Entries = s.countEntries(own)
+	a.Entries = s.countEntryHosts(own)
 	return a
 }
 
-// Entries is how many entry hosts there are, as far as control hosts are asked by them.
+// Entries returns the number of entry hosts that follow this or another control host.
 func (s *Source) Entries() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.countEntries(s.askers())
+	return s.countEntryHosts(s.followerSet())
 }
 
-// askers gives the entry hosts that ask this host. The caller holds the lock.
-func (s *Source) askers() Askers {
+// followerSet returns the entry hosts that follow this host. The caller holds the lock.
+func (s *Source) followerSet() Askers {
 	out := NewAskers()
-	for h := range s.entries {
+	for h := range s.entryHosts {
 		out.Add(h)
 	}
 	return out
 }
 
-// countEntries counts the hosts that ask this one or another.
-func (s *Source) countEntries(own Askers) int {
+// countEntryHosts counts the entry hosts that follow this or another control host.
+func (s *Source) countEntryHosts(own Askers) int {
 	all := NewAskers()
 	all.Join(own)
 	for _, a := range s.peers.Askers() {
@@ -304,11 +305,11 @@
 	return all.Count()
 }
 
-// named gives the members of the group with their zones, as far as they are known.
-func (s *Source) named(members []hingeids.HostID) []named {
-	out := make([]named, 0, len(members))
+// memberInfo returns the members of the group with their zones, where these are known.
+func (s *Source) memberInfo(members []hingeids.HostID) []memberInfo {
+	out := make([]memberInfo, 0, len(members))
 	for _, h := range members {
-		out = append(out, named{
+		out = append(out, memberInfo{
 			Host: h,
 			Zone: s.peers.ZoneOf(h),
 		})
@@ -316,28 +317,28 @@
 	return out
 }
 
-// wait returns shortly after something changes, or when the hold time is over.
-func (s *Source) wait(ctx context.Context, q question) {
-	timer := time.NewTimer(hold)
+// waitForChange returns shortly after a change that the follower lacks, or after longPollTime.
+func (s *Source) waitForChange(ctx context.Context, q followRequest) {
+	timer := time.NewTimer(longPollTime)
 	defer timer.Stop()
 	leader := s.origin.Standing().Leader
-	gathering := false
+	batching := false
 	for {
 		documents := s.origin.Documents().Changed()
 		poisons := s.origin.Poisons().Changed()
 		s.mu.Lock()
 		servers := s.changed
-		news := s.directory.Change() > q.Change
-		gather := s.gatherTime(q)
+		newRecords := s.directory.Change() > q.Change
+		delay := s.batchDelay(q)
 		s.mu.Unlock()
 		if s.origin.Documents().Load().Version > q.Version || s.origin.Poisons().Load().Revision > q.Poisons ||
 			s.origin.Standing().Leader != leader {
-			hingeclock.Pause(ctx, leastGather)
+			hingeclock.Pause(ctx, minBatchDelay)
 			return
 		}
-		if news && !gathering {
-			gathering = true
-			timer.Reset(gather)
+		if newRecords && !batching {
+			batching = true
+			timer.Reset(delay)
 		}
 		select {
 		case <-servers:
@@ -351,11 +352,11 @@
 	}
 }
 
-// gatherTime is how long changes of servers are gathered (rule 7). Other control hosts are few, and place requests by what they
-// hear. The caller holds the lock.
-func (s *Source) gatherTime(q question) time.Duration {
-	if !q.Entry {
-		return leastGather
+// batchDelay returns how long changes of servers are batched (rule 7). Other control hosts get the minimum: they are few, and
+// place requests by these records. The caller holds the lock.
+func (s *Source) batchDelay(q followRequest) time.Duration {
+	if !q.EntryHost {
+		return minBatchDelay
 	}
-	return min(max(time.Duration(len(s.entries))*gatherPerFollower, leastGather), mostGather)
+	return min(max(time.Duration(len(s.entryHosts))*batchDelayPerFollower, minBatchDelay), maxBatchDelay)
 }
