--- a/internal/agreement/hingespread/decide.go
+++ b/internal/agreement/hingespread/decide.go
@@ -10,46 +10,46 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// State is what a host has in force. Nobody changes a published state.
+// State is the configuration in force on a host. A published state is immutable.
 type State struct {
 	View *hingeconfig.View
-	// Ready says that no newer revision was in force here in an earlier life (rule 5).
+	// Ready is set once no earlier incarnation of the host can have applied a newer revision (rule 5).
 	Ready bool
-	// CutOffSince is since when no source in touch with a leader was reached; zero while one is.
+	// CutOffSince is when the host found that no source with a leader responds. It is zero while one does.
 	CutOffSince time.Time
-	// Source is the host that the configuration comes from.
+	// Source is the last source with a leader that responded.
 	Source hingeids.HostID
 }
 
-// chooser decides whom to follow and when this host is ready. It does no input or output.
-type chooser struct {
-	state   State
-	sources []hingeids.HostID
-	at      int
-	avoid   map[hingeids.HostID]time.Time
-	// watchers are this host's witnesses.
-	watchers []hingeids.HostID
-	// hold is how long the last source lets a question wait.
-	hold time.Duration
-	// missed counts sources in a row that were silent or out of touch.
-	missed int
+// sourceSelector selects the source to poll and decides when this host is ready. It does no I/O.
+type sourceSelector struct {
+	state      State
+	sources    []hingeids.HostID
+	next       int
+	avoidUntil map[hingeids.HostID]time.Time
+	// recordPeers are the peers that record this host's revision (rule 6).
+	recordPeers []hingeids.HostID
+	// pollTime is the poll time that the last source announced.
+	pollTime time.Duration
+	// failures counts consecutive polls without a response from a source with a leader.
+	failures int
 }
 
-func newChooser(sources, watchers []hingeids.HostID) *chooser {
-	return &chooser{
+func newSourceSelector(sources, recordPeers []hingeids.HostID) *sourceSelector {
+	return &sourceSelector{
 		state: State{
 			View: &hingeconfig.View{},
 		},
-		sources:  sources,
-		avoid:    make(map[hingeids.HostID]time.Time),
-		hold:     longestHold,
-		watchers: watchers,
+		sources:     sources,
+		avoidUntil:  make(map[hingeids.HostID]time.Time),
+		pollTime:    maxPollTime,
+		recordPeers: recordPeers,
 	}
 }
 
-// rank orders hosts by rendezvous hashing with a key, so that followers are spread evenly
-// over sources, and those of a source that fails over all others.
-func rank(hosts []hingeids.HostID, key string) {
+// rankByHash orders hosts by rendezvous hashing with a key. It spreads followers evenly
+// over the sources, and the followers of a failed source over all others.
+func rankByHash(hosts []hingeids.HostID, key string) {
 	slices.SortFunc(hosts, func(a, b hingeids.HostID) int {
 		x, y := xxhash.Sum64String(string(a)+"/"+key), xxhash.Sum64String(string(b)+"/"+key)
 		switch {
@@ -62,47 +62,47 @@
 	})
 }
 
-// avoidFor is how long a source that was silent isn't asked while there is
-// another: each question to it costs the time until it is given up.
-const avoidFor = 5 * time.Second
+// avoidTime is how long a source that didn't respond is skipped while there is
+// another, because each poll of it may cost a whole timeout.
+const avoidTime = 5 * time.Second
 
-// source gives whom to ask: the next that wasn't silent lately, if there is one.
-func (c *chooser) source(now time.Time) hingeids.HostID {
+// source returns the source to poll: the next that didn't fail within avoidTime, or the next if all did.
+func (c *sourceSelector) source(now time.Time) hingeids.HostID {
 	for range c.sources {
-		if h := c.sources[c.at%len(c.sources)]; !now.Before(c.avoid[h]) {
+		if h := c.sources[c.next%len(c.sources)]; !now.Before(c.avoidUntil[h]) {
 			return h
 		}
-		c.at++
+		c.next++
 	}
-	return c.sources[c.at%len(c.sources)]
+	return c.sources[c.next%len(c.sources)]
 }
 
-// silent is told that a source gave no answer.
-func (c *chooser) silent(now time.Time, from hingeids.HostID) {
-	c.avoid[from] = now.Add(avoidFor)
-	c.at++
-	c.missed++
-	c.noteCutOff(now)
+// handleFailure records that a source didn't respond.
+func (c *sourceSelector) handleFailure(now time.Time, from hingeids.HostID) {
+	c.avoidUntil[from] = now.Add(avoidTime)
+	c.next++
+	c.failures++
+	c.updateCutOff(now)
 }
 
-// heard is told a source's answer, and decides what to put in force: nil for nothing new.
-func (c *chooser) heard(now time.Time, from hingeids.HostID, a answer) *hingeconfig.View {
-	// A host trusts no source with more than the longest hold.
-	c.hold = min(max(a.Hold, shortestHold), longestHold)
-	if a.InTouch {
-		c.missed = 0
+// handleResponse evaluates a source's response and returns the view to apply, nil if there is nothing newer.
+func (c *sourceSelector) handleResponse(now time.Time, from hingeids.HostID, a response) *hingeconfig.View {
+	// Limits the time for which a source can delay this host.
+	c.pollTime = min(max(a.PollTime, minPollTime), maxPollTime)
+	if a.HasLeader {
+		c.failures = 0
 		c.state.CutOffSince = time.Time{}
 		c.state.Source = from
 	} else {
-		// Rule 3.
-		c.at++
-		c.missed++
-		c.noteCutOff(now)
+		// Rule 3: try the next source.
+		c.next++
+		c.failures++
+		c.updateCutOff(now)
 	}
 	if a.Difference == nil {
 		return nil
 	}
-	// Rule 4: With refuses what is older.
+	// Rule 4: With rejects older revisions.
 	next, err := c.state.View.With(*a.Difference)
 	if err != nil || next.Revision == c.state.View.Revision {
 		return nil
@@ -110,41 +110,41 @@
 	return next
 }
 
-// noteCutOff begins the time without a source once all were tried in a row.
-func (c *chooser) noteCutOff(now time.Time) {
-	if c.missed >= len(c.sources) && c.state.CutOffSince.IsZero() {
+// updateCutOff sets CutOffSince once all sources have failed in a row.
+func (c *sourceSelector) updateCutOff(now time.Time) {
+	if c.failures >= len(c.sources) && c.state.CutOffSince.IsZero() {
 		c.state.CutOffSince = now
 	}
 }
 
-// allMissed reports whether every source was tried in vain.
-func (c *chooser) allMissed() bool {
-	return c.missed >= len(c.sources)
+// allFailed reports whether all sources have failed in a row.
+func (c *sourceSelector) allFailed() bool {
+	return c.failures >= len(c.sources)
 }
 
-// most is the number of witnesses of which any two sets have one in common. Without
-// witnesses there is nobody to remember, and one is never reached.
-func most(n int) int {
+// majority returns the smallest size at which any two subsets of n record peers overlap.
+// For no record peers it is 1, which is never reached.
+func majority(n int) int {
 	return n/2 + 1
 }
 
-// recalled decides what peers' memories are good for (rule 6): the newest
+// evaluateRecall evaluates the peers' responses (rule 6). It returns the newest
 // configuration that they offer, and whether this host is ready with it.
-func (c *chooser) recalled(memories map[hingeids.HostID]memory) (*hingeconfig.View, bool) {
-	best := c.state.View
-	remembered := hingeids.Revision(0)
-	known := 0
-	for h, m := range memories {
-		if m.Known && slices.Contains(c.watchers, h) {
-			known++
+func (c *sourceSelector) evaluateRecall(responses map[hingeids.HostID]recallResponse) (*hingeconfig.View, bool) {
+	newest := c.state.View
+	recorded := hingeids.Revision(0)
+	withRecord := 0
+	for h, m := range responses {
+		if m.HasRecord && slices.Contains(c.recordPeers, h) {
+			withRecord++
 		}
-		remembered = max(remembered, m.Remembered)
-		if m.Whole.To <= best.Revision {
+		recorded = max(recorded, m.Recorded)
+		if m.Documents.To <= newest.Revision {
 			continue
 		}
-		if next, err := best.With(m.Whole); err == nil {
-			best = next
+		if next, err := newest.With(m.Documents); err == nil {
+			newest = next
 		}
 	}
-	return best, known >= most(len(c.watchers)) && best.Revision >= remembered
+	return newest, withRecord >= majority(len(c.recordPeers)) && newest.Revision >= recorded
 }
--- a/internal/agreement/hingespread/messages.go
+++ b/internal/agreement/hingespread/messages.go
@@ -11,46 +11,47 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// The methods between hosts.
+// Link methods.
 const (
-	methodFollow  hingelink.Method = "spread.follow"
-	methodWitness hingelink.Method = "spread.witness"
-	methodRecall  hingelink.Method = "spread.recall"
-	methodLag     hingelink.Method = "spread.lag"
+	methodFollow hingelink.Method = "spread.follow"
+	methodRecord hingelink.Method = "spread.witness"
+	methodRecall hingelink.Method = "spread.recall"
+	methodLag    hingelink.Method = "spread.lag"
 )
 
-// request is a follower's question for what is newer.
+// request is a follower's long poll for a newer revision.
 type request struct {
 	Incarnation hingeids.Incarnation `cbor:"1,keyasint"`
 	Applied     hingeids.Revision    `cbor:"2,keyasint"`
-	// Fresh asks for a revision that is proven to be the newest (rule 5).
-	Fresh bool `cbor:"3,keyasint,omitempty"`
+	// ConfirmNewest requests a revision that the leader confirmed as the newest (rule 5).
+	ConfirmNewest bool `cbor:"3,keyasint,omitempty"`
 }
 
-// answer is a source's. Without a newer revision Difference is empty.
-type answer struct {
+// response is a source's response. Difference is nil if there is no newer revision.
+type response struct {
 	Revision hingeids.Revision `cbor:"1,keyasint"`
-	// InTouch says that the source hears a leader (rule 3).
-	InTouch bool `cbor:"2,keyasint,omitempty"`
-	// Fresh says that no newer revision had been accepted when the question came.
-	Fresh      bool                    `cbor:"3,keyasint,omitempty"`
-	Hold       time.Duration           `cbor:"4,keyasint"`
-	Difference *hingeconfig.Difference `cbor:"5,keyasint,omitempty"`
+	// HasLeader is set if the source hears a leader (rule 3).
+	HasLeader bool `cbor:"2,keyasint,omitempty"`
+	// NewestConfirmed is set if no newer revision had been accepted when the request arrived.
+	NewestConfirmed bool                    `cbor:"3,keyasint,omitempty"`
+	PollTime        time.Duration           `cbor:"4,keyasint"`
+	Difference      *hingeconfig.Difference `cbor:"5,keyasint,omitempty"`
 }
 
-// report tells a witness what is, or is about to be, in force.
-type report struct {
+// revisionRecord is sent to record peers. Revision is in force at the sender, or about to be.
+type revisionRecord struct {
 	Revision hingeids.Revision `cbor:"1,keyasint"`
 }
 
-// memory is what a peer knows of a host that starts.
-type memory struct {
-	Known      bool                   `cbor:"1,keyasint,omitempty"`
-	Remembered hingeids.Revision      `cbor:"2,keyasint,omitempty"`
-	Whole      hingeconfig.Difference `cbor:"3,keyasint"`
+// recallResponse is a peer's response to a host that starts: its record of the host, if any, and its own configuration.
+type recallResponse struct {
+	HasRecord bool                   `cbor:"1,keyasint,omitempty"`
+	Recorded  hingeids.Revision      `cbor:"2,keyasint,omitempty"`
+	Documents hingeconfig.Difference `cbor:"3,keyasint"`
 }
 
-// Lag is how far a host is behind, as its source knows.
+// Lag is how far a host is behind, as seen by its source. HeardAt is the time of its last request, LagSince is zero if
+// it isn't behind; both are Unix times in nanoseconds.
 type Lag struct {
 	Host     hingeids.HostID   `cbor:"1,keyasint" json:"host"`
 	Applied  hingeids.Revision `cbor:"2,keyasint" json:"applied"`
@@ -62,7 +63,7 @@
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		// Only our own types come here; none of them can fail.
+		// The message types of this package can always be encoded.
 		panic(err)
 	}
 	return b
@@ -70,5 +71,5 @@
 
 func decode[T any](b []byte) (T, error) {
 	var v T
-	return v, eris.Wrap(cbor.Unmarshal(b, &v), "spreading")
+	return v, eris.Wrap(cbor.Unmarshal(b, &v), "decode a message of configuration replication")
 }
--- a/internal/agreement/hingespread/origin.go
+++ b/internal/agreement/hingespread/origin.go
@@ -8,7 +8,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeboard"
 )
 
-// Disk is the origin of a disk host: its part in the group, and the group's machine.
+// Disk is the Origin of a disk host, a member of the consensus group.
 type Disk struct {
 	Group   *hingegroup.Group
 	Machine *hingeconfig.Machine
@@ -16,18 +16,18 @@
 
 var _ Origin = Disk{}
 
-// Views is the machine's.
+// Views returns the cell in which the state machine publishes accepted revisions.
 func (d Disk) Views() *hingeboard.Cell[hingeconfig.View] {
 	return d.Machine.Views()
 }
 
-// Read asks the leader and waits for the machine.
+// Read reads the newest index from the leader and waits until the state machine has applied it.
 func (d Disk) Read(ctx context.Context) error {
 	_, err := d.Group.Read(ctx)
 	return err
 }
 
-// InTouch reports whether this host's log knows of a leader.
+// InTouch reports whether the group knows a leader.
 func (d Disk) InTouch() bool {
 	return d.Group.Leader() != ""
 }
--- a/internal/agreement/hingespread/source.go
+++ b/internal/agreement/hingespread/source.go
@@ -12,74 +12,74 @@
 )
 
 const (
-	// wholeAfter is the number of revisions behind at which all documents are
-	// cheaper than their changes one after another (rule 2).
-	wholeAfter = 64
-	// shortestHold and longestHold bound how long a question waits. A source
-	// that dies is noticed after the hold time and answerGrace, so a change is
-	// in force within three seconds even then. The hold grows with the
-	// followers, so that 200 of them don't cost a small host 200 questions a second.
-	shortestHold = 500 * time.Millisecond
-	longestHold  = 2 * time.Second
-	answerGrace  = 500 * time.Millisecond
-	// gather is how long a source waits for more after a change. A disk host that
-	// catches up itself applies hundreds in a burst; its followers would take the first alone.
-	gather = 5 * time.Millisecond
-	// freshWait bounds how long the leader is asked for its newest revision.
-	freshWait = time.Second
-	// holdFollowers is the number of followers from which the hold is longest.
-	holdFollowers = 200
+	// maxDifferenceRevisions is the largest number of revisions for which a difference is sent.
+	// Beyond that, sending all documents is cheaper (rule 2).
+	maxDifferenceRevisions = 64
+	// minPollTime and maxPollTime bound how long a source holds a request. A follower
+	// detects a failed source after the poll time and responseGrace, so a change is
+	// in force within three seconds even then. The poll time grows with the number of
+	// followers, which limits the rate of requests on a small host.
+	minPollTime   = 500 * time.Millisecond
+	maxPollTime   = 2 * time.Second
+	responseGrace = 500 * time.Millisecond
+	// batchDelay is the delay between a change and the response. A disk host that
+	// catches up applies hundreds of changes in a burst, which followers should get in one response.
+	batchDelay = 5 * time.Millisecond
+	// leaderReadTimeout bounds a read of the newest revision from the leader.
+	leaderReadTimeout = time.Second
+	// maxPollTimeFollowers is the number of followers at which the poll time reaches maxPollTime.
+	maxPollTimeFollowers = 200
 )
 
-// Origin is what a disk host knows itself of the configuration.
+// Origin provides a disk host's own copy of the configuration.
 type Origin interface {
-	// Views is where each accepted revision is published.
+	// Views returns the cell in which accepted revisions are published.
 	Views() *hingeboard.Cell[hingeconfig.View]
-	// Read waits until the newest view holds all that was accepted before the call.
+	// Read waits until the published view includes all changes accepted before the call.
 	Read(ctx context.Context) error
-	// InTouch reports whether a leader is heard.
+	// InTouch reports whether the host hears a leader.
 	InTouch() bool
 }
 
-// source answers followers.
+// source responds to the followers of a disk host.
 type source struct {
-	origin Origin
-	clock  func() time.Time
-	mu     sync.Mutex
-	heard  map[hingeids.HostID]follower
+	origin    Origin
+	clock     func() time.Time
+	mu        sync.Mutex
+	followers map[hingeids.HostID]followerState
 }
 
-// follower is what a source knows of one host.
-type follower struct {
+// followerState is a source's state for one follower. lagSince is zero while it isn't behind.
+type followerState struct {
 	applied  hingeids.Revision
-	heardAt  time.Time
+	lastSeen time.Time
 	lagSince time.Time
 }
 
 func newSource(o Origin, clock func() time.Time) *source {
 	return &source{
-		origin: o,
-		clock:  clock,
-		heard:  make(map[hingeids.HostID]follower),
+		origin:    o,
+		clock:     clock,
+		followers: make(map[hingeids.HostID]followerState),
 	}
 }
 
-func (s *source) follow(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
+func (s *source) handleFollow(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
 	q, err := decode[request](body)
 	if err != nil {
 		return nil, err
 	}
-	hold := s.note(s.clock(), from, q.Applied)
-	fresh := q.Fresh && s.readFresh(ctx)
-	if !q.Fresh {
-		s.wait(ctx, q.Applied, hold)
+	pollTime := s.recordFollower(s.clock(), from, q.Applied)
+	newestConfirmed := q.ConfirmNewest && s.readFromLeader(ctx)
+	if !q.ConfirmNewest {
+		s.waitForChange(ctx, q.Applied, pollTime)
 	}
 	v := s.origin.Views().Load()
-	a := answer{
-		Revision: v.Revision,
-		InTouch:  s.origin.InTouch(),
-		Fresh:    fresh,
-		Hold:     hold,
+	a := response{
+		Revision:        v.Revision,
+		HasLeader:       s.origin.InTouch(),
+		NewestConfirmed: newestConfirmed,
+		PollTime:        pollTime,
 	}
 	if v.Revision > q.Applied {
 		d := difference(v, q.Applied)
@@ -88,15 +88,15 @@
 	return encode(a), nil
 }
 
-// readFresh asks the leader, but not for long: it may be gone without a word.
-func (s *source) readFresh(ctx context.Context) bool {
-	one, stop := context.WithTimeout(ctx, freshWait)
+// readFromLeader reads the newest revision from the leader. The timeout covers a leader that has failed silently.
+func (s *source) readFromLeader(ctx context.Context) bool {
+	readCtx, stop := context.WithTimeout(ctx, leaderReadTimeout)
 	defer stop()
-	return s.origin.Read(one) == nil
+	return s.origin.Read(readCtx) == nil
 }
 
 func difference(v *hingeconfig.View, applied hingeids.Revision) hingeconfig.Difference {
-	if v.Revision-applied > wholeAfter {
+	if v.Revision-applied > maxDifferenceRevisions {
 		return v.Whole()
 	}
 	d, ok := v.Diff(applied, v.Revision)
@@ -106,14 +106,14 @@
 	return d
 }
 
-// wait returns shortly after there is something newer, or when the hold time is over.
-func (s *source) wait(ctx context.Context, applied hingeids.Revision, hold time.Duration) {
-	timer := time.NewTimer(hold)
+// waitForChange returns batchDelay after there is a newer revision, or after the poll time.
+func (s *source) waitForChange(ctx context.Context, applied hingeids.Revision, pollTime time.Duration) {
+	timer := time.NewTimer(pollTime)
 	defer timer.Stop()
 	for {
 		changed := s.origin.Views().Changed()
 		if s.origin.Views().Load().Revision > applied {
-			timer.Reset(gather)
+			timer.Reset(batchDelay)
 			changed = nil
 		}
 		select {
@@ -126,12 +126,12 @@
 	}
 }
 
-// note keeps what a follower says it applies, and gives the hold time.
-func (s *source) note(now time.Time, from hingeids.HostID, applied hingeids.Revision) time.Duration {
+// recordFollower records the revision that a follower applies, and returns its poll time.
+func (s *source) recordFollower(now time.Time, from hingeids.HostID, applied hingeids.Revision) time.Duration {
 	newest := s.origin.Views().Load().Revision
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	f := s.heard[from]
+	f := s.followers[from]
 	switch {
 	case applied >= newest:
 		f.lagSince = time.Time{}
@@ -139,28 +139,28 @@
 		f.lagSince = now
 	}
 	f.applied = applied
-	f.heardAt = now
-	s.heard[from] = f
-	hold := longestHold * time.Duration(len(s.heard)) / holdFollowers
-	return min(max(hold, shortestHold), longestHold)
+	f.lastSeen = now
+	s.followers[from] = f
+	pollTime := maxPollTime * time.Duration(len(s.followers)) / maxPollTimeFollowers
+	return min(max(pollTime, minPollTime), maxPollTime)
 }
 
-// lags tells of all followers heard of, the furthest behind first. One that
-// was current but hasn't been heard since a change lags since it was heard last.
+// lags returns the lag of all followers, the furthest behind first. A follower that
+// was current and has sent no request since a change lags since its last request.
 func (s *source) lags() []Lag {
 	newest := s.origin.Views().Load().Revision
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []Lag
-	for h, f := range s.heard {
+	for h, f := range s.followers {
 		l := Lag{
 			Host:    h,
 			Applied: f.applied,
 			Newest:  newest,
-			HeardAt: f.heardAt.UnixNano(),
+			HeardAt: f.lastSeen.UnixNano(),
 		}
 		if f.applied < newest {
-			l.LagSince = f.heardAt.UnixNano()
+			l.LagSince = f.lastSeen.UnixNano()
 		}
 		if !f.lagSince.IsZero() {
 			l.LagSince = f.lagSince.UnixNano()
--- a/internal/agreement/hingespread/spread.go
+++ b/internal/agreement/hingespread/spread.go
@@ -13,68 +13,68 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Peer is an entry host as the settings name it.
+// Peer is an entry host of the settings. Disk is set on a disk host.
 type Peer struct {
 	Host hingeids.HostID
 	Zone hingeids.Zone
 	Disk bool
 }
 
-// Settings of one host's part in spreading.
+// Settings configures a Spread.
 type Settings struct {
 	Self hingeids.Life
 	Zone hingeids.Zone
-	// Peers are all entry hosts, this one among them.
+	// Peers are all entry hosts, including this one.
 	Peers    []Peer
 	Clock    func() time.Time
 	Recorder *hingeevents.Recorder
 }
 
 const (
-	// witnesses is the number of peers that remember what a host applies.
-	witnesses = 3
-	// witnessWait bounds how long a change waits for a witness (rule 6).
-	witnessWait = 300 * time.Millisecond
-	// reportEvery is how often witnesses are told again.
-	reportEvery = 5 * time.Second
-	// retryPause, doubled up to longestPause, keeps hosts that reach no source
-	// from calling without a break.
-	retryPause   = 200 * time.Millisecond
-	longestPause = time.Second
-	// recallOthers is the number of peers beside the witnesses that are asked at
-	// once. To ask all at a start without a quorum would be a burst of
-	// calls that grows with the square of a zone's hosts.
-	recallOthers = 3
-	// recallWait bounds how long peers are waited for at a start.
-	recallWait = 500 * time.Millisecond
-	// lagWait bounds how long status waits for a disk host that is gone.
-	lagWait = 200 * time.Millisecond
+	// maxRecordPeers is the number of peers that record a host's revision (rule 6).
+	maxRecordPeers = 3
+	// recordTimeout bounds how long a change waits for the record peers (rule 6).
+	recordTimeout = 300 * time.Millisecond
+	// recordInterval is the interval at which records are resent.
+	recordInterval = 5 * time.Second
+	// minRetryDelay is the first delay of a host that reaches no source. It doubles up
+	// to maxRetryDelay.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = time.Second
+	// recallExtraPeers is the number of peers queried at a time in addition to the record
+	// peers. Querying all of them would cause a number of calls quadratic in the size of the
+	// zone when it starts without a quorum.
+	recallExtraPeers = 3
+	// recallTimeout bounds a query of the peers' records.
+	recallTimeout = 500 * time.Millisecond
+	// lagTimeout bounds a query of a disk host for Lag.
+	lagTimeout = 200 * time.Millisecond
 )
 
-// Spread is one host's part.
+// Spread follows the configuration on one host, and serves it to followers if the host has a disk.
 type Spread struct {
-	settings Settings
-	link     hingelink.Link
-	source   *source
-	choose   *chooser
-	applied  hingeboard.Cell[State]
-	peers    []hingeids.HostID
-	watchers []hingeids.HostID
-	// others are the peers that aren't witnesses.
+	settings    Settings
+	link        hingelink.Link
+	source      *source
+	selector    *sourceSelector
+	applied     hingeboard.Cell[State]
+	peers       []hingeids.HostID
+	recordPeers []hingeids.HostID
+	// others are the peers of the zone that aren't record peers.
 	others []hingeids.HostID
-	// tries counts rounds without any source.
-	tries    int
-	mu       sync.Mutex
-	memories map[hingeids.HostID]hingeids.Revision
-	done     chan struct{}
+	// failedRounds counts consecutive rounds in which no source was reached.
+	failedRounds int
+	mu           sync.Mutex
+	records      map[hingeids.HostID]hingeids.Revision
+	done         chan struct{}
 }
 
-// New makes a host's part and sets its handlers. Origin is nil on a host without a disk.
+// New returns a host's Spread and registers its handlers with the link. The origin is nil on a host without a disk.
 func New(s Settings, link hingelink.Link, origin Origin) *Spread {
 	x := &Spread{
 		settings: s,
 		link:     link,
-		memories: make(map[hingeids.HostID]hingeids.Revision),
+		records:  make(map[hingeids.HostID]hingeids.Revision),
 		done:     make(chan struct{}),
 	}
 	var sources []hingeids.HostID
@@ -86,141 +86,141 @@
 			x.peers = append(x.peers, p.Host)
 		}
 	}
-	rank(x.peers, string(s.Self.Host))
-	n := min(witnesses, len(x.peers))
-	x.watchers, x.others = x.peers[:n], x.peers[n:]
-	rank(sources, string(s.Self.Host))
+	rankByHash(x.peers, string(s.Self.Host))
+	n := min(maxRecordPeers, len(x.peers))
+	x.recordPeers, x.others = x.peers[:n], x.peers[n:]
+	rankByHash(sources, string(s.Self.Host))
 	if origin != nil {
-		// A disk host follows itself first; its own log is as near as any.
+		// A disk host prefers itself as its source.
 		sources = slices.DeleteFunc(sources, func(h hingeids.HostID) bool {
 			return h == s.Self.Host
 		})
 		sources = append([]hingeids.HostID{s.Self.Host}, sources...)
 		x.source = newSource(origin, s.Clock)
-		link.HandleCall(methodFollow, x.source.follow)
+		link.HandleCall(methodFollow, x.source.handleFollow)
 		link.HandleCall(methodLag, func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 			return encode(x.source.lags()), nil
 		})
 	}
-	x.choose = newChooser(sources, x.watchers)
+	x.selector = newSourceSelector(sources, x.recordPeers)
 	x.publish()
-	link.HandleCall(methodWitness, func(_ context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
-		return nil, x.witness(from, body)
+	link.HandleCall(methodRecord, func(_ context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
+		return nil, x.handleRecord(from, body)
 	})
-	link.HandleDatagram(methodWitness, func(from hingeids.HostID, body []byte) {
-		_ = x.witness(from, body)
+	link.HandleDatagram(methodRecord, func(from hingeids.HostID, body []byte) {
+		_ = x.handleRecord(from, body)
 	})
 	link.HandleCall(methodRecall, func(_ context.Context, from hingeids.HostID, _ []byte) ([]byte, error) {
-		return encode(x.recollect(from)), nil
+		return encode(x.handleRecall(from)), nil
 	})
 	return x
 }
 
-// Applied is where the configuration in force is published.
+// Applied returns the cell in which the configuration in force is published.
 func (x *Spread) Applied() *hingeboard.Cell[State] {
 	return &x.applied
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (x *Spread) Done() <-chan struct{} {
 	return x.done
 }
 
-// Run follows until the context ends.
+// Run polls sources until the context is done.
 func (x *Spread) Run(ctx context.Context) error {
 	defer close(x.done)
 	var reports sync.WaitGroup
 	defer reports.Wait()
 	reports.Go(func() {
-		x.reportAgain(ctx)
+		x.resendRecords(ctx)
 	})
 	for ctx.Err() == nil {
-		x.round(ctx)
+		x.pollOnce(ctx)
 	}
 	return nil
 }
 
 func (x *Spread) publish() {
-	s := x.choose.state
+	s := x.selector.state
 	x.applied.Store(&s)
 }
 
-// round asks one source once (rule 1).
-func (x *Spread) round(ctx context.Context) {
-	from := x.choose.source(x.settings.Clock())
-	a, err := x.ask(ctx, from)
+// pollOnce polls one source once and applies the response (rule 1).
+func (x *Spread) pollOnce(ctx context.Context) {
+	source := x.selector.source(x.settings.Clock())
+	resp, err := x.poll(ctx, source)
 	now := x.settings.Clock()
-	wasCutOff := !x.choose.state.CutOffSince.IsZero()
+	wasCutOff := !x.selector.state.CutOffSince.IsZero()
 	if err != nil {
-		x.choose.silent(now, from)
+		x.selector.handleFailure(now, source)
 	} else {
-		next := x.choose.heard(now, from, a)
-		// A fresh answer proves that nothing newer was ever in force (rule 5).
-		x.putInForce(ctx, next, a.Fresh)
+		next := x.selector.handleResponse(now, source, resp)
+		// A confirmed response proves that no newer revision was ever in force (rule 5).
+		x.apply(ctx, next, resp.NewestConfirmed)
 	}
-	x.tellCutOff(now, wasCutOff)
-	if x.choose.allMissed() {
-		x.cutOff(ctx)
+	x.recordCutOff(now, wasCutOff)
+	if x.selector.allFailed() {
+		x.handleCutOff(ctx)
 	} else {
-		x.tries = 0
+		x.failedRounds = 0
 	}
 	x.publish()
 }
 
-func (x *Spread) ask(ctx context.Context, from hingeids.HostID) (answer, error) {
-	hold := x.choose.hold
-	if !x.choose.state.Ready {
-		// The source may ask the leader first, and wait for what it hears.
-		hold = longestHold
+func (x *Spread) poll(ctx context.Context, source hingeids.HostID) (response, error) {
+	pollTime := x.selector.pollTime
+	if !x.selector.state.Ready {
+		// The source may have to read from the leader before it responds.
+		pollTime = maxPollTime
 	}
-	one, stop := context.WithTimeout(ctx, hold+answerGrace)
+	callCtx, stop := context.WithTimeout(ctx, pollTime+responseGrace)
 	defer stop()
-	b, err := x.call(one, from, methodFollow, encode(request{
-		Incarnation: x.settings.Self.Incarnation,
-		Applied:     x.choose.state.View.Revision,
-		Fresh:       !x.choose.state.Ready,
+	b, err := x.call(callCtx, source, methodFollow, encode(request{
+		Incarnation:   x.settings.Self.Incarnation,
+		Applied:       x.selector.state.View.Revision,
+		ConfirmNewest: !x.selector.state.Ready,
 	}))
 	if err != nil {
-		return answer{}, err
+		return response{}, err
 	}
-	return decode[answer](b)
+	return decode[response](b)
 }
 
-// call asks the own source in place.
+// call calls a link method, or handles a poll of this host by itself without the link.
 func (x *Spread) call(
 	ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte,
 ) ([]byte, error) {
 	if to == x.settings.Self.Host && x.source != nil && m == methodFollow {
-		return x.source.follow(ctx, to, body)
+		return x.source.handleFollow(ctx, to, body)
 	}
 	return x.link.Call(ctx, to, m, body)
 }
 
-// cutOff is what a host does that reaches no source: before it is ready it
-// asks its peers, afterwards it goes on with what it has (rules 6 and 7).
-func (x *Spread) cutOff(ctx context.Context) {
-	if !x.choose.state.Ready {
-		next, ready := x.choose.recalled(x.recall(ctx))
-		if next.Revision > x.choose.state.View.Revision {
+// handleCutOff runs when no source is reached. A host that isn't ready queries its
+// peers, a ready one keeps its configuration (rules 6 and 7). It then delays the next round.
+func (x *Spread) handleCutOff(ctx context.Context) {
+	if !x.selector.state.Ready {
+		next, ready := x.selector.evaluateRecall(x.recall(ctx))
+		if next.Revision > x.selector.state.View.Revision {
 			x.settings.Recorder.Record(x.settings.Clock(), hingeevents.RevisionFromPeer, hingeevents.Fields{
 				Revision: next.Revision,
 			})
 		}
-		x.putInForce(ctx, next, ready)
+		x.apply(ctx, next, ready)
 	}
-	pause := time.NewTimer(min(retryPause<<min(x.tries, 5), longestPause))
-	defer pause.Stop()
-	x.tries++
+	timer := time.NewTimer(min(minRetryDelay<<min(x.failedRounds, 5), maxRetryDelay))
+	defer timer.Stop()
+	x.failedRounds++
 	select {
-	case <-pause.C:
+	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// putInForce takes the next view, if any. Witnesses are told only by a host that
-// is ready: the word of one that isn't would pass for a memory of its earlier life.
-func (x *Spread) putInForce(ctx context.Context, next *hingeconfig.View, proven bool) {
-	s := &x.choose.state
+// apply puts the next view in force, if any. Only a ready host sends its revision to the record
+// peers, since that of another would pass for a record of its earlier incarnation.
+func (x *Spread) apply(ctx context.Context, next *hingeconfig.View, proven bool) {
+	s := &x.selector.state
 	becomesReady := proven && !s.Ready
 	if next == nil {
 		next = s.View
@@ -229,7 +229,7 @@
 		return
 	}
 	if s.Ready || proven {
-		x.tellWitnesses(ctx, next.Revision)
+		x.sendRecord(ctx, next.Revision)
 	}
 	s.View = next
 	s.Ready = s.Ready || proven
@@ -239,29 +239,29 @@
 	})
 }
 
-func (x *Spread) tellCutOff(now time.Time, was bool) {
-	is := !x.choose.state.CutOffSince.IsZero()
+func (x *Spread) recordCutOff(now time.Time, wasCutOff bool) {
+	cutOff := !x.selector.state.CutOffSince.IsZero()
 	switch {
-	case is && !was:
+	case cutOff && !wasCutOff:
 		x.settings.Recorder.Record(now, hingeevents.SpreadingCutOff, hingeevents.Fields{
-			Revision: x.choose.state.View.Revision,
+			Revision: x.selector.state.View.Revision,
 		})
-	case was && !is:
+	case wasCutOff && !cutOff:
 		x.settings.Recorder.Record(now, hingeevents.SpreadingMended, hingeevents.Fields{
-			Host: x.choose.state.Source,
+			Host: x.selector.state.Source,
 		})
 	}
 }
 
-// Lag asks all disk hosts how far the others are behind; of two that know of a
-// host, the one that heard from it last counts.
+// Lag queries all disk hosts for the lag of all hosts. If several know a host,
+// the one that it polled last counts.
 func (x *Spread) Lag(ctx context.Context) []Lag {
 	answers := make(chan []Lag, len(x.settings.Peers))
 	var calls sync.WaitGroup
 	for _, p := range x.settings.Peers {
 		if p.Disk {
 			calls.Go(func() {
-				answers <- x.lagAt(ctx, p.Host)
+				answers <- x.lagsFrom(ctx, p.Host)
 			})
 		}
 	}
@@ -283,14 +283,14 @@
 	return out
 }
 
-// lagAt gives what one disk host knows; nothing if it is silent.
-func (x *Spread) lagAt(ctx context.Context, h hingeids.HostID) []Lag {
+// lagsFrom returns the lags that one disk host reports, nil if it doesn't respond.
+func (x *Spread) lagsFrom(ctx context.Context, h hingeids.HostID) []Lag {
 	if h == x.settings.Self.Host && x.source != nil {
 		return x.source.lags()
 	}
-	one, stop := context.WithTimeout(ctx, lagWait)
+	callCtx, stop := context.WithTimeout(ctx, lagTimeout)
 	defer stop()
-	b, err := x.link.Call(one, h, methodLag, nil)
+	b, err := x.link.Call(callCtx, h, methodLag, nil)
 	if err != nil {
 		return nil
 	}
--- a/internal/agreement/hingespread/spread_test.go
+++ b/internal/agreement/hingespread/spread_test.go
@@ -15,20 +15,20 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-func inWorld(t *testing.T, hosts int, f func(w *world)) {
+func withCluster(t *testing.T, hosts int, f func(w *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, hosts)
+		w := newCluster(t, hosts)
 		defer w.stopAll()
 		f(w)
 	})
 }
 
-// inForce gives the time until each host applies a revision.
-func (w *world) inForce(r hingeids.Revision, among []Peer, limit time.Duration) []time.Duration {
+// waitForRevision waits until all peers apply a revision, and returns the time that each took.
+func (w *cluster) waitForRevision(r hingeids.Revision, peers []Peer, limit time.Duration) []time.Duration {
 	w.t.Helper()
 	start := time.Now()
 	var out []time.Duration
-	for _, p := range among {
+	for _, p := range peers {
 		for w.state(p.Host).View.Revision < r {
 			if time.Since(start) > limit {
 				w.t.Fatalf("host %s applies revision %d, not %d, after %v", p.Host, w.state(p.Host).View.Revision, r, limit)
@@ -40,13 +40,13 @@
 	return out
 }
 
-// A zone is cut off and a host in it is killed and started again. It must not
-// serve with an older configuration than it had, and it must serve again.
-func TestHostRestartedInACutOffZoneComesBackAsItWas(t *testing.T) {
-	inWorld(t, 9, func(w *world) {
-		w.inForce(w.change(), w.peers, time.Second)
+// Guards against a host in a cut-off zone that restarts with an older configuration, or doesn't
+// become ready.
+func TestRestartInACutOffZoneKeepsTheRevision(t *testing.T) {
+	withCluster(t, 9, func(w *cluster) {
+		w.waitForRevision(w.change(), w.peers, time.Second)
 		w.cut("cancale", true)
-		// In time for three sources to be given up.
+		// Longer than the timeouts of three sources.
 		time.Sleep(10 * time.Second)
 		if s := w.state("cancale-2"); s.CutOffSince.IsZero() || !s.Ready {
 			t.Fatalf("cut off, but its state is %+v", s)
@@ -63,32 +63,32 @@
 		}
 		w.change()
 		w.cut("cancale", false)
-		w.inForce(2, w.peers, 5*time.Second)
+		w.waitForRevision(2, w.peers, 5*time.Second)
 	})
 }
 
-// A whole zone is cut off and restarts. Nobody there can know what was in
-// force, so nobody may serve on a guess; the operator sees them not ready.
-func TestZoneThatForgotIsNotReady(t *testing.T) {
-	inWorld(t, 9, func(w *world) {
-		w.inForce(w.change(), w.peers, time.Second)
+// Guards against hosts that become ready after their whole zone restarted without a quorum,
+// when no peer has a record of the revisions that were in force.
+func TestRestartedZoneWithoutQuorumIsNotReady(t *testing.T) {
+	withCluster(t, 9, func(w *cluster) {
+		w.waitForRevision(w.change(), w.peers, time.Second)
 		w.cut("cancale", true)
-		var gone []Peer
+		var restarted []Peer
 		for _, h := range []hingeids.HostID{"cancale-1", "cancale-2", "cancale-3"} {
-			gone = append(gone, w.kill(h))
+			restarted = append(restarted, w.kill(h))
 		}
-		for _, p := range gone {
+		for _, p := range restarted {
 			w.start(p)
 		}
 		time.Sleep(20 * time.Second)
-		for _, p := range gone {
+		for _, p := range restarted {
 			if s := w.state(p.Host); s.Ready {
 				t.Errorf("host %s is ready with revision %d", p.Host, s.View.Revision)
 			}
 		}
 		w.cut("cancale", false)
 		time.Sleep(10 * time.Second)
-		for _, p := range gone {
+		for _, p := range restarted {
 			if s := w.state(p.Host); !s.Ready || s.View.Revision != 1 {
 				t.Errorf("host %s: ready %v, revision %d", p.Host, s.Ready, s.View.Revision)
 			}
@@ -96,15 +96,15 @@
 	})
 }
 
-// A host was away for 500 changes. It takes one answer with all documents, and
-// status shows it as the one that lags until then.
-func TestHostThatMissedHundredsTakesOneSnapshot(t *testing.T) {
-	inWorld(t, 7, func(w *world) {
-		w.inForce(w.change(), w.peers, time.Second)
+// A host that missed 500 changes must get all documents in one response, and Lag must
+// report it until then.
+func TestLaggingHostGetsOneSnapshot(t *testing.T) {
+	withCluster(t, 7, func(w *cluster) {
+		w.waitForRevision(w.change(), w.peers, time.Second)
 		w.cut("quiberon", true)
 		time.Sleep(3 * time.Second)
 		if w.leader() == nil {
-			t.Fatal("nobody leads")
+			t.Fatal("no leader")
 		}
 		var last hingeids.Revision
 		for range 500 {
@@ -112,7 +112,7 @@
 		}
 		time.Sleep(time.Second)
 		lags := w.process("cancale-2").spread.Lag(context.Background())
-		if len(lags) != 7 || !late(lags[0]) || !late(lags[1]) || late(lags[2]) {
+		if len(lags) != 7 || !isLagging(lags[0]) || !isLagging(lags[1]) || isLagging(lags[2]) {
 			t.Errorf("lags are %+v", lags)
 		}
 		x := w.process("quiberon-2").spread
@@ -133,43 +133,42 @@
 	})
 }
 
-func late(l Lag) bool {
+func isLagging(l Lag) bool {
 	return l.Applied < l.Newest && l.LagSince != 0
 }
 
-// The leader is killed right when a change is due: it is in force everywhere
-// within three seconds of the first try.
-func TestChangeIsInForceThroughALeadersKill(t *testing.T) {
-	inWorld(t, 7, func(w *world) {
-		w.inForce(w.change(), w.peers, time.Second)
+// A change must be in force on all hosts within three seconds when the leader crashes right
+// before it.
+func TestChangeIsInForceAfterALeaderCrash(t *testing.T) {
+	withCluster(t, 7, func(w *cluster) {
+		w.waitForRevision(w.change(), w.peers, time.Second)
 		for range 5 {
-			dead := w.kill(w.leader().peer.Host)
-			var live []Peer
+			crashed := w.kill(w.leader().peer.Host)
+			var running []Peer
 			for _, p := range w.peers {
-				if p.Host != dead.Host {
-					live = append(live, p)
+				if p.Host != crashed.Host {
+					running = append(running, p)
 				}
 			}
 			start := time.Now()
-			w.inForce(w.change(), live, 3*time.Second)
-			took := time.Since(start)
-			t.Logf("in force on %d hosts %v after the kill", len(live), took)
-			if took > 3*time.Second {
-				t.Errorf("took %v", took)
+			w.waitForRevision(w.change(), running, 3*time.Second)
+			elapsed := time.Since(start)
+			t.Logf("in force on %d hosts %v after the crash", len(running), elapsed)
+			if elapsed > 3*time.Second {
+				t.Errorf("the change was in force after %v", elapsed)
 			}
-			w.start(dead)
+			w.start(crashed)
 			time.Sleep(3 * time.Second)
 		}
 	})
 }
 
-// Zones are cut off and healed, hosts are killed and started again, one at a
-// time in a zone, while changes go on. A user of any host must never see an
-// older configuration after a newer one, whatever lives the host has had.
-func TestNoHostGoesBack(t *testing.T) {
+// Guards against a host that serves an older configuration after a newer one, across partitions
+// and restarts of single hosts.
+func TestRevisionNeverDecreases(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWorld(t, 9)
+			w := newCluster(t, 9)
 			defer w.stopAll()
 			random := rand.New(rand.NewPCG(seed, 3))
 			newest := make(map[hingeids.HostID]hingeids.Revision)
@@ -186,12 +185,12 @@
 				case 2:
 					w.change()
 				}
-				w.watch(newest, time.Duration(random.IntN(8000))*time.Millisecond)
+				w.checkRevisions(newest, time.Duration(random.IntN(8000))*time.Millisecond)
 			}
 			for _, z := range zones {
 				w.cut(z, false)
 			}
-			w.inForce(w.change(), w.peers, 10*time.Second)
+			w.waitForRevision(w.change(), w.peers, 10*time.Second)
 		})
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -199,9 +198,9 @@
 	}
 }
 
-// watch looks at all hosts for a while.
-func (w *world) watch(newest map[hingeids.HostID]hingeids.Revision, d time.Duration) {
-	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+// checkRevisions checks for a duration that the revision of no ready host decreases.
+func (w *cluster) checkRevisions(newest map[hingeids.HostID]hingeids.Revision, d time.Duration) {
+	for deadline := time.Now().Add(d); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for _, p := range w.peers {
 			s := w.state(p.Host)
 			if !s.Ready {
@@ -215,49 +214,49 @@
 	}
 }
 
-// The choice when peers' memories differ, one by one.
-func TestMemoriesDecideReadiness(t *testing.T) {
-	at := func(known bool, remembered, offers hingeids.Revision) memory {
-		return memory{
-			Known:      known,
-			Remembered: remembered,
-			Whole: hingeconfig.Difference{
+// Covers the combinations of the peers' records and configurations (rule 6).
+func TestRecallDecidesReadiness(t *testing.T) {
+	recalled := func(hasRecord bool, recorded, offers hingeids.Revision) recallResponse {
+		return recallResponse{
+			HasRecord: hasRecord,
+			Recorded:  recorded,
+			Documents: hingeconfig.Difference{
 				To: offers,
 			},
 		}
 	}
 	for name, c := range map[string]struct {
-		memories map[hingeids.HostID]memory
-		revision hingeids.Revision
-		ready    bool
+		responses map[hingeids.HostID]recallResponse
+		revision  hingeids.Revision
+		ready     bool
 	}{
-		"nobody answers": {},
-		"most remember": {
-			memories: map[hingeids.HostID]memory{"a": at(true, 4, 4), "b": at(true, 4, 4)},
-			revision: 4,
-			ready:    true,
+		"no responses": {},
+		"majority has records": {
+			responses: map[hingeids.HostID]recallResponse{"a": recalled(true, 4, 4), "b": recalled(true, 4, 4)},
+			revision:  4,
+			ready:     true,
 		},
-		"one of three remembers": {
-			memories: map[hingeids.HostID]memory{"a": at(true, 4, 4), "b": at(false, 0, 5)},
-			revision: 5,
+		"one of three has a record": {
+			responses: map[hingeids.HostID]recallResponse{"a": recalled(true, 4, 4), "b": recalled(false, 0, 5)},
+			revision:  5,
 		},
-		"one remembers what nobody offers": {
-			memories: map[hingeids.HostID]memory{"a": at(true, 5, 4), "b": at(true, 4, 4)},
-			revision: 4,
+		"record is newer than all offers": {
+			responses: map[hingeids.HostID]recallResponse{"a": recalled(true, 5, 4), "b": recalled(true, 4, 4)},
+			revision:  4,
 		},
-		"a peer that is no witness offers it": {
-			memories: map[hingeids.HostID]memory{"a": at(true, 5, 4), "b": at(true, 4, 4), "x": at(false, 0, 5)},
-			revision: 5,
-			ready:    true,
+		"other peer offers the recorded revision": {
+			responses: map[hingeids.HostID]recallResponse{"a": recalled(true, 5, 4), "b": recalled(true, 4, 4), "x": recalled(false, 0, 5)},
+			revision:  5,
+			ready:     true,
 		},
-		"a peer that is no witness remembers": {
-			memories: map[hingeids.HostID]memory{"x": at(true, 5, 5)},
-			revision: 5,
+		"only another peer has a record": {
+			responses: map[hingeids.HostID]recallResponse{"x": recalled(true, 5, 5)},
+			revision:  5,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			choose := newChooser([]hingeids.HostID{"d"}, []hingeids.HostID{"a", "b", "c"})
-			next, ready := choose.recalled(c.memories)
+			selector := newSourceSelector([]hingeids.HostID{"d"}, []hingeids.HostID{"a", "b", "c"})
+			next, ready := selector.evaluateRecall(c.responses)
 			if next.Revision != c.revision || ready != c.ready {
 				t.Errorf("revision %d, ready %v", next.Revision, ready)
 			}
@@ -265,10 +264,10 @@
 	}
 }
 
-// spreadOver measures changes at 14,000 a day and gives what one member sends and receives.
-func spreadOver(t *testing.T, hosts, changes int, limit time.Duration) {
-	inWorld(t, hosts, func(w *world) {
-		w.inForce(w.change(), w.peers, 5*time.Second)
+// measureSpread limits the latency of changes, the heap of a host and the traffic of the busiest host, at 14,000 changes per day.
+func measureSpread(t *testing.T, hosts, changes int, limit time.Duration) {
+	withCluster(t, hosts, func(w *cluster) {
+		w.waitForRevision(w.change(), w.peers, 5*time.Second)
 		w.mu.Lock()
 		clear(w.calls)
 		clear(w.bytes)
@@ -276,7 +275,7 @@
 		start := time.Now()
 		var all []time.Duration
 		for range changes {
-			all = append(all, w.inForce(w.change(), w.peers, 5*time.Second)...)
+			all = append(all, w.waitForRevision(w.change(), w.peers, 5*time.Second)...)
 			time.Sleep(24 * time.Hour / 14000)
 		}
 		seconds := time.Since(start).Seconds()
@@ -288,14 +287,14 @@
 		heap := memory.HeapAlloc / uint64(hosts)
 		w.mu.Lock()
 		defer w.mu.Unlock()
-		most, mostCalls, sum := 0, 0, 0
+		mostBytes, mostCalls, sum := 0, 0, 0
 		for h, b := range w.bytes {
-			most = max(most, b)
+			mostBytes = max(mostBytes, b)
 			mostCalls = max(mostCalls, w.calls[h])
 			sum += b
 		}
 		t.Logf("%d members: p99 %v, max %v; busiest member %.0f bytes/s, %.1f messages/s; mean %.0f bytes/s; heap %d bytes a member",
-			hosts, p99, all[len(all)-1], float64(most)/seconds, float64(mostCalls)/seconds,
+			hosts, p99, all[len(all)-1], float64(mostBytes)/seconds, float64(mostCalls)/seconds,
 			float64(sum)/seconds/float64(hosts), heap)
 		if p99 > limit {
 			t.Errorf("p99 is %v, the limit %v", p99, limit)
@@ -303,16 +302,16 @@
 		if heap > 4<<20 {
 			t.Errorf("%d bytes of heap a member", heap)
 		}
-		if perSecond := float64(most) / seconds; perSecond > 29<<10 {
+		if perSecond := float64(mostBytes) / seconds; perSecond > 29<<10 {
 			t.Errorf("the busiest member has %.0f bytes/s", perSecond)
 		}
 	})
 }
 
-func TestSpreadOverSeven(t *testing.T) {
-	spreadOver(t, 7, 50, 500*time.Millisecond)
+func TestPropagationToSevenHosts(t *testing.T) {
+	measureSpread(t, 7, 50, 500*time.Millisecond)
 }
 
-func TestSpreadOverManyMembers(t *testing.T) {
-	spreadOver(t, 560, 4, 3*time.Second)
+func TestPropagationToManyHosts(t *testing.T) {
+	measureSpread(t, 560, 4, 3*time.Second)
 }
--- a/internal/agreement/hingespread/witness.go
+++ b/internal/agreement/hingespread/witness.go
@@ -9,68 +9,68 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// witness remembers what a peer has, or is about to have, in force (rule 6).
-func (x *Spread) witness(from hingeids.HostID, body []byte) error {
-	r, err := decode[report](body)
+// handleRecord records the revision that a peer has in force or is about to apply (rule 6).
+func (x *Spread) handleRecord(from hingeids.HostID, body []byte) error {
+	r, err := decode[revisionRecord](body)
 	if err != nil {
 		return err
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	x.memories[from] = max(x.memories[from], r.Revision)
+	x.records[from] = max(x.records[from], r.Revision)
 	return nil
 }
 
-// recollect answers a peer that starts.
-func (x *Spread) recollect(from hingeids.HostID) memory {
+// handleRecall responds to a peer that starts and reaches no quorum.
+func (x *Spread) handleRecall(from hingeids.HostID) recallResponse {
 	x.mu.Lock()
-	r, known := x.memories[from]
+	r, found := x.records[from]
 	x.mu.Unlock()
-	return memory{
-		Known:      known,
-		Remembered: r,
-		Whole:      x.applied.Load().View.Whole(),
+	return recallResponse{
+		HasRecord: found,
+		Recorded:  r,
+		Documents: x.applied.Load().View.Whole(),
 	}
 }
 
-// tellWitnesses waits until most witnesses have confirmed. Without this, a
-// host that dies right after a change could come back with the one before.
-func (x *Spread) tellWitnesses(ctx context.Context, r hingeids.Revision) {
-	if len(x.watchers) == 0 {
+// sendRecord sends a revision to the record peers and waits until a majority confirms. It keeps a
+// host that crashes right after a change from restarting with the previous revision.
+func (x *Spread) sendRecord(ctx context.Context, r hingeids.Revision) {
+	if len(x.recordPeers) == 0 {
 		return
 	}
-	one, stop := context.WithTimeout(ctx, witnessWait)
-	body := encode(report{
+	callCtx, stop := context.WithTimeout(ctx, recordTimeout)
+	body := encode(revisionRecord{
 		Revision: r,
 	})
-	answers := make(chan bool, len(x.watchers))
+	answers := make(chan bool, len(x.recordPeers))
 	var calls sync.WaitGroup
-	for _, w := range x.watchers {
+	for _, w := range x.recordPeers {
 		calls.Go(func() {
-			_, err := x.link.Call(one, w, methodWitness, body)
+			_, err := x.link.Call(callCtx, w, methodRecord, body)
 			answers <- err == nil
 		})
 	}
 	go func() {
-		// The slower ones go on: enough answers don't cut them off.
+		// A majority doesn't cancel the remaining calls.
 		calls.Wait()
 		stop()
 	}()
 	confirmed := 0
-	for range x.watchers {
+	for range x.recordPeers {
 		if <-answers {
 			confirmed++
 		}
-		if confirmed >= most(len(x.watchers)) {
+		if confirmed >= majority(len(x.recordPeers)) {
 			return
 		}
 	}
 }
 
-// reportAgain tells the witnesses every few seconds, for those that were away
-// or have restarted.
-func (x *Spread) reportAgain(ctx context.Context) {
-	ticker := time.NewTicker(reportEvery)
+// resendRecords sends the revision to the record peers periodically, for those that were
+// unreachable or have restarted.
+func (x *Spread) resendRecords(ctx context.Context) {
+	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -80,42 +80,42 @@
 		}
 		s := x.applied.Load()
 		if !s.Ready {
-			// Until it knows better, its own word would only hide what a witness remembers.
+			// The revision would pass for a record of this host's earlier incarnation.
 			continue
 		}
-		body := encode(report{
+		body := encode(revisionRecord{
 			Revision: s.View.Revision,
 		})
-		for _, w := range x.watchers {
-			x.link.Send(w, methodWitness, body)
+		for _, w := range x.recordPeers {
+			x.link.Send(w, methodRecord, body)
 		}
 	}
 }
 
-// recallFrom gives the witnesses, and some others in turn: they remember
-// nothing, but may offer a newer configuration.
-func (x *Spread) recallFrom() []hingeids.HostID {
-	out := slices.Clone(x.watchers)
-	for i := range min(recallOthers, len(x.others)) {
-		out = append(out, x.others[(x.tries*recallOthers+i)%len(x.others)])
+// recallTargets returns the record peers and some of the other peers in turn, which have
+// no record but may offer a newer configuration.
+func (x *Spread) recallTargets() []hingeids.HostID {
+	out := slices.Clone(x.recordPeers)
+	for i := range min(recallExtraPeers, len(x.others)) {
+		out = append(out, x.others[(x.failedRounds*recallExtraPeers+i)%len(x.others)])
 	}
 	return out
 }
 
-// recall asks peers of the zone at once what they remember.
-func (x *Spread) recall(ctx context.Context) map[hingeids.HostID]memory {
-	one, stop := context.WithTimeout(ctx, recallWait)
+// recall queries peers of the zone in parallel for their records of this host.
+func (x *Spread) recall(ctx context.Context) map[hingeids.HostID]recallResponse {
+	callCtx, stop := context.WithTimeout(ctx, recallTimeout)
 	defer stop()
-	out := make(map[hingeids.HostID]memory)
+	out := make(map[hingeids.HostID]recallResponse)
 	var mu sync.Mutex
 	var calls sync.WaitGroup
-	for _, p := range x.recallFrom() {
+	for _, p := range x.recallTargets() {
 		calls.Go(func() {
-			b, err := x.link.Call(one, p, methodRecall, nil)
+			b, err := x.link.Call(callCtx, p, methodRecall, nil)
 			if err != nil {
 				return
 			}
-			m, err := decode[memory](b)
+			m, err := decode[recallResponse](b)
 			if err != nil {
 				return
 			}
--- a/internal/agreement/hingespread/world_test.go
+++ b/internal/agreement/hingespread/world_test.go
@@ -18,19 +18,19 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// process is one entry host of the test.
+// process is a running entry host of the simulated cluster.
 type process struct {
 	peer    Peer
 	spread  *Spread
 	group   *hingegroup.Group
 	machine *hingeconfig.Machine
 	stop    context.CancelFunc
-	ended   sync.WaitGroup
+	running sync.WaitGroup
 }
 
-// world is all entry hosts under a fake clock: a millisecond between any two,
-// and zones that can be cut off so that nothing answers.
-type world struct {
+// cluster is a simulated cluster of entry hosts under a fake clock. Links have a delay of a millisecond,
+// and zones can be cut off without an error on either side.
+type cluster struct {
 	t       testing.TB
 	network *hingefake.Network
 	peers   []Peer
@@ -39,23 +39,23 @@
 	starts  uint64
 	changes int
 
-	mu     sync.Mutex
-	all    map[hingeids.HostID]*process
-	cutOff map[hingeids.Zone]bool
-	calls  map[hingeids.HostID]int
-	bytes  map[hingeids.HostID]int
+	mu        sync.Mutex
+	processes map[hingeids.HostID]*process
+	cutOff    map[hingeids.Zone]bool
+	calls     map[hingeids.HostID]int
+	bytes     map[hingeids.HostID]int
 }
 
-// newWorld makes hosts over three zones; the first of each zone has a disk.
-func newWorld(t testing.TB, hosts int) *world {
-	w := &world{
-		t:       t,
-		network: hingefake.NewNetwork(),
-		folder:  t.TempDir(),
-		all:     make(map[hingeids.HostID]*process),
-		cutOff:  make(map[hingeids.Zone]bool),
-		calls:   make(map[hingeids.HostID]int),
-		bytes:   make(map[hingeids.HostID]int),
+// newCluster starts hosts in three zones. The first host of each zone has a disk.
+func newCluster(t testing.TB, hosts int) *cluster {
+	w := &cluster{
+		t:         t,
+		network:   hingefake.NewNetwork(),
+		folder:    t.TempDir(),
+		processes: make(map[hingeids.HostID]*process),
+		cutOff:    make(map[hingeids.Zone]bool),
+		calls:     make(map[hingeids.HostID]int),
+		bytes:     make(map[hingeids.HostID]int),
 	}
 	zones := []hingeids.Zone{"cancale", "roscoff", "quiberon"}
 	for i := range hosts {
@@ -77,15 +77,15 @@
 	return w
 }
 
-func (w *world) start(p Peer) {
+func (w *cluster) start(p Peer) {
 	w.starts++
 	x := &process{
 		peer: p,
 	}
-	link := &wire{
-		Link:  w.network.Link(p.Host),
-		world: w,
-		zone:  p.Zone,
+	link := &simLink{
+		Link:    w.network.Link(p.Host),
+		cluster: w,
+		zone:    p.Zone,
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop = stop
@@ -96,7 +96,7 @@
 			Group:   x.group,
 			Machine: x.machine,
 		}
-		x.ended.Go(func() {
+		x.running.Go(func() {
 			if err := x.group.Run(ctx); err != nil {
 				w.t.Error(p.Host, err)
 			}
@@ -111,15 +111,15 @@
 		Peers: w.peers,
 		Clock: time.Now,
 	}, link, origin)
-	x.ended.Go(func() {
+	x.running.Go(func() {
 		_ = x.spread.Run(ctx)
 	})
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.all[p.Host] = x
+	w.processes[p.Host] = x
 }
 
-func (x *process) openGroup(w *world, link hingelink.Link) {
+func (x *process) openGroup(w *cluster, link hingelink.Link) {
 	files, err := hingejournal.Folder(w.folder + "/" + string(x.peer.Host))
 	if err != nil {
 		w.t.Fatal(err)
@@ -137,18 +137,18 @@
 	}
 }
 
-func (w *world) kill(h hingeids.HostID) Peer {
+func (w *cluster) kill(h hingeids.HostID) Peer {
 	x := w.process(h)
 	w.mu.Lock()
-	delete(w.all, h)
+	delete(w.processes, h)
 	w.mu.Unlock()
 	w.network.Remove(h)
 	x.stop()
-	x.ended.Wait()
+	x.running.Wait()
 	return x.peer
 }
 
-func (w *world) stopAll() {
+func (w *cluster) stopAll() {
 	for _, p := range w.peers {
 		if w.process(p.Host) != nil {
 			w.kill(p.Host)
@@ -156,19 +156,19 @@
 	}
 }
 
-func (w *world) process(h hingeids.HostID) *process {
+func (w *cluster) process(h hingeids.HostID) *process {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.all[h]
+	return w.processes[h]
 }
 
-func (w *world) cut(z hingeids.Zone, cut bool) {
+func (w *cluster) cut(z hingeids.Zone, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.cutOff[z] = cut
 }
 
-func (w *world) leader() *process {
+func (w *cluster) leader() *process {
 	for _, h := range w.disks {
 		x := w.process(h)
 		if x == nil {
@@ -181,8 +181,8 @@
 	return nil
 }
 
-// change has one change accepted, waiting for a leader if there is none.
-func (w *world) change() hingeids.Revision {
+// change proposes a change until it is accepted, and waits for a leader if there is none.
+func (w *cluster) change() hingeids.Revision {
 	for range 100 {
 		l := w.leader()
 		if l == nil {
@@ -211,32 +211,32 @@
 	return 0
 }
 
-func (w *world) state(h hingeids.HostID) State {
+func (w *cluster) state(h hingeids.HostID) State {
 	return *w.process(h).spread.Applied().Load()
 }
 
-// wire is a link with a delay, counters and silent cuts between zones.
-type wire struct {
+// simLink is a link with a delay, traffic counters and silent partitions between zones.
+type simLink struct {
 	hingelink.Link
-	world *world
-	zone  hingeids.Zone
+	cluster *cluster
+	zone    hingeids.Zone
 }
 
-const oneWay = time.Millisecond
+const linkDelay = time.Millisecond
 
-func (l *wire) open(to hingeids.HostID) bool {
-	w := l.world
+func (l *simLink) reachable(to hingeids.HostID) bool {
+	w := l.cluster
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	p := w.all[to]
+	p := w.processes[to]
 	if p == nil {
 		return false
 	}
 	return p.peer.Zone == l.zone || !w.cutOff[p.peer.Zone] && !w.cutOff[l.zone]
 }
 
-func (l *wire) count(to hingeids.HostID, n int) {
-	w := l.world
+func (l *simLink) count(to hingeids.HostID, n int) {
+	w := l.cluster
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.calls[l.Self()]++
@@ -245,30 +245,30 @@
 	w.bytes[to] += n
 }
 
-// Call hangs until its time is over when there is no way: nothing says that a peer is gone.
-func (l *wire) Call(
+// Call blocks until the context is done if the peer is unreachable, like a connection to a host that failed silently.
+func (l *simLink) Call(
 	ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte,
 ) ([]byte, error) {
 	l.count(to, len(body))
-	if !l.open(to) {
+	if !l.reachable(to) {
 		<-ctx.Done()
 		return nil, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeLinkDown, 0, ctx.Err())
 	}
-	time.Sleep(oneWay)
+	time.Sleep(linkDelay)
 	b, err := l.Link.Call(ctx, to, m, body)
-	time.Sleep(oneWay)
+	time.Sleep(linkDelay)
 	l.count(to, len(b))
-	if !l.open(to) {
+	if !l.reachable(to) {
 		<-ctx.Done()
-		err = eris.New("cut meanwhile")
+		err = eris.New("link was cut off during the call")
 	}
 	return b, err
 }
 
-func (l *wire) Send(to hingeids.HostID, m hingelink.Method, body []byte) {
+func (l *simLink) Send(to hingeids.HostID, m hingelink.Method, body []byte) {
 	l.count(to, len(body))
-	time.AfterFunc(oneWay, func() {
-		if l.open(to) {
+	time.AfterFunc(linkDelay, func() {
+		if l.reachable(to) {
 			l.Link.Send(to, m, body)
 		}
 	})
