--- a/internal/agreement/hingeshared/shared.go
+++ b/internal/agreement/hingeshared/shared.go
@@ -1,9 +1,9 @@
-// Package hingeshared is the state machine of a fleet's log: the configuration (hingeversion) and the list of the requests that
-// end servers (hingepoison).
+// Package hingeshared implements the replicated state machine of a cluster's configuration log. Its state is the configuration
+// (hingeversion) and the list of poison requests, which crash servers (hingepoison).
 //
-//  1. A change of the list is an array where a configuration is a map, so that logs and snapshots that were written before there was
-//     a list are read as they are. A host that doesn't know of lists passes such a change over.
-//  2. A published list is never changed afterwards. Its revision only grows.
+//  1. A change of the list is encoded as a CBOR array, a configuration as a map. Logs and snapshots of builds without the
+//     list therefore stay readable, and such builds ignore changes of the list.
+//  2. A published list is immutable. Its revision only increases.
 package hingeshared
 
 import (
@@ -15,13 +15,14 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingepoison"
 )
 
-// Machine is the state machine. Its methods are for one goroutine; what it publishes is for all.
+// Machine is the state machine. Its methods must be called from one goroutine. The cells that Views and Poisons return are safe
+// for concurrent use.
 type Machine struct {
 	versions *hingeversion.Machine
 	poisons  hingeboard.Cell[hingepoison.List]
 }
 
-// New makes a machine that holds nothing.
+// New returns a machine without a configuration and with an empty list.
 func New() *Machine {
 	m := &Machine{
 		versions: hingeversion.New(),
@@ -30,37 +31,37 @@
 	return m
 }
 
-// Views is where the newest configuration is published.
+// Views returns the cell in which the newest configuration is published.
 func (m *Machine) Views() *hingeboard.Cell[hingeversion.Document] {
 	return m.versions.Views()
 }
 
-// Poisons is where the list of the requests that end servers is published.
+// Poisons returns the cell in which the list of poison requests is published.
 func (m *Machine) Poisons() *hingeboard.Cell[hingepoison.List] {
 	return &m.poisons
 }
 
-// Change is a change of the list.
+// Change is a change of the list of poison requests: it adds or replaces a record.
 type Change struct {
 	_      struct{} `cbor:",toarray"`
 	Record hingepoison.Record
 }
 
-// Encode gives a change as a proposal for the log.
+// Encode encodes a change as a proposal for the log.
 func (c Change) Encode() ([]byte, error) {
 	b, err := cbor.Marshal(c)
-	return b, eris.Wrap(err, "encode a change of the list")
+	return b, eris.Wrap(err, "encode a change of the list of poison requests")
 }
 
-// arrayBits are the first three bits of an array (rule 1).
+// The three high bits of a CBOR item's first byte are its major type (rule 1).
 const (
-	arrayMask = 0xe0
-	arrayBits = 0x80
+	majorTypeMask  = 0xe0
+	majorTypeArray = 0x80
 )
 
-// Apply takes a proposal. One that can't be read changes nothing, on this host as on any other.
+// Apply applies a proposal. One that can't be decoded has no effect, on this host as on all others.
 func (m *Machine) Apply(index uint64, data []byte) []byte {
-	if len(data) == 0 || data[0]&arrayMask != arrayBits {
+	if len(data) == 0 || data[0]&majorTypeMask != majorTypeArray {
 		return m.versions.Apply(index, data)
 	}
 	var c Change
@@ -71,13 +72,13 @@
 	return nil
 }
 
-// snapshot is a configuration's with the list beside it.
+// snapshot is a configuration snapshot with the list as an additional field.
 type snapshot struct {
 	hingeversion.Document
 	Poisons hingepoison.List `cbor:"3,keyasint,omitzero"`
 }
 
-// Snapshot encodes what is held.
+// Snapshot encodes the configuration and the list.
 func (m *Machine) Snapshot() []byte {
 	b, err := cbor.Marshal(snapshot{
 		Document: *m.Views().Load(),
@@ -90,12 +91,12 @@
 	return b
 }
 
-// Restore takes the place of everything by a snapshot.
+// Restore replaces the configuration and the list by those of a snapshot.
 func (m *Machine) Restore(b []byte) error {
 	var s snapshot
 	if len(b) > 0 {
 		if err := cbor.Unmarshal(b, &s); err != nil {
-			return eris.Wrap(err, "snapshot of the fleet's state")
+			return eris.Wrap(err, "decode a snapshot of the configuration and the list of poison requests")
 		}
 	}
 	if err := m.versions.Restore(b); err != nil {
--- a/internal/agreement/hingeshared/shared_test.go
+++ b/internal/agreement/hingeshared/shared_test.go
@@ -19,18 +19,17 @@
 	m.Apply(0, b)
 }
 
-func record(p uint64) hingepoison.Record {
+func record(since uint64) hingepoison.Record {
 	return hingepoison.Record{
 		Print:   7,
 		Service: "model",
 		Ended:   3,
-		Since:   int64(p),
+		Since:   int64(since),
 	}
 }
 
-// All hosts lose power after a request was found that ends servers. If the list weren't in what they read from their disks,
-// it would end three more before it is known again.
-func TestListOutlivesARestart(t *testing.T) {
+// Guards against losing the list when all hosts restart: a poison request would crash more servers before it is detected again.
+func TestListSurvivesARestart(t *testing.T) {
 	m := New()
 	config := hingeversion.Document{
 		Version: 4,
@@ -51,18 +50,18 @@
 		t.Error(diff)
 	}
 	if _, found := next.Poisons().Load().Find(7); !found {
-		t.Error("the request isn't on the list any more")
+		t.Error("the request is missing from the list")
 	}
 	apply(t, next, Change{
 		Record: hingepoison.Lift(time.UnixMilli(2), 7),
 	})
 	if l := next.Poisons().Load(); len(l.Refused()) != 0 || l.Revision != 2 {
-		t.Errorf("%+v after it was lifted", l)
+		t.Errorf("list is %+v after the block was lifted", l)
 	}
 }
 
-// A host is brought to this build: its disk holds a log and a snapshot that know of no list.
-func TestStateThatWasWrittenBeforeTheListIsRead(t *testing.T) {
+// Guards against an upgrade that can't read a log and snapshot without a list, and against a downgrade that can't read one with it.
+func TestStateWithoutAListIsCompatible(t *testing.T) {
 	old := hingeversion.New()
 	d := hingeversion.Document{
 		Version: 9,
@@ -80,7 +79,7 @@
 	if diff := cmp.Diff(&d, m.Views().Load()); diff != "" {
 		t.Error(diff)
 	}
-	// The other way round an older build reads the configuration, and passes the list over.
+	// An older build reads the configuration and ignores the list.
 	apply(t, m, Change{
 		Record: record(1),
 	})
