--- a/internal/agreement/hingeversion/version.go
+++ b/internal/agreement/hingeversion/version.go
@@ -1,14 +1,14 @@
-// Package hingeversion is the state machine of a configuration whose versions
-// are numbered from outside.
+// Package hingeversion implements the replicated state machine of a configuration whose
+// version numbers are chosen by its operators.
 //
-//  1. The highest version wins. A change that isn't higher than what is held
-//     is accepted and changes nothing: its operator lost an acknowledgement, or
-//     was overtaken, and to refuse it would say that it never was in force.
-//  2. The content under a version never changes: other content under the
-//     version held is such a change.
-//  3. A published view is never changed afterwards.
+//  1. The highest version wins. A document whose version isn't higher than the current one
+//     is accepted without effect. Its operator resent it after a lost acknowledgement, or was
+//     overtaken by another one; an error would say that it was never in force.
+//  2. The content of a version never changes. Other content with the current version
+//     has no effect either.
+//  3. A published document is immutable.
 //
-// Operators who name the revision that they change use hingeconfig instead.
+// hingeconfig is the state machine for operators who specify the revision that they change.
 package hingeversion
 
 import (
@@ -18,43 +18,42 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeboard"
 )
 
-// Version numbers a configuration; its operators choose the numbers, which only
-// grow. Zero is no configuration.
+// Version is the version number of a configuration, chosen by its operators. The version in
+// force only increases. Zero means no configuration.
 type Version uint64
 
-// Document is a whole configuration under its version.
+// Document is a complete configuration and its version.
 type Document struct {
 	Version Version `cbor:"1,keyasint"`
 	Body    []byte  `cbor:"2,keyasint"`
 }
 
-// Machine is the state machine. Its methods are for one goroutine; what Views
-// publishes is for all.
+// Machine is the state machine. Its methods must be called from one goroutine. The cell that
+// Views returns is safe for concurrent use.
 type Machine struct {
 	views hingeboard.Cell[Document]
 }
 
-// New makes a machine without a configuration.
+// New returns a machine without a configuration.
 func New() *Machine {
 	m := &Machine{}
 	m.views.Store(&Document{})
 	return m
 }
 
-// Views is where the newest configuration is published.
+// Views returns the cell in which the newest configuration is published.
 func (m *Machine) Views() *hingeboard.Cell[Document] {
 	return &m.views
 }
 
-// Encode gives a document as a proposal for the log.
+// Encode encodes a document as a proposal for the log.
 func (d Document) Encode() ([]byte, error) {
 	b, err := cbor.Marshal(d)
-	return b, eris.Wrap(err, "encode a configuration")
+	return b, eris.Wrap(err, "encode a configuration document")
 }
 
-// Apply takes a proposed document (rules 1 and 2) and gives the version in
-// force after it. A proposal that can't be read changes nothing: it would
-// not be readable on any other member either.
+// Apply applies a proposed document (rules 1 and 2). It always returns nil. A proposal that can't
+// be decoded has no effect, on this member as on all others.
 func (m *Machine) Apply(_ uint64, data []byte) []byte {
 	var d Document
 	if err := cbor.Unmarshal(data, &d); err == nil && d.Version > m.views.Load().Version {
@@ -63,22 +62,22 @@
 	return nil
 }
 
-// Snapshot encodes the configuration held.
+// Snapshot encodes the current configuration.
 func (m *Machine) Snapshot() []byte {
 	b, err := cbor.Marshal(m.views.Load())
 	if err != nil {
-		// A number and a string of bytes can always be encoded.
+		// A number and a byte string can always be encoded.
 		panic(err)
 	}
 	return b
 }
 
-// Restore takes the place of everything by a snapshot.
+// Restore replaces the configuration by that of a snapshot. An empty snapshot has no configuration.
 func (m *Machine) Restore(snapshot []byte) error {
 	d := Document{}
 	if len(snapshot) > 0 {
 		if err := cbor.Unmarshal(snapshot, &d); err != nil {
-			return eris.Wrap(err, "configuration snapshot")
+			return eris.Wrap(err, "decode a configuration snapshot")
 		}
 	}
 	m.views.Store(&d)
--- a/internal/agreement/hingeversion/version_test.go
+++ b/internal/agreement/hingeversion/version_test.go
@@ -15,8 +15,8 @@
 	m.Apply(0, b)
 }
 
-// Two operators send changes at the same time, and an older one comes again
-// after a newer: a machine that obeyed what came last would bring back routes that were taken away.
+// Guards against a machine that applies the last proposal instead of the highest version, and so
+// restores removed routes when an older change is resent.
 func TestHighestVersionWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := rapid.SliceOfN(rapid.Uint64Range(1, 9), 1, 12).Draw(t, "versions")
@@ -46,9 +46,9 @@
 	})
 }
 
-// A resend with other content under the version held must not slip in: some
-// hosts would obey it and others not.
-func TestOtherContentUnderTheSameVersionChangesNothing(t *testing.T) {
+// Guards against different content under one version, which would leave hosts with different
+// configurations.
+func TestSameVersionWithOtherContentIsIgnored(t *testing.T) {
 	m := New()
 	for _, body := range []string{"first", "second"} {
 		apply(t, m, Document{
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestSnapshotGivesTheSameConfiguration(t *testing.T) {
+func TestSnapshotRoundTrip(t *testing.T) {
 	m, other := New(), New()
 	apply(t, m, Document{
 		Version: 7,
@@ -74,9 +74,9 @@
 		t.Fatal(diff)
 	}
 	if err := other.Restore(nil); err != nil || other.Views().Load().Version != 0 {
-		t.Fatalf("an empty snapshot isn't the founding: %v, %v", other.Views().Load(), err)
+		t.Fatalf("an empty snapshot gives %v, error %v", other.Views().Load(), err)
 	}
 	if err := other.Restore([]byte("broken")); err == nil {
-		t.Fatal("a broken snapshot was taken")
+		t.Fatal("a broken snapshot was restored without an error")
 	}
 }
