--- a/internal/agreement/hingejournal/fakedisk_test.go
+++ b/internal/agreement/hingejournal/fakedisk_test.go
@@ -7,36 +7,36 @@
 	"sort"
 )
 
-var errPower = errors.New("power cut")
+var errPowerCut = errors.New("power cut")
 
 type inode struct {
 	content []byte
 	synced  int
 }
 
-// fakeDisk keeps what a power cut would leave: files up to their last sync plus some of
-// what came after, names as of the last folder sync or any later moment.
+// fakeDisk simulates a disk that loses power. Files keep their synced content and part of
+// the unsynced rest; the names are those of the last folder sync or of any later moment.
 type fakeDisk struct {
-	random  *rand.Rand
-	names   map[string]*inode
-	durable []map[string]*inode
-	// failAfter counts down the steps until the power cut; negative is never.
+	random       *rand.Rand
+	names        map[string]*inode
+	durableNames []map[string]*inode
+	// failAfter is the number of operations before the power cut; negative means never.
 	failAfter int
 	syncs     int
 }
 
 func newFakeDisk(seed uint64) *fakeDisk {
 	return &fakeDisk{
-		random:    rand.New(rand.NewPCG(seed, 2)),
-		names:     make(map[string]*inode),
-		durable:   []map[string]*inode{{}},
-		failAfter: -1,
+		random:       rand.New(rand.NewPCG(seed, 2)),
+		names:        make(map[string]*inode),
+		durableNames: []map[string]*inode{{}},
+		failAfter:    -1,
 	}
 }
 
 func (d *fakeDisk) step() error {
 	if d.failAfter == 0 {
-		return errPower
+		return errPowerCut
 	}
 	if d.failAfter > 0 {
 		d.failAfter--
@@ -44,31 +44,31 @@
 	return nil
 }
 
-func (d *fakeDisk) noteNames() {
+func (d *fakeDisk) recordNames() {
 	c := make(map[string]*inode, len(d.names))
 	for n, i := range d.names {
 		c[n] = i
 	}
-	d.durable = append(d.durable, c)
+	d.durableNames = append(d.durableNames, c)
 }
 
-// crash leaves what a power cut may leave.
+// crash replaces the contents by a random state that a power cut could leave.
 func (d *fakeDisk) crash() {
-	d.names = d.durable[d.random.IntN(len(d.durable))]
-	d.durable = []map[string]*inode{d.names}
+	d.names = d.durableNames[d.random.IntN(len(d.durableNames))]
+	d.durableNames = []map[string]*inode{d.names}
 	d.failAfter = -1
 	for _, i := range d.names {
-		loose := i.content[i.synced:]
-		loose = loose[:d.random.IntN(len(loose)+1)]
-		if len(loose) > 0 && d.random.IntN(2) == 0 {
-			// A sector that was allotted but never written reads as zeros.
-			clear(loose[d.random.IntN(len(loose)):])
+		unsynced := i.content[i.synced:]
+		unsynced = unsynced[:d.random.IntN(len(unsynced)+1)]
+		if len(unsynced) > 0 && d.random.IntN(2) == 0 {
+			// A sector that was allocated but never written reads as zeros.
+			clear(unsynced[d.random.IntN(len(unsynced)):])
 		}
-		i.content = append(i.content[:i.synced:i.synced], loose...)
+		i.content = append(i.content[:i.synced:i.synced], unsynced...)
 		i.synced = len(i.content)
 	}
-	d.noteNames()
-	d.durable = d.durable[1:]
+	d.recordNames()
+	d.durableNames = d.durableNames[1:]
 }
 
 func (d *fakeDisk) List() ([]string, error) {
@@ -94,7 +94,7 @@
 	}
 	i := &inode{}
 	d.names[name] = i
-	d.noteNames()
+	d.recordNames()
 	return &fakeFile{
 		disk:  d,
 		inode: i,
@@ -125,7 +125,7 @@
 	}
 	d.names[to] = d.names[from]
 	delete(d.names, from)
-	d.noteNames()
+	d.recordNames()
 	return nil
 }
 
@@ -134,7 +134,7 @@
 		return err
 	}
 	delete(d.names, name)
-	d.noteNames()
+	d.recordNames()
 	return nil
 }
 
@@ -142,8 +142,8 @@
 	if err := d.step(); err != nil {
 		return err
 	}
-	d.noteNames()
-	d.durable = d.durable[len(d.durable)-1:]
+	d.recordNames()
+	d.durableNames = d.durableNames[len(d.durableNames)-1:]
 	return nil
 }
 
--- a/internal/agreement/hingejournal/files.go
+++ b/internal/agreement/hingejournal/files.go
@@ -8,23 +8,23 @@
 	"github.com/rotisserie/eris"
 )
 
-// File is an open file that is written at its end.
+// File is a file that is open for appending.
 type File interface {
 	io.Writer
-	// Sync returns once all that was written would outlast a power cut.
+	// Sync makes all written data durable across a power failure.
 	Sync() error
 	Close() error
 }
 
-// Files is what the journal needs of a folder. Names have no path.
+// Files is the folder that holds the journal. File names are relative to it and have no path.
 type Files interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
-	// Create makes an empty file, in place of one that is there.
+	// Create creates an empty file and truncates an existing one.
 	Create(name string) (File, error)
-	// Extend opens a file that is there.
+	// Extend opens an existing file for appending.
 	Extend(name string) (File, error)
-	// Truncate cuts a file and syncs it.
+	// Truncate shortens a file to a size in bytes and syncs it.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
 	Remove(name string) error
@@ -34,14 +34,14 @@
 
 type folder string
 
-// Folder opens a folder of the operating system, and makes it if it isn't there.
+// Folder opens a folder of the file system and creates it if it doesn't exist.
 func Folder(path string) (Files, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
-		return nil, eris.Wrap(err, "data folder")
+		return nil, eris.Wrap(err, "create data folder")
 	}
-	// The folder's own entry has to last as well.
+	// The folder's entry in its parent has to be durable as well.
 	if err := folder(filepath.Dir(path)).Sync(); err != nil {
-		return nil, eris.Wrap(err, "data folder")
+		return nil, eris.Wrap(err, "sync parent of data folder")
 	}
 	return folder(path), nil
 }
--- a/internal/agreement/hingejournal/identity.go
+++ b/internal/agreement/hingejournal/identity.go
@@ -13,7 +13,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Identity says whose folder it is.
+// Identity identifies the owner of a folder. It is stored in the folder.
 type Identity struct {
 	Host  hingeids.HostID      `cbor:"1,keyasint"`
 	Group string               `cbor:"2,keyasint"`
@@ -21,19 +21,19 @@
 }
 
 const (
-	identityFile   = "identity.hinge"
-	temporary      = ".new"
-	segmentSuffix  = ".segment"
-	snapshotSuffix = ".snapshot"
+	identityFile    = "identity.hinge"
+	temporarySuffix = ".new"
+	segmentSuffix   = ".segment"
+	snapshotSuffix  = ".snapshot"
 )
 
-// claim reads the identity, or makes one in an empty folder.
-func claim(f Files, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
+// loadOrCreateIdentity reads the identity or creates one in an empty folder. The result is true if it was created.
+func loadOrCreateIdentity(f Files, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
 	names, err := f.List()
 	if err != nil {
 		return Identity{}, false, eris.Wrap(err, "list data folder")
 	}
-	if err := refuseForeign(names); err != nil {
+	if err := checkFileNames(names); err != nil {
 		return Identity{}, false, err
 	}
 	if slices.Contains(names, identityFile) {
@@ -48,8 +48,8 @@
 		return id, false, nil
 	}
 	for _, n := range names {
-		if !strings.HasSuffix(n, temporary) {
-			return Identity{}, false, eris.Errorf("file %s stands in a folder without %s", n, identityFile)
+		if !strings.HasSuffix(n, temporarySuffix) {
+			return Identity{}, false, eris.Errorf("data folder contains file %s but no %s", n, identityFile)
 		}
 	}
 	id := Identity{
@@ -57,19 +57,19 @@
 		Group: group,
 		Disk:  hingeids.Incarnation(now.UnixNano()),
 	}
-	return id, true, writeWhole(f, identityFile, encodeIdentity(id))
+	return id, true, writeAtomically(f, identityFile, encodeIdentity(id))
 }
 
-// Renew gives a folder whose journal is empty an identity with a disk incarnation above another, for a host whose
-// time of day was behind when its folder was claimed: to the others its disk would be older
-// than one that it has lost, and they would never take it in.
+// Renew replaces the identity of a folder whose journal is empty by one with a disk incarnation above the
+// given one. A host needs it if its clock was behind when its folder was created: the other members would
+// consider its disk older than one that it has lost and would never admit it.
 func Renew(f Files, host hingeids.HostID, group string, above hingeids.Incarnation, now time.Time) error {
 	names, err := f.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
 	}
-	// Segments bear the mark of the identity that they were made under. Removed first, they leave
-	// an empty folder with its old identity, should the host die in between.
+	// Segments contain the hash of the old identity. They are removed first, so that a crash in
+	// between leaves an empty folder with its old identity.
 	for _, n := range names {
 		if n == identityFile {
 			continue
@@ -81,18 +81,18 @@
 	if err := f.Sync(); err != nil {
 		return eris.Wrap(err, "sync data folder")
 	}
-	return writeWhole(f, identityFile, encodeIdentity(Identity{
+	return writeAtomically(f, identityFile, encodeIdentity(Identity{
 		Host:  host,
 		Group: group,
 		Disk:  max(hingeids.Incarnation(now.UnixNano()), above+1),
 	}))
 }
 
-// refuseForeign refuses files that aren't ours: a folder given by mistake must
-// not be written to.
-func refuseForeign(names []string) error {
+// checkFileNames rejects files that swifthinge didn't create, so that a wrongly configured
+// folder isn't written to.
+func checkFileNames(names []string) error {
 	for _, n := range names {
-		known := n == identityFile || strings.HasSuffix(n, temporary) ||
+		known := n == identityFile || strings.HasSuffix(n, temporarySuffix) ||
 			strings.HasSuffix(n, segmentSuffix) || strings.HasSuffix(n, snapshotSuffix)
 		if !known {
 			return eris.Errorf("file %s in the data folder isn't swifthinge's", n)
@@ -120,25 +120,25 @@
 	}
 	var id Identity
 	if err := cbor.Unmarshal(b[:n], &id); err != nil {
-		return Identity{}, eris.Wrapf(err, "file %s", identityFile)
+		return Identity{}, eris.Wrapf(err, "decode %s", identityFile)
 	}
 	return id, nil
 }
 
-func (id Identity) mark() mark {
-	return mark(xxhash.Sum64(encodeIdentity(id)))
+func (id Identity) identityHash() identityHash {
+	return identityHash(xxhash.Sum64(encodeIdentity(id)))
 }
 
-// writeWhole writes a file so that after a crash either all of it is there or
-// the one before (rule 5).
-func writeWhole(f Files, name string, content []byte) error {
-	if err := writeSynced(f, name+temporary, content); err != nil {
+// writeAtomically writes a file so that after a crash either its new or its previous content
+// is there, and whole (rule 5).
+func writeAtomically(f Files, name string, content []byte) error {
+	if err := writeSynced(f, name+temporarySuffix, content); err != nil {
 		return eris.Wrapf(err, "write %s", name)
 	}
-	if err := f.Rename(name+temporary, name); err != nil {
+	if err := f.Rename(name+temporarySuffix, name); err != nil {
 		return eris.Wrapf(err, "rename %s", name)
 	}
-	return eris.Wrapf(f.Sync(), "sync folder for %s", name)
+	return eris.Wrapf(f.Sync(), "sync data folder after renaming %s", name)
 }
 
 func writeSynced(f Files, name string, content []byte) error {
--- a/internal/agreement/hingejournal/journal.go
+++ b/internal/agreement/hingejournal/journal.go
@@ -11,57 +11,57 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// segmentLimit is the size at which a new segment begins. A start reads at
-// most the segments since the last snapshot.
+// segmentLimit is the size in bytes above which a new segment is started. Open reads
+// all segments since the last snapshot.
 const segmentLimit = 8 << 20
 
-// ErrBroken is what a journal says after a failed write or sync (rule 2).
-var ErrBroken = eris.New("the journal failed before; what the disk holds is unknown")
+// ErrBroken is returned by Append and Compact after a failed write or sync (rule 2).
+var ErrBroken = eris.New("journal is closed to writes after a failed write or sync: the contents of the disk are unknown")
 
-// Counts are what a journal has done since it was opened.
+// Counts are the totals of a journal since it was opened.
 type Counts struct {
 	Syncs   int64
 	Records int64
 	Bytes   int64
 }
 
-// Found is what the folder held when the journal was opened.
+// Found is the state that Open read from the folder.
 type Found struct {
 	Identity Identity
-	// Fresh says that the folder was empty: the disk is new.
+	// Fresh is true if the folder was empty, so the disk is new.
 	Fresh bool
-	// Snapshot is nil if none was ever written.
+	// Snapshot is nil if none has been written.
 	Snapshot []byte
-	// Records are those kept with the snapshot and those appended after it.
+	// Records are those stored with the snapshot, then those appended after it.
 	Records [][]byte
-	// Cut is how many bytes of a torn frame were cut off.
+	// Cut is the size in bytes of the torn frame that was truncated.
 	Cut int
 }
 
-// Journal appends records. It is not safe for use by several goroutines.
+// Journal appends records. It is not safe for concurrent use.
 type Journal struct {
-	files   Files
-	mark    mark
-	next    uint64
-	segment File
-	name    string
-	size    int64
-	buffer  []byte
-	counts  Counts
-	broken  bool
+	files        Files
+	identityHash identityHash
+	nextSequence uint64
+	segmentFile  File
+	segmentName  string
+	segmentSize  int64
+	buffer       []byte
+	counts       Counts
+	failed       bool
 }
 
-// Open opens the journal of a host's group in a folder, and makes it there if
-// the folder is empty. The new disk incarnation is taken from now.
+// Open opens the journal of a host's group, or creates it in an empty folder with a disk
+// incarnation derived from now.
 func Open(f Files, host hingeids.HostID, group string, now time.Time) (*Journal, Found, error) {
-	id, fresh, err := claim(f, host, group, now)
+	id, fresh, err := loadOrCreateIdentity(f, host, group, now)
 	if err != nil {
 		return nil, Found{}, err
 	}
 	j := &Journal{
-		files: f,
-		mark:  id.mark(),
-		next:  1,
+		files:        f,
+		identityHash: id.identityHash(),
+		nextSequence: 1,
 	}
 	found := Found{
 		Identity: id,
@@ -82,15 +82,15 @@
 	if err := j.loadSnapshot(names, found); err != nil {
 		return err
 	}
-	live, err := j.removeReplaced(names)
+	segments, err := j.removeObsolete(names)
 	if err != nil {
 		return err
 	}
-	return j.loadSegments(live, found)
+	return j.loadSegments(segments, found)
 }
 
-// loadSnapshot reads the newest snapshot. A damaged one is an error: an older
-// one would silently take back what was accepted since.
+// loadSnapshot reads the newest snapshot. Falling back from a damaged one to an older one
+// would silently lose records, so damage is an error.
 func (j *Journal) loadSnapshot(names []string, found *Found) error {
 	newest := ""
 	for _, n := range names {
@@ -105,38 +105,38 @@
 	if err != nil {
 		return eris.Wrapf(err, "read %s", newest)
 	}
-	first, err := readHeader(b, snapshotMagic, j.mark)
+	first, err := readHeader(b, snapshotMagic, j.identityHash)
 	if err != nil {
 		return eris.Wrapf(err, "snapshot file %s, offset 0", newest)
 	}
-	sequence, records, size := readFrame(b[headerSize:], j.mark)
+	sequence, records, size := readFrame(b[headerSize:], j.identityHash)
 	if size != len(b)-headerSize || sequence != first || len(records) == 0 {
 		return eris.Errorf("snapshot file %s is damaged at offset %d", newest, headerSize)
 	}
 	found.Snapshot = records[0]
 	found.Records = records[1:]
-	j.next = first
+	j.nextSequence = first
 	return nil
 }
 
-// removeReplaced removes what a crash left behind: temporary files, and what
-// the newest snapshot stands for. It gives the segments that count.
-func (j *Journal) removeReplaced(names []string) ([]string, error) {
-	var live []string
+// removeObsolete removes temporary files and all files that the newest snapshot replaces; a
+// crash may have left them. It returns the remaining segments.
+func (j *Journal) removeObsolete(names []string) ([]string, error) {
+	var segments []string
 	for _, n := range names {
-		old := n < fileName(j.next, segmentSuffix)
+		obsolete := n < fileName(j.nextSequence, segmentSuffix)
 		switch {
 		case n == identityFile:
-		case strings.HasSuffix(n, segmentSuffix) && !old:
-			live = append(live, n)
-		case strings.HasSuffix(n, snapshotSuffix) && n == fileName(j.next, snapshotSuffix):
+		case strings.HasSuffix(n, segmentSuffix) && !obsolete:
+			segments = append(segments, n)
+		case strings.HasSuffix(n, snapshotSuffix) && n == fileName(j.nextSequence, snapshotSuffix):
 		default:
 			if err := j.files.Remove(n); err != nil {
 				return nil, eris.Wrapf(err, "remove %s", n)
 			}
 		}
 	}
-	return live, nil
+	return segments, nil
 }
 
 func fileName(first uint64, suffix string) string {
@@ -150,50 +150,50 @@
 		if err != nil {
 			return eris.Wrapf(err, "read %s", n)
 		}
-		if last && len(b) <= headerSize && tornHeader(b) && n == fileName(j.next, segmentSuffix) {
-			// Its making was cut short; nothing was appended to it.
+		if last && len(b) <= headerSize && isHeaderDamaged(b) && n == fileName(j.nextSequence, segmentSuffix) {
+			// A crash interrupted the creation of this segment; it holds no frames.
 			break
 		}
-		records, next, sound, err := readSegment(n, b, j.mark, j.next, last)
+		records, next, validSize, err := readSegment(n, b, j.identityHash, j.nextSequence, last)
 		if err != nil {
 			return err
 		}
 		found.Records = append(found.Records, records...)
-		j.next = next
+		j.nextSequence = next
 		if !last {
 			continue
 		}
-		found.Cut = len(b) - sound
-		return j.extend(n, int64(sound), found.Cut > 0)
+		found.Cut = len(b) - validSize
+		return j.openLastSegment(n, int64(validSize), found.Cut > 0)
 	}
-	return j.begin()
+	return j.startSegment()
 }
 
-// extend goes on with the last segment, without its torn end.
-func (j *Journal) extend(name string, sound int64, torn bool) error {
+// openLastSegment opens the last segment for appending and truncates a torn frame at its end.
+func (j *Journal) openLastSegment(name string, validSize int64, torn bool) error {
 	if torn {
-		if err := j.files.Truncate(name, sound); err != nil {
-			return eris.Wrapf(err, "cut %s", name)
+		if err := j.files.Truncate(name, validSize); err != nil {
+			return eris.Wrapf(err, "truncate %s", name)
 		}
 	}
 	file, err := j.files.Extend(name)
 	if err != nil {
 		return eris.Wrapf(err, "open %s", name)
 	}
-	j.segment = file
-	j.name = name
-	j.size = sound
+	j.segmentFile = file
+	j.segmentName = name
+	j.segmentSize = validSize
 	return nil
 }
 
-// begin starts a new segment.
-func (j *Journal) begin() error {
-	name := fileName(j.next, segmentSuffix)
+// startSegment creates a new segment and closes the previous one.
+func (j *Journal) startSegment() error {
+	name := fileName(j.nextSequence, segmentSuffix)
 	file, err := j.files.Create(name)
 	if err != nil {
 		return eris.Wrapf(err, "create %s", name)
 	}
-	if _, err := file.Write(header(segmentMagic, j.mark, j.next)); err != nil {
+	if _, err := file.Write(encodeHeader(segmentMagic, j.identityHash, j.nextSequence)); err != nil {
 		return eris.Wrapf(err, "write %s", name)
 	}
 	if err := file.Sync(); err != nil {
@@ -202,70 +202,70 @@
 	if err := j.files.Sync(); err != nil {
 		return eris.Wrap(err, "sync data folder")
 	}
-	if j.segment != nil {
-		_ = j.segment.Close()
+	if j.segmentFile != nil {
+		_ = j.segmentFile.Close()
 	}
-	j.segment = file
-	j.name = name
-	j.size = headerSize
+	j.segmentFile = file
+	j.segmentName = name
+	j.segmentSize = headerSize
 	return nil
 }
 
 // Append writes the records as one frame and syncs it (rules 1 and 2).
 func (j *Journal) Append(records ...[]byte) error {
-	if j.broken {
+	if j.failed {
 		return ErrBroken
 	}
 	err := j.append(records)
-	j.broken = err != nil
+	j.failed = err != nil
 	return err
 }
 
 func (j *Journal) append(records [][]byte) error {
-	if j.size > segmentLimit {
-		if err := j.begin(); err != nil {
+	if j.segmentSize > segmentLimit {
+		if err := j.startSegment(); err != nil {
 			return err
 		}
 	}
-	j.buffer = appendFrame(j.buffer[:0], j.mark, j.next, records)
-	if len(j.buffer) > longestFrame {
-		return eris.Errorf("a frame of %d bytes is over the limit", len(j.buffer))
+	j.buffer = appendFrame(j.buffer[:0], j.identityHash, j.nextSequence, records)
+	if len(j.buffer) > maxFrameSize {
+		return eris.Errorf("frame of %d bytes exceeds the maximum frame size", len(j.buffer))
 	}
-	if _, err := j.segment.Write(j.buffer); err != nil {
-		return eris.Wrapf(err, "write %s", j.name)
+	if _, err := j.segmentFile.Write(j.buffer); err != nil {
+		return eris.Wrapf(err, "write %s", j.segmentName)
 	}
-	if err := j.segment.Sync(); err != nil {
-		return eris.Wrapf(err, "sync %s", j.name)
+	if err := j.segmentFile.Sync(); err != nil {
+		return eris.Wrapf(err, "sync %s", j.segmentName)
 	}
-	j.next++
-	j.size += int64(len(j.buffer))
+	j.nextSequence++
+	j.segmentSize += int64(len(j.buffer))
 	j.counts.Syncs++
 	j.counts.Records += int64(len(records))
 	j.counts.Bytes += int64(len(j.buffer))
 	return nil
 }
 
-// Compact replaces everything appended so far by a snapshot and the records that are
-// kept with it (rule 5).
+// Compact replaces all records appended so far by a snapshot and the records that are
+// stored with it (rule 5).
 func (j *Journal) Compact(snapshot []byte, kept ...[]byte) error {
-	if j.broken {
+	if j.failed {
 		return ErrBroken
 	}
 	err := j.compact(snapshot, kept)
-	j.broken = err != nil
+	j.failed = err != nil
 	return err
 }
 
 func (j *Journal) compact(snapshot []byte, kept [][]byte) error {
-	// A sequence number of its own keeps the snapshot's name apart from that of an
-	// earlier one with nothing appended since.
-	j.next++
-	b := header(snapshotMagic, j.mark, j.next)
-	b = appendFrame(b, j.mark, j.next, append([][]byte{snapshot}, kept...))
-	if err := writeWhole(j.files, fileName(j.next, snapshotSuffix), b); err != nil {
+	// The snapshot consumes a sequence number, so that its file name differs from that of an
+	// earlier snapshot even if nothing was appended in between.
+	j.nextSequence++
+	b := encodeHeader(snapshotMagic, j.identityHash, j.nextSequence)
+	b = appendFrame(b, j.identityHash, j.nextSequence, append([][]byte{snapshot}, kept...))
+	if err := writeAtomically(j.files, fileName(j.nextSequence, snapshotSuffix), b); err != nil {
 		return err
 	}
-	if err := j.begin(); err != nil {
+	if err := j.startSegment(); err != nil {
 		return err
 	}
 	names, err := j.files.List()
@@ -273,17 +273,17 @@
 		return eris.Wrap(err, "list data folder")
 	}
 	slices.Sort(names)
-	_, err = j.removeReplaced(names)
+	_, err = j.removeObsolete(names)
 	return err
 }
 
-// Counts gives what the journal has done since it was opened.
+// Counts returns the totals since the journal was opened.
 func (j *Journal) Counts() Counts {
 	return j.counts
 }
 
-// Close closes the files. Everything appended is durable already.
+// Close closes the current segment without a sync; all appended records are durable already.
 func (j *Journal) Close() error {
-	j.broken = true
-	return j.segment.Close()
+	j.failed = true
+	return j.segmentFile.Close()
 }
--- a/internal/agreement/hingejournal/journal_test.go
+++ b/internal/agreement/hingejournal/journal_test.go
@@ -25,13 +25,12 @@
 	return j, found
 }
 
-func text(found Found) string {
+func contents(found Found) string {
 	return string(found.Snapshot) + "|" + string(bytes.Join(found.Records, []byte(",")))
 }
 
-// Power fails at any step: in the middle of a frame, between a snapshot's
-// rename and the removal of what it replaces. A user would notice an accepted
-// change that is gone, or a host that doesn't start.
+// Guards against lost records and a journal that can't be opened after a power cut at any
+// operation, such as within a frame or between a snapshot's rename and the removal of old files.
 func TestPowerCutLosesNothingThatWasAppended(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newFakeDisk(rapid.Uint64().Draw(t, "seed"))
@@ -61,7 +60,7 @@
 				continue
 			}
 			if j.Append([]byte("late")) == nil {
-				t.Fatal("a journal that failed took a record")
+				t.Fatal("Append succeeded after an earlier write failed")
 			}
 			after := before + "," + record
 			if len(kept) == 0 {
@@ -72,7 +71,7 @@
 			}
 			d.crash()
 			again, found := mustOpen(t, d)
-			got := text(found)
+			got := contents(found)
 			if got != before && got != after {
 				t.Fatalf("found %q, want %q or %q", got, before, after)
 			}
@@ -85,15 +84,14 @@
 		}
 		d.crash()
 		_, found := mustOpen(t, d)
-		if diff := cmp.Diff(snapshot+"|"+strings.Join(kept, ","), text(found)); diff != "" {
+		if diff := cmp.Diff(snapshot+"|"+strings.Join(kept, ","), contents(found)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
 }
 
-// A disk returns another byte than was written, or an operator copies a file
-// into the wrong folder. Going on past it would drop or mix accepted changes
-// without anyone noticing, so the host says which file and where, and stops.
+// Guards against silently dropped or mixed records after disk corruption or after a file was
+// copied into the wrong folder: Open must fail and name the file and the offset.
 func TestDamageIsNamedAndNeverSkipped(t *testing.T) {
 	const segment = "0000000000000003.segment"
 	const snapshot = "0000000000000003.snapshot"
@@ -164,18 +162,18 @@
 			c.damage(d)
 			_, _, err := open(d)
 			if err == nil {
-				t.Fatal("opened all the same")
+				t.Fatal("Open succeeded on a damaged folder")
 			}
 			for _, w := range c.want {
 				if !strings.Contains(err.Error(), w) {
-					t.Errorf("error %q doesn't say %q", err, w)
+					t.Errorf("error %q doesn't contain %q", err, w)
 				}
 			}
 		})
 	}
 }
 
-// An operator starts a host with the data folder of another one.
+// Guards against starting a host with the data folder of another host.
 func TestFolderOfAnotherHostIsRefused(t *testing.T) {
 	d := newFakeDisk(1)
 	mustOpen(t, d)
@@ -185,6 +183,7 @@
 	}
 }
 
+// Guards against records lost across segments, compaction and reopening on a real file system.
 func TestRealFolderIsReadBack(t *testing.T) {
 	f, err := Folder(t.TempDir() + "/config")
 	if err != nil {
@@ -192,7 +191,7 @@
 	}
 	j, found := mustOpen(t, f)
 	if !found.Fresh {
-		t.Error("an empty folder isn't fresh")
+		t.Error("an empty folder isn't reported as fresh")
 	}
 	big := bytes.Repeat([]byte("x"), segmentLimit)
 	for _, err := range []error{
@@ -207,42 +206,42 @@
 		}
 	}
 	_, found = mustOpen(t, f)
-	if diff := cmp.Diff("s|k,"+string(big)+",a,b", text(found)); diff != "" || found.Fresh {
+	if diff := cmp.Diff("s|k,"+string(big)+",a,b", contents(found)); diff != "" || found.Fresh {
 		t.Fatalf("fresh %v, %.200s", found.Fresh, diff)
 	}
 }
 
 func FuzzReadSegment(f *testing.F) {
-	b := header(segmentMagic, 7, 1)
+	b := encodeHeader(segmentMagic, 7, 1)
 	b = appendFrame(b, 7, 1, [][]byte{[]byte("one"), {}})
 	b = appendFrame(b, 7, 2, [][]byte{[]byte("two")})
 	f.Add(b)
 	f.Add(b[:len(b)-2])
 	f.Add(b[headerSize:])
 	f.Fuzz(func(t *testing.T, b []byte) {
-		_, next, sound, err := readSegment("x", b, 7, 1, true)
+		_, next, validSize, err := readSegment("x", b, 7, 1, true)
 		if err != nil {
 			return
 		}
-		// What is called sound reads the same again, with nothing left over.
-		_, again, size, err := readSegment("x", b[:sound], 7, 1, false)
-		if err != nil || again != next || size != sound {
-			t.Fatalf("read %d frames in %d bytes, then %d in %d: %v", next, sound, again, size, err)
+		// The valid part must decode to the same result, with no bytes left over.
+		_, again, size, err := readSegment("x", b[:validSize], 7, 1, false)
+		if err != nil || again != next || size != validSize {
+			t.Fatalf("first read: next frame %d, %d bytes; second read: next frame %d, %d bytes: %v", next, validSize, again, size, err)
 		}
 	})
 }
 
-// BenchmarkAppend sets one sync for each change beside one for 64 that wait
-// together, on the disk under the temporary folder.
+// BenchmarkAppend compares one sync per change with one sync per batch of 64 changes, on
+// the disk of the temporary folder.
 func BenchmarkAppend(b *testing.B) {
-	for _, together := range []int{1, 64} {
-		b.Run(fmt.Sprint(together, "-a-sync"), func(b *testing.B) {
+	for _, batchSize := range []int{1, 64} {
+		b.Run(fmt.Sprint(batchSize, "-a-sync"), func(b *testing.B) {
 			f, err := Folder(b.TempDir() + "/config")
 			if err != nil {
 				b.Fatal(err)
 			}
 			j, _ := mustOpen(b, f)
-			batch := make([][]byte, together)
+			batch := make([][]byte, batchSize)
 			for i := range batch {
 				batch[i] = make([]byte, 300)
 			}
@@ -251,7 +250,7 @@
 					b.Fatal(err)
 				}
 			}
-			b.ReportMetric(float64(b.N*together)/b.Elapsed().Seconds(), "changes/s")
+			b.ReportMetric(float64(b.N*batchSize)/b.Elapsed().Seconds(), "changes/s")
 		})
 	}
 }
