--- a/internal/agreement/hingelog/checkin.go
+++ b/internal/agreement/hingelog/checkin.go
@@ -5,45 +5,46 @@
 	"time"
 )
 
-// holding is what is known that a member held durably.
-type holding struct {
+// peerState is the highest term of a member's messages and the highest committed index that it is
+// known to hold durably.
+type peerState struct {
 	term  Term
 	index Index
 }
 
-// startCheckIn begins rule 12.
+// startCheckIn starts the check-in of rule 12.
 func (l *Log) startCheckIn() {
-	l.checkRound = l.random.Uint64()
-	l.checkPassed[l.settings.Self] = true
+	l.checkInRound = l.random.Uint64()
+	l.checkInPassed[l.settings.Self] = true
 	l.countCheckIns()
 }
 
-// countCheckIns counts answers of any members, and this one for itself. Its
-// own list of members may be old: it or another may have been promoted by an
-// entry that it hasn't got, and be needed to elect the leader that sends it.
+// countCheckIns completes the check-in once a quorum has answered. It counts the answers of all
+// members, because this member's list of voters may be out of date: an entry that it lacks may have
+// promoted it or another member, which may then be needed to elect the leader that sends the entry.
 func (l *Log) countCheckIns() {
-	if len(l.current().Voters) > 0 && len(l.checkPassed) >= l.current().Quorum() {
+	if len(l.currentMembers().Voters) > 0 && len(l.checkInPassed) >= l.currentMembers().Quorum() {
 		l.checkedIn = true
-		l.checkWith = nil
+		l.checkInPeers = nil
 	}
 }
 
 func (l *Log) tickCheckIn(now time.Time) {
-	if l.checkedIn || now.Before(l.checkAt) {
+	if l.checkedIn || now.Before(l.nextCheckInAt) {
 		return
 	}
-	l.checkAt = now.Add(l.settings.Heartbeat)
+	l.nextCheckInAt = now.Add(l.settings.Heartbeat)
 	for _, m := range l.others() {
-		l.askToo(m)
+		l.addCheckInPeer(m)
 	}
-	for _, m := range l.checkWith {
+	for _, m := range l.checkInPeers {
 		l.sendCheckIn(m)
 	}
 }
 
-func (l *Log) askToo(m Member) {
-	if !slices.Contains(l.checkWith, m) {
-		l.checkWith = append(l.checkWith, m)
+func (l *Log) addCheckInPeer(m Member) {
+	if !slices.Contains(l.checkInPeers, m) {
+		l.checkInPeers = append(l.checkInPeers, m)
 	}
 }
 
@@ -51,73 +52,74 @@
 	l.send(Message{
 		Kind:  CheckIn,
 		To:    to,
-		Term:  l.hard.Term,
+		Term:  l.hardState.Term,
 		At:    l.last(),
-		Round: l.checkRound,
+		Round: l.checkInRound,
 	})
 }
 
-// checkInWith asks whoever is heard from, beside the members it knows of. A
-// member whose log is empty knows nobody: the leader that it hears decides alone.
-func (l *Log) checkInWith(m Message) {
-	empty := len(l.current().Voters) == 0
+// extendCheckIn includes the sender of a message in the check-in, since it may be a member that
+// this one doesn't know. A member with an empty log knows no members and needs the answer of the
+// leader only.
+func (l *Log) extendCheckIn(m Message) {
+	empty := len(l.currentMembers().Voters) == 0
 	switch {
 	case !empty:
-		l.askToo(m.From)
+		l.addCheckInPeer(m.From)
 	case m.Kind == Append || m.Kind == Install:
 		l.sendCheckIn(m.From)
 	}
 }
 
-// onCheckIn answers even before its own check-in has passed: after a power cut
-// all members ask each other.
+// onCheckIn answers even if this member's own check-in is incomplete: after a power failure all
+// members check in with each other at once.
 func (l *Log) onCheckIn(m Message) {
-	h := l.seen[m.From]
+	peer := l.peerStates[m.From]
 	l.send(Message{
 		Kind:    CheckInAnswer,
 		To:      m.From,
-		Term:    l.hard.Term,
-		Granted: h.term <= m.Term && h.index <= m.At.Index,
+		Term:    l.hardState.Term,
+		Granted: peer.term <= m.Term && peer.index <= m.At.Index,
 		Round:   m.Round,
 	})
 }
 
 func (l *Log) onCheckInAnswer(m Message) {
-	if l.checkedIn || m.Round != l.checkRound || m.From.Host == l.settings.Self.Host {
+	if l.checkedIn || m.Round != l.checkInRound || m.From.Host == l.settings.Self.Host {
 		return
 	}
 	if !m.Granted {
-		l.forgetful = true
-		l.event(ForgetfulDisk, l.settings.Self)
+		l.staleDisk = true
+		l.addEvent(ForgetfulDisk, l.settings.Self)
 		return
 	}
-	l.checkPassed[m.From] = true
+	l.checkInPassed[m.From] = true
 	l.countCheckIns()
-	if len(l.current().Voters) == 0 {
+	if len(l.currentMembers().Voters) == 0 {
 		l.checkedIn = true
 	}
 }
 
-// noteSeen keeps the highest term that a member has spoken in. A check-in is
-// what is to be judged, and a pre-vote names a term that is not taken yet.
-func (l *Log) noteSeen(m Message) {
+// recordPeerTerm records the highest term of a member's messages. Check-ins don't count, as they
+// are verified against it, nor do pre-votes, whose term the sender hasn't adopted.
+func (l *Log) recordPeerTerm(m Message) {
 	if m.Kind == PreVote || m.Kind == PreVoteAnswer || m.Kind == CheckIn {
 		return
 	}
-	h := l.seen[m.From]
-	h.term = max(h.term, m.Term)
-	l.seen[m.From] = h
+	peer := l.peerStates[m.From]
+	peer.term = max(peer.term, m.Term)
+	l.peerStates[m.From] = peer
 }
 
-func (l *Log) noteHoldings(list []Holding) {
+func (l *Log) recordMatches(list []Holding) {
 	for _, x := range list {
-		h := l.seen[x.Member]
-		h.index = max(h.index, x.Index)
-		l.seen[x.Member] = h
+		peer := l.peerStates[x.Member]
+		peer.index = max(peer.index, x.Index)
+		l.peerStates[x.Member] = peer
 	}
 }
 
-// Forgetful reports whether the member stopped because its disk is an older copy.
+// Forgetful reports whether the member has stopped because its disk is an older copy (rule 12).
 func (l *Log) Forgetful() bool {
-	return l.forgetful
+	return l.staleDisk
 }
--- a/internal/agreement/hingelog/cluster_test.go
+++ b/internal/agreement/hingelog/cluster_test.go
@@ -12,16 +12,16 @@
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// node is one host of the simulated cluster: its disk, its clock, and the member if it runs.
+// node is a host of the simulated cluster. Its log is nil while its process isn't running.
 type node struct {
-	self   Member
-	log    *Log
-	disk   Stored
-	rate   float64
-	frozen bool
-	chain  uint64
-	held   Index
-	config Members
+	self           Member
+	log            *Log
+	disk           Stored
+	clockRate      float64
+	frozen         bool
+	stateHash      uint64
+	appliedIndex   Index
+	appliedMembers Members
 }
 
 type envelope struct {
@@ -29,47 +29,46 @@
 	m  Message
 }
 
-// cluster keeps what the invariants need about the whole history.
+// cluster simulates the hosts and the network and records the history that the invariants need.
 type cluster struct {
-	random   *rand.Rand
-	now      time.Duration
-	nodes    []*node
-	queue    []envelope
-	due      []envelope
-	cuts     map[[2]hingeids.HostID]bool
-	loss     float64
-	slowest  time.Duration
-	leaders  map[Term]Member
-	votes    map[string]Member
-	chosen   map[Index]Entry
-	chosenIn map[Index]Term
-	chains   map[Index]uint64
-	commit   Index
-	members  Members
-	// membersAt is the place of the newest committed change of members.
-	membersAt Index
-	lives     uint64
-	broken    string
-	proposed  int
-	sent      map[MessageKind]int
-	// filled counts messages with entries.
-	filled int
-	events []Event
+	random           *rand.Rand
+	now              time.Duration
+	nodes            []*node
+	queue            []envelope
+	arrived          []envelope
+	cutLinks         map[[2]hingeids.HostID]bool
+	loss             float64
+	maxDelay         time.Duration
+	leaderOfTerm     map[Term]Member
+	votes            map[string]Member
+	committedEntries map[Index]Entry
+	committedInTerm  map[Index]Term
+	stateHashes      map[Index]uint64
+	commit           Index
+	members          Members
+	// membersIndex is the index of the newest committed membership change.
+	membersIndex        Index
+	lastIncarnation     uint64
+	violation           string
+	proposed            int
+	sent                map[MessageKind]int
+	messagesWithEntries int
+	events              []Event
 }
 
 func newCluster(seed uint64, hosts ...hingeids.HostID) *cluster {
 	c := &cluster{
-		random:   rand.New(rand.NewPCG(seed, 1)),
-		cuts:     make(map[[2]hingeids.HostID]bool),
-		slowest:  5 * time.Millisecond,
-		leaders:  make(map[Term]Member),
-		votes:    make(map[string]Member),
-		chosen:   make(map[Index]Entry),
-		chosenIn: make(map[Index]Term),
-		chains:   map[Index]uint64{1: 0},
-		commit:   1,
-		lives:    1,
-		sent:     make(map[MessageKind]int),
+		random:           rand.New(rand.NewPCG(seed, 1)),
+		cutLinks:         make(map[[2]hingeids.HostID]bool),
+		maxDelay:         5 * time.Millisecond,
+		leaderOfTerm:     make(map[Term]Member),
+		votes:            make(map[string]Member),
+		committedEntries: make(map[Index]Entry),
+		committedInTerm:  make(map[Index]Term),
+		stateHashes:      map[Index]uint64{1: 0},
+		commit:           1,
+		lastIncarnation:  1,
+		sent:             make(map[MessageKind]int),
 	}
 	for _, h := range hosts {
 		c.members.Voters = append(c.members.Voters, Member{
@@ -95,28 +94,28 @@
 
 func (c *cluster) addNode(m Member) *node {
 	n := &node{
-		self: m,
-		rate: 0.96 + 0.08*c.random.Float64(),
+		self:      m,
+		clockRate: 0.96 + 0.08*c.random.Float64(),
 	}
 	c.nodes = append(c.nodes, n)
 	return n
 }
 
 func (c *cluster) clock(n *node) time.Time {
-	return simStart.Add(time.Duration(float64(c.now) * n.rate))
+	return simStart.Add(time.Duration(float64(c.now) * n.clockRate))
 }
 
 func (c *cluster) start(n *node) {
-	c.lives++
+	c.lastIncarnation++
 	n.frozen = false
-	n.held = n.disk.Snapshot.At.Index
-	n.chain = c.chains[n.held]
-	n.config = n.disk.Snapshot.Members
+	n.appliedIndex = n.disk.Snapshot.At.Index
+	n.stateHash = c.stateHashes[n.appliedIndex]
+	n.appliedMembers = n.disk.Snapshot.Members
 	n.log = New(c.clock(n), Settings{
 		Self:      n.self,
 		Election:  DefaultElection,
 		Heartbeat: DefaultHeartbeat,
-		Seed:      c.lives ^ c.random.Uint64(),
+		Seed:      c.lastIncarnation ^ c.random.Uint64(),
 	}, Stored{
 		HardState: n.disk.HardState,
 		Snapshot:  n.disk.Snapshot,
@@ -125,15 +124,15 @@
 	})
 }
 
-// kill ends a process; what it had not synced is lost.
+// kill stops a process. State that isn't synced is lost.
 func (c *cluster) kill(n *node) {
 	n.log = nil
 }
 
-// loseDisk ends a process for good; the host comes back as another member.
+// loseDisk restarts a host with an empty disk, as a new member.
 func (c *cluster) loseDisk(n *node) {
-	c.lives++
-	n.self.Disk = hingeids.Incarnation(c.lives)
+	c.lastIncarnation++
+	n.self.Disk = hingeids.Incarnation(c.lastIncarnation)
 	n.disk = Stored{}
 	c.start(n)
 }
@@ -155,9 +154,9 @@
 	}
 }
 
-// settle carries out what a member gives. At the crash point given, the
-// process dies before (1) or after (2) the sync.
-func (c *cluster) settle(n *node, crash int) {
+// processOutput stores a member's output, sends its messages and applies its entries. With crash
+// point 1 the process dies before the sync, with 2 after it.
+func (c *cluster) processOutput(n *node, crashPoint int) {
 	for n.log != nil {
 		o := n.log.Take()
 		if o.Empty() {
@@ -165,29 +164,29 @@
 		}
 		early, late := o.Early()
 		for _, m := range early {
-			c.post(m)
+			c.sendMessage(m)
 		}
-		if crash == 1 {
+		if crashPoint == 1 {
 			c.kill(n)
 			return
 		}
 		n.store(o)
-		if crash == 2 {
+		if crashPoint == 2 {
 			c.kill(n)
 			return
 		}
 		for _, m := range late {
-			c.post(m)
+			c.sendMessage(m)
 		}
 		n.log.Synced(c.clock(n))
 		c.apply(n, o)
 	}
 }
 
-func (c *cluster) post(m Message) {
+func (c *cluster) sendMessage(m Message) {
 	c.sent[m.Kind]++
 	if len(m.Entries) > 0 {
-		c.filled++
+		c.messagesWithEntries++
 	}
 	if m.Kind == VoteAnswer && m.Granted {
 		key := fmt.Sprint(m.From, m.Term)
@@ -201,7 +200,7 @@
 		copies = c.random.IntN(3)
 	}
 	for range copies {
-		delay := 200*time.Microsecond + time.Duration(c.random.Int64N(int64(c.slowest)))
+		delay := 200*time.Microsecond + time.Duration(c.random.Int64N(int64(c.maxDelay)))
 		c.queue = append(c.queue, envelope{
 			at: c.now + delay,
 			m:  m,
@@ -210,18 +209,18 @@
 }
 
 func (c *cluster) fail(format string, args ...any) {
-	if c.broken == "" {
-		c.broken = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
+	if c.violation == "" {
+		c.violation = fmt.Sprintf("at %v: ", c.now) + fmt.Sprintf(format, args...)
 	}
 }
 
 func (c *cluster) apply(n *node, o Output) {
 	if o.Install != nil {
-		n.held = o.Install.At.Index
-		n.config = o.Install.Members
-		n.chain = c.chains[n.held]
-		if got := string(o.Install.Data); got != fmt.Sprint(n.chain) {
-			c.fail("%v installed %q at %d, want %d", n.self, got, n.held, n.chain)
+		n.appliedIndex = o.Install.At.Index
+		n.appliedMembers = o.Install.Members
+		n.stateHash = c.stateHashes[n.appliedIndex]
+		if got := string(o.Install.Data); got != fmt.Sprint(n.stateHash) {
+			c.fail("%v installed %q at %d, want %d", n.self, got, n.appliedIndex, n.stateHash)
 		}
 	}
 	for _, e := range o.Committed {
@@ -236,58 +235,58 @@
 }
 
 func (c *cluster) applyEntry(n *node, e Entry) {
-	if e.Index != n.held+1 {
-		c.fail("%v applied %d after %d", n.self, e.Index, n.held)
+	if e.Index != n.appliedIndex+1 {
+		c.fail("%v applied %d after %d", n.self, e.Index, n.appliedIndex)
 	}
-	if old, there := c.chosen[e.Index]; there && (old.Term != e.Term || string(old.Data) != string(e.Data)) {
-		c.fail("%v applied %d of term %d, another applied term %d", n.self, e.Index, e.Term, old.Term)
+	if previous, there := c.committedEntries[e.Index]; there && (previous.Term != e.Term || string(previous.Data) != string(e.Data)) {
+		c.fail("%v applied %d of term %d, another applied term %d", n.self, e.Index, e.Term, previous.Term)
 	}
-	if _, there := c.chosen[e.Index]; !there {
-		c.chosenIn[e.Index] = n.log.hard.Term
+	if _, there := c.committedEntries[e.Index]; !there {
+		c.committedInTerm[e.Index] = n.log.hardState.Term
 	}
-	c.chosen[e.Index] = e
+	c.committedEntries[e.Index] = e
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%d %d %d %s", n.chain, e.Term, e.Index, e.Data)
-	n.chain = h.Sum64()
-	n.held = e.Index
-	c.chains[e.Index] = n.chain
+	_, _ = fmt.Fprintf(h, "%d %d %d %s", n.stateHash, e.Term, e.Index, e.Data)
+	n.stateHash = h.Sum64()
+	n.appliedIndex = e.Index
+	c.stateHashes[e.Index] = n.stateHash
 	if e.Members == nil {
 		return
 	}
-	if e.Index > c.membersAt {
-		c.membersAt = e.Index
+	if e.Index > c.membersIndex {
+		c.membersIndex = e.Index
 		c.members = *e.Members
 	}
-	kind, who := MembersEvent(n.config, *e.Members)
+	kind, member := MembersEvent(n.appliedMembers, *e.Members)
 	c.events = append(c.events, Event{
 		Kind:   kind,
-		Member: who,
+		Member: member,
 		Index:  e.Index,
 	})
-	n.config = *e.Members
+	n.appliedMembers = *e.Members
 }
 
 func (c *cluster) checkLeader(n *node, e Event) {
-	if other, there := c.leaders[e.Term]; there && other != n.self {
+	if other, there := c.leaderOfTerm[e.Term]; there && other != n.self {
 		c.fail("%v and %v both lead term %d", other, n.self, e.Term)
 	}
-	c.leaders[e.Term] = n.self
-	for i, x := range c.chosen {
-		if c.chosenIn[i] >= e.Term {
-			// Votes that were delayed elected this one after a later leader.
+	c.leaderOfTerm[e.Term] = n.self
+	for i, x := range c.committedEntries {
+		if c.committedInTerm[i] >= e.Term {
+			// Delayed votes elected this leader after one of a later term.
 			continue
 		}
 		t, known := n.log.termAt(i)
-		if (known && t != x.Term) || (!known && i > n.log.before.Index) {
+		if (known && t != x.Term) || (!known && i > n.log.base.Index) {
 			c.fail("%v leads term %d without committed entry %d", n.self, e.Term, i)
 		}
 	}
 }
 
-// check holds after each step: no two may lead at once, and a read inside a
-// lease sees everything that any member knows to be committed.
-func (c *cluster) check() {
-	var may []Member
+// checkInvariants checks that at most one member may lead, and that a read within a lease sees all
+// entries that any member knows to be committed.
+func (c *cluster) checkInvariants() {
+	var leaders []Member
 	for _, n := range c.nodes {
 		if n.log == nil {
 			continue
@@ -301,64 +300,64 @@
 			continue
 		}
 		if at, ok := n.log.ReadIndex(c.clock(n)); ok {
-			may = append(may, n.self)
+			leaders = append(leaders, n.self)
 			if at < c.commit {
-				c.fail("%v reads at %d though %d is committed", n.self, at, c.commit)
+				c.fail("%v reads at index %d, but index %d is committed", n.self, at, c.commit)
 			}
 		}
 	}
-	if len(may) > 1 {
-		c.fail("%v may all lead", may)
+	if len(leaders) > 1 {
+		c.fail("more than one member may lead: %v", leaders)
 	}
 }
 
 const simStep = 20 * time.Millisecond
 
-// run lets time pass; each step delivers what has arrived, in a random order.
+// run advances the time. Each step delivers the messages that are due, in a random order.
 func (c *cluster) run(d time.Duration) {
-	for end := c.now + d; c.now < end && c.broken == ""; {
+	for end := c.now + d; c.now < end && c.violation == ""; {
 		c.now += simStep
-		// A process that was frozen may be asked before it notices anything.
-		c.check()
+		// A process may serve a read after it was frozen and before its next tick.
+		c.checkInvariants()
 		c.deliver()
 		for _, n := range c.nodes {
 			if n.log != nil && !n.frozen {
 				n.log.Tick(c.clock(n))
-				c.settle(n, 0)
+				c.processOutput(n, 0)
 			}
 		}
-		c.check()
+		c.checkInvariants()
 	}
 }
 
 func (c *cluster) deliver() {
-	// Answers to answers within one step: a step is a few rounds of the network.
+	// One step covers several network round trips, so answers are delivered within it.
 	for range 4 {
-		due := c.due[:0]
+		arrived := c.arrived[:0]
 		later := c.queue[:0]
 		for _, e := range c.queue {
 			if e.at <= c.now {
-				due = append(due, e)
+				arrived = append(arrived, e)
 			} else {
 				later = append(later, e)
 			}
 		}
-		c.due = due
+		c.arrived = arrived
 		c.queue = later
-		if len(due) == 0 {
+		if len(arrived) == 0 {
 			return
 		}
-		c.random.Shuffle(len(due), func(i, j int) {
-			due[i], due[j] = due[j], due[i]
+		c.random.Shuffle(len(arrived), func(i, j int) {
+			arrived[i], arrived[j] = arrived[j], arrived[i]
 		})
-		for _, e := range due {
+		for _, e := range arrived {
 			c.deliverOne(e)
 		}
 	}
 }
 
 func (c *cluster) deliverOne(e envelope) {
-	if c.cuts[[2]hingeids.HostID{e.m.From.Host, e.m.To.Host}] {
+	if c.cutLinks[[2]hingeids.HostID{e.m.From.Host, e.m.To.Host}] {
 		return
 	}
 	n := c.host(e.m.To.Host)
@@ -371,7 +370,7 @@
 		return
 	}
 	n.log.Step(c.clock(n), e.m)
-	c.settle(n, 0)
+	c.processOutput(n, 0)
 }
 
 func (c *cluster) host(h hingeids.HostID) *node {
@@ -383,7 +382,7 @@
 	return nil
 }
 
-func (c *cluster) leading() *node {
+func (c *cluster) activeLeader() *node {
 	for _, n := range c.nodes {
 		if n.log != nil && !n.frozen && n.log.MayLead(c.clock(n)) {
 			return n
@@ -392,21 +391,21 @@
 	return nil
 }
 
-// join asks the leader to take in whoever runs with a disk that isn't a member.
+// join proposes to the leader each running host whose disk isn't a member yet.
 func (c *cluster) join() {
-	l := c.leading()
+	l := c.activeLeader()
 	if l == nil {
 		return
 	}
 	for _, n := range c.nodes {
-		if n.log != nil && !l.log.current().Has(n.self) {
+		if n.log != nil && !l.log.currentMembers().Has(n.self) {
 			_ = l.log.Reconfigure(c.clock(l), Change{
 				Kind:   AddLearner,
 				Member: n.self,
 			})
 		}
 	}
-	c.settle(l, 0)
+	c.processOutput(l, 0)
 }
 
 func (c *cluster) propose(n *node, data string) bool {
@@ -423,15 +422,14 @@
 	if n.log == nil {
 		return
 	}
-	if d, ok := n.log.Compact(n.held, []byte(fmt.Sprint(n.chain)), keep); ok {
+	if d, ok := n.log.Compact(n.appliedIndex, []byte(fmt.Sprint(n.stateHash)), keep); ok {
 		d.Entries = slices.Clone(d.Entries)
 		n.disk = d
 	}
 }
 
-// whole reports whether every host's present disk votes, so that one may be lost.
-// A learner counts too: its promotion may be under way.
-func (c *cluster) whole() bool {
+// fullyRepaired reports whether the current disks of all hosts are voters, so that one may be lost.
+func (c *cluster) fullyRepaired() bool {
 	for _, m := range c.members.Voters {
 		n := c.host(m.Host)
 		if n == nil || n.self != m {
--- a/internal/agreement/hingelog/election.go
+++ b/internal/agreement/hingelog/election.go
@@ -7,50 +7,50 @@
 
 func (l *Log) resetElection(now time.Time) {
 	e := l.settings.Election
-	l.electionAt = now.Add(e + time.Duration(l.random.Int64N(int64(e))))
+	l.electionDeadline = now.Add(e + time.Duration(l.random.Int64N(int64(e))))
 }
 
-// retryElection comes sooner than a first try: the others may only have heard
-// the leader a little later, or have asked at the same moment. By now rule 5 no longer holds this
-// member back, and pre-votes disturb nobody. Each voter has a time of its own, so that two who
-// split the votes don't do so again and again.
+// retryElection sets the deadline of another attempt. It is shorter than the first one: the others
+// may have received the leader's last heartbeat slightly later or may have become candidates at the
+// same time. Pre-votes don't disrupt them. Each voter adds a delay by its position, so that two
+// voters don't split the votes repeatedly.
 func (l *Log) retryElection(now time.Time) {
 	e := l.settings.Election
-	slot := max(slices.Index(l.current().Voters, l.settings.Self), 0)
-	wait := e/4 + time.Duration(slot)*e/8 + time.Duration(l.random.Int64N(int64(e/16)))
-	l.electionAt = now.Add(wait)
+	voterIndex := max(slices.Index(l.currentMembers().Voters, l.settings.Self), 0)
+	wait := e/4 + time.Duration(voterIndex)*e/8 + time.Duration(l.random.Int64N(int64(e/16)))
+	l.electionDeadline = now.Add(wait)
 }
 
 func (l *Log) becomeFollower(now time.Time, t Term) {
 	if l.role == leader {
-		l.event(SteppedDown, l.settings.Self)
+		l.addEvent(SteppedDown, l.settings.Self)
 		l.resetElection(now)
 	}
 	l.role = follower
 	l.leader = Member{}
-	if t > l.hard.Term {
-		l.setHard(HardState{
+	if t > l.hardState.Term {
+		l.setHardState(HardState{
 			Term: t,
 		})
 	}
 }
 
 func (l *Log) tickElection(now time.Time) {
-	if now.Before(l.electionAt) || !l.checkedIn || !l.mayCampaign() {
+	if now.Before(l.electionDeadline) || !l.checkedIn || !l.mayCampaign() {
 		return
 	}
 	l.retryElection(now)
 	l.role = preCandidate
 	l.leader = Member{}
-	l.event(ElectionStarted, l.settings.Self)
-	l.askVotes(now, PreVote, l.hard.Term+1)
+	l.addEvent(ElectionStarted, l.settings.Self)
+	l.requestVotes(now, PreVote, l.hardState.Term+1)
 }
 
-// mayCampaign reports whether this member votes. One whose removal is in its
-// log but not committed still has to: it may be the only one whose log is new
-// enough, and then nobody else could be elected to complete the removal.
+// mayCampaign reports whether this member may become a candidate. A member whose removal is in its
+// log but not committed may: if no other log is as up to date, no other member could be elected to
+// complete the removal.
 func (l *Log) mayCampaign() bool {
-	if l.membersUpTo(l.commit).HasVoter(l.settings.Self) {
+	if l.membersAt(l.commit).HasVoter(l.settings.Self) {
 		return true
 	}
 	for _, a := range l.members {
@@ -61,7 +61,7 @@
 	return false
 }
 
-func (l *Log) askVotes(now time.Time, k MessageKind, t Term) {
+func (l *Log) requestVotes(now time.Time, k MessageKind, t Term) {
 	l.votes = map[Member]bool{
 		l.settings.Self: true,
 	}
@@ -78,45 +78,45 @@
 
 func (l *Log) countVotes(now time.Time) {
 	granted := 0
-	for _, m := range l.current().Voters {
+	for _, m := range l.currentMembers().Voters {
 		if l.votes[m] {
 			granted++
 		}
 	}
-	if granted < l.current().Quorum() {
+	if granted < l.currentMembers().Quorum() {
 		return
 	}
 	switch l.role {
 	case preCandidate:
 		l.role = candidate
-		l.setHard(HardState{
-			Term: l.hard.Term + 1,
+		l.setHardState(HardState{
+			Term: l.hardState.Term + 1,
 			Vote: l.settings.Self,
 		})
 		l.retryElection(now)
-		l.askVotes(now, Vote, l.hard.Term)
+		l.requestVotes(now, Vote, l.hardState.Term)
 	case candidate:
 		l.becomeLeader(now)
 	}
 }
 
-// leaseMayLive reports whether a leader heard of lately, or this one, may
-// still act on its lease (rule 5).
-func (l *Log) leaseMayLive(now time.Time) bool {
+// leaseMayBeValid reports whether the lease of this leader, or of the leader last heard from, may
+// still be valid (rule 5).
+func (l *Log) leaseMayBeValid(now time.Time) bool {
 	if l.role == leader {
 		return now.Before(l.leaseEnd(now))
 	}
-	return now.Sub(l.heardLeader) < l.settings.Election
+	return now.Sub(l.leaderLastSeen) < l.settings.Election
 }
 
-func (l *Log) logAtLeast(at Position) bool {
+func (l *Log) isUpToDate(at Position) bool {
 	return !at.Before(l.last())
 }
 
-// onPreVote answers whether it would vote, without any change of its own.
+// onPreVote answers whether this member would grant its vote. It changes no state.
 func (l *Log) onPreVote(now time.Time, m Message) {
-	granted := m.Term > l.hard.Term && !l.leaseMayLive(now) && l.logAtLeast(m.At)
-	t := l.hard.Term
+	granted := m.Term > l.hardState.Term && !l.leaseMayBeValid(now) && l.isUpToDate(m.At)
+	t := l.hardState.Term
 	if granted {
 		t = m.Term
 	}
@@ -129,7 +129,7 @@
 }
 
 func (l *Log) onPreVoteAnswer(now time.Time, m Message) {
-	if l.role != preCandidate || !m.Granted || m.Term != l.hard.Term+1 {
+	if l.role != preCandidate || !m.Granted || m.Term != l.hardState.Term+1 {
 		return
 	}
 	l.votes[m.From] = true
@@ -137,19 +137,19 @@
 }
 
 func (l *Log) onVote(now time.Time, m Message) {
-	// Rule 5. Not even the term is taken over: a leader would step down for it.
-	if l.leaseMayLive(now) {
+	// Rule 5. The later term isn't adopted either, since a leader would step down for it.
+	if l.leaseMayBeValid(now) {
 		return
 	}
-	if m.Term > l.hard.Term {
+	if m.Term > l.hardState.Term {
 		l.becomeFollower(now, m.Term)
 	}
-	free := l.hard.Vote.IsZero() || l.hard.Vote == m.From
-	granted := m.Term == l.hard.Term && free && l.logAtLeast(m.At)
+	mayVote := l.hardState.Vote.IsZero() || l.hardState.Vote == m.From
+	granted := m.Term == l.hardState.Term && mayVote && l.isUpToDate(m.At)
 	if granted {
 		// Rule 4.
 		l.role = follower
-		l.setHard(HardState{
+		l.setHardState(HardState{
 			Term: m.Term,
 			Vote: m.From,
 		})
@@ -158,13 +158,13 @@
 	l.send(Message{
 		Kind:    VoteAnswer,
 		To:      m.From,
-		Term:    l.hard.Term,
+		Term:    l.hardState.Term,
 		Granted: granted,
 	})
 }
 
 func (l *Log) onVoteAnswer(now time.Time, m Message) {
-	if l.role != candidate || !m.Granted || m.Term != l.hard.Term {
+	if l.role != candidate || !m.Granted || m.Term != l.hardState.Term {
 		return
 	}
 	l.votes[m.From] = true
@@ -174,11 +174,11 @@
 func (l *Log) becomeLeader(now time.Time) {
 	l.role = leader
 	l.leader = l.settings.Self
-	l.ledSince = now
-	l.heartbeatAt = now
+	l.leaderSince = now
+	l.nextHeartbeatAt = now
 	l.progress = make(map[Member]*progress)
-	l.event(BecameLeader, l.settings.Self)
-	l.opening = l.append(Entry{
+	l.addEvent(BecameLeader, l.settings.Self)
+	l.termStartIndex = l.append(Entry{
 		Kind: Opening,
 	})
 	l.replicate(now)
--- a/internal/agreement/hingelog/lease.go
+++ b/internal/agreement/hingelog/lease.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// quorumSend gives the newest send time that a quorum has answered. The leader
-// counts for itself with the present time.
-func (l *Log) quorumSend(now time.Time) time.Time {
+// quorumSendTime returns the newest send time that a quorum has answered, or the zero time if there
+// is none. The leader counts itself with the current time.
+func (l *Log) quorumSendTime(now time.Time) time.Time {
 	times := make([]time.Time, 0, 8)
-	for _, m := range l.current().Voters {
+	for _, m := range l.currentMembers().Voters {
 		switch p := l.progress[m]; {
 		case m == l.settings.Self:
 			times = append(times, now)
 		case p != nil:
-			times = append(times, p.ackedSend)
+			times = append(times, p.ackedSendTime)
 		default:
 			times = append(times, time.Time{})
 		}
@@ -25,46 +25,47 @@
 	slices.SortFunc(times, func(a, b time.Time) int {
 		return b.Compare(a)
 	})
-	return times[l.current().Quorum()-1]
+	return times[l.currentMembers().Quorum()-1]
 }
 
 func (l *Log) leaseEnd(now time.Time) time.Time {
-	sent := l.quorumSend(now)
+	sent := l.quorumSendTime(now)
 	if sent.IsZero() {
 		return sent
 	}
 	return sent.Add(l.settings.Lease())
 }
 
-// MayLead reports whether this member may act as leader at this moment: no
-// other can have been elected (rule 6), and it knows all that is committed (rule 8).
+// MayLead reports whether this member is the leader and holds a valid lease, so that no other can
+// have been elected (rule 6), and has committed an entry of its term, so that it knows all
+// committed entries (rule 8).
 func (l *Log) MayLead(now time.Time) bool {
-	return l.role == leader && l.commit >= l.opening && now.Before(l.leaseEnd(now))
+	return l.role == leader && l.commit >= l.termStartIndex && now.Before(l.leaseEnd(now))
 }
 
-// ReadIndex gives the index that a read must have applied to see every change
-// accepted before now; false outside the lease.
+// ReadIndex returns the index that must be applied before a read, so that the read sees every
+// change committed before now. It returns false outside the lease.
 func (l *Log) ReadIndex(now time.Time) (Index, bool) {
 	return l.commit, l.MayLead(now)
 }
 
-// tickLeader sends heartbeats, and steps down when no quorum is heard (rule 7).
+// tickLeader sends heartbeats, and steps down without answers of a quorum (rule 7).
 func (l *Log) tickLeader(now time.Time) {
-	heard := l.quorumSend(now)
-	if heard.Before(l.ledSince) {
-		heard = l.ledSince
+	lastContact := l.quorumSendTime(now)
+	if lastContact.Before(l.leaderSince) {
+		lastContact = l.leaderSince
 	}
-	if now.Sub(heard) >= l.settings.Election {
-		l.becomeFollower(now, l.hard.Term)
+	if now.Sub(lastContact) >= l.settings.Election {
+		l.becomeFollower(now, l.hardState.Term)
 		return
 	}
-	if !now.Before(l.heartbeatAt) {
+	if !now.Before(l.nextHeartbeatAt) {
 		l.heartbeat(now)
 	}
 	l.repair(now)
 }
 
-// Standing is what a member says of itself and, when it leads, of the others.
+// Standing is a member's view of the log and its members. Holdings is set only on a leader.
 type Standing struct {
 	Self     Member
 	Leader   Member
@@ -76,29 +77,29 @@
 	Holdings []Holding
 }
 
-// Standing gives the member's view.
+// Standing returns the member's current view.
 func (l *Log) Standing() Standing {
 	s := Standing{
 		Self:    l.settings.Self,
 		Leader:  l.leader,
 		Leads:   l.role == leader,
-		Term:    l.hard.Term,
+		Term:    l.hardState.Term,
 		Commit:  l.commit,
 		Last:    l.last().Index,
-		Members: l.current(),
+		Members: l.currentMembers(),
 	}
 	if s.Leads {
-		s.Holdings = l.holdings()
+		s.Holdings = l.matches()
 	}
 	return s
 }
 
-// LeaseEnd gives the end of the lease that MayLead speaks of.
+// LeaseEnd returns the end of the lease that MayLead checks.
 func (l *Log) LeaseEnd(now time.Time) time.Time {
 	return l.leaseEnd(now)
 }
 
-// HardState gives what has to be stored with a snapshot that is installed.
+// HardState returns the state to store along with an installed snapshot.
 func (l *Log) HardState() HardState {
-	return l.hard
+	return l.hardState
 }
--- a/internal/agreement/hingelog/log.go
+++ b/internal/agreement/hingelog/log.go
@@ -14,106 +14,108 @@
 	leader
 )
 
-// Log is one member's part. It is not safe for use by several goroutines.
+// Log is the state of one member. It is not safe for concurrent use.
 type Log struct {
 	settings Settings
 	random   *rand.Rand
-	// started anchors send times, so that a wall clock that is set doesn't move a lease.
+	// started is the base of send times, so that setting the wall clock doesn't move a lease.
 	started time.Time
 
-	hard      HardState
-	hardDirty bool
-	snapshot  Snapshot
-	install   *Snapshot
-	before    Position
-	entries   []Entry
-	members   []membersAt
-	unsynced  Index // First index not yet handed out by Take.
-	synced    Index
-	taken     Index // Last index handed out by the last Take.
+	hardState       HardState
+	hardStateDirty  bool
+	snapshot        Snapshot
+	pendingInstall  *Snapshot
+	base            Position
+	entries         []Entry
+	members         []indexedMembers
+	nextOutputIndex Index // First index that Take hasn't returned yet.
+	synced          Index
+	lastOutputIndex Index // Last index that Take has returned.
 
 	commit  Index
 	applied Index
 
-	role        role
-	leader      Member
-	heardLeader time.Time
-	electionAt  time.Time
-	votes       map[Member]bool
+	role             role
+	leader           Member
+	leaderLastSeen   time.Time
+	electionDeadline time.Time
+	votes            map[Member]bool
 
-	progress    map[Member]*progress
-	opening     Index
-	ledSince    time.Time
-	heartbeatAt time.Time
+	progress        map[Member]*progress
+	termStartIndex  Index
+	leaderSince     time.Time
+	nextHeartbeatAt time.Time
 
-	checkedIn   bool
-	forgetful   bool
-	checkRound  uint64
-	checkAt     time.Time
-	checkPassed map[Member]bool
-	checkWith   []Member
-	seen        map[Member]holding
+	checkedIn     bool
+	staleDisk     bool
+	checkInRound  uint64
+	nextCheckInAt time.Time
+	checkInPassed map[Member]bool
+	checkInPeers  []Member
+	peerStates    map[Member]peerState
 
 	messages []Message
 	events   []Event
 }
 
-type membersAt struct {
+type indexedMembers struct {
 	index   Index
 	members Members
 }
 
-// progress is what a leader knows of another member.
+// progress is the replication state of another member, kept by the leader.
 type progress struct {
 	match Index
 	next  Index
-	// since is when the member was first sent to, in this term.
-	since time.Time
-	// ackedSend is the send time, by the leader's clock, of the newest message answered.
-	ackedSend   time.Time
-	snapshotEnd time.Time
+	// firstSentAt is the time of the first message to the member in this term.
+	firstSentAt time.Time
+	// ackedSendTime is the send time, by the leader's clock, of the newest message that the member
+	// answered.
+	ackedSendTime   time.Time
+	snapshotRetryAt time.Time
 }
 
-// New makes a member from what its disk holds.
+// New creates a member from the state on its disk.
 func New(now time.Time, s Settings, d Stored) *Log {
 	l := &Log{
-		settings: s,
-		started:  now,
-		random:   rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
-		hard:     d.HardState,
-		snapshot: d.Snapshot,
-		before:   d.Before,
-		entries:  d.Entries,
-		commit:   d.Snapshot.At.Index,
-		applied:  d.Snapshot.At.Index,
-		// Rule 5: a leader may have been heard just before the start.
-		heardLeader: now,
-		checkPassed: make(map[Member]bool),
-		seen:        make(map[Member]holding),
+		settings:  s,
+		started:   now,
+		random:    rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
+		hardState: d.HardState,
+		snapshot:  d.Snapshot,
+		base:      d.Before,
+		entries:   d.Entries,
+		commit:    d.Snapshot.At.Index,
+		applied:   d.Snapshot.At.Index,
+		// Rule 5: a heartbeat may have arrived just before the start.
+		leaderLastSeen: now,
+		checkInPassed:  make(map[Member]bool),
+		peerStates:     make(map[Member]peerState),
 	}
 	if len(d.Entries) == 0 {
-		l.before = d.Snapshot.At
+		l.base = d.Snapshot.At
 	}
-	l.members = []membersAt{
+	l.members = []indexedMembers{
 		{
 			index:   d.Snapshot.At.Index,
 			members: d.Snapshot.Members,
 		},
 	}
 	for _, e := range l.entries {
-		l.noteMembers(e)
+		l.recordMembers(e)
 	}
 	l.synced = l.last().Index
-	l.taken = l.synced
-	l.unsynced = l.synced + 1
+	l.lastOutputIndex = l.synced
+	l.nextOutputIndex = l.synced + 1
 	l.resetElection(now)
 	l.startCheckIn()
 	return l
 }
 
-// Tick does what is due. It wants to be called several times a heartbeat.
+// Tick runs timed work: check-ins, elections, heartbeats and repairs. The caller runs it several
+// times per heartbeat interval.
 func (l *Log) Tick(now time.Time) {
-	if l.forgetful {
+	if l.staleDisk {
 		return
 	}
 	l.tickCheckIn(now)
@@ -124,33 +126,33 @@
 	l.tickElection(now)
 }
 
-// Step takes a message.
+// Step processes a received message.
 func (l *Log) Step(now time.Time, m Message) {
 	// Rule 1.
-	if l.forgetful || m.To != l.settings.Self {
+	if l.staleDisk || m.To != l.settings.Self {
 		return
 	}
-	l.noteSeen(m)
+	l.recordPeerTerm(m)
 	switch m.Kind {
 	case CheckIn:
 		l.onCheckIn(m)
 		if !l.checkedIn {
-			l.checkInWith(m)
+			l.extendCheckIn(m)
 		}
 	case CheckInAnswer:
 		l.onCheckInAnswer(m)
 	default:
 		if !l.checkedIn {
-			// Rule 12. Neither term nor log moves before, or a check-in that
-			// was delayed would look older than what was said after it.
-			l.checkInWith(m)
+			// Rule 12. Term and log don't change before the check-in completes. Otherwise a delayed
+			// check-in would look older than messages sent after it.
+			l.extendCheckIn(m)
 			return
 		}
-		l.stepChecked(now, m)
+		l.stepAfterCheckIn(now, m)
 	}
 }
 
-func (l *Log) stepChecked(now time.Time, m Message) {
+func (l *Log) stepAfterCheckIn(now time.Time, m Message) {
 	switch m.Kind {
 	case PreVote:
 		l.onPreVote(now, m)
@@ -161,9 +163,9 @@
 	}
 }
 
-// stepInTerm takes the messages that move a member to a later term at once.
+// stepInTerm processes the messages whose later term a member adopts at once.
 func (l *Log) stepInTerm(now time.Time, m Message) {
-	if grant := m.Kind == PreVoteAnswer && m.Granted; m.Term > l.hard.Term && !grant {
+	if preVoteGranted := m.Kind == PreVoteAnswer && m.Granted; m.Term > l.hardState.Term && !preVoteGranted {
 		l.becomeFollower(now, m.Term)
 	}
 	switch m.Kind {
@@ -178,33 +180,33 @@
 	}
 }
 
-// Take gives what is to be carried out. The user makes it durable, sends the messages, calls
-// Synced and applies what is committed before it hands in anything else.
+// Take returns the output to process and clears it. Before any other call the caller makes the
+// output durable, sends its messages, calls Synced and applies the committed entries.
 func (l *Log) Take() Output {
 	o := Output{
-		Install:   l.install,
+		Install:   l.pendingInstall,
 		Messages:  l.messages,
 		Events:    l.events,
-		Committed: l.slice(l.applied+1, l.commit),
+		Committed: l.entriesBetween(l.applied+1, l.commit),
 	}
-	if l.hardDirty {
-		h := l.hard
+	if l.hardStateDirty {
+		h := l.hardState
 		o.HardState = &h
 	}
-	o.Entries = l.slice(l.unsynced, l.last().Index)
-	l.taken = l.last().Index
-	l.unsynced = l.taken + 1
+	o.Entries = l.entriesBetween(l.nextOutputIndex, l.last().Index)
+	l.lastOutputIndex = l.last().Index
+	l.nextOutputIndex = l.lastOutputIndex + 1
 	l.applied = l.commit
-	l.install = nil
-	l.hardDirty = false
+	l.pendingInstall = nil
+	l.hardStateDirty = false
 	l.messages = nil
 	l.events = nil
 	return o
 }
 
-// Synced says that what Take gave last is durable.
+// Synced records that the output of the last Take is durable.
 func (l *Log) Synced(now time.Time) {
-	l.synced = min(l.taken, l.last().Index)
+	l.synced = min(l.lastOutputIndex, l.last().Index)
 	if l.role == leader {
 		l.advanceCommit(now)
 	}
@@ -215,18 +217,18 @@
 	l.messages = append(l.messages, m)
 }
 
-func (l *Log) event(k EventKind, who Member) {
+func (l *Log) addEvent(k EventKind, member Member) {
 	l.events = append(l.events, Event{
 		Kind:   k,
-		Term:   l.hard.Term,
-		Member: who,
+		Term:   l.hardState.Term,
+		Member: member,
 		Index:  l.commit,
 	})
 }
 
 func (l *Log) last() Position {
 	if len(l.entries) == 0 {
-		return l.before
+		return l.base
 	}
 	e := l.entries[len(l.entries)-1]
 	return Position{
@@ -235,31 +237,31 @@
 	}
 }
 
-// termAt gives the term of an entry, if it is still known.
+// termAt returns the term of an entry, or false if the entry is compacted or doesn't exist.
 func (l *Log) termAt(i Index) (Term, bool) {
 	switch {
-	case i == l.before.Index:
-		return l.before.Term, true
+	case i == l.base.Index:
+		return l.base.Term, true
 	case i == l.snapshot.At.Index:
 		return l.snapshot.At.Term, true
-	case i < l.before.Index || i > l.last().Index:
+	case i < l.base.Index || i > l.last().Index:
 		return 0, false
 	}
-	return l.entries[i-l.before.Index-1].Term, true
+	return l.entries[i-l.base.Index-1].Term, true
 }
 
-// slice copies the entries from one index to another, both included.
-func (l *Log) slice(from, to Index) []Entry {
-	if from > to || to <= l.before.Index {
+// entriesBetween copies the entries of an index range, both ends included.
+func (l *Log) entriesBetween(from, to Index) []Entry {
+	if from > to || to <= l.base.Index {
 		return nil
 	}
-	from = max(from, l.before.Index+1)
-	return append([]Entry(nil), l.entries[from-l.before.Index-1:to-l.before.Index]...)
+	from = max(from, l.base.Index+1)
+	return append([]Entry(nil), l.entries[from-l.base.Index-1:to-l.base.Index]...)
 }
 
-func (l *Log) setHard(h HardState) {
-	if h != l.hard {
-		l.hard = h
-		l.hardDirty = true
+func (l *Log) setHardState(h HardState) {
+	if h != l.hardState {
+		l.hardState = h
+		l.hardStateDirty = true
 	}
 }
--- a/internal/agreement/hingelog/log_test.go
+++ b/internal/agreement/hingelog/log_test.go
@@ -28,8 +28,9 @@
 	}
 )
 
-// lead makes a leader of term 4 that holds an entry of term 2, which nobody knows to be committed.
-func lead(t *testing.T) (*Log, time.Time) {
+// newTestLeader returns a leader of term 4 that holds an entry of term 2 that isn't known to be
+// committed.
+func newTestLeader(t *testing.T) (*Log, time.Time) {
 	t.Helper()
 	now := simStart
 	l := New(now, Settings{
@@ -65,7 +66,7 @@
 	}
 	answer(Message{
 		Kind:  CheckInAnswer,
-		Round: l.checkRound,
+		Round: l.checkInRound,
 	})
 	now = now.Add(3 * DefaultElection)
 	l.Tick(now)
@@ -78,7 +79,7 @@
 		Term: 4,
 	})
 	if !l.Standing().Leads {
-		t.Fatal("doesn't lead")
+		t.Fatal("member didn't become leader")
 	}
 	return l, now
 }
@@ -99,10 +100,10 @@
 	l.Synced(now)
 }
 
-// An entry of an earlier term is on two of three hosts. The third may still be
-// elected and replace it, so an operator must not be told that it is accepted.
+// Guards against committing an entry of an earlier term by counting replicas: a member without it
+// could still be elected and replace it.
 func TestEntryOfAnEarlierTermIsNotCommittedByCounting(t *testing.T) {
-	l, now := lead(t)
+	l, now := newTestLeader(t)
 	confirm(l, now, 2)
 	early := l.Standing().Commit
 	confirm(l, now, 3)
@@ -111,10 +112,10 @@
 	}
 }
 
-// Two changes of members at once, or a promotion before the learner holds
-// everything, could make two quorums without a common member.
+// Guards against concurrent membership changes and against promoting a learner that lacks entries:
+// either could make two quorums without a common member.
 func TestMembersChangeOneStepAtATime(t *testing.T) {
-	l, now := lead(t)
+	l, now := newTestLeader(t)
 	add := Change{
 		Kind:   AddLearner,
 		Member: memberD,
@@ -140,22 +141,22 @@
 	}
 }
 
-// A leader is killed at a random moment of its heartbeat, with clocks 4 % fast or slow.
-// Changes wait for the next one, which has to be there within two seconds.
-func TestFreshLeaderIsThereSoon(t *testing.T) {
+// Guards against slow elections: a killed leader must be replaced within the limit, with clocks 4 %
+// fast or slow.
+func TestLeaderIsReplacedWithinTwoSeconds(t *testing.T) {
 	const limit = 2 * time.Second
 	worst, sum, tries := time.Duration(0), time.Duration(0), 0
 	for seed := range uint64(300) {
 		c := newCluster(seed, "a", "b", "c")
 		c.run(3*time.Second + time.Duration(seed)*7*time.Millisecond)
-		c.kill(c.leading())
+		c.kill(c.activeLeader())
 		killed := c.now
-		for c.leading() == nil && c.now < killed+2*limit {
+		for c.activeLeader() == nil && c.now < killed+2*limit {
 			c.run(simStep)
 		}
-		took := c.now - killed
-		worst = max(worst, took)
-		sum += took
+		elapsed := c.now - killed
+		worst = max(worst, elapsed)
+		sum += elapsed
 		tries++
 	}
 	t.Logf("%d kills: mean %v, worst %v", tries, sum/time.Duration(tries), worst)
@@ -164,8 +165,8 @@
 	}
 }
 
-// A peer of another version, or one with a fault, sends what makes no sense. It
-// must not end this process, nor touch what is committed.
+// Guards against a crash or a change of committed entries on invalid messages, as from a faulty
+// peer or one of another version.
 func FuzzStep(f *testing.F) {
 	for _, m := range []Message{
 		{
@@ -218,7 +219,7 @@
 		f.Add(b, b)
 	}
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		l, now := lead(t)
+		l, now := newTestLeader(t)
 		confirm(l, now, 3)
 		for _, b := range [][]byte{first, second} {
 			var m Message
@@ -231,7 +232,7 @@
 			l.Take()
 			l.Synced(now)
 			if l.Standing().Commit < 3 || l.Standing().Last < 3 {
-				t.Fatal("a committed entry is gone")
+				t.Fatal("a committed entry was lost")
 			}
 			if term, known := l.termAt(2); known && term != 2 {
 				t.Fatal("a committed entry was replaced")
--- a/internal/agreement/hingelog/members.go
+++ b/internal/agreement/hingelog/members.go
@@ -7,56 +7,57 @@
 	"github.com/rotisserie/eris"
 )
 
-// ChangeKind says what a change of members does.
+// ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
-// The kinds of changes.
+// The kinds of membership changes.
 const (
 	AddLearner ChangeKind = iota + 1
 	Promote
 	Remove
 )
 
-// lostAfter is how many times the silence of rule 13 makes a learner lost: a
-// learner costs only its messages, so there is no hurry.
-const lostAfter = 3
+// lostLearnerFactor times the silence of rule 13 is the time without answers after which a learner
+// is removed. An unreachable learner costs only its messages, so it is removed later than a voter.
+const lostLearnerFactor = 3
 
-// Change of members.
+// Change is a membership change (rule 10).
 type Change struct {
 	Kind   ChangeKind `cbor:"1,keyasint"`
 	Member Member     `cbor:"2,keyasint"`
 }
 
-// Changes of members that were refused; nothing of them is in the log.
+// Errors of rejected membership changes. A rejected change adds nothing to the log.
 var (
-	ErrChangePending = eris.New("another change of members is not committed yet")
-	ErrNotCaughtUp   = eris.New("the learner doesn't hold everything committed yet")
-	ErrLastVoter     = eris.New("the last voter can't be removed")
-	ErrUnknownMember = eris.New("not a member")
+	ErrChangePending = eris.New("the previous membership change is not committed yet")
+	ErrNotCaughtUp   = eris.New("the learner has not confirmed all committed entries yet")
+	ErrLastVoter     = eris.New("cannot remove the last voter")
+	ErrUnknownMember = eris.New("the host or disk is not a member of the group")
 )
 
-// current gives the members in force: the newest in the log, committed or not.
-func (l *Log) current() Members {
+// currentMembers returns the members in force, those of the newest change in the log, committed or
+// not.
+func (l *Log) currentMembers() Members {
 	return l.members[len(l.members)-1].members
 }
 
-func (l *Log) noteMembers(e Entry) {
+func (l *Log) recordMembers(e Entry) {
 	if e.Kind != MembersChange || e.Members == nil || e.Index <= l.members[0].index {
 		return
 	}
-	l.members = append(l.members, membersAt{
+	l.members = append(l.members, indexedMembers{
 		index:   e.Index,
 		members: *e.Members,
 	})
 }
 
-func (l *Log) dropMembersFrom(i Index) {
+func (l *Log) truncateMembers(i Index) {
 	for len(l.members) > 1 && l.members[len(l.members)-1].index >= i {
 		l.members = l.members[:len(l.members)-1]
 	}
 }
 
-func (l *Log) membersUpTo(i Index) Members {
+func (l *Log) membersAt(i Index) Members {
 	m := l.members[0].members
 	for _, a := range l.members {
 		if a.index <= i {
@@ -66,14 +67,14 @@
 	return m
 }
 
-func (l *Log) forgetMembersBefore(i Index) {
+func (l *Log) compactMembers(i Index) {
 	for len(l.members) > 1 && l.members[1].index <= i {
 		l.members = l.members[1:]
 	}
 }
 
-// Reconfigure proposes a change of members (rule 10). A change that is already
-// in force is no error.
+// Reconfigure proposes a membership change (rule 10). It returns nil if the change is in force
+// already.
 func (l *Log) Reconfigure(now time.Time, c Change) error {
 	if !l.MayLead(now) {
 		return ErrNotLeader
@@ -81,7 +82,7 @@
 	if l.members[len(l.members)-1].index > l.commit {
 		return ErrChangePending
 	}
-	next, err := l.changed(c)
+	next, err := l.membersAfterChange(c)
 	if err != nil || next == nil {
 		return err
 	}
@@ -93,9 +94,9 @@
 	return nil
 }
 
-// changed gives the members after a change, or nil if it is in force already.
-func (l *Log) changed(c Change) (*Members, error) {
-	m := l.current()
+// membersAfterChange returns the members after a change, or nil if the change is in force already.
+func (l *Log) membersAfterChange(c Change) (*Members, error) {
+	m := l.currentMembers()
 	next := Members{
 		Voters:   slices.Clone(m.Voters),
 		Learners: slices.Clone(m.Learners),
@@ -108,13 +109,13 @@
 		next.Learners = append(next.Learners, c.Member)
 		return &next, nil
 	case Promote:
-		return l.promoted(next, c.Member)
+		return l.membersAfterPromotion(next, c.Member)
 	default:
-		return removed(next, c.Member)
+		return membersAfterRemoval(next, c.Member)
 	}
 }
 
-func (l *Log) promoted(next Members, x Member) (*Members, error) {
+func (l *Log) membersAfterPromotion(next Members, x Member) (*Members, error) {
 	if next.HasVoter(x) {
 		return nil, nil
 	}
@@ -130,7 +131,7 @@
 	return &next, nil
 }
 
-func removed(next Members, x Member) (*Members, error) {
+func membersAfterRemoval(next Members, x Member) (*Members, error) {
 	if !next.Has(x) {
 		return nil, nil
 	}
@@ -148,15 +149,15 @@
 	})
 }
 
-// afterCommit tells of committed changes of members. A leader that removed
-// itself steps down; the others elect another.
-func (l *Log) afterCommit(now time.Time) {
-	if !l.current().HasVoter(l.settings.Self) && l.members[len(l.members)-1].index <= l.commit {
-		l.becomeFollower(now, l.hard.Term)
+// stepDownIfRemoved makes a leader step down once its own removal is committed.
+func (l *Log) stepDownIfRemoved(now time.Time) {
+	if !l.currentMembers().HasVoter(l.settings.Self) && l.members[len(l.members)-1].index <= l.commit {
+		l.becomeFollower(now, l.hardState.Term)
 	}
 }
 
-// MembersEvent compares two sets of members that follow each other.
+// MembersEvent returns the event for the change between two consecutive sets of members, 0 if they
+// are equal.
 func MembersEvent(old, next Members) (EventKind, Member) {
 	for _, m := range next.Voters {
 		if !old.HasVoter(m) {
@@ -176,22 +177,22 @@
 	return 0, Member{}
 }
 
-// repair brings learners in, one step at a time (rule 11).
+// repair takes the next step to promote a learner or to remove a lost one (rules 11 and 13).
 func (l *Log) repair(now time.Time) {
-	if len(l.current().Learners) == 0 || !l.MayLead(now) {
+	if len(l.currentMembers().Learners) == 0 || !l.MayLead(now) {
 		return
 	}
 	if x, ok := l.lostLearner(now); ok {
-		// A pending change is no failure: the next tick tries again.
+		// The next tick retries if another change is pending.
 		_ = l.Reconfigure(now, Change{
 			Kind:   Remove,
 			Member: x,
 		})
 		return
 	}
-	for _, x := range l.current().Learners {
-		if c, due := l.repairStep(now, x); due {
-			// A pending change is no failure: the next tick tries again.
+	for _, x := range l.currentMembers().Learners {
+		if c, needed := l.repairStep(now, x); needed {
+			// The next tick retries if another change is pending.
 			_ = l.Reconfigure(now, c)
 			return
 		}
@@ -199,7 +200,7 @@
 }
 
 func (l *Log) repairStep(now time.Time, x Member) (Change, bool) {
-	for _, m := range l.current().Learners {
+	for _, m := range l.currentMembers().Learners {
 		if m.Host == x.Host && m.Disk > x.Disk {
 			return Change{
 				Kind:   Remove,
@@ -208,31 +209,32 @@
 		}
 	}
 	p := l.progressOf(x)
-	if p.match < l.commit || now.Sub(p.ackedSend) > l.settings.Election {
+	if p.match < l.commit || now.Sub(p.ackedSendTime) > l.settings.Election {
 		return Change{}, false
 	}
-	for _, m := range l.current().Voters {
+	for _, m := range l.currentMembers().Voters {
 		if m.Host == x.Host {
-			// Both incarnations in one set would give one host two votes.
+			// Two voting incarnations would give the host two votes.
 			return Change{
 				Kind:   Remove,
 				Member: m,
 			}, true
 		}
 	}
-	return l.seat(now, x)
+	return l.promoteOrReplaceVoter(now, x)
 }
 
-// seat promotes a learner if a vote is free, or frees the one of a silent voter. Rule 13.
-func (l *Log) seat(now time.Time, x Member) (Change, bool) {
-	if l.settings.Voters == 0 || len(l.current().Voters) < l.settings.Voters {
+// promoteOrReplaceVoter promotes a learner if there are too few voters, and otherwise removes a
+// silent voter to make room for it (rule 13).
+func (l *Log) promoteOrReplaceVoter(now time.Time, x Member) (Change, bool) {
+	if l.settings.Voters == 0 || len(l.currentMembers().Voters) < l.settings.Voters {
 		return Change{
 			Kind:   Promote,
 			Member: x,
 		}, true
 	}
-	for _, m := range l.current().Voters {
-		if m != l.settings.Self && l.silentFor(now, m) > l.settings.Silence {
+	for _, m := range l.currentMembers().Voters {
+		if m != l.settings.Self && l.unansweredFor(now, m) > l.settings.Silence {
 			return Change{
 				Kind:   Remove,
 				Member: m,
@@ -242,26 +244,27 @@
 	return Change{}, false
 }
 
-// silentFor is how long a member hasn't answered this leader, at most since it was first sent to.
-func (l *Log) silentFor(now time.Time, m Member) time.Duration {
+// unansweredFor returns how long a member hasn't answered this leader, counted from the first
+// message to it in this term at the earliest.
+func (l *Log) unansweredFor(now time.Time, m Member) time.Duration {
 	p := l.progressOf(m)
 	switch {
-	case p.since.IsZero():
+	case p.firstSentAt.IsZero():
 		return 0
-	case p.ackedSend.After(p.since):
-		return now.Sub(p.ackedSend)
+	case p.ackedSendTime.After(p.firstSentAt):
+		return now.Sub(p.ackedSendTime)
 	}
-	return now.Sub(p.since)
+	return now.Sub(p.firstSentAt)
 }
 
-// lostLearner finds a learner that isn't coming back, where hosts join by
-// themselves: one that does come back asks to join again. Rule 13.
+// lostLearner finds a learner that hasn't answered for long, if hosts join by themselves (rule 13).
+// A learner that was removed wrongly requests to join again.
 func (l *Log) lostLearner(now time.Time) (Member, bool) {
 	if l.settings.Voters == 0 {
 		return Member{}, false
 	}
-	for _, m := range l.current().Learners {
-		if l.silentFor(now, m) > lostAfter*l.settings.Silence {
+	for _, m := range l.currentMembers().Learners {
+		if l.unansweredFor(now, m) > lostLearnerFactor*l.settings.Silence {
 			return m, true
 		}
 	}
--- a/internal/agreement/hingelog/replicate.go
+++ b/internal/agreement/hingelog/replicate.go
@@ -7,19 +7,20 @@
 	"github.com/rotisserie/eris"
 )
 
-// Proposals that weren't taken: nothing of them is in the log.
+// Errors of rejected proposals. A rejected proposal adds nothing to the log.
 var (
-	ErrNotLeader = eris.New("not the leader, or its lease is over")
-	ErrTooMany   = eris.New("too many proposals wait for a quorum")
+	ErrNotLeader = eris.New("not the leader, or the leader's lease has expired")
+	ErrTooMany   = eris.New("too many uncommitted proposals")
 )
 
-// Propose appends data and gives its place. It is refused outside the lease
-// (rule 6), so a leader that was cut off says no at once.
+// Propose appends data to the log and returns its position. It fails with ErrNotLeader outside the
+// lease (rule 6), so a partitioned leader rejects proposals at once, and with ErrTooMany if too
+// many entries are uncommitted.
 func (l *Log) Propose(now time.Time, data []byte) (Position, error) {
 	if !l.MayLead(now) {
 		return Position{}, ErrNotLeader
 	}
-	if l.last().Index-l.commit >= maxPending {
+	if l.last().Index-l.commit >= maxUncommitted {
 		return Position{}, ErrTooMany
 	}
 	l.append(Entry{
@@ -30,15 +31,15 @@
 }
 
 func (l *Log) append(e Entry) Index {
-	e.Term = l.hard.Term
+	e.Term = l.hardState.Term
 	e.Index = l.last().Index + 1
 	l.entries = append(l.entries, e)
-	l.noteMembers(e)
+	l.recordMembers(e)
 	return e.Index
 }
 
-// Flush sends what was proposed since the last message. The user calls it once
-// after a batch of proposals, so that they travel and are synced together.
+// Flush sends the entries proposed since the last message. The caller runs it once after a batch of
+// proposals, so that the batch is sent and synced together.
 func (l *Log) Flush(now time.Time) {
 	if l.role == leader {
 		l.replicate(now)
@@ -47,7 +48,7 @@
 
 func (l *Log) others() []Member {
 	var out []Member
-	for _, m := range l.current().All() {
+	for _, m := range l.currentMembers().All() {
 		if m != l.settings.Self {
 			out = append(out, m)
 		}
@@ -66,7 +67,7 @@
 	return p
 }
 
-// replicate sends new entries to whoever lacks them.
+// replicate sends new entries to all members that lack them.
 func (l *Log) replicate(now time.Time) {
 	for _, m := range l.others() {
 		if p := l.progressOf(m); p.next <= l.last().Index {
@@ -79,26 +80,26 @@
 }
 
 func (l *Log) heartbeat(now time.Time) {
-	l.heartbeatAt = now.Add(l.settings.Heartbeat)
-	l.noteHoldings(l.holdings())
+	l.nextHeartbeatAt = now.Add(l.settings.Heartbeat)
+	l.recordMatches(l.matches())
 	for _, m := range l.others() {
 		l.sendAppend(now, m, l.progressOf(m))
 	}
 }
 
 func (l *Log) sendAppend(now time.Time, to Member, p *progress) {
-	if p.since.IsZero() {
-		p.since = now
+	if p.firstSentAt.IsZero() {
+		p.firstSentAt = now
 	}
 	t, known := l.termAt(p.next - 1)
-	if !known || p.next <= l.before.Index {
+	if !known || p.next <= l.base.Index {
 		l.sendSnapshot(now, to, p)
 		return
 	}
 	m := Message{
 		Kind: Append,
 		To:   to,
-		Term: l.hard.Term,
+		Term: l.hardState.Term,
 		At: Position{
 			Term:  t,
 			Index: p.next - 1,
@@ -106,15 +107,15 @@
 		Entries:  l.batch(p.next),
 		Commit:   l.commit,
 		SentAt:   int64(now.Sub(l.started)),
-		Holdings: l.holdings(),
+		Holdings: l.matches(),
 	}
 	p.next += Index(len(m.Entries))
 	l.send(m)
 }
 
-// batch gives entries from an index on, at least one if there is any.
+// batch returns the entries of one message, starting at an index: at least one if there is any.
 func (l *Log) batch(from Index) []Entry {
-	out := l.slice(from, l.last().Index)
+	out := l.entriesBetween(from, l.last().Index)
 	size := 0
 	for i, e := range out {
 		size += len(e.Data)
@@ -125,26 +126,27 @@
 	return out
 }
 
-// holdings tells all members what each holds for sure, for rule 12.
-func (l *Log) holdings() []Holding {
+// matches returns the committed index that each member is known to hold durably. Followers need it
+// for check-ins (rule 12).
+func (l *Log) matches() []Holding {
 	var out []Holding
-	for _, m := range l.current().All() {
-		held := l.synced
+	for _, m := range l.currentMembers().All() {
+		match := l.synced
 		if m != l.settings.Self {
-			held = l.progressOf(m).match
+			match = l.progressOf(m).match
 		}
 		out = append(out, Holding{
 			Member: m,
-			// An uncommitted entry may be replaced; a committed one stays.
-			Index: min(held, l.commit),
+			// An uncommitted entry may still be replaced.
+			Index: min(match, l.commit),
 		})
 	}
 	return out
 }
 
 func (l *Log) onLeaderMessage(now time.Time, m Message) {
-	if m.Term < l.hard.Term {
-		// The old leader learns of the later term from the answer.
+	if m.Term < l.hardState.Term {
+		// The rejection informs the old leader of the later term.
 		l.answerAppend(m, false)
 		return
 	}
@@ -154,11 +156,11 @@
 	l.role = follower
 	if l.leader != m.From {
 		l.leader = m.From
-		l.event(LeaderKnown, m.From)
+		l.addEvent(LeaderKnown, m.From)
 	}
-	l.heardLeader = now
+	l.leaderLastSeen = now
 	l.resetElection(now)
-	l.noteHoldings(m.Holdings)
+	l.recordMatches(m.Holdings)
 	if m.Kind == Install {
 		l.onInstall(m)
 		return
@@ -167,14 +169,14 @@
 }
 
 func (l *Log) onAppend(m Message) {
-	if !follow(m.At, m.Entries) {
+	if !areConsecutive(m.At, m.Entries) {
 		return
 	}
-	if m.At.Index < l.before.Index {
-		// Everything up to the base is committed, so what overlaps it is the same.
-		skip := min(int(l.before.Index-m.At.Index), len(m.Entries))
+	if m.At.Index < l.base.Index {
+		// Entries up to the base are committed, so overlapping entries are equal.
+		skip := min(int(l.base.Index-m.At.Index), len(m.Entries))
 		m.Entries = m.Entries[skip:]
-		m.At = l.before
+		m.At = l.base
 		if len(m.Entries) == 0 {
 			l.answerAppend(m, true)
 			return
@@ -185,18 +187,18 @@
 		l.answerAppend(m, false)
 		return
 	}
-	if !l.store(m.Entries) {
+	if !l.storeEntries(m.Entries) {
 		return
 	}
-	held := m.At.Index + Index(len(m.Entries))
-	l.commit = max(l.commit, min(m.Commit, held))
-	m.At.Index = held
+	lastIndex := m.At.Index + Index(len(m.Entries))
+	l.commit = max(l.commit, min(m.Commit, lastIndex))
+	m.At.Index = lastIndex
 	l.answerAppend(m, true)
 }
 
-// follow reports whether entries stand one after another behind a place. A
-// peer with a fault could otherwise have committed entries cut off.
-func follow(at Position, entries []Entry) bool {
+// areConsecutive reports whether the indexes of entries directly follow a position. A faulty peer
+// could otherwise make this member truncate committed entries.
+func areConsecutive(at Position, entries []Entry) bool {
 	for i, e := range entries {
 		if e.Index != at.Index+Index(i)+1 || e.Kind == MembersChange && e.Members == nil {
 			return false
@@ -205,35 +207,36 @@
 	return true
 }
 
-// store puts entries in their places. It cuts the log only where an entry
-// differs: a late message must not undo what a newer one has added.
-func (l *Log) store(entries []Entry) bool {
+// storeEntries adds entries to the log. It truncates the log only from the first entry whose term
+// differs, since a delayed message must not remove newer entries. It returns false if an entry
+// conflicts with a committed one.
+func (l *Log) storeEntries(entries []Entry) bool {
 	for i, e := range entries {
 		if t, known := l.termAt(e.Index); known && t == e.Term {
 			continue
 		}
 		if e.Index <= l.commit {
-			// Only a fault can contradict what is committed.
+			// Only a faulty peer can contradict a committed entry.
 			return false
 		}
-		l.cutFrom(e.Index)
+		l.truncateFrom(e.Index)
 		for _, e := range entries[i:] {
 			l.entries = append(l.entries, e)
-			l.noteMembers(e)
+			l.recordMembers(e)
 		}
 		return true
 	}
 	return true
 }
 
-func (l *Log) cutFrom(i Index) {
+func (l *Log) truncateFrom(i Index) {
 	if i > l.last().Index {
 		return
 	}
-	l.entries = slices.Clip(l.entries[:i-l.before.Index-1])
-	l.unsynced = min(l.unsynced, i)
+	l.entries = slices.Clip(l.entries[:i-l.base.Index-1])
+	l.nextOutputIndex = min(l.nextOutputIndex, i)
 	l.synced = min(l.synced, i-1)
-	l.dropMembersFrom(i)
+	l.truncateMembers(i)
 }
 
 func (l *Log) answerAppend(m Message, granted bool) {
@@ -241,14 +244,14 @@
 	if granted {
 		at = m.At
 	} else if m.At.Index <= at.Index && m.At.Index > 0 {
-		// The places differ. What is committed is the same everywhere, so the
-		// leader starts from there and not entry by entry.
+		// The terms differ. Committed entries are equal on all members, so the leader resumes after
+		// them instead of probing one entry at a time.
 		at.Index = l.commit
 	}
 	l.send(Message{
 		Kind:    AppendAnswer,
 		To:      m.From,
-		Term:    l.hard.Term,
+		Term:    l.hardState.Term,
 		At:      at,
 		Granted: granted,
 		SentAt:  m.SentAt,
@@ -256,15 +259,16 @@
 }
 
 func (l *Log) onAppendAnswer(now time.Time, m Message) {
-	if l.role != leader || m.Term != l.hard.Term || !l.current().Has(m.From) {
+	if l.role != leader || m.Term != l.hardState.Term || !l.currentMembers().Has(m.From) {
 		return
 	}
 	p := l.progressOf(m.From)
-	if sent := l.started.Add(time.Duration(m.SentAt)); sent.After(p.ackedSend) {
-		p.ackedSend = sent
+	if sent := l.started.Add(time.Duration(m.SentAt)); sent.After(p.ackedSendTime) {
+		p.ackedSendTime = sent
 	}
-	if !m.Granted && now.Before(p.snapshotEnd) {
-		// A snapshot is under way; an answer to each refusal would go back and forth.
+	if !m.Granted && now.Before(p.snapshotRetryAt) {
+		// A snapshot is in transit. Reacting to each rejection would cause needless messages back
+		// and forth.
 		return
 	}
 	if !m.Granted {
@@ -272,7 +276,7 @@
 		l.sendAppend(now, m.From, p)
 		return
 	}
-	p.snapshotEnd = time.Time{}
+	p.snapshotRetryAt = time.Time{}
 	p.match = max(p.match, m.At.Index)
 	p.next = max(p.next, p.match+1)
 	l.advanceCommit(now)
@@ -281,29 +285,29 @@
 	}
 }
 
-// advanceCommit commits what a quorum holds durably (rule 8).
+// advanceCommit commits the entries that a quorum holds durably (rule 8).
 func (l *Log) advanceCommit(now time.Time) {
-	var held []Index
-	for _, m := range l.current().Voters {
+	var matched []Index
+	for _, m := range l.currentMembers().Voters {
 		if m == l.settings.Self {
-			held = append(held, l.synced)
+			matched = append(matched, l.synced)
 			continue
 		}
-		held = append(held, l.progressOf(m).match)
+		matched = append(matched, l.progressOf(m).match)
 	}
-	if len(held) == 0 {
+	if len(matched) == 0 {
 		return
 	}
-	slices.Sort(held)
-	i := held[len(held)-l.current().Quorum()]
-	if t, known := l.termAt(i); !known || i <= l.commit || t != l.hard.Term {
+	slices.Sort(matched)
+	i := matched[len(matched)-l.currentMembers().Quorum()]
+	if t, known := l.termAt(i); !known || i <= l.commit || t != l.hardState.Term {
 		return
 	}
 	l.commit = i
-	// Followers learn of it with the next message; a change would otherwise
-	// wait most of a heartbeat on its way to them.
-	if soon := now.Add(l.settings.Heartbeat / 8); soon.Before(l.heartbeatAt) {
-		l.heartbeatAt = soon
+	// Followers learn the commit index from the next message. Sending it early saves them most of a
+	// heartbeat interval.
+	if earliest := now.Add(l.settings.Heartbeat / 8); earliest.Before(l.nextHeartbeatAt) {
+		l.nextHeartbeatAt = earliest
 	}
-	l.afterCommit(now)
+	l.stepDownIfRemoved(now)
 }
--- a/internal/agreement/hingelog/schedules_test.go
+++ b/internal/agreement/hingelog/schedules_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// action is one thing that happens to the cluster; A and B pick hosts, N an amount.
+// action is one step of a random schedule. A and B select hosts; N is an amount.
 type action struct {
 	Kind int
 	A    int
@@ -19,10 +19,10 @@
 	N    int
 }
 
-// the kinds of actions, weighted by how often they stand here.
+// The kinds of actions.
 const (
-	pass = iota
-	passLong
+	runShort = iota
+	runLong
 	propose
 	proposeMany
 	cutOneWay
@@ -35,20 +35,20 @@
 	startAll
 	loseDisk
 	freeze
-	thaw
+	unfreeze
 	lossy
-	calm
+	normalNetwork
 	slow
 	compact
 	joinAll
 	replaceHost
-	kinds
+	actionKinds
 )
 
 func actions() *rapid.Generator[action] {
 	return rapid.Custom(func(t *rapid.T) action {
 		return action{
-			Kind: rapid.IntRange(0, kinds-1).Draw(t, "kind"),
+			Kind: rapid.IntRange(0, actionKinds-1).Draw(t, "kind"),
 			A:    rapid.IntRange(0, 3).Draw(t, "a"),
 			B:    rapid.IntRange(0, 3).Draw(t, "b"),
 			N:    rapid.IntRange(1, 40).Draw(t, "n"),
@@ -60,18 +60,18 @@
 	n := c.nodes[a.A%len(c.nodes)]
 	other := c.nodes[a.B%len(c.nodes)]
 	switch a.Kind {
-	case pass:
+	case runShort:
 		c.run(time.Duration(a.N) * simStep)
-	case passLong:
+	case runLong:
 		c.run(time.Duration(a.N) * 100 * time.Millisecond)
 	case propose, proposeMany:
 		c.proposeTo(n, a)
 	case cutOneWay:
-		c.cuts[[2]hingeids.HostID{n.self.Host, other.self.Host}] = true
+		c.cutLinks[[2]hingeids.HostID{n.self.Host, other.self.Host}] = true
 	case cutOff:
 		c.cutOff(n)
 	case heal:
-		clear(c.cuts)
+		clear(c.cutLinks)
 	case killHost:
 		c.kill(n)
 	case crashBeforeSync, crashAfterSync:
@@ -82,15 +82,15 @@
 		}
 	case startAll:
 		c.startAll()
-	case freeze, thaw:
+	case freeze, unfreeze:
 		n.frozen = a.Kind == freeze
 	case lossy:
 		c.loss = float64(a.N) / 60
-	case calm:
+	case normalNetwork:
 		c.loss = 0
-		c.slowest = 5 * time.Millisecond
+		c.maxDelay = 5 * time.Millisecond
 	case slow:
-		c.slowest = time.Duration(a.N) * 10 * time.Millisecond
+		c.maxDelay = time.Duration(a.N) * 10 * time.Millisecond
 	case compact:
 		c.compact(n, a.N%4)
 	default:
@@ -101,8 +101,9 @@
 func (c *cluster) doMembers(n *node, a action) {
 	switch a.Kind {
 	case loseDisk:
-		// The promise holds for one lost disk at a time: the next may go once the repair is done.
-		if c.whole() {
+		// Only one disk may be lost at a time; the next one may be lost once the repair is
+		// complete.
+		if c.fullyRepaired() {
 			c.loseDisk(n)
 		}
 	case joinAll:
@@ -115,25 +116,25 @@
 			}))
 			return
 		}
-		c.removeFourth(n)
+		c.removeSpareVoter(n)
 	}
 }
 
-// removeFourth is the operator's removal of a voter once another stands in for it.
-func (c *cluster) removeFourth(n *node) {
-	l := c.leading()
-	if l == nil || len(l.log.current().Voters) < 4 || !c.whole() {
+// removeSpareVoter removes a voter, as an operator does, if four members vote.
+func (c *cluster) removeSpareVoter(n *node) {
+	l := c.activeLeader()
+	if l == nil || len(l.log.currentMembers().Voters) < 4 || !c.fullyRepaired() {
 		return
 	}
 	_ = l.log.Reconfigure(c.clock(l), Change{
 		Kind:   Remove,
 		Member: n.self,
 	})
-	c.settle(l, 0)
+	c.processOutput(l, 0)
 }
 
 func (c *cluster) proposeTo(n *node, a action) {
-	if l := c.leading(); l != nil && a.B > 0 {
+	if l := c.activeLeader(); l != nil && a.B > 0 {
 		n = l
 	}
 	for range a.N {
@@ -143,14 +144,14 @@
 		}
 	}
 	if n.log != nil && !n.frozen {
-		c.settle(n, 0)
+		c.processOutput(n, 0)
 	}
 }
 
 func (c *cluster) cutOff(n *node) {
 	for _, o := range c.nodes {
-		c.cuts[[2]hingeids.HostID{n.self.Host, o.self.Host}] = true
-		c.cuts[[2]hingeids.HostID{o.self.Host, n.self.Host}] = true
+		c.cutLinks[[2]hingeids.HostID{n.self.Host, o.self.Host}] = true
+		c.cutLinks[[2]hingeids.HostID{o.self.Host, n.self.Host}] = true
 	}
 }
 
@@ -160,7 +161,7 @@
 	}
 	c.propose(n, fmt.Sprint(c.proposed))
 	n.log.Tick(c.clock(n).Add(time.Millisecond))
-	c.settle(n, 1+a.Kind-crashBeforeSync)
+	c.processOutput(n, 1+a.Kind-crashBeforeSync)
 }
 
 func (c *cluster) startAll() {
@@ -172,18 +173,19 @@
 	}
 }
 
-// mend ends all faults. After it the cluster has to agree within seven seconds.
-func (c *cluster) mend() {
-	clear(c.cuts)
+// recoverAndCheck ends all faults and checks that the cluster commits a proposal and that all
+// members apply it.
+func (c *cluster) recoverAndCheck() {
+	clear(c.cutLinks)
 	c.loss = 0
-	c.slowest = 5 * time.Millisecond
+	c.maxDelay = 5 * time.Millisecond
 	c.startAll()
 	for range 12 {
 		c.run(500 * time.Millisecond)
 		c.join()
 	}
 	before := c.commit
-	if !c.propose(c.leading(), "last") {
+	if !c.propose(c.activeLeader(), "last") {
 		c.fail("no leader after all faults have ended")
 		return
 	}
@@ -192,18 +194,16 @@
 		c.fail("a proposal isn't committed after all faults have ended")
 	}
 	for _, n := range c.nodes {
-		if c.members.Has(n.self) && n.held != c.commit {
-			c.fail("%v holds %d of %d after all faults have ended", n.self, n.held, c.commit)
+		if c.members.Has(n.self) && n.appliedIndex != c.commit {
+			c.fail("%v has applied %d of %d entries after all faults have ended", n.self, n.appliedIndex, c.commit)
 		}
 	}
 }
 
-// Any faults, in any order, at once or twice: messages lost, doubled, delayed and
-// out of order, one-way cuts, processes killed before and after a sync, frozen or
-// restarted, lost disks, clocks that run 4 % fast or slow, hosts replaced. A user
-// who notices anything but a wait sees one of the broken invariants: two
-// leaders, an accepted change that is gone, an old state read as the newest.
-func TestNoScheduleBreaksTheLog(t *testing.T) {
+// Guards against two leaders, lost committed entries and stale reads under random faults: lost,
+// duplicated, delayed and reordered messages, one-way partitions, crashes around a sync, frozen
+// processes, lost disks, clock drift and replaced hosts.
+func TestFaultSchedulesPreserveInvariants(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		if err := f.Value.Set("300"); err != nil {
 			t.Fatal(err)
@@ -214,26 +214,25 @@
 		c.run(2 * time.Second)
 		for _, a := range rapid.SliceOfN(actions(), 20, 80).Draw(t, "actions") {
 			c.do(a)
-			if c.broken != "" {
-				t.Fatal(c.broken)
+			if c.violation != "" {
+				t.Fatal(c.violation)
 			}
 		}
-		c.mend()
-		if c.broken != "" {
-			t.Fatal(c.broken)
+		c.recoverAndCheck()
+		if c.violation != "" {
+			t.Fatal(c.violation)
 		}
 	})
 }
 
-// A disk is lost, and at any moment of its repair another host is killed; once
-// the repair is said to be done, a second disk is lost. Whatever the moment, the
-// hosts must find a leader again, and nothing accepted may be gone.
+// Guards against a lost quorum or lost entries when another host is killed at any moment of a
+// disk's repair, and a second disk is lost once the repair is complete.
 func TestSecondLossAtAnyMomentOfARepair(t *testing.T) {
 	for after := time.Duration(0); after < 600*time.Millisecond; after += simStep {
-		for victims := range 3 {
+		for scenario := range 3 {
 			c := newCluster(uint64(after), "a", "b", "c")
 			c.run(3 * time.Second)
-			l := c.leading()
+			l := c.activeLeader()
 			other, third := c.nodes[0], c.nodes[1]
 			if l == other {
 				other = c.nodes[2]
@@ -246,7 +245,7 @@
 			c.run(100 * time.Millisecond)
 			c.join()
 			c.run(after)
-			switch victims {
+			switch scenario {
 			case 0:
 				c.kill(other)
 			case 1:
@@ -257,12 +256,12 @@
 				c.start(third)
 			}
 			c.run(time.Second)
-			if c.whole() {
+			if c.fullyRepaired() {
 				c.loseDisk(l)
 			}
-			c.mend()
-			if c.broken != "" {
-				t.Fatalf("killed %v after joining, victims %d: %s", after, victims, c.broken)
+			c.recoverAndCheck()
+			if c.violation != "" {
+				t.Fatalf("killed %v after joining, scenario %d: %s", after, scenario, c.violation)
 			}
 		}
 	}
--- a/internal/agreement/hingelog/script_test.go
+++ b/internal/agreement/hingelog/script_test.go
@@ -14,8 +14,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Each script tells in its first lines how a failure comes about and what a
-// user notices; then come the steps, one a line.
+// Runs the scripts of testdata. The first lines of each say which failure it guards against; each
+// other line is a step.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/scripts/*.txt")
 	if err != nil || len(files) == 0 {
@@ -31,23 +31,23 @@
 				c:      newCluster(7, "a", "b", "c"),
 				copies: make(map[string]Stored),
 			}
-			for i, line := range repeated(string(b)) {
+			for i, line := range expandRepeats(string(b)) {
 				if line == "" || strings.HasPrefix(line, "#") {
 					continue
 				}
 				if err := s.do(strings.Fields(line)); err != nil {
 					t.Fatalf("%s: step %d: %s: %v", f, i+1, line, err)
 				}
-				if s.c.broken != "" {
-					t.Fatalf("%s: step %d: %s: %s", f, i+1, line, s.c.broken)
+				if s.c.violation != "" {
+					t.Fatalf("%s: step %d: %s: %s", f, i+1, line, s.c.violation)
 				}
 			}
 		})
 	}
 }
 
-// repeated writes out what stands between "repeat N" and "end".
-func repeated(text string) []string {
+// expandRepeats repeats the lines between "repeat N" and "end" N times.
+func expandRepeats(text string) []string {
 	var out, body []string
 	times := 0
 	for _, line := range strings.Split(text, "\n") {
@@ -72,17 +72,17 @@
 
 type script struct {
 	c *cluster
-	// names stand for hosts, as "leader" and "follower" do at the time of "name".
-	old    *node
-	other  *node
-	third  *node
-	copies map[string]Stored
+	// oldLeader, other and third are the hosts that the step "name" assigned.
+	oldLeader *node
+	other     *node
+	third     *node
+	copies    map[string]Stored
 }
 
 func (s *script) host(name string) *node {
 	switch name {
 	case "old":
-		return s.old
+		return s.oldLeader
 	case "other":
 		return s.other
 	case "third":
@@ -91,15 +91,15 @@
 	return s.c.host(hingeids.HostID(name))
 }
 
-// name calls the leader "old" and the followers "other" and "third" from now on.
+// name assigns the names "old" to the leader and "other" and "third" to the followers.
 func (s *script) name() error {
-	s.old = s.c.leading()
-	if s.old == nil {
-		return eris.New("nobody leads")
+	s.oldLeader = s.c.activeLeader()
+	if s.oldLeader == nil {
+		return eris.New("no member leads")
 	}
 	var rest []*node
 	for _, n := range s.c.nodes {
-		if n != s.old {
+		if n != s.oldLeader {
 			rest = append(rest, n)
 		}
 	}
@@ -116,9 +116,9 @@
 	case "name":
 		return s.name()
 	case "cut":
-		s.c.cuts[[2]hingeids.HostID{s.host(w[1]).self.Host, s.host(w[2]).self.Host}] = true
+		s.c.cutLinks[[2]hingeids.HostID{s.host(w[1]).self.Host, s.host(w[2]).self.Host}] = true
 	case "heal":
-		clear(s.c.cuts)
+		clear(s.c.cutLinks)
 	case "isolate":
 		s.c.cutOff(s.host(w[1]))
 	case "join":
@@ -132,11 +132,11 @@
 		return s.propose(w)
 	case "clear":
 		clear(s.c.sent)
-		s.c.filled = 0
+		s.c.messagesWithEntries = 0
 		s.c.events = nil
 	default:
 		if strings.HasPrefix(w[0], "want") {
-			return s.want(w)
+			return s.checkExpectation(w)
 		}
 		return s.doNode(s.host(w[1]), w)
 	}
@@ -162,7 +162,7 @@
 	case "compact":
 		s.c.compact(n, 0)
 	case "removeItself":
-		defer s.c.settle(n, 0)
+		defer s.c.processOutput(n, 0)
 		return n.log.Reconfigure(s.c.clock(n), Change{
 			Kind:   Remove,
 			Member: n.self,
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// propose hands some entries to a host; "refused" says that it must not take them.
+// propose proposes entries at a host. With "refused" the host must reject them.
 func (s *script) propose(w []string) error {
 	n := s.host(w[1])
 	count, err := strconv.Atoi(w[2])
@@ -181,55 +181,55 @@
 		return err
 	}
 	for i := range count {
-		if taken := s.c.propose(n, fmt.Sprint("x", i)); taken == (len(w) > 3 && w[3] == "refused") {
-			return eris.Errorf("taken: %v", taken)
+		if accepted := s.c.propose(n, fmt.Sprint("x", i)); accepted == (len(w) > 3 && w[3] == "refused") {
+			return eris.Errorf("proposal accepted: %v", accepted)
 		}
 	}
-	s.c.settle(n, 0)
+	s.c.processOutput(n, 0)
 	return nil
 }
 
-func (s *script) want(w []string) error {
+func (s *script) checkExpectation(w []string) error {
 	switch w[0] {
 	case "wantLeader":
-		if l := s.c.leading(); l == nil || (w[1] != "any" && l != s.host(w[1])) {
-			return eris.Errorf("leader is %v", l)
+		if l := s.c.activeLeader(); l == nil || (w[1] != "any" && l != s.host(w[1])) {
+			return eris.Errorf("unexpected leader: %v", l)
 		}
 	case "wantNoLeader":
-		if l := s.c.leading(); l != nil {
+		if l := s.c.activeLeader(); l != nil {
 			return eris.Errorf("%v leads", l.self)
 		}
 	case "wantNoRole":
 		if n := s.host(w[1]); n.log.Standing().Leads {
-			return eris.Errorf("%v still holds itself for the leader", n.self)
+			return eris.Errorf("%v still has the leader role", n.self)
 		}
 	case "wantHeld":
 		n, at := s.host(w[1]), w[2]
 		if at == "all" {
 			at = fmt.Sprint(s.c.commit)
 		}
-		if fmt.Sprint(n.held) != at {
-			return eris.Errorf("holds %d of %d", n.held, s.c.commit)
+		if fmt.Sprint(n.appliedIndex) != at {
+			return eris.Errorf("applied index is %d, commit index is %d", n.appliedIndex, s.c.commit)
 		}
 	case "wantSent":
 		kinds := map[string]MessageKind{"install": Install, "vote": Vote, "append": Append}
 		if got := s.c.sent[kinds[w[1]]]; fmt.Sprint(got) != w[2] {
-			return eris.Errorf("sent %d", got)
+			return eris.Errorf("%d messages of this kind were sent", got)
 		}
 	case "wantFilled":
-		if fmt.Sprint(s.c.filled) != w[1] {
-			return eris.Errorf("%d messages had entries", s.c.filled)
+		if fmt.Sprint(s.c.messagesWithEntries) != w[1] {
+			return eris.Errorf("%d messages had entries", s.c.messagesWithEntries)
 		}
 	case "wantVoters":
-		if got := len(s.c.members.Voters); fmt.Sprint(got) != w[1] || !s.c.whole() {
-			return eris.Errorf("members are %v", s.c.members)
+		if got := len(s.c.members.Voters); fmt.Sprint(got) != w[1] || !s.c.fullyRepaired() {
+			return eris.Errorf("unexpected members or incomplete repair: %v", s.c.members)
 		}
 	case "wantForgetful":
 		if n := s.host(w[1]); !n.log.Forgetful() {
-			return eris.New("it went on")
+			return eris.New("member didn't stop with ForgetfulDisk")
 		}
 	case "wantTerm":
-		if got := s.c.leading().log.Standing().Term; fmt.Sprint(got) != w[1] {
+		if got := s.c.activeLeader().log.Standing().Term; fmt.Sprint(got) != w[1] {
 			return eris.Errorf("term is %d", got)
 		}
 	default:
--- a/internal/agreement/hingelog/snapshot.go
+++ b/internal/agreement/hingelog/snapshot.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Compact replaces the entries up to an applied index by a snapshot of the
-// state machine at that index, but keeps the newest of them for members that
-// are slightly behind. It gives what the disk holds from now on.
+// Compact replaces the entries up to an applied index by a snapshot of the state machine at that
+// index. It keeps the newest of these entries for members that lag slightly. It returns the state
+// to store, or false if the index can't be compacted.
 func (l *Log) Compact(at Index, data []byte, keep int) (Stored, bool) {
 	t, known := l.termAt(at)
 	if !known || at > l.applied || at <= l.snapshot.At.Index {
@@ -15,47 +15,47 @@
 			Term:  t,
 			Index: at,
 		},
-		Members: l.membersUpTo(at),
+		Members: l.membersAt(at),
 		Data:    data,
 	}
-	if at > Index(keep) && at-Index(keep) > l.before.Index {
-		base := at - Index(keep)
-		t, _ := l.termAt(base)
-		l.entries = append([]Entry(nil), l.entries[base-l.before.Index:]...)
-		l.before = Position{
+	if at > Index(keep) && at-Index(keep) > l.base.Index {
+		newBase := at - Index(keep)
+		t, _ := l.termAt(newBase)
+		l.entries = append([]Entry(nil), l.entries[newBase-l.base.Index:]...)
+		l.base = Position{
 			Term:  t,
-			Index: base,
+			Index: newBase,
 		}
 	}
-	l.forgetMembersBefore(at)
+	l.compactMembers(at)
 	return l.stored(), true
 }
 
-// Stored gives what has to be on disk, all of it, for a compaction.
+// stored returns the whole state to store for a compaction.
 func (l *Log) stored() Stored {
 	return Stored{
-		HardState: l.hard,
+		HardState: l.hardState,
 		Snapshot:  l.snapshot,
-		Before:    l.before,
-		Entries:   l.slice(l.before.Index+1, l.last().Index),
+		Before:    l.base,
+		Entries:   l.entriesBetween(l.base.Index+1, l.last().Index),
 	}
 }
 
-// sendSnapshot sends the snapshot, and not again until it had time to arrive.
+// sendSnapshot sends the snapshot, and repeats it only after an election time.
 func (l *Log) sendSnapshot(now time.Time, to Member, p *progress) {
 	m := Message{
 		Kind:   Install,
 		To:     to,
-		Term:   l.hard.Term,
+		Term:   l.hardState.Term,
 		SentAt: int64(now.Sub(l.started)),
 	}
-	if !now.Before(p.snapshotEnd) {
+	if !now.Before(p.snapshotRetryAt) {
 		s := l.snapshot
 		m.Snapshot = &s
-		m.Holdings = l.holdings()
-		p.snapshotEnd = now.Add(l.settings.Election)
+		m.Holdings = l.matches()
+		p.snapshotRetryAt = now.Add(l.settings.Election)
 	}
-	// Without a snapshot it is a heartbeat that says nothing of the log.
+	// Without a snapshot the message is a heartbeat that confirms no entries.
 	l.send(m)
 }
 
@@ -67,36 +67,36 @@
 	s := *m.Snapshot
 	m.At = s.At
 	if t, known := l.termAt(s.At.Index); s.At.Index <= l.commit || (known && t == s.At.Term) {
-		// It holds all of this already, and what follows it.
+		// This member holds all entries of the snapshot already.
 		l.commit = max(l.commit, s.At.Index)
 		m.At.Index = l.commit
 		l.answerAppend(m, true)
 		return
 	}
 	l.snapshot = s
-	l.install = &s
-	l.before = s.At
+	l.pendingInstall = &s
+	l.base = s.At
 	l.entries = nil
 	l.commit = s.At.Index
 	l.applied = s.At.Index
 	l.synced = s.At.Index
-	l.unsynced = s.At.Index + 1
-	l.members = []membersAt{
+	l.nextOutputIndex = s.At.Index + 1
+	l.members = []indexedMembers{
 		{
 			index:   s.At.Index,
 			members: s.Members,
 		},
 	}
-	l.event(SnapshotInstalled, m.From)
+	l.addEvent(SnapshotInstalled, m.From)
 	l.answerAppend(m, true)
 }
 
-// answerHeartbeat confirms that the leader was heard, and no entry.
+// answerHeartbeat confirms that the heartbeat was received. It confirms no entries.
 func (l *Log) answerHeartbeat(m Message) {
 	l.send(Message{
 		Kind:    AppendAnswer,
 		To:      m.From,
-		Term:    l.hard.Term,
+		Term:    l.hardState.Term,
 		At:      l.last(),
 		Granted: false,
 		SentAt:  m.SentAt,
