--- a/internal/agreement/hingeconfig/change.go
+++ b/internal/agreement/hingeconfig/change.go
@@ -12,38 +12,38 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// Path names a document, for example "models/redacteur".
+// Path is the name of a document, for example "models/redacteur".
 type Path string
 
-// ChangeID is the operator's name for one change, the same in every resend.
+// ChangeID identifies one change and is the same in every resend of it.
 type ChangeID string
 
-// Bounds of one change: it has to fit one message of the log with room to spare.
+// Limits in bytes. One change must fit into one message of the log.
 const (
-	longestPath   = 256
-	largestChange = 2 << 20
-	// largestWhole bounds all documents together: a host that is far behind gets them in one
-	// answer (hingelink.MaxCall). It is some thousand times what a small operator writes.
-	largestWhole = 3 << 20
+	maxPathBytes   = 256
+	maxChangeBytes = 2 << 20
+	// maxTotalBytes limits all documents together: a host that is far behind receives
+	// them in one answer (hingelink.MaxCall).
+	maxTotalBytes = 3 << 20
 )
 
-// Change is a set of documents to put and paths to delete.
+// Change writes a set of documents and deletes a set of paths in one revision.
 type Change struct {
 	ID       ChangeID          `cbor:"1,keyasint" json:"id"`
 	Expected hingeids.Revision `cbor:"2,keyasint" json:"expected"`
 	Puts     map[Path][]byte   `cbor:"3,keyasint,omitempty" json:"puts,omitempty"`
 	Deletes  []Path            `cbor:"4,keyasint,omitempty" json:"deletes,omitempty"`
 	Operator string            `cbor:"5,keyasint" json:"operator"`
-	// SentAt is the operator's clock, in nanoseconds since 1970. It is kept for
-	// the history and takes no part in what makes a resend the same.
+	// SentAt is the operator's time of day in nanoseconds since 1970. It is stored in
+	// the history; a resend may carry another value.
 	SentAt int64 `cbor:"6,keyasint" json:"sentAt"`
-	// Fact says that the system itself makes the change (rule 3).
+	// Fact marks a system change (rule 3).
 	Fact bool `cbor:"7,keyasint,omitempty" json:"fact,omitempty"`
 }
 
-// canonical encodes maps in one order, so that equal content gives equal bytes
-// on every host.
-var canonical = func() cbor.EncMode {
+// canonicalMode encodes maps in a fixed order, so that equal content has equal
+// bytes on every host.
+var canonicalMode = func() cbor.EncMode {
 	m, err := cbor.CanonicalEncOptions().EncMode()
 	if err != nil {
 		panic(err)
@@ -52,20 +52,20 @@
 }()
 
 func encode(v any) []byte {
-	b, err := canonical.Marshal(v)
+	b, err := canonicalMode.Marshal(v)
 	if err != nil {
 		panic(err)
 	}
 	return b
 }
 
-// Encode gives the change as a proposal for the log.
+// Encode encodes the change as a proposal for the log.
 func (c Change) Encode() []byte {
 	return encode(c)
 }
 
-// contentSum tells a resend from another change under the same id.
-func (c Change) contentSum() uint64 {
+// contentHash is equal for all resends of a change and ignores SentAt.
+func (c Change) contentHash() uint64 {
 	c.SentAt = 0
 	c.Deletes = slices.Clone(c.Deletes)
 	slices.Sort(c.Deletes)
@@ -73,11 +73,11 @@
 }
 
 func (c Change) check() error {
-	if c.ID == "" || len(c.ID) > longestPath {
-		return eris.New("a change needs an id of at most 256 bytes")
+	if c.ID == "" || len(c.ID) > maxPathBytes {
+		return eris.New("change ID must have 1 to 256 bytes")
 	}
 	if len(c.Puts)+len(c.Deletes) == 0 {
-		return eris.New("the change changes nothing")
+		return eris.New("the change has neither puts nor deletes")
 	}
 	size := 0
 	for p, d := range c.Puts {
@@ -86,35 +86,38 @@
 			return eris.Errorf("path %q is both put and deleted", p)
 		}
 	}
-	if size > largestChange {
-		return eris.Errorf("the change has %d bytes, the limit is %d", size, largestChange)
+	if size > maxChangeBytes {
+		return eris.Errorf("the change has %d bytes, the limit is %d", size, maxChangeBytes)
 	}
 	for _, p := range slices.Concat(slices.Collect(maps.Keys(c.Puts)), c.Deletes) {
-		if p == "" || len(p) > longestPath {
-			return eris.Errorf("path %q: want 1 to 256 bytes", p)
+		if p == "" || len(p) > maxPathBytes {
+			return eris.Errorf("path %q must have 1 to 256 bytes", p)
 		}
-		if c.Fact != isLife(p) {
-			return eris.Errorf("path %q: facts, and only facts, stand under %q", p, livesPrefix)
+		if c.Fact != isInstancePath(p) {
+			return eris.Errorf("path %q: system changes write only under %q, and operators' changes never do", p, instancesPrefix)
 		}
 	}
 	if c.Fact && len(c.Deletes) > 0 {
-		return eris.New("a fact is never deleted")
+		return eris.New("a system change can't delete documents")
 	}
 	return nil
 }
 
-// Result says what became of a change.
+// Result is the outcome of a proposed change.
 type Result uint8
 
 // The results.
 const (
 	Accepted Result = iota + 1
+	// Conflict means that another operator's change was accepted first (rule 1).
 	Conflict
+	// OtherContent means that the ID was used before with other content (rule 2).
 	OtherContent
+	// Malformed means that the change can't be decoded or breaks a limit.
 	Malformed
 )
 
-// Winner is the accepted change that another one lost against.
+// Winner identifies the accepted change that a refused one conflicts with.
 type Winner struct {
 	Operator string            `cbor:"1,keyasint" json:"operator"`
 	ID       ChangeID          `cbor:"2,keyasint" json:"id"`
@@ -124,23 +127,23 @@
 // Answer is the state machine's answer to a change.
 type Answer struct {
 	Result Result `cbor:"1,keyasint" json:"result"`
-	// Revision is the one that the change made, or the newest one.
+	// Revision is the revision that the change created, or the newest one if it was refused.
 	Revision hingeids.Revision `cbor:"2,keyasint" json:"revision"`
 	Winner   Winner            `cbor:"3,keyasint,omitzero" json:"winner,omitzero"`
 	Problem  string            `cbor:"4,keyasint,omitempty" json:"problem,omitempty"`
 }
 
-// DecodeAnswer reads what Apply gave.
+// DecodeAnswer decodes the result of Machine.Apply.
 func DecodeAnswer(b []byte) (Answer, error) {
 	var a Answer
 	if err := cbor.Unmarshal(b, &a); err != nil {
-		return Answer{}, eris.Wrap(err, "answer to a change")
+		return Answer{}, eris.Wrap(err, "decode answer to a change")
 	}
 	return a, nil
 }
 
-// Err gives the error for the operator, nil if the change is accepted. The
-// verdict is proven: the state machine itself said that nothing was changed.
+// Err returns the error for the operator, nil if the change was accepted. Its
+// verdict is always NotRun, since the state machine itself refused the change.
 func (a Answer) Err() error {
 	switch a.Result {
 	case Accepted:
--- a/internal/agreement/hingeconfig/doc.go
+++ b/internal/agreement/hingeconfig/doc.go
@@ -1,20 +1,20 @@
-// Package hingeconfig is the configuration as a state machine of the replicated log: a
-// map from path to document, changed only by accepted changes.
+// Package hingeconfig implements the configuration as a state machine of the
+// replicated log: a map from path to document that only accepted changes modify.
 //
-//  1. A change names the revision it was made against. It is accepted if no
-//     operator's change was accepted after that revision, and makes the next
-//     revision; otherwise it is a conflict, and the answer names who won.
-//  2. A change carries an id. A resend with the same content gets the first
-//     answer again, whether that was accepted or a conflict; the same id with other content is
-//     an error. The ids of the newest 16384 answers are remembered, in snapshots
-//     too: more than a day at 14,000 changes a day. A resend that comes later is no
-//     danger: by rule 1 it is a conflict.
-//  3. A fact is a change made by the system itself, not by an operator. Only
-//     paths under "lives/" take facts: up to which incarnation a host's lives are over. Such a
-//     number only grows, so facts need no expected revision and are in nobody's
-//     way: they make new revisions, but no conflict for an operator (rule 1).
-//  4. The newest 1024 changes are kept whole, so that differences between
-//     revisions can be given. Beyond them only all documents can be given.
-//  5. A View never changes. The machine publishes a new one for each change, and
-//     any goroutine reads it without waiting.
+//  1. A change names the revision that it is based on. It is accepted, and creates
+//     the next revision, if no operator's change was accepted after that revision.
+//     Otherwise it is a conflict, and the answer names the change that was accepted.
+//  2. A change carries an ID. A resend with the same content gets the first answer
+//     again, accepted or conflict; the same ID with other content is an error. The
+//     IDs of the newest 16384 answers are kept, in snapshots too. A resend whose ID
+//     is no longer kept is a conflict by rule 1, so no change is applied twice.
+//  3. A system change (Fact) is made by the system and not by an operator. It may
+//     write only paths under "lives/", each of which holds the highest ended
+//     incarnation of a host. These numbers only grow, so a system change needs no
+//     expected revision: it creates a new revision but never makes an operator's
+//     change a conflict (rule 1).
+//  4. The newest 1024 changes are kept to compute differences between revisions.
+//     From older revisions, a reader gets all documents.
+//  5. A View is immutable. The machine publishes a new one after each change, and any
+//     goroutine reads it without blocking.
 package hingeconfig
--- a/internal/agreement/hingeconfig/lives.go
+++ b/internal/agreement/hingeconfig/lives.go
@@ -8,27 +8,27 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-const livesPrefix = "lives/"
+const instancesPrefix = "lives/"
 
-func isLife(p Path) bool {
-	return strings.HasPrefix(string(p), livesPrefix)
+func isInstancePath(p Path) bool {
+	return strings.HasPrefix(string(p), instancesPrefix)
 }
 
-// LifePath is where it stands up to which incarnation a host's lives are over.
+// LifePath returns the path of the document that holds a host's highest ended incarnation.
 func LifePath(h hingeids.HostID) Path {
-	return Path(livesPrefix) + Path(h)
+	return Path(instancesPrefix) + Path(h)
 }
 
-// LifeOver is the fact that a life, and all before it, are over. The same fact
-// has the same id whoever reports it.
+// LifeOver returns the system change that records the end of an instance and of all
+// earlier ones of its host. Its ID contains the instance and the reporting host.
 func LifeOver(l hingeids.Life, by hingeids.HostID, now time.Time) Change {
-	number := binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation))
+	document := binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation))
 	return Change{
 		ID: ChangeID("lifeOver." + hingeids.RequestID{
 			Life: l,
 		}.String() + "." + string(by)),
 		Puts: map[Path][]byte{
-			LifePath(l.Host): number,
+			LifePath(l.Host): document,
 		},
 		Operator: string(by),
 		SentAt:   now.UnixNano(),
@@ -36,14 +36,14 @@
 	}
 }
 
-func incarnation(document []byte) hingeids.Incarnation {
+func decodeIncarnation(document []byte) hingeids.Incarnation {
 	if len(document) != 8 {
 		return 0
 	}
 	return hingeids.Incarnation(binary.BigEndian.Uint64(document))
 }
 
-// OverUpTo gives the highest incarnation of a host that is known to be over.
+// OverUpTo returns the highest ended incarnation of a host, 0 if none has ended.
 func (v *View) OverUpTo(h hingeids.HostID) hingeids.Incarnation {
-	return incarnation(v.Documents[LifePath(h)])
+	return decodeIncarnation(v.Documents[LifePath(h)])
 }
--- a/internal/agreement/hingeconfig/machine.go
+++ b/internal/agreement/hingeconfig/machine.go
@@ -11,39 +11,41 @@
 )
 
 const (
-	keptAnswers = 16384
-	keptChanges = 1024
+	maxAnswers = 16384
+	maxHistory = 1024
 )
 
-// remembered is a change id with its first answer.
-type remembered struct {
-	ID     ChangeID `cbor:"1,keyasint"`
-	Sum    uint64   `cbor:"2,keyasint"`
-	Answer Answer   `cbor:"3,keyasint"`
+// answerRecord holds the first answer to a change ID (rule 2).
+type answerRecord struct {
+	ID          ChangeID `cbor:"1,keyasint"`
+	ContentHash uint64   `cbor:"2,keyasint"`
+	Answer      Answer   `cbor:"3,keyasint"`
 }
 
-// state is what a snapshot holds.
+// state is the content of a snapshot.
 type state struct {
 	Revision  hingeids.Revision `cbor:"1,keyasint"`
 	Documents map[Path][]byte   `cbor:"2,keyasint"`
 	History   []Made            `cbor:"3,keyasint"`
-	Answers   []remembered      `cbor:"4,keyasint"`
-	// OperatorAt is the newest revision that an operator's change made.
+	Answers   []answerRecord    `cbor:"4,keyasint"`
+	// OperatorAt is the newest revision that an operator's change created.
 	OperatorAt hingeids.Revision `cbor:"5,keyasint"`
-	Last       Winner            `cbor:"6,keyasint"`
+	// LastChange is the newest accepted change of an operator.
+	LastChange Winner `cbor:"6,keyasint"`
 }
 
-// Machine is the state machine. Apply, Snapshot and Restore are for one
-// goroutine; the views are for all.
+// Machine is the state machine. One goroutine calls Apply, Snapshot and Restore;
+// the views may be read by any.
 type Machine struct {
 	state state
 	index map[ChangeID]int
-	// dropped counts the answers forgotten, so that index holds places that last.
-	dropped int
-	views   hingeboard.Cell[View]
+	// discardedAnswers counts the answers removed from state.Answers. The positions in
+	// index include them, so they stay valid when an answer is removed.
+	discardedAnswers int
+	views            hingeboard.Cell[View]
 }
 
-// New makes the empty configuration, revision 0.
+// New returns an empty configuration at revision 0.
 func New() *Machine {
 	m := &Machine{
 		index: make(map[ChangeID]int),
@@ -52,7 +54,7 @@
 	return m
 }
 
-// Views is where the newest view is published.
+// Views returns the cell that holds the newest view.
 func (m *Machine) Views() *hingeboard.Cell[View] {
 	return &m.views
 }
@@ -66,16 +68,17 @@
 	})
 }
 
-// Apply carries out a proposed change and gives its encoded Answer.
+// Apply applies a proposed change and returns its encoded Answer. Equal input in the
+// same state gives equal bytes on every host.
 func (m *Machine) Apply(_ uint64, data []byte) []byte {
 	var c Change
 	if err := cbor.Unmarshal(data, &c); err != nil {
-		return encode(malformed(m.state.Revision, eris.Wrap(err, "change")))
+		return encode(malformedAnswer(m.state.Revision, eris.Wrap(err, "decode change")))
 	}
 	return encode(m.apply(c))
 }
 
-func malformed(r hingeids.Revision, err error) Answer {
+func malformedAnswer(r hingeids.Revision, err error) Answer {
 	return Answer{
 		Result:   Malformed,
 		Revision: r,
@@ -85,57 +88,57 @@
 
 func (m *Machine) apply(c Change) Answer {
 	if err := c.check(); err != nil {
-		return malformed(m.state.Revision, err)
+		return malformedAnswer(m.state.Revision, err)
 	}
 	// Rule 2.
-	sum := c.contentSum()
-	if at, there := m.index[c.ID]; there {
-		r := m.state.Answers[at-m.dropped]
-		if r.Sum == sum {
+	hash := c.contentHash()
+	if sequence, found := m.index[c.ID]; found {
+		r := m.state.Answers[sequence-m.discardedAnswers]
+		if r.ContentHash == hash {
 			return r.Answer
 		}
 		return Answer{
 			Result:   OtherContent,
 			Revision: m.state.Revision,
-			Problem:  "change id " + string(c.ID) + " was used before with other content",
+			Problem:  "change ID " + string(c.ID) + " was used before with other content",
 		}
 	}
 	a := m.decide(c)
-	m.remember(remembered{
-		ID:     c.ID,
-		Sum:    sum,
-		Answer: a,
+	m.recordAnswer(answerRecord{
+		ID:          c.ID,
+		ContentHash: hash,
+		Answer:      a,
 	})
 	return a
 }
 
 func (m *Machine) decide(c Change) Answer {
 	if c.Fact {
-		return m.acceptFact(c)
+		return m.acceptSystemChange(c)
 	}
 	// Rule 1.
 	if c.Expected < m.state.OperatorAt || c.Expected > m.state.Revision {
 		return Answer{
 			Result:   Conflict,
 			Revision: m.state.Revision,
-			Winner:   m.winner(c.Expected),
+			Winner:   m.firstConflicting(c.Expected),
 		}
 	}
-	if n := size(changed(m.state.Documents, c.Puts, c.Deletes)); n > largestWhole {
-		return malformed(m.state.Revision,
-			eris.Errorf("the configuration would have %d bytes, the limit is %d", n, largestWhole))
+	if n := totalBytes(withChanges(m.state.Documents, c.Puts, c.Deletes)); n > maxTotalBytes {
+		return malformedAnswer(m.state.Revision,
+			eris.Errorf("the configuration would have %d bytes, the limit is %d", n, maxTotalBytes))
 	}
 	m.accept(c)
 	m.state.OperatorAt = m.state.Revision
-	m.state.Last = Winner{
+	m.state.LastChange = Winner{
 		Operator: c.Operator,
 		ID:       c.ID,
 		Revision: m.state.Revision,
 	}
-	return m.accepted()
+	return m.acceptedAnswer()
 }
 
-func size(documents map[Path][]byte) int {
+func totalBytes(documents map[Path][]byte) int {
 	n := 0
 	for p, d := range documents {
 		n += len(p) + len(d)
@@ -143,11 +146,11 @@
 	return n
 }
 
-// winner is the first operator's change after a revision, or the newest if the
-// history doesn't reach back that far.
-func (m *Machine) winner(expected hingeids.Revision) Winner {
+// firstConflicting returns the first operator's change after the expected revision, or the
+// newest one if the history doesn't reach back that far.
+func (m *Machine) firstConflicting(expected hingeids.Revision) Winner {
 	for _, h := range m.state.History {
-		if h.Revision > expected && !h.Change.Fact && m.reaches(expected) {
+		if h.Revision > expected && !h.Change.Fact && m.historyCovers(expected) {
 			return Winner{
 				Operator: h.Change.Operator,
 				ID:       h.Change.ID,
@@ -155,15 +158,15 @@
 			}
 		}
 	}
-	return m.state.Last
+	return m.state.LastChange
 }
 
-func (m *Machine) reaches(r hingeids.Revision) bool {
+func (m *Machine) historyCovers(r hingeids.Revision) bool {
 	return r+hingeids.Revision(len(m.state.History)) >= m.state.Revision
 }
 
-// acceptFact takes what is higher than what is known (rule 3).
-func (m *Machine) acceptFact(c Change) Answer {
+// acceptSystemChange keeps only the incarnations that are higher than the stored ones (rule 3).
+func (m *Machine) acceptSystemChange(c Change) Answer {
 	higher := make(map[Path][]byte)
 	for p, d := range c.Puts {
 		if len(d) == 8 && bytes.Compare(d, m.state.Documents[p]) > 0 {
@@ -174,24 +177,24 @@
 		c.Puts = higher
 		m.accept(c)
 	}
-	return m.accepted()
+	return m.acceptedAnswer()
 }
 
-func (m *Machine) accepted() Answer {
+func (m *Machine) acceptedAnswer() Answer {
 	return Answer{
 		Result:   Accepted,
 		Revision: m.state.Revision,
 	}
 }
 
-// accept makes the next revision. Documents and history are copied, since
-// views that were published hold the old ones (rule 5).
+// accept creates the next revision. It copies documents and history because published
+// views share the old ones (rule 5).
 func (m *Machine) accept(c Change) {
 	m.state.Revision++
-	m.state.Documents = changed(m.state.Documents, c.Puts, c.Deletes)
+	m.state.Documents = withChanges(m.state.Documents, c.Puts, c.Deletes)
 	old := m.state.History
-	if len(old) >= keptChanges {
-		old = old[len(old)-keptChanges+1:]
+	if len(old) >= maxHistory {
+		old = old[len(old)-maxHistory+1:]
 	}
 	history := make([]Made, 0, len(old)+1)
 	history = append(history, old...)
@@ -202,31 +205,31 @@
 	m.publish()
 }
 
-func (m *Machine) remember(r remembered) {
-	m.index[r.ID] = m.dropped + len(m.state.Answers)
+func (m *Machine) recordAnswer(r answerRecord) {
+	m.index[r.ID] = m.discardedAnswers + len(m.state.Answers)
 	m.state.Answers = append(m.state.Answers, r)
-	if len(m.state.Answers) > keptAnswers {
+	if len(m.state.Answers) > maxAnswers {
 		delete(m.index, m.state.Answers[0].ID)
 		m.state.Answers = m.state.Answers[1:]
-		m.dropped++
+		m.discardedAnswers++
 	}
 }
 
-// Snapshot encodes everything, the remembered ids too.
+// Snapshot encodes the documents, the history and the kept answers.
 func (m *Machine) Snapshot() []byte {
 	return encode(m.state)
 }
 
-// Restore takes the place of everything by a snapshot.
+// Restore replaces the whole state by a snapshot; an empty one is revision 0.
 func (m *Machine) Restore(b []byte) error {
 	var s state
 	if len(b) > 0 {
 		if err := cbor.Unmarshal(b, &s); err != nil {
-			return eris.Wrap(err, "configuration snapshot")
+			return eris.Wrap(err, "decode configuration snapshot")
 		}
 	}
 	m.state = s
-	m.dropped = 0
+	m.discardedAnswers = 0
 	m.index = make(map[ChangeID]int, len(s.Answers))
 	for i, r := range s.Answers {
 		m.index[r.ID] = i
--- a/internal/agreement/hingeconfig/machine_test.go
+++ b/internal/agreement/hingeconfig/machine_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-func answer(t interface{ Fatal(...any) }, m *Machine, c Change) Answer {
+func mustApply(t interface{ Fatal(...any) }, m *Machine, c Change) Answer {
 	a, err := DecodeAnswer(m.Apply(0, c.Encode()))
 	if err != nil {
 		t.Fatal(err)
@@ -32,10 +32,9 @@
 	return a
 }
 
-// Two operators change revision 0 at the same time, and one whose answer was
-// lost sends again, after the leader that knew has gone and the log was compacted. Each must
-// learn the truth about their own change: who won, or what was said at first.
-func TestRacingAndResendingOperatorsLearnTheTruth(t *testing.T) {
+// A resend after a restore from a snapshot must get the first answer again, accepted
+// or conflict; the same ID with other content must be refused.
+func TestResendGetsFirstAnswerAfterRestore(t *testing.T) {
 	m := New()
 	first := put("c1", "yann", 0, "models/redacteur", "9")
 	second := put("c2", "maelle", 0, "models/redacteur", "8")
@@ -53,35 +52,35 @@
 		},
 	}
 	got := []Answer{
-		answer(t, m, first),
-		answer(t, m, second),
+		mustApply(t, m, first),
+		mustApply(t, m, second),
 	}
-	answer(t, m, put("c3", "yann", 1, "rules/quay", "x"))
-	again := New()
-	if err := again.Restore(m.Snapshot()); err != nil {
+	mustApply(t, m, put("c3", "yann", 1, "rules/quay", "x"))
+	restored := New()
+	if err := restored.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
 	first.SentAt = 5
-	got = append(got, answer(t, again, first), answer(t, again, second))
+	got = append(got, mustApply(t, restored, first), mustApply(t, restored, second))
 	if diff := cmp.Diff([]Answer{won, lost, won, lost}, got); diff != "" {
 		t.Fatal(diff)
 	}
-	other := answer(t, again, put("c1", "yann", 0, "models/redacteur", "7"))
+	other := mustApply(t, restored, put("c1", "yann", 0, "models/redacteur", "7"))
 	if other.Result != OtherContent || !strings.Contains(other.Err().Error(), "c1") {
 		t.Fatalf("got %+v", other)
 	}
-	if d, _ := again.Views().Load().Get("models/redacteur"); string(d) != "9" {
+	if d, _ := restored.Views().Load().Get("models/redacteur"); string(d) != "9" {
 		t.Fatalf("document is %q", d)
 	}
 }
 
-// The system records that a host's life is over while an operator edits. The
-// operator would see a conflict with nobody's change.
-func TestFactsOnlyGrowAndAreInNobodysWay(t *testing.T) {
+// A system change while an operator edits must not make the operator's change a
+// conflict, and must never lower a stored incarnation.
+func TestSystemChangesOnlyGrowAndCauseNoConflict(t *testing.T) {
 	m := New()
-	answer(t, m, put("c1", "yann", 0, "models/redacteur", "9"))
+	mustApply(t, m, put("c1", "yann", 0, "models/redacteur", "9"))
 	for _, n := range []hingeids.Incarnation{5, 9, 7} {
-		answer(t, m, LifeOver(hingeids.Life{
+		mustApply(t, m, LifeOver(hingeids.Life{
 			Host:        "cancale-1",
 			Incarnation: n,
 		}, "roscoff-1", time.Unix(0, 0)))
@@ -90,18 +89,18 @@
 	if v.OverUpTo("cancale-1") != 9 || v.Revision != 3 {
 		t.Fatalf("over up to %d at revision %d", v.OverUpTo("cancale-1"), v.Revision)
 	}
-	if a := answer(t, m, put("c2", "yann", 1, "models/redacteur", "8")); a.Result != Accepted || a.Revision != 4 {
+	if a := mustApply(t, m, put("c2", "yann", 1, "models/redacteur", "8")); a.Result != Accepted || a.Revision != 4 {
 		t.Fatalf("got %+v", a)
 	}
 	forged := put("c3", "yann", 4, LifePath("cancale-1"), "forged")
-	if a := answer(t, m, forged); a.Result != Malformed {
+	if a := mustApply(t, m, forged); a.Result != Malformed {
 		t.Fatalf("got %+v", a)
 	}
 }
 
-// Whatever order changes come in, a follower that takes differences, or one snapshot
-// where the history is too short, has the same documents as the machine.
-func TestDifferencesLeadWhereTheMachineIs(t *testing.T) {
+// A follower that applies differences, or all documents where the history is too
+// short, must have the same documents as the machine.
+func TestDifferencesReproduceDocuments(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := New()
 		follower := m.Views().Load()
@@ -114,7 +113,7 @@
 				}
 				c.Puts = nil
 			}
-			answer(t, m, c)
+			mustApply(t, m, c)
 			if rapid.Bool().Draw(t, "restart") {
 				if err := m.Restore(m.Snapshot()); err != nil {
 					t.Fatal(err)
@@ -143,34 +142,35 @@
 	})
 }
 
-// Documents that no longer fit one answer would leave a host that is far
-// behind without any configuration.
-func TestConfigurationStaysSmallEnoughToBeSentWhole(t *testing.T) {
+// Documents that don't fit into one answer would leave a host that is far behind
+// without a configuration.
+func TestTotalSizeIsLimited(t *testing.T) {
 	m := New()
-	half := strings.Repeat("x", largestWhole/2)
+	half := strings.Repeat("x", maxTotalBytes/2)
 	got := []Result{
-		answer(t, m, put("c1", "yann", 0, "a", half)).Result,
-		answer(t, m, put("c2", "yann", 1, "b", half)).Result,
-		answer(t, m, put("c3", "yann", 1, "a", half+half[:100])).Result,
-		answer(t, m, put("c4", "yann", 2, "a", "small")).Result,
+		mustApply(t, m, put("c1", "yann", 0, "a", half)).Result,
+		mustApply(t, m, put("c2", "yann", 1, "b", half)).Result,
+		mustApply(t, m, put("c3", "yann", 1, "a", half+half[:100])).Result,
+		mustApply(t, m, put("c4", "yann", 2, "a", "small")).Result,
 	}
 	if diff := cmp.Diff([]Result{Accepted, Malformed, Accepted, Accepted}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// The memory that change ids take is bounded; forgetting one never applies a change twice.
-func TestForgottenChangeIsAConflict(t *testing.T) {
+// The number of kept change IDs is limited, and a resend whose ID was removed must not
+// apply the change twice.
+func TestResendOfForgottenChangeIsAConflict(t *testing.T) {
 	m := New()
 	first := put("c0", "yann", 0, "a", "0")
-	answer(t, m, first)
-	for i := range keptAnswers {
-		answer(t, m, put(ChangeID(fmt.Sprint("x", i)), "yann", 0, "a", "1"))
+	mustApply(t, m, first)
+	for i := range maxAnswers {
+		mustApply(t, m, put(ChangeID(fmt.Sprint("x", i)), "yann", 0, "a", "1"))
 	}
-	if len(m.index) != keptAnswers || len(m.state.Answers) != keptAnswers {
-		t.Fatalf("remembers %d", len(m.index))
+	if len(m.index) != maxAnswers || len(m.state.Answers) != maxAnswers {
+		t.Fatalf("%d kept answers", len(m.index))
 	}
-	if a := answer(t, m, first); a.Result != Conflict || a.Winner.ID != "c0" {
+	if a := mustApply(t, m, first); a.Result != Conflict || a.Winner.ID != "c0" {
 		t.Fatalf("got %+v", a)
 	}
 }
--- a/internal/agreement/hingeconfig/view.go
+++ b/internal/agreement/hingeconfig/view.go
@@ -9,41 +9,41 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Made is an accepted change with the revision that it made.
+// Made is an accepted change with the revision that it created.
 type Made struct {
 	Revision hingeids.Revision `cbor:"1,keyasint" json:"revision"`
 	Change   Change            `cbor:"2,keyasint" json:"change"`
 }
 
-// View is the configuration at one revision. Nobody changes a view, nor the documents in it.
+// View is the configuration at one revision. It is immutable, as are its documents.
 type View struct {
 	Revision  hingeids.Revision
 	Documents map[Path][]byte
-	// OperatorAt is the newest revision that an operator's change made; those
-	// after it only noted facts.
+	// OperatorAt is the newest revision that an operator's change created; later
+	// revisions contain only system changes.
 	OperatorAt hingeids.Revision
-	// History are the newest changes, oldest first, without a gap.
+	// History lists the newest changes, oldest first, one for each revision.
 	History []Made
 }
 
-// Difference turns any revision from From up to To into To.
+// Difference turns the documents of any revision from From to To into those of To.
 type Difference struct {
 	From    hingeids.Revision `cbor:"1,keyasint"`
 	To      hingeids.Revision `cbor:"2,keyasint"`
 	Puts    map[Path][]byte   `cbor:"3,keyasint,omitempty"`
 	Deletes []Path            `cbor:"4,keyasint,omitempty"`
-	// OperatorAt is that of the view at To, or To where it isn't known.
+	// OperatorAt is View.OperatorAt at revision To, or To where that isn't known.
 	OperatorAt hingeids.Revision `cbor:"5,keyasint,omitempty"`
 }
 
-// Get gives a document.
+// Get returns the document at a path and whether it exists.
 func (v *View) Get(p Path) ([]byte, bool) {
 	d, ok := v.Documents[p]
 	return d, ok
 }
 
-// Diff gives the difference between two revisions; false if the history doesn't
-// reach back far enough (rule 4).
+// Diff returns the difference between two revisions. It reports false if the range is
+// invalid or the history doesn't reach back far enough (rule 4).
 func (v *View) Diff(from, to hingeids.Revision) (Difference, bool) {
 	if from > to || to > v.Revision {
 		return Difference{}, false
@@ -74,7 +74,7 @@
 	return d, true
 }
 
-// Whole gives all documents as a difference from nothing.
+// Whole returns all documents as a difference from revision 0.
 func (v *View) Whole() Difference {
 	return Difference{
 		To:   v.Revision,
@@ -84,26 +84,27 @@
 	}
 }
 
-// With gives the view after a difference. A difference that ends before this
-// view, or begins after it, is refused: a view never goes back or leaps.
+// With returns the view after a difference. The view has no history. A difference that
+// ends before this view or begins after it is an error, so that a follower neither goes
+// back nor skips changes.
 func (v *View) With(d Difference) (*View, error) {
 	if d.To < v.Revision || d.From > v.Revision {
-		return nil, eris.Errorf("a difference from %d to %d doesn't apply to revision %d", d.From, d.To, v.Revision)
+		return nil, eris.Errorf("difference from revision %d to %d doesn't apply to revision %d", d.From, d.To, v.Revision)
 	}
 	next := &View{
 		Revision:   d.To,
 		OperatorAt: d.OperatorAt,
 	}
 	if d.From == 0 {
-		// Everything that isn't named is gone.
+		// Puts holds all documents, so those missing from it were deleted.
 		next.Documents = maps.Clone(d.Puts)
 		return next, nil
 	}
-	next.Documents = changed(v.Documents, d.Puts, d.Deletes)
+	next.Documents = withChanges(v.Documents, d.Puts, d.Deletes)
 	return next, nil
 }
 
-func changed(old, puts map[Path][]byte, deletes []Path) map[Path][]byte {
+func withChanges(old, puts map[Path][]byte, deletes []Path) map[Path][]byte {
 	out := make(map[Path][]byte, len(old)+len(puts))
 	maps.Copy(out, old)
 	maps.Copy(out, puts)
