--- a/internal/agreement/hingeconfig/change.go
+++ b/internal/agreement/hingeconfig/change.go
@@ -37,8 +37,8 @@
 	// SentAt is the operator's time of day in nanoseconds since 1970. It is stored in
 	// the history; a resend may carry another value.
 	SentAt int64 `cbor:"6,keyasint" json:"sentAt"`
-	// Fact marks a system change (rule 3).
-	Fact bool `cbor:"7,keyasint,omitempty" json:"fact,omitempty"`
+	// System marks a system change (rule 3).
+	System bool `cbor:"7,keyasint,omitempty" json:"fact,omitempty"`
 }
 
 // canonicalMode encodes maps in a fixed order, so that equal content has equal
@@ -93,11 +93,11 @@
 		if p == "" || len(p) > maxPathBytes {
 			return eris.Errorf("path %q must have 1 to 256 bytes", p)
 		}
-		if c.Fact != isInstancePath(p) {
+		if c.System != isInstancePath(p) {
 			return eris.Errorf("path %q: system changes write only under %q, and operators' changes never do", p, instancesPrefix)
 		}
 	}
-	if c.Fact && len(c.Deletes) > 0 {
+	if c.System && len(c.Deletes) > 0 {
 		return eris.New("a system change can't delete documents")
 	}
 	return nil
@@ -111,14 +111,14 @@
 	Accepted Result = iota + 1
 	// Conflict means that another operator's change was accepted first (rule 1).
 	Conflict
-	// OtherContent means that the ID was used before with other content (rule 2).
-	OtherContent
+	// ContentMismatch means that the ID was used before with other content (rule 2).
+	ContentMismatch
 	// Malformed means that the change can't be decoded or breaks a limit.
 	Malformed
 )
 
-// Winner identifies the accepted change that a refused one conflicts with.
-type Winner struct {
+// AcceptedChange identifies the accepted change that a refused one conflicts with.
+type AcceptedChange struct {
 	Operator string            `cbor:"1,keyasint" json:"operator"`
 	ID       ChangeID          `cbor:"2,keyasint" json:"id"`
 	Revision hingeids.Revision `cbor:"3,keyasint" json:"revision"`
@@ -128,9 +128,9 @@
 type Answer struct {
 	Result Result `cbor:"1,keyasint" json:"result"`
 	// Revision is the revision that the change created, or the newest one if it was refused.
-	Revision hingeids.Revision `cbor:"2,keyasint" json:"revision"`
-	Winner   Winner            `cbor:"3,keyasint,omitzero" json:"winner,omitzero"`
-	Problem  string            `cbor:"4,keyasint,omitempty" json:"problem,omitempty"`
+	Revision       hingeids.Revision `cbor:"2,keyasint" json:"revision"`
+	AcceptedChange AcceptedChange    `cbor:"3,keyasint,omitzero" json:"winner,omitzero"`
+	Problem        string            `cbor:"4,keyasint,omitempty" json:"problem,omitempty"`
 }
 
 // DecodeAnswer decodes the result of Machine.Apply.
@@ -151,8 +151,8 @@
 	case Conflict:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeRevisionConflict, 0,
 			eris.Errorf("conflict: %s's change %s made revision %d; the newest is %d",
-				a.Winner.Operator, a.Winner.ID, a.Winner.Revision, a.Revision))
-	case OtherContent:
+				a.AcceptedChange.Operator, a.AcceptedChange.ID, a.AcceptedChange.Revision, a.Revision))
+	case ContentMismatch:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeChangeOtherContent, 0, eris.New(a.Problem))
 	default:
 		return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0, eris.New(a.Problem))
--- a/internal/agreement/hingeconfig/lives.go
+++ b/internal/agreement/hingeconfig/lives.go
@@ -14,25 +14,25 @@
 	return strings.HasPrefix(string(p), instancesPrefix)
 }
 
-// LifePath returns the path of the document that holds a host's highest ended incarnation.
-func LifePath(h hingeids.HostID) Path {
+// EndedIncarnationPath returns the path of the document that holds a host's highest ended incarnation.
+func EndedIncarnationPath(h hingeids.HostID) Path {
 	return Path(instancesPrefix) + Path(h)
 }
 
-// LifeOver returns the system change that records the end of an instance and of all
+// InstanceEnded returns the system change that records the end of an instance and of all
 // earlier ones of its host. Its ID contains the instance and the reporting host.
-func LifeOver(l hingeids.Instance, by hingeids.HostID, now time.Time) Change {
+func InstanceEnded(l hingeids.Instance, by hingeids.HostID, now time.Time) Change {
 	document := binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation))
 	return Change{
 		ID: ChangeID("lifeOver." + hingeids.RequestID{
 			Instance: l,
 		}.String() + "." + string(by)),
 		Puts: map[Path][]byte{
-			LifePath(l.Host): document,
+			EndedIncarnationPath(l.Host): document,
 		},
 		Operator: string(by),
 		SentAt:   now.UnixNano(),
-		Fact:     true,
+		System:   true,
 	}
 }
 
@@ -43,7 +43,7 @@
 	return hingeids.Incarnation(binary.BigEndian.Uint64(document))
 }
 
-// OverUpTo returns the highest ended incarnation of a host, 0 if none has ended.
-func (v *View) OverUpTo(h hingeids.HostID) hingeids.Incarnation {
-	return decodeIncarnation(v.Documents[LifePath(h)])
+// EndedUpTo returns the highest ended incarnation of a host, 0 if none has ended.
+func (v *View) EndedUpTo(h hingeids.HostID) hingeids.Incarnation {
+	return decodeIncarnation(v.Documents[EndedIncarnationPath(h)])
 }
--- a/internal/agreement/hingeconfig/machine.go
+++ b/internal/agreement/hingeconfig/machine.go
@@ -26,12 +26,12 @@
 type state struct {
 	Revision  hingeids.Revision `cbor:"1,keyasint"`
 	Documents map[Path][]byte   `cbor:"2,keyasint"`
-	History   []Made            `cbor:"3,keyasint"`
+	History   []HistoryEntry    `cbor:"3,keyasint"`
 	Answers   []answerRecord    `cbor:"4,keyasint"`
-	// OperatorAt is the newest revision that an operator's change created.
-	OperatorAt hingeids.Revision `cbor:"5,keyasint"`
+	// OperatorRevision is the newest revision that an operator's change created.
+	OperatorRevision hingeids.Revision `cbor:"5,keyasint"`
 	// LastChange is the newest accepted change of an operator.
-	LastChange Winner `cbor:"6,keyasint"`
+	LastChange AcceptedChange `cbor:"6,keyasint"`
 }
 
 // Machine is the state machine. One goroutine calls Apply, Snapshot and Restore;
@@ -61,10 +61,10 @@
 
 func (m *Machine) publish() {
 	m.views.Store(&View{
-		Revision:   m.state.Revision,
-		Documents:  m.state.Documents,
-		OperatorAt: m.state.OperatorAt,
-		History:    m.state.History,
+		Revision:         m.state.Revision,
+		Documents:        m.state.Documents,
+		OperatorRevision: m.state.OperatorRevision,
+		History:          m.state.History,
 	})
 }
 
@@ -98,7 +98,7 @@
 			return r.Answer
 		}
 		return Answer{
-			Result:   OtherContent,
+			Result:   ContentMismatch,
 			Revision: m.state.Revision,
 			Problem:  "change ID " + string(c.ID) + " was used before with other content",
 		}
@@ -113,15 +113,15 @@
 }
 
 func (m *Machine) decide(c Change) Answer {
-	if c.Fact {
+	if c.System {
 		return m.acceptSystemChange(c)
 	}
 	// Rule 1.
-	if c.Expected < m.state.OperatorAt || c.Expected > m.state.Revision {
+	if c.Expected < m.state.OperatorRevision || c.Expected > m.state.Revision {
 		return Answer{
-			Result:   Conflict,
-			Revision: m.state.Revision,
-			Winner:   m.firstConflicting(c.Expected),
+			Result:         Conflict,
+			Revision:       m.state.Revision,
+			AcceptedChange: m.firstConflicting(c.Expected),
 		}
 	}
 	if n := totalBytes(withChanges(m.state.Documents, c.Puts, c.Deletes)); n > maxTotalBytes {
@@ -129,8 +129,8 @@
 			eris.Errorf("the configuration would have %d bytes, the limit is %d", n, maxTotalBytes))
 	}
 	m.accept(c)
-	m.state.OperatorAt = m.state.Revision
-	m.state.LastChange = Winner{
+	m.state.OperatorRevision = m.state.Revision
+	m.state.LastChange = AcceptedChange{
 		Operator: c.Operator,
 		ID:       c.ID,
 		Revision: m.state.Revision,
@@ -148,10 +148,10 @@
 
 // firstConflicting returns the first operator's change after the expected revision, or the
 // newest one if the history doesn't reach back that far.
-func (m *Machine) firstConflicting(expected hingeids.Revision) Winner {
+func (m *Machine) firstConflicting(expected hingeids.Revision) AcceptedChange {
 	for _, h := range m.state.History {
-		if h.Revision > expected && !h.Change.Fact && m.historyCovers(expected) {
-			return Winner{
+		if h.Revision > expected && !h.Change.System && m.historyCovers(expected) {
+			return AcceptedChange{
 				Operator: h.Change.Operator,
 				ID:       h.Change.ID,
 				Revision: h.Revision,
@@ -196,9 +196,9 @@
 	if len(old) >= maxHistory {
 		old = old[len(old)-maxHistory+1:]
 	}
-	history := make([]Made, 0, len(old)+1)
+	history := make([]HistoryEntry, 0, len(old)+1)
 	history = append(history, old...)
-	m.state.History = append(history, Made{
+	m.state.History = append(history, HistoryEntry{
 		Revision: m.state.Revision,
 		Change:   c,
 	})
--- a/internal/agreement/hingeconfig/machine_test.go
+++ b/internal/agreement/hingeconfig/machine_test.go
@@ -45,7 +45,7 @@
 	lost := Answer{
 		Result:   Conflict,
 		Revision: 1,
-		Winner: Winner{
+		AcceptedChange: AcceptedChange{
 			Operator: "yann",
 			ID:       "c1",
 			Revision: 1,
@@ -66,7 +66,7 @@
 		t.Fatal(diff)
 	}
 	other := mustApply(t, restored, put("c1", "yann", 0, "models/redacteur", "7"))
-	if other.Result != OtherContent || !strings.Contains(other.Err().Error(), "c1") {
+	if other.Result != ContentMismatch || !strings.Contains(other.Err().Error(), "c1") {
 		t.Fatalf("got %+v", other)
 	}
 	if d, _ := restored.Views().Load().Get("models/redacteur"); string(d) != "9" {
@@ -80,19 +80,19 @@
 	m := New()
 	mustApply(t, m, put("c1", "yann", 0, "models/redacteur", "9"))
 	for _, n := range []hingeids.Incarnation{5, 9, 7} {
-		mustApply(t, m, LifeOver(hingeids.Instance{
+		mustApply(t, m, InstanceEnded(hingeids.Instance{
 			Host:        "cancale-1",
 			Incarnation: n,
 		}, "roscoff-1", time.Unix(0, 0)))
 	}
 	v := m.Views().Load()
-	if v.OverUpTo("cancale-1") != 9 || v.Revision != 3 {
-		t.Fatalf("over up to %d at revision %d", v.OverUpTo("cancale-1"), v.Revision)
+	if v.EndedUpTo("cancale-1") != 9 || v.Revision != 3 {
+		t.Fatalf("over up to %d at revision %d", v.EndedUpTo("cancale-1"), v.Revision)
 	}
 	if a := mustApply(t, m, put("c2", "yann", 1, "models/redacteur", "8")); a.Result != Accepted || a.Revision != 4 {
 		t.Fatalf("got %+v", a)
 	}
-	forged := put("c3", "yann", 4, LifePath("cancale-1"), "forged")
+	forged := put("c3", "yann", 4, EndedIncarnationPath("cancale-1"), "forged")
 	if a := mustApply(t, m, forged); a.Result != Malformed {
 		t.Fatalf("got %+v", a)
 	}
@@ -125,16 +125,16 @@
 			v := m.Views().Load()
 			d, ok := v.Diff(follower.Revision, v.Revision)
 			if !ok || rapid.Bool().Draw(t, "whole") {
-				d = v.Whole()
+				d = v.FullDifference()
 			}
-			next, err := follower.With(d)
+			next, err := follower.Apply(d)
 			if err != nil {
 				t.Fatal(err)
 			}
 			if diff := cmp.Diff(v.Documents, next.Documents, cmpopts.EquateEmpty()); diff != "" {
 				t.Fatal(diff)
 			}
-			if _, err := next.With(Difference{}); err == nil && next.Revision > 0 {
+			if _, err := next.Apply(Difference{}); err == nil && next.Revision > 0 {
 				t.Fatal("went back to revision 0")
 			}
 			follower = next
@@ -170,7 +170,7 @@
 	if len(m.index) != maxAnswers || len(m.state.Answers) != maxAnswers {
 		t.Fatalf("%d kept answers", len(m.index))
 	}
-	if a := mustApply(t, m, first); a.Result != Conflict || a.Winner.ID != "c0" {
+	if a := mustApply(t, m, first); a.Result != Conflict || a.AcceptedChange.ID != "c0" {
 		t.Fatalf("got %+v", a)
 	}
 }
--- a/internal/agreement/hingeconfig/view.go
+++ b/internal/agreement/hingeconfig/view.go
@@ -9,8 +9,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Made is an accepted change with the revision that it created.
-type Made struct {
+// HistoryEntry is an accepted change with the revision that it created.
+type HistoryEntry struct {
 	Revision hingeids.Revision `cbor:"1,keyasint" json:"revision"`
 	Change   Change            `cbor:"2,keyasint" json:"change"`
 }
@@ -19,11 +19,11 @@
 type View struct {
 	Revision  hingeids.Revision
 	Documents map[Path][]byte
-	// OperatorAt is the newest revision that an operator's change created; later
+	// OperatorRevision is the newest revision that an operator's change created; later
 	// revisions contain only system changes.
-	OperatorAt hingeids.Revision
+	OperatorRevision hingeids.Revision
 	// History lists the newest changes, oldest first, one for each revision.
-	History []Made
+	History []HistoryEntry
 }
 
 // Difference turns the documents of any revision from From to To into those of To.
@@ -32,8 +32,8 @@
 	To      hingeids.Revision `cbor:"2,keyasint"`
 	Puts    map[Path][]byte   `cbor:"3,keyasint,omitempty"`
 	Deletes []Path            `cbor:"4,keyasint,omitempty"`
-	// OperatorAt is View.OperatorAt at revision To, or To where that isn't known.
-	OperatorAt hingeids.Revision `cbor:"5,keyasint,omitempty"`
+	// OperatorRevision is View.OperatorAt at revision To, or To where that isn't known.
+	OperatorRevision hingeids.Revision `cbor:"5,keyasint,omitempty"`
 }
 
 // Get returns the document at a path and whether it exists.
@@ -56,7 +56,7 @@
 		To:   to,
 		Puts: make(map[Path][]byte),
 
-		OperatorAt: min(v.OperatorAt, to),
+		OperatorRevision: min(v.OperatorRevision, to),
 	}
 	deleted := make(map[Path]bool)
 	start := len(v.History) - int(v.Revision-from)
@@ -74,26 +74,26 @@
 	return d, true
 }
 
-// Whole returns all documents as a difference from revision 0.
-func (v *View) Whole() Difference {
+// FullDifference returns all documents as a difference from revision 0.
+func (v *View) FullDifference() Difference {
 	return Difference{
 		To:   v.Revision,
 		Puts: v.Documents,
 
-		OperatorAt: v.OperatorAt,
+		OperatorRevision: v.OperatorRevision,
 	}
 }
 
-// With returns the view after a difference. The view has no history. A difference that
+// Apply returns the view after a difference. The view has no history. A difference that
 // ends before this view or begins after it is an error, so that a follower neither goes
 // back nor skips changes.
-func (v *View) With(d Difference) (*View, error) {
+func (v *View) Apply(d Difference) (*View, error) {
 	if d.To < v.Revision || d.From > v.Revision {
 		return nil, eris.Errorf("difference from revision %d to %d doesn't apply to revision %d", d.From, d.To, v.Revision)
 	}
 	next := &View{
-		Revision:   d.To,
-		OperatorAt: d.OperatorAt,
+		Revision:         d.To,
+		OperatorRevision: d.OperatorRevision,
 	}
 	if d.From == 0 {
 		// Puts holds all documents, so those missing from it were deleted.
--- a/internal/agreement/hingegroup/apply.go
+++ b/internal/agreement/hingegroup/apply.go
@@ -6,13 +6,13 @@
 )
 
 func (m *member) apply(o hingelog.Output) error {
-	if o.Install != nil {
-		if err := m.group.machine.Restore(o.Install.Data); err != nil {
+	if o.InstallSnapshot != nil {
+		if err := m.group.machine.Restore(o.InstallSnapshot.Data); err != nil {
 			return err
 		}
-		m.applied = o.Install.At.Index
+		m.applied = o.InstallSnapshot.At.Index
 		m.snapshotIndex = m.applied
-		m.members = o.Install.Members
+		m.members = o.InstallSnapshot.Members
 	}
 	for _, e := range o.Committed {
 		m.applyEntry(e)
@@ -67,7 +67,7 @@
 		return nil
 	}
 	m.snapshotIndex = m.applied
-	base := d.Before
+	base := d.BasePosition
 	return m.journal.Compact(encode(d.Snapshot), encode(journalRecord{
 		HardState: &d.HardState,
 		Entries:   d.Entries,
@@ -84,7 +84,7 @@
 	hingelog.LearnerAdded:      hingeevents.LearnerAdded,
 	hingelog.Promoted:          hingeevents.MemberPromoted,
 	hingelog.Removed:           hingeevents.MemberRemoved,
-	hingelog.ForgetfulDisk:     hingeevents.DiskForgetful,
+	hingelog.StaleDisk:         hingeevents.DiskForgetful,
 }
 
 func (m *member) recordEvents(events []hingelog.Event) {
--- a/internal/agreement/hingegroup/bring.go
+++ b/internal/agreement/hingegroup/bring.go
@@ -37,17 +37,17 @@
 	defer ticker.Stop()
 	leaderSeenAt := g.settings.Clock()
 	for {
-		status := g.Standing()
+		status := g.Status()
 		now := g.settings.Clock()
 		if !status.Leader.IsZero() {
 			leaderSeenAt = now
 		}
 		switch {
-		case status.Last == 0 && !g.tryBootstrap(ctx):
+		case status.LastIndex == 0 && !g.tryBootstrap(ctx):
 			g.requestJoin(ctx)
-		case status.Last == 1:
+		case status.LastIndex == 1:
 			g.propagateBootstrap(ctx)
-		case status.Last > 1 && !status.Members.Has(status.Self):
+		case status.LastIndex > 1 && !status.Members.Has(status.Self):
 			g.requestJoin(ctx)
 		case g.settings.Open && now.Sub(leaderSeenAt) > rejoinAfterElections*g.settings.Election:
 			// This member may have been removed while it was down (hingelog rule 13). Its
@@ -66,7 +66,7 @@
 func (g *Group) tryBootstrap(ctx context.Context) bool {
 	hosts := slices.Clone(g.settings.Hosts)
 	slices.Sort(hosts)
-	if g.settings.Joins || len(hosts) == 0 || hosts[0] != g.settings.Self {
+	if g.settings.JoinOnly || len(hosts) == 0 || hosts[0] != g.settings.Self {
 		return false
 	}
 	var voters []hingelog.Member
@@ -111,16 +111,16 @@
 func (m *member) diskState() diskState {
 	return diskState{
 		Member: m.self,
-		Empty:  m.log.Standing().Last == 0,
+		Empty:  m.log.Status().LastIndex == 0,
 	}
 }
 
 // bootstrap writes the bootstrap snapshot if this disk is empty and one of the voters.
 func (m *member) bootstrap(now time.Time, members hingelog.Members) error {
-	if m.log.Standing().Last > 0 || !members.HasVoter(m.self) {
+	if m.log.Status().LastIndex > 0 || !members.HasVoter(m.self) {
 		return eris.New("bootstrap refused: this disk isn't empty or isn't among the voters")
 	}
-	d := hingelog.Stored{
+	d := hingelog.DurableState{
 		HardState: hingelog.HardState{
 			Term: 1,
 		},
@@ -132,10 +132,10 @@
 			Members: members,
 		},
 	}
-	d.Before = d.Snapshot.At
+	d.BasePosition = d.Snapshot.At
 	err := m.journal.Compact(encode(d.Snapshot), encode(journalRecord{
 		HardState: &d.HardState,
-		Base:      &d.Before,
+		Base:      &d.BasePosition,
 	}))
 	if err != nil {
 		return err
@@ -150,7 +150,7 @@
 
 // propagateBootstrap sends the bootstrap members to the other voters unless there is a leader.
 func (g *Group) propagateBootstrap(ctx context.Context) {
-	s := g.Standing()
+	s := g.Status()
 	if !s.Leader.IsZero() {
 		return
 	}
@@ -191,7 +191,7 @@
 func (g *Group) requestJoin(ctx context.Context) {
 	callCtx, stop := context.WithTimeout(ctx, g.settings.Election)
 	defer stop()
-	self := g.Standing().Self
+	self := g.Status().Self
 	contacted := g.knownHosts()
 	answers := g.requestJoinFrom(callCtx, self, contacted)
 	var others []hingeids.HostID
@@ -253,12 +253,12 @@
 // disk is empty and not newer already, since a new incarnation isn't bound by what the
 // old one has confirmed.
 func (m *member) renewDisk(now time.Time, above hingeids.Incarnation) error {
-	if m.log.Standing().Last > 0 || m.self.Disk > above {
+	if m.log.Status().LastIndex > 0 || m.self.Disk > above {
 		return nil
 	}
 	s := m.group.settings
 	_ = m.journal.Close()
-	if err := hingejournal.Renew(m.files, s.Self, s.Name, above, s.Today()); err != nil {
+	if err := hingejournal.RenewIdentity(m.files, s.Self, s.Name, above, s.WallClock()); err != nil {
 		return err
 	}
 	if err := m.openJournal(now); err != nil {
@@ -277,7 +277,7 @@
 		if a.Newest = g.member.newerDisk(x); a.Newest > 0 {
 			return nil
 		}
-		if a.Leader = g.member.log.Standing().Leader.Host; a.Leader != "" && a.Leader != g.settings.Self {
+		if a.Leader = g.member.log.Status().Leader.Host; a.Leader != "" && a.Leader != g.settings.Self {
 			return nil
 		}
 		return g.member.addLearner(now, x)
@@ -292,7 +292,7 @@
 // than x, else 0.
 func (m *member) newerDisk(x hingelog.Member) hingeids.Incarnation {
 	newest := hingeids.Incarnation(0)
-	for _, o := range m.log.Standing().Members.All() {
+	for _, o := range m.log.Status().Members.All() {
 		if o.Host == x.Host && o.Disk > x.Disk {
 			newest = max(newest, o.Disk)
 		}
@@ -303,13 +303,13 @@
 // addLearner adds x as a learner if its host is a member, is admitted or the group is open.
 func (m *member) addLearner(now time.Time, x hingelog.Member) error {
 	allowed := m.admitted[string(x.Host)] || m.group.settings.Open
-	for _, o := range m.log.Standing().Members.All() {
+	for _, o := range m.log.Status().Members.All() {
 		allowed = allowed || o.Host == x.Host
 	}
 	if !allowed {
 		return eris.Errorf("host %s isn't a member, and no operator admitted it", x.Host)
 	}
-	return m.log.Reconfigure(now, hingelog.Change{
+	return m.log.ChangeMembers(now, hingelog.Change{
 		Kind:   hingelog.AddLearner,
 		Member: x,
 	})
@@ -378,9 +378,9 @@
 		return nil
 	}
 	delete(m.admitted, string(c.Remove))
-	for _, x := range m.log.Standing().Members.All() {
+	for _, x := range m.log.Status().Members.All() {
 		if x.Host == c.Remove {
-			return m.log.Reconfigure(now, hingelog.Change{
+			return m.log.ChangeMembers(now, hingelog.Change{
 				Kind:   hingelog.Remove,
 				Member: x,
 			})
--- a/internal/agreement/hingegroup/group.go
+++ b/internal/agreement/hingegroup/group.go
@@ -34,8 +34,8 @@
 	Hosts []hingeids.HostID
 	// Open lets any host with a disk join (rule 7). Hosts are then only the first contacts.
 	Open bool
-	// Joins says that the group was bootstrapped before, so this host may only join.
-	Joins bool
+	// JoinOnly says that the group was bootstrapped before, so this host may only join.
+	JoinOnly bool
 	// Voters is the number of voters to keep; zero means all members (hingelog rule 13).
 	Voters int
 	// Election and Heartbeat are the times of hingelog.Settings; zero means its defaults.
@@ -45,8 +45,8 @@
 	CompactAfter int
 	// Clock is the clock of the leases. It must include the time for which a host is suspended.
 	Clock func() time.Time
-	// Today returns the time of day, the incarnation of a new disk; nil means Clock.
-	Today func() time.Time
+	// WallClock returns the time of day, the incarnation of a new disk; nil means Clock.
+	WallClock func() time.Time
 	// Seed seeds the random election times and must differ at each start.
 	Seed     uint64
 	Recorder *hingeevents.Recorder
@@ -64,13 +64,13 @@
 
 func (s Settings) withDefaults() Settings {
 	if s.Election == 0 {
-		s.Election = hingelog.DefaultElection
+		s.Election = hingelog.DefaultElectionTimeout
 	}
 	if s.Heartbeat == 0 {
-		s.Heartbeat = hingelog.DefaultHeartbeat
+		s.Heartbeat = hingelog.DefaultHeartbeatInterval
 	}
-	if s.Today == nil {
-		s.Today = s.Clock
+	if s.WallClock == nil {
+		s.WallClock = s.Clock
 	}
 	if s.CompactAfter == 0 {
 		s.CompactAfter = defaultCompactAfter
@@ -78,14 +78,14 @@
 	return s
 }
 
-// Standing is the status of a host in the group at one moment.
-type Standing struct {
-	hingelog.Standing
+// Status is the status of a host in the group at one moment.
+type Status struct {
+	hingelog.Status
 	// Applied is the newest index that the local state machine has applied.
 	Applied hingelog.Index
-	// LeadsUntil is the end of the leader lease; zero unless this host leads.
-	LeadsUntil time.Time
-	Journal    hingejournal.Counts
+	// LeaseUntil is the end of the leader lease; zero unless this host leads.
+	LeaseUntil time.Time
+	Journal    hingejournal.Totals
 }
 
 // Group is one host's part in a group. On a host without a disk it only forwards
@@ -96,7 +96,7 @@
 	machine  StateMachine
 	member   *member
 	inbox    chan func(now time.Time)
-	status   hingeboard.Cell[Standing]
+	status   hingeboard.Cell[Status]
 	hint     hingeboard.Cell[leaderHint]
 	senders  *senders
 	// extraHosts are hosts to contact besides those of the settings.
@@ -106,7 +106,7 @@
 
 // New opens a host's part and registers its handlers at the link. A host without a
 // disk passes nil for files and m.
-func New(s Settings, link hingelink.Link, files hingejournal.Files, m StateMachine) (*Group, error) {
+func New(s Settings, link hingelink.Link, files hingejournal.Directory, m StateMachine) (*Group, error) {
 	g := &Group{
 		settings: s.withDefaults(),
 		link:     link,
@@ -114,7 +114,7 @@
 		inbox:    make(chan func(now time.Time), inboxSize),
 		done:     make(chan struct{}),
 	}
-	g.status.Store(&Standing{})
+	g.status.Store(&Status{})
 	if files == nil {
 		return g, nil
 	}
@@ -128,9 +128,9 @@
 	return g, nil
 }
 
-// Meet sets the hosts to contact besides those of the settings, which may be outdated.
+// SetExtraHosts sets the hosts to contact besides those of the settings, which may be outdated.
 // It replaces those of the last call.
-func (g *Group) Meet(hosts []hingeids.HostID) {
+func (g *Group) SetExtraHosts(hosts []hingeids.HostID) {
 	list := slices.Clone(hosts)
 	g.extraHosts.Store(&list)
 }
@@ -141,27 +141,27 @@
 	if extra := g.extraHosts.Load(); extra != nil {
 		list = append(list, *extra...)
 	}
-	for _, m := range g.Standing().Members.All() {
+	for _, m := range g.Status().Members.All() {
 		list = append(list, m.Host)
 	}
 	slices.Sort(list)
 	return slices.Compact(list)
 }
 
-// Standing returns the present status of this host.
-func (g *Group) Standing() Standing {
+// Status returns the present status of this host.
+func (g *Group) Status() Status {
 	return *g.status.Load()
 }
 
-// Standings returns the cell that holds the newest status.
-func (g *Group) Standings() *hingeboard.Cell[Standing] {
+// StatusCell returns the cell that holds the newest status.
+func (g *Group) StatusCell() *hingeboard.Cell[Status] {
 	return &g.status
 }
 
 // Leader returns the last known leader, or "" if none is known.
 func (g *Group) Leader() hingeids.HostID {
 	if g.member != nil {
-		return g.Standing().Leader.Host
+		return g.Status().Leader.Host
 	}
 	if b := g.hint.Load(); b != nil {
 		return b.host
@@ -173,7 +173,7 @@
 // as the fencing number.
 func (g *Group) Leading(now time.Time) (hingeids.Fence, bool) {
 	s := g.status.Load()
-	return hingeids.Fence(s.Term), s.Leads && now.Before(s.LeadsUntil)
+	return hingeids.Fence(s.Term), s.IsLeader && now.Before(s.LeaseUntil)
 }
 
 // Done returns a channel that is closed when Run returns.
@@ -181,8 +181,8 @@
 	return g.done
 }
 
-// ErrForgetfulDisk is returned by Run if the disk is an older copy (hingelog rule 12).
-var ErrForgetfulDisk = eris.New("the disk holds less than this host has confirmed: " +
+// ErrStaleDisk is returned by Run if the disk is an older copy (hingelog rule 12).
+var ErrStaleDisk = eris.New("the disk holds less than this host has confirmed: " +
 	"move its folder away and start again, and the host is repaired as one with a new disk")
 
 // Run runs the loop until the context is done. It returns an error if the disk is an
--- a/internal/agreement/hingegroup/group_test.go
+++ b/internal/agreement/hingegroup/group_test.go
@@ -281,7 +281,7 @@
 			h.kill(id)
 			h.start(id, newMemoryDisk())
 			time.Sleep(4 * time.Second)
-			s := h.leader().group.Standing()
+			s := h.leader().group.Status()
 			if len(s.Members.Voters) != 3 || len(s.Members.Learners) != 0 {
 				t.Fatalf("members are %+v", s.Members)
 			}
@@ -301,9 +301,9 @@
 
 // measure returns the number of syncs at a host and the time that a call of f takes.
 func (h *cluster) measure(x *host, f func()) (int64, time.Duration) {
-	before, start := x.group.Standing().Journal.Syncs, time.Now()
+	before, start := x.group.Status().Journal.Syncs, time.Now()
 	f()
-	return x.group.Standing().Journal.Syncs - before, time.Since(start)
+	return x.group.Status().Journal.Syncs - before, time.Since(start)
 }
 
 // Concurrent proposals must share syncs. With one sync for each, the disk would limit the
@@ -384,7 +384,7 @@
 		time.Sleep(time.Second)
 		h.kill(again.id)
 		old := h.start(x.id, disk)
-		if err := <-old.runErr; !errors.Is(err, ErrForgetfulDisk) {
+		if err := <-old.runErr; !errors.Is(err, ErrStaleDisk) {
 			t.Fatalf("Run returned %v", err)
 		}
 		delete(h.hosts, x.id)
--- a/internal/agreement/hingegroup/history_test.go
+++ b/internal/agreement/hingegroup/history_test.go
@@ -163,13 +163,13 @@
 		if x.disk == nil {
 			continue
 		}
-		s := x.group.Standing()
-		if !s.Leads || s.Applied < s.Last || len(s.Members.Learners) > 0 {
+		s := x.group.Status()
+		if !s.IsLeader || s.Applied < s.LastIndex || len(s.Members.Learners) > 0 {
 			continue
 		}
 		voters := 0
 		for _, m := range s.Members.Voters {
-			if o := r.hosts[m.Host]; o != nil && o.group.Standing().Self == m {
+			if o := r.hosts[m.Host]; o != nil && o.group.Status().Self == m {
 				voters++
 			}
 		}
@@ -204,8 +204,8 @@
 			r.t.Errorf("change %s was reported as not run, but created revision %d", x.change.ID, at)
 		case x.answer.Result == hingeconfig.Accepted && at != x.answer.Revision:
 			r.t.Errorf("change %s was reported as revision %d, but the history has it at %d", x.change.ID, x.answer.Revision, at)
-		case x.answer.Result == hingeconfig.Conflict && (at != 0 || made[x.answer.Winner.ID] != x.answer.Winner.Revision):
-			r.t.Errorf("change %s was reported as a conflict with %+v, but the history has it at %d", x.change.ID, x.answer.Winner, at)
+		case x.answer.Result == hingeconfig.Conflict && (at != 0 || made[x.answer.AcceptedChange.ID] != x.answer.AcceptedChange.Revision):
+			r.t.Errorf("change %s was reported as a conflict with %+v, but the history has it at %d", x.change.ID, x.answer.AcceptedChange, at)
 		}
 	}
 }
--- a/internal/agreement/hingegroup/member.go
+++ b/internal/agreement/hingegroup/member.go
@@ -16,10 +16,10 @@
 type member struct {
 	group   *Group
 	self    hingelog.Member
-	files   hingejournal.Files
+	files   hingejournal.Directory
 	journal *hingejournal.Journal
 	log     *hingelog.Log
-	stored  hingelog.Stored
+	stored  hingelog.DurableState
 	applied hingelog.Index
 	// snapshotIndex is the last index in the newest snapshot.
 	snapshotIndex hingelog.Index
@@ -43,7 +43,7 @@
 	Base *hingelog.Position `cbor:"3,keyasint,omitempty"`
 }
 
-func openMember(g *Group, files hingejournal.Files) (*member, error) {
+func openMember(g *Group, files hingejournal.Directory) (*member, error) {
 	now := g.settings.Clock()
 	m := &member{
 		group:    g,
@@ -60,7 +60,7 @@
 // openJournal opens the journal and decodes its content into stored.
 func (m *member) openJournal(now time.Time) error {
 	s := m.group.settings
-	j, found, err := hingejournal.Open(m.files, s.Self, s.Name, s.Today())
+	j, found, err := hingejournal.Open(m.files, s.Self, s.Name, s.WallClock())
 	if err != nil {
 		return err
 	}
@@ -75,9 +75,9 @@
 	}
 	m.journal = j
 	m.stored = stored
-	if found.Cut > 0 {
+	if found.TornBytes > 0 {
 		s.Recorder.Record(now, hingeevents.JournalCut, hingeevents.Fields{
-			Count:  int64(found.Cut),
+			Count:  int64(found.TornBytes),
 			Detail: s.Name,
 		})
 	}
@@ -91,7 +91,7 @@
 // opened (rule 8). It returns nil when the context is done.
 func (m *member) reopen(ctx context.Context) error {
 	m.failWaiters()
-	m.group.status.Store(&Standing{})
+	m.group.status.Store(&Status{})
 	for {
 		_ = m.journal.Close()
 		select {
@@ -107,14 +107,14 @@
 	}
 }
 
-func restoreStored(found hingejournal.Found) (hingelog.Stored, error) {
-	var d hingelog.Stored
+func restoreStored(found hingejournal.Recovered) (hingelog.DurableState, error) {
+	var d hingelog.DurableState
 	if found.Snapshot != nil {
 		if err := cbor.Unmarshal(found.Snapshot, &d.Snapshot); err != nil {
 			return d, eris.Wrap(err, "decode journal snapshot")
 		}
 	}
-	d.Before = d.Snapshot.At
+	d.BasePosition = d.Snapshot.At
 	for _, b := range found.Records {
 		var r journalRecord
 		if err := cbor.Unmarshal(b, &r); err != nil {
@@ -127,18 +127,18 @@
 	return d, nil
 }
 
-func (r journalRecord) applyTo(d *hingelog.Stored) error {
+func (r journalRecord) applyTo(d *hingelog.DurableState) error {
 	if r.Base != nil {
-		d.Before = *r.Base
+		d.BasePosition = *r.Base
 		d.Entries = nil
 	}
 	if r.HardState != nil {
 		d.HardState = *r.HardState
 	}
 	for _, e := range r.Entries {
-		offset := int64(e.Index) - int64(d.Before.Index) - 1
+		offset := int64(e.Index) - int64(d.BasePosition.Index) - 1
 		if offset < 0 || offset > int64(len(d.Entries)) {
-			return eris.Errorf("journal: entry %d doesn't follow %d", e.Index, int(d.Before.Index)+len(d.Entries))
+			return eris.Errorf("journal: entry %d doesn't follow %d", e.Index, int(d.BasePosition.Index)+len(d.Entries))
 		}
 		d.Entries = append(d.Entries[:offset], e)
 	}
@@ -155,12 +155,12 @@
 	m.snapshotIndex = m.applied
 	m.members = m.stored.Snapshot.Members
 	m.log = hingelog.New(now, hingelog.Settings{
-		Self:      m.self,
-		Election:  s.Election,
-		Heartbeat: s.Heartbeat,
-		Seed:      s.Seed,
-		Voters:    s.Voters,
-		Silence:   hingelog.DefaultSilence,
+		Self:              m.self,
+		ElectionTimeout:   s.Election,
+		HeartbeatInterval: s.Heartbeat,
+		Seed:              s.Seed,
+		Voters:            s.Voters,
+		SilenceTimeout:    hingelog.DefaultSilenceTimeout,
 	}, m.stored)
 	m.stored.Entries = nil
 	m.publish(now)
@@ -192,8 +192,8 @@
 			}
 			continue
 		}
-		if m.log.Forgetful() {
-			return ErrForgetfulDisk
+		if m.log.HasStaleDisk() {
+			return ErrStaleDisk
 		}
 	}
 }
@@ -214,12 +214,12 @@
 // Only messages that hingelog.Output.Early allows are sent before the sync.
 func (m *member) processOutput() error {
 	for {
-		o := m.log.Take()
+		o := m.log.DrainOutput()
 		if o.Empty() {
 			m.publish(m.group.settings.Clock())
 			return nil
 		}
-		early, late := o.Early()
+		early, late := o.SplitMessages()
 		m.group.senders.send(early)
 		if err := m.store(o); err != nil {
 			m.group.settings.Recorder.Record(m.group.settings.Clock(), hingeevents.JournalFailed, hingeevents.Fields{
@@ -228,7 +228,7 @@
 			return err
 		}
 		m.group.senders.send(late)
-		m.log.Synced(m.group.settings.Clock())
+		m.log.MarkSynced(m.group.settings.Clock())
 		if err := m.apply(o); err != nil {
 			return err
 		}
@@ -239,17 +239,17 @@
 }
 
 func (m *member) store(o hingelog.Output) error {
-	if o.Install != nil {
+	if o.InstallSnapshot != nil {
 		// The snapshot replaces the whole journal.
-		base := o.Install.At
+		base := o.InstallSnapshot.At
 		hard := m.log.HardState()
-		return m.journal.Compact(encode(o.Install), encode(journalRecord{
+		return m.journal.Compact(encode(o.InstallSnapshot), encode(journalRecord{
 			HardState: &hard,
 			Entries:   o.Entries,
 			Base:      &base,
 		}))
 	}
-	if !o.MustSync() {
+	if !o.NeedsSync() {
 		return nil
 	}
 	return m.journal.Append(encode(journalRecord{
@@ -268,13 +268,13 @@
 }
 
 func (m *member) publish(now time.Time) {
-	s := Standing{
-		Standing: m.log.Standing(),
-		Applied:  m.applied,
-		Journal:  m.journal.Counts(),
+	s := Status{
+		Status:  m.log.Status(),
+		Applied: m.applied,
+		Journal: m.journal.Totals(),
 	}
 	if m.log.MayLead(now) {
-		s.LeadsUntil = m.log.LeaseEnd(now)
+		s.LeaseUntil = m.log.LeaseEnd(now)
 	}
 	m.group.status.Store(&s)
 }
--- a/internal/agreement/hingegroup/memory_test.go
+++ b/internal/agreement/hingegroup/memory_test.go
@@ -48,7 +48,7 @@
 	}, nil
 }
 
-func (m *memoryDisk) Extend(name string) (hingejournal.File, error) {
+func (m *memoryDisk) OpenAppend(name string) (hingejournal.File, error) {
 	return &memoryFile{
 		memoryDisk: m,
 		name:       name,
--- a/internal/agreement/hingegroup/open_test.go
+++ b/internal/agreement/hingegroup/open_test.go
@@ -33,8 +33,8 @@
 	}, err
 }
 
-func (f *fillableDisk) Extend(name string) (hingejournal.File, error) {
-	file, err := f.memoryDisk.Extend(name)
+func (f *fillableDisk) OpenAppend(name string) (hingejournal.File, error) {
+	file, err := f.memoryDisk.OpenAppend(name)
 	return &fillableFile{
 		File: file,
 		disk: f,
@@ -102,14 +102,14 @@
 	var err error
 	clockLag := g.clockLag
 	x.group, err = New(Settings{
-		Name:   "config",
-		Self:   id,
-		Hosts:  seeds,
-		Open:   true,
-		Joins:  !bootstraps,
-		Voters: 3,
-		Clock:  time.Now,
-		Today: func() time.Time {
+		Name:     "config",
+		Self:     id,
+		Hosts:    seeds,
+		Open:     true,
+		JoinOnly: !bootstraps,
+		Voters:   3,
+		Clock:    time.Now,
+		WallClock: func() time.Time {
 			return time.Now().Add(-clockLag)
 		},
 		Seed: g.starts,
@@ -166,7 +166,7 @@
 
 func (g *openGroup) voters(at hingeids.HostID) map[hingeids.HostID]bool {
 	out := make(map[hingeids.HostID]bool)
-	for _, m := range g.hosts[at].group.Standing().Members.Voters {
+	for _, m := range g.hosts[at].group.Status().Members.Voters {
 		out[m.Host] = true
 	}
 	return out
@@ -187,7 +187,7 @@
 		time.Sleep(4 * time.Second)
 		g.mustChange("core-4", 2)
 		time.Sleep(time.Second)
-		if got := g.hosts["core-4"].machine.Views().Load().Version; got != 2 {
+		if got := g.hosts["core-4"].machine.Documents().Load().Version; got != 2 {
 			t.Fatalf("the new host holds version %d", got)
 		}
 	})
@@ -203,7 +203,7 @@
 		if v := g.voters("core-1"); len(v) != 3 || v["core-4"] {
 			t.Fatalf("voters %v", v)
 		}
-		if got := g.hosts["core-4"].machine.Views().Load().Version; got != 1 {
+		if got := g.hosts["core-4"].machine.Documents().Load().Version; got != 1 {
 			t.Fatalf("the spare host holds version %d", got)
 		}
 	})
@@ -220,7 +220,7 @@
 		g.mustChange("core-1", 2)
 		g.start("core-3", away.disk, false)
 		time.Sleep(8 * time.Second)
-		if got := g.hosts["core-3"].machine.Views().Load().Version; got != 2 {
+		if got := g.hosts["core-3"].machine.Documents().Load().Version; got != 2 {
 			t.Fatalf("the returned host holds version %d", got)
 		}
 		if v := g.voters("core-1"); len(v) != 3 || v["core-3"] {
@@ -239,7 +239,7 @@
 		time.Sleep(time.Second)
 		g.start("core-3", &fillableDisk{memoryDisk: newMemoryDisk()}, false)
 		time.Sleep(3 * time.Second)
-		if got := g.hosts["core-3"].machine.Views().Load().Version; got != 1 {
+		if got := g.hosts["core-3"].machine.Documents().Load().Version; got != 1 {
 			t.Fatalf("the repaired host holds version %d", got)
 		}
 		if v := g.voters("core-1"); !v["core-3"] {
@@ -263,7 +263,7 @@
 			time.Sleep(5 * time.Second)
 			g.hosts[full].disk.full = false
 			time.Sleep(4 * time.Second)
-			if got := g.hosts[full].machine.Views().Load().Version; got != 2 {
+			if got := g.hosts[full].machine.Documents().Load().Version; got != 2 {
 				t.Errorf("%s holds version %d after its disk had free space again", full, got)
 			}
 			g.mustChange(full, 3)
@@ -288,7 +288,7 @@
 		g.mustChange("core-1", 2)
 		time.Sleep(time.Second)
 		for _, id := range seeds {
-			if got := g.hosts[id].machine.Views().Load().Version; got != 2 {
+			if got := g.hosts[id].machine.Documents().Load().Version; got != 2 {
 				t.Errorf("%s holds version %d", id, got)
 			}
 		}
@@ -304,7 +304,7 @@
 		g.clockLag = time.Hour
 		g.start("core-3", &fillableDisk{memoryDisk: newMemoryDisk()}, false)
 		time.Sleep(8 * time.Second)
-		if got := g.hosts["core-3"].machine.Views().Load().Version; got != 1 {
+		if got := g.hosts["core-3"].machine.Documents().Load().Version; got != 1 {
 			t.Fatalf("the repaired host holds version %d", got)
 		}
 		g.kill("core-2")
@@ -337,7 +337,7 @@
 		g.kill("core-1")
 		g.start("core-1", &fillableDisk{memoryDisk: newMemoryDisk()}, false)
 		time.Sleep(10 * time.Second)
-		if got := g.hosts["core-1"].machine.Views().Load().Version; got != 1 {
+		if got := g.hosts["core-1"].machine.Documents().Load().Version; got != 1 {
 			t.Fatalf("the repaired host holds version %d", got)
 		}
 	})
--- a/internal/agreement/hingegroup/propose.go
+++ b/internal/agreement/hingegroup/propose.go
@@ -122,7 +122,7 @@
 // sent to an unresponsive host may have run.
 func (g *Group) findLeader(ctx context.Context) hingeids.HostID {
 	if g.member != nil {
-		return g.Standing().Leader.Host
+		return g.Status().Leader.Host
 	}
 	b := g.hint.Load()
 	if b != nil && b.host != "" && g.settings.Clock().Sub(b.seenAt) < g.settings.Election {
@@ -204,7 +204,7 @@
 
 func (g *Group) superseded(ctx context.Context, leader hingeids.HostID) bool {
 	if g.member != nil {
-		s := g.Standing()
+		s := g.Status()
 		return s.Leader.Host != leader || leader == g.settings.Self && g.leaseLapsed(s)
 	}
 	h := g.discoverLeader(ctx)
@@ -214,8 +214,8 @@
 // leaseLapsed reports whether the lease in this host's own status ended more than an
 // election time ago. The loop is then blocked by a stalled disk, so the status is stale and
 // proposals here would wait until the disk answers.
-func (g *Group) leaseLapsed(s Standing) bool {
-	return !s.LeadsUntil.IsZero() && g.settings.Clock().After(s.LeadsUntil.Add(g.settings.Election))
+func (g *Group) leaseLapsed(s Status) bool {
+	return !s.LeaseUntil.IsZero() && g.settings.Clock().After(s.LeaseUntil.Add(g.settings.Election))
 }
 
 func (g *Group) callHost(ctx context.Context, h hingeids.HostID, operation string, body []byte) (outcome, error) {
@@ -278,7 +278,7 @@
 // redirect returns the leader to which a refused caller can go, or "" if there is none or
 // it is this host.
 func (m *member) redirect() hingeids.HostID {
-	if h := m.log.Standing().Leader.Host; h != m.self.Host {
+	if h := m.log.Status().Leader.Host; h != m.self.Host {
 		return h
 	}
 	return ""
--- a/internal/agreement/hingejournal/fakedisk_test.go
+++ b/internal/agreement/hingejournal/fakedisk_test.go
@@ -101,7 +101,7 @@
 	}, nil
 }
 
-func (d *fakeDisk) Extend(name string) (File, error) {
+func (d *fakeDisk) OpenAppend(name string) (File, error) {
 	i := d.names[name]
 	if i == nil {
 		return nil, fs.ErrNotExist
--- a/internal/agreement/hingejournal/files.go
+++ b/internal/agreement/hingejournal/files.go
@@ -16,14 +16,14 @@
 	Close() error
 }
 
-// Files is the folder that holds the journal. File names are relative to it and have no path.
-type Files interface {
+// Directory is the folder that holds the journal. File names are relative to it and have no path.
+type Directory interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
 	// Create creates an empty file and truncates an existing one.
 	Create(name string) (File, error)
-	// Extend opens an existing file for appending.
-	Extend(name string) (File, error)
+	// OpenAppend opens an existing file for appending.
+	OpenAppend(name string) (File, error)
 	// Truncate shortens a file to a size in bytes and syncs it.
 	Truncate(name string, size int64) error
 	Rename(from, to string) error
@@ -34,8 +34,8 @@
 
 type folder string
 
-// Folder opens a folder of the file system and creates it if it doesn't exist.
-func Folder(path string) (Files, error) {
+// OpenDirectory opens a folder of the file system and creates it if it doesn't exist.
+func OpenDirectory(path string) (Directory, error) {
 	if err := os.MkdirAll(path, 0o700); err != nil {
 		return nil, eris.Wrap(err, "create data folder")
 	}
@@ -70,7 +70,7 @@
 	return os.OpenFile(f.path(name), os.O_CREATE|os.O_TRUNC|os.O_WRONLY|os.O_APPEND, 0o600)
 }
 
-func (f folder) Extend(name string) (File, error) {
+func (f folder) OpenAppend(name string) (File, error) {
 	return os.OpenFile(f.path(name), os.O_WRONLY|os.O_APPEND, 0)
 }
 
--- a/internal/agreement/hingejournal/identity.go
+++ b/internal/agreement/hingejournal/identity.go
@@ -28,7 +28,7 @@
 )
 
 // loadOrCreateIdentity reads the identity or creates one in an empty folder. The result is true if it was created.
-func loadOrCreateIdentity(f Files, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
+func loadOrCreateIdentity(f Directory, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
 	names, err := f.List()
 	if err != nil {
 		return Identity{}, false, eris.Wrap(err, "list data folder")
@@ -60,10 +60,10 @@
 	return id, true, writeAtomically(f, identityFile, encodeIdentity(id))
 }
 
-// Renew replaces the identity of a folder whose journal is empty by one with a disk incarnation above the
+// RenewIdentity replaces the identity of a folder whose journal is empty by one with a disk incarnation above the
 // given one. A host needs it if its clock was behind when its folder was created: the other members would
 // consider its disk older than one that it has lost and would never admit it.
-func Renew(f Files, host hingeids.HostID, group string, above hingeids.Incarnation, now time.Time) error {
+func RenewIdentity(f Directory, host hingeids.HostID, group string, above hingeids.Incarnation, now time.Time) error {
 	names, err := f.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
@@ -109,7 +109,7 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-func readIdentity(f Files) (Identity, error) {
+func readIdentity(f Directory) (Identity, error) {
 	b, err := f.Read(identityFile)
 	if err != nil {
 		return Identity{}, eris.Wrapf(err, "read %s", identityFile)
@@ -131,7 +131,7 @@
 
 // writeAtomically writes a file so that after a crash either its new or its previous content
 // is there, and whole (rule 5).
-func writeAtomically(f Files, name string, content []byte) error {
+func writeAtomically(f Directory, name string, content []byte) error {
 	if err := writeSynced(f, name+temporarySuffix, content); err != nil {
 		return eris.Wrapf(err, "write %s", name)
 	}
@@ -141,7 +141,7 @@
 	return eris.Wrapf(f.Sync(), "sync data folder after renaming %s", name)
 }
 
-func writeSynced(f Files, name string, content []byte) error {
+func writeSynced(f Directory, name string, content []byte) error {
 	file, err := f.Create(name)
 	if err != nil {
 		return err
--- a/internal/agreement/hingejournal/journal.go
+++ b/internal/agreement/hingejournal/journal.go
@@ -15,65 +15,65 @@
 // all segments since the last snapshot.
 const segmentLimit = 8 << 20
 
-// ErrBroken is returned by Append and Compact after a failed write or sync (rule 2).
-var ErrBroken = eris.New("journal is closed to writes after a failed write or sync: the contents of the disk are unknown")
+// ErrJournalFailed is returned by Append and Compact after a failed write or sync (rule 2).
+var ErrJournalFailed = eris.New("journal is closed to writes after a failed write or sync: the contents of the disk are unknown")
 
-// Counts are the totals of a journal since it was opened.
-type Counts struct {
+// Totals are the totals of a journal since it was opened.
+type Totals struct {
 	Syncs   int64
 	Records int64
 	Bytes   int64
 }
 
-// Found is the state that Open read from the folder.
-type Found struct {
+// Recovered is the state that Open read from the folder.
+type Recovered struct {
 	Identity Identity
-	// Fresh is true if the folder was empty, so the disk is new.
-	Fresh bool
+	// NewDisk is true if the folder was empty, so the disk is new.
+	NewDisk bool
 	// Snapshot is nil if none has been written.
 	Snapshot []byte
 	// Records are those stored with the snapshot, then those appended after it.
 	Records [][]byte
-	// Cut is the size in bytes of the torn frame that was truncated.
-	Cut int
+	// TornBytes is the size in bytes of the torn frame that was truncated.
+	TornBytes int
 }
 
 // Journal appends records. It is not safe for concurrent use.
 type Journal struct {
-	files        Files
+	files        Directory
 	identityHash identityHash
 	nextSequence uint64
 	segmentFile  File
 	segmentName  string
 	segmentSize  int64
 	buffer       []byte
-	counts       Counts
+	counts       Totals
 	failed       bool
 }
 
 // Open opens the journal of a host's group, or creates it in an empty folder with a disk
 // incarnation derived from now.
-func Open(f Files, host hingeids.HostID, group string, now time.Time) (*Journal, Found, error) {
+func Open(f Directory, host hingeids.HostID, group string, now time.Time) (*Journal, Recovered, error) {
 	id, fresh, err := loadOrCreateIdentity(f, host, group, now)
 	if err != nil {
-		return nil, Found{}, err
+		return nil, Recovered{}, err
 	}
 	j := &Journal{
 		files:        f,
 		identityHash: id.identityHash(),
 		nextSequence: 1,
 	}
-	found := Found{
+	found := Recovered{
 		Identity: id,
-		Fresh:    fresh,
+		NewDisk:  fresh,
 	}
 	if err := j.load(&found); err != nil {
-		return nil, Found{}, err
+		return nil, Recovered{}, err
 	}
 	return j, found, nil
 }
 
-func (j *Journal) load(found *Found) error {
+func (j *Journal) load(found *Recovered) error {
 	names, err := j.files.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
@@ -91,7 +91,7 @@
 
 // loadSnapshot reads the newest snapshot. Falling back from a damaged one to an older one
 // would silently lose records, so damage is an error.
-func (j *Journal) loadSnapshot(names []string, found *Found) error {
+func (j *Journal) loadSnapshot(names []string, found *Recovered) error {
 	newest := ""
 	for _, n := range names {
 		if strings.HasSuffix(n, snapshotSuffix) {
@@ -143,7 +143,7 @@
 	return fmt.Sprintf("%016x%s", first, suffix)
 }
 
-func (j *Journal) loadSegments(names []string, found *Found) error {
+func (j *Journal) loadSegments(names []string, found *Recovered) error {
 	for i, n := range names {
 		last := i == len(names)-1
 		b, err := j.files.Read(n)
@@ -163,8 +163,8 @@
 		if !last {
 			continue
 		}
-		found.Cut = len(b) - validSize
-		return j.openLastSegment(n, int64(validSize), found.Cut > 0)
+		found.TornBytes = len(b) - validSize
+		return j.openLastSegment(n, int64(validSize), found.TornBytes > 0)
 	}
 	return j.startSegment()
 }
@@ -176,7 +176,7 @@
 			return eris.Wrapf(err, "truncate %s", name)
 		}
 	}
-	file, err := j.files.Extend(name)
+	file, err := j.files.OpenAppend(name)
 	if err != nil {
 		return eris.Wrapf(err, "open %s", name)
 	}
@@ -214,7 +214,7 @@
 // Append writes the records as one frame and syncs it (rules 1 and 2).
 func (j *Journal) Append(records ...[]byte) error {
 	if j.failed {
-		return ErrBroken
+		return ErrJournalFailed
 	}
 	err := j.append(records)
 	j.failed = err != nil
@@ -249,7 +249,7 @@
 // stored with it (rule 5).
 func (j *Journal) Compact(snapshot []byte, kept ...[]byte) error {
 	if j.failed {
-		return ErrBroken
+		return ErrJournalFailed
 	}
 	err := j.compact(snapshot, kept)
 	j.failed = err != nil
@@ -277,8 +277,8 @@
 	return err
 }
 
-// Counts returns the totals since the journal was opened.
-func (j *Journal) Counts() Counts {
+// Totals returns the totals since the journal was opened.
+func (j *Journal) Totals() Totals {
 	return j.counts
 }
 
--- a/internal/agreement/hingejournal/journal_test.go
+++ b/internal/agreement/hingejournal/journal_test.go
@@ -13,11 +13,11 @@
 
 var now = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func open(f Files) (*Journal, Found, error) {
+func open(f Directory) (*Journal, Recovered, error) {
 	return Open(f, "cancale-1", "config", now)
 }
 
-func mustOpen(t interface{ Fatal(...any) }, f Files) (*Journal, Found) {
+func mustOpen(t interface{ Fatal(...any) }, f Directory) (*Journal, Recovered) {
 	j, found, err := open(f)
 	if err != nil {
 		t.Fatal(err)
@@ -25,7 +25,7 @@
 	return j, found
 }
 
-func contents(found Found) string {
+func contents(found Recovered) string {
 	return string(found.Snapshot) + "|" + string(bytes.Join(found.Records, []byte(",")))
 }
 
@@ -185,12 +185,12 @@
 
 // Guards against records lost across segments, compaction and reopening on a real file system.
 func TestRealFolderIsReadBack(t *testing.T) {
-	f, err := Folder(t.TempDir() + "/config")
+	f, err := OpenDirectory(t.TempDir() + "/config")
 	if err != nil {
 		t.Fatal(err)
 	}
 	j, found := mustOpen(t, f)
-	if !found.Fresh {
+	if !found.NewDisk {
 		t.Error("an empty folder isn't reported as fresh")
 	}
 	big := bytes.Repeat([]byte("x"), segmentLimit)
@@ -206,8 +206,8 @@
 		}
 	}
 	_, found = mustOpen(t, f)
-	if diff := cmp.Diff("s|k,"+string(big)+",a,b", contents(found)); diff != "" || found.Fresh {
-		t.Fatalf("fresh %v, %.200s", found.Fresh, diff)
+	if diff := cmp.Diff("s|k,"+string(big)+",a,b", contents(found)); diff != "" || found.NewDisk {
+		t.Fatalf("fresh %v, %.200s", found.NewDisk, diff)
 	}
 }
 
@@ -236,7 +236,7 @@
 func BenchmarkAppend(b *testing.B) {
 	for _, batchSize := range []int{1, 64} {
 		b.Run(fmt.Sprint(batchSize, "-a-sync"), func(b *testing.B) {
-			f, err := Folder(b.TempDir() + "/config")
+			f, err := OpenDirectory(b.TempDir() + "/config")
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/internal/agreement/hingelog/checkin.go
+++ b/internal/agreement/hingelog/checkin.go
@@ -33,7 +33,7 @@
 	if l.checkedIn || now.Before(l.nextCheckInAt) {
 		return
 	}
-	l.nextCheckInAt = now.Add(l.settings.Heartbeat)
+	l.nextCheckInAt = now.Add(l.settings.HeartbeatInterval)
 	for _, m := range l.others() {
 		l.addCheckInPeer(m)
 	}
@@ -66,7 +66,7 @@
 	switch {
 	case !empty:
 		l.addCheckInPeer(m.From)
-	case m.Kind == Append || m.Kind == Install:
+	case m.Kind == Append || m.Kind == InstallSnapshot:
 		l.sendCheckIn(m.From)
 	}
 }
@@ -76,7 +76,7 @@
 func (l *Log) onCheckIn(m Message) {
 	peer := l.peerStates[m.From]
 	l.send(Message{
-		Kind:    CheckInAnswer,
+		Kind:    CheckInResponse,
 		To:      m.From,
 		Term:    l.hardState.Term,
 		Granted: peer.term <= m.Term && peer.index <= m.At.Index,
@@ -90,7 +90,7 @@
 	}
 	if !m.Granted {
 		l.staleDisk = true
-		l.addEvent(ForgetfulDisk, l.settings.Self)
+		l.addEvent(StaleDisk, l.settings.Self)
 		return
 	}
 	l.checkInPassed[m.From] = true
@@ -103,7 +103,7 @@
 // recordPeerTerm records the highest term of a member's messages. Check-ins don't count, as they
 // are verified against it, nor do pre-votes, whose term the sender hasn't adopted.
 func (l *Log) recordPeerTerm(m Message) {
-	if m.Kind == PreVote || m.Kind == PreVoteAnswer || m.Kind == CheckIn {
+	if m.Kind == PreVote || m.Kind == PreVoteResponse || m.Kind == CheckIn {
 		return
 	}
 	peer := l.peerStates[m.From]
@@ -111,7 +111,7 @@
 	l.peerStates[m.From] = peer
 }
 
-func (l *Log) recordMatches(list []Holding) {
+func (l *Log) recordMatches(list []MatchIndex) {
 	for _, x := range list {
 		peer := l.peerStates[x.Member]
 		peer.index = max(peer.index, x.Index)
@@ -119,7 +119,7 @@
 	}
 }
 
-// Forgetful reports whether the member has stopped because its disk is an older copy (rule 12).
-func (l *Log) Forgetful() bool {
+// HasStaleDisk reports whether the member has stopped because its disk is an older copy (rule 12).
+func (l *Log) HasStaleDisk() bool {
 	return l.staleDisk
 }
--- a/internal/agreement/hingelog/cluster_test.go
+++ b/internal/agreement/hingelog/cluster_test.go
@@ -16,7 +16,7 @@
 type node struct {
 	self           Member
 	log            *Log
-	disk           Stored
+	disk           DurableState
 	clockRate      float64
 	frozen         bool
 	stateHash      uint64
@@ -112,15 +112,15 @@
 	n.stateHash = c.stateHashes[n.appliedIndex]
 	n.appliedMembers = n.disk.Snapshot.Members
 	n.log = New(c.clock(n), Settings{
-		Self:      n.self,
-		Election:  DefaultElection,
-		Heartbeat: DefaultHeartbeat,
-		Seed:      c.lastIncarnation ^ c.random.Uint64(),
-	}, Stored{
-		HardState: n.disk.HardState,
-		Snapshot:  n.disk.Snapshot,
-		Before:    n.disk.Before,
-		Entries:   slices.Clone(n.disk.Entries),
+		Self:              n.self,
+		ElectionTimeout:   DefaultElectionTimeout,
+		HeartbeatInterval: DefaultHeartbeatInterval,
+		Seed:              c.lastIncarnation ^ c.random.Uint64(),
+	}, DurableState{
+		HardState:    n.disk.HardState,
+		Snapshot:     n.disk.Snapshot,
+		BasePosition: n.disk.BasePosition,
+		Entries:      slices.Clone(n.disk.Entries),
 	})
 }
 
@@ -133,24 +133,24 @@
 func (c *cluster) loseDisk(n *node) {
 	c.lastIncarnation++
 	n.self.Disk = hingeids.Incarnation(c.lastIncarnation)
-	n.disk = Stored{}
+	n.disk = DurableState{}
 	c.start(n)
 }
 
 func (n *node) store(o Output) {
-	if o.Install != nil {
-		n.disk.Snapshot = *o.Install
-		n.disk.Before = o.Install.At
+	if o.InstallSnapshot != nil {
+		n.disk.Snapshot = *o.InstallSnapshot
+		n.disk.BasePosition = o.InstallSnapshot.At
 		n.disk.Entries = nil
 	}
 	if o.HardState != nil {
 		n.disk.HardState = *o.HardState
 	}
 	for _, e := range o.Entries {
-		if len(n.disk.Entries) == 0 && n.disk.Before.Index != e.Index-1 {
-			n.disk.Before = n.disk.Snapshot.At
+		if len(n.disk.Entries) == 0 && n.disk.BasePosition.Index != e.Index-1 {
+			n.disk.BasePosition = n.disk.Snapshot.At
 		}
-		n.disk.Entries = append(n.disk.Entries[:e.Index-n.disk.Before.Index-1], e)
+		n.disk.Entries = append(n.disk.Entries[:e.Index-n.disk.BasePosition.Index-1], e)
 	}
 }
 
@@ -158,11 +158,11 @@
 // point 1 the process dies before the sync, with 2 after it.
 func (c *cluster) processOutput(n *node, crashPoint int) {
 	for n.log != nil {
-		o := n.log.Take()
+		o := n.log.DrainOutput()
 		if o.Empty() {
 			return
 		}
-		early, late := o.Early()
+		early, late := o.SplitMessages()
 		for _, m := range early {
 			c.sendMessage(m)
 		}
@@ -178,7 +178,7 @@
 		for _, m := range late {
 			c.sendMessage(m)
 		}
-		n.log.Synced(c.clock(n))
+		n.log.MarkSynced(c.clock(n))
 		c.apply(n, o)
 	}
 }
@@ -188,7 +188,7 @@
 	if len(m.Entries) > 0 {
 		c.messagesWithEntries++
 	}
-	if m.Kind == VoteAnswer && m.Granted {
+	if m.Kind == VoteResponse && m.Granted {
 		key := fmt.Sprint(m.From, m.Term)
 		if to, voted := c.votes[key]; voted && to != m.To {
 			c.fail("%v voted for %v and %v in term %d", m.From, to, m.To, m.Term)
@@ -215,11 +215,11 @@
 }
 
 func (c *cluster) apply(n *node, o Output) {
-	if o.Install != nil {
-		n.appliedIndex = o.Install.At.Index
-		n.appliedMembers = o.Install.Members
+	if o.InstallSnapshot != nil {
+		n.appliedIndex = o.InstallSnapshot.At.Index
+		n.appliedMembers = o.InstallSnapshot.Members
 		n.stateHash = c.stateHashes[n.appliedIndex]
-		if got := string(o.Install.Data); got != fmt.Sprint(n.stateHash) {
+		if got := string(o.InstallSnapshot.Data); got != fmt.Sprint(n.stateHash) {
 			c.fail("%v installed %q at %d, want %d", n.self, got, n.appliedIndex, n.stateHash)
 		}
 	}
@@ -399,7 +399,7 @@
 	}
 	for _, n := range c.nodes {
 		if n.log != nil && !l.log.currentMembers().Has(n.self) {
-			_ = l.log.Reconfigure(c.clock(l), Change{
+			_ = l.log.ChangeMembers(c.clock(l), Change{
 				Kind:   AddLearner,
 				Member: n.self,
 			})
--- a/internal/agreement/hingelog/election.go
+++ b/internal/agreement/hingelog/election.go
@@ -6,7 +6,7 @@
 )
 
 func (l *Log) resetElection(now time.Time) {
-	e := l.settings.Election
+	e := l.settings.ElectionTimeout
 	l.electionDeadline = now.Add(e + time.Duration(l.random.Int64N(int64(e))))
 }
 
@@ -15,7 +15,7 @@
 // same time. Pre-votes don't disrupt them. Each voter adds a delay by its position, so that two
 // voters don't split the votes repeatedly.
 func (l *Log) retryElection(now time.Time) {
-	e := l.settings.Election
+	e := l.settings.ElectionTimeout
 	voterIndex := max(slices.Index(l.currentMembers().Voters, l.settings.Self), 0)
 	wait := e/4 + time.Duration(voterIndex)*e/8 + time.Duration(l.random.Int64N(int64(e/16)))
 	l.electionDeadline = now.Add(wait)
@@ -106,11 +106,11 @@
 	if l.role == leader {
 		return now.Before(l.leaseEnd(now))
 	}
-	return now.Sub(l.leaderLastSeen) < l.settings.Election
+	return now.Sub(l.leaderLastSeen) < l.settings.ElectionTimeout
 }
 
 func (l *Log) isUpToDate(at Position) bool {
-	return !at.Before(l.last())
+	return !at.LessUpToDate(l.last())
 }
 
 // onPreVote answers whether this member would grant its vote. It changes no state.
@@ -121,7 +121,7 @@
 		t = m.Term
 	}
 	l.send(Message{
-		Kind:    PreVoteAnswer,
+		Kind:    PreVoteResponse,
 		To:      m.From,
 		Term:    t,
 		Granted: granted,
@@ -156,7 +156,7 @@
 		l.resetElection(now)
 	}
 	l.send(Message{
-		Kind:    VoteAnswer,
+		Kind:    VoteResponse,
 		To:      m.From,
 		Term:    l.hardState.Term,
 		Granted: granted,
@@ -179,7 +179,7 @@
 	l.progress = make(map[Member]*progress)
 	l.addEvent(BecameLeader, l.settings.Self)
 	l.termStartIndex = l.append(Entry{
-		Kind: Opening,
+		Kind: NoOp,
 	})
 	l.replicate(now)
 }
--- a/internal/agreement/hingelog/lease.go
+++ b/internal/agreement/hingelog/lease.go
@@ -33,7 +33,7 @@
 	if sent.IsZero() {
 		return sent
 	}
-	return sent.Add(l.settings.Lease())
+	return sent.Add(l.settings.LeaseDuration())
 }
 
 // MayLead reports whether this member is the leader and holds a valid lease, so that no other can
@@ -55,7 +55,7 @@
 	if lastContact.Before(l.leaderSince) {
 		lastContact = l.leaderSince
 	}
-	if now.Sub(lastContact) >= l.settings.Election {
+	if now.Sub(lastContact) >= l.settings.ElectionTimeout {
 		l.becomeFollower(now, l.hardState.Term)
 		return
 	}
@@ -65,31 +65,31 @@
 	l.repair(now)
 }
 
-// Standing is a member's view of the log and its members. Holdings is set only on a leader.
-type Standing struct {
-	Self     Member
-	Leader   Member
-	Leads    bool
-	Term     Term
-	Commit   Index
-	Last     Index
-	Members  Members
-	Holdings []Holding
+// Status is a member's view of the log and its members. Holdings is set only on a leader.
+type Status struct {
+	Self         Member
+	Leader       Member
+	IsLeader     bool
+	Term         Term
+	Commit       Index
+	LastIndex    Index
+	Members      Members
+	MatchIndexes []MatchIndex
 }
 
-// Standing returns the member's current view.
-func (l *Log) Standing() Standing {
-	s := Standing{
-		Self:    l.settings.Self,
-		Leader:  l.leader,
-		Leads:   l.role == leader,
-		Term:    l.hardState.Term,
-		Commit:  l.commit,
-		Last:    l.last().Index,
-		Members: l.currentMembers(),
+// Status returns the member's current view.
+func (l *Log) Status() Status {
+	s := Status{
+		Self:      l.settings.Self,
+		Leader:    l.leader,
+		IsLeader:  l.role == leader,
+		Term:      l.hardState.Term,
+		Commit:    l.commit,
+		LastIndex: l.last().Index,
+		Members:   l.currentMembers(),
 	}
-	if s.Leads {
-		s.Holdings = l.matches()
+	if s.IsLeader {
+		s.MatchIndexes = l.matches()
 	}
 	return s
 }
--- a/internal/agreement/hingelog/log.go
+++ b/internal/agreement/hingelog/log.go
@@ -76,14 +76,14 @@
 }
 
 // New creates a member from the state on its disk.
-func New(now time.Time, s Settings, d Stored) *Log {
+func New(now time.Time, s Settings, d DurableState) *Log {
 	l := &Log{
 		settings:  s,
 		started:   now,
 		random:    rand.New(rand.NewPCG(s.Seed, s.Seed^0x9e3779b97f4a7c15)),
 		hardState: d.HardState,
 		snapshot:  d.Snapshot,
-		base:      d.Before,
+		base:      d.BasePosition,
 		entries:   d.Entries,
 		commit:    d.Snapshot.At.Index,
 		applied:   d.Snapshot.At.Index,
@@ -139,7 +139,7 @@
 		if !l.checkedIn {
 			l.extendCheckIn(m)
 		}
-	case CheckInAnswer:
+	case CheckInResponse:
 		l.onCheckInAnswer(m)
 	default:
 		if !l.checkedIn {
@@ -165,29 +165,29 @@
 
 // stepInTerm processes the messages whose later term a member adopts at once.
 func (l *Log) stepInTerm(now time.Time, m Message) {
-	if preVoteGranted := m.Kind == PreVoteAnswer && m.Granted; m.Term > l.hardState.Term && !preVoteGranted {
+	if preVoteGranted := m.Kind == PreVoteResponse && m.Granted; m.Term > l.hardState.Term && !preVoteGranted {
 		l.becomeFollower(now, m.Term)
 	}
 	switch m.Kind {
-	case PreVoteAnswer:
+	case PreVoteResponse:
 		l.onPreVoteAnswer(now, m)
-	case VoteAnswer:
+	case VoteResponse:
 		l.onVoteAnswer(now, m)
-	case Append, Install:
+	case Append, InstallSnapshot:
 		l.onLeaderMessage(now, m)
-	case AppendAnswer:
+	case AppendResponse:
 		l.onAppendAnswer(now, m)
 	}
 }
 
-// Take returns the output to process and clears it. Before any other call the caller makes the
+// DrainOutput returns the output to process and clears it. Before any other call the caller makes the
 // output durable, sends its messages, calls Synced and applies the committed entries.
-func (l *Log) Take() Output {
+func (l *Log) DrainOutput() Output {
 	o := Output{
-		Install:   l.pendingInstall,
-		Messages:  l.messages,
-		Events:    l.events,
-		Committed: l.entriesBetween(l.applied+1, l.commit),
+		InstallSnapshot: l.pendingInstall,
+		Messages:        l.messages,
+		Events:          l.events,
+		Committed:       l.entriesBetween(l.applied+1, l.commit),
 	}
 	if l.hardStateDirty {
 		h := l.hardState
@@ -204,8 +204,8 @@
 	return o
 }
 
-// Synced records that the output of the last Take is durable.
-func (l *Log) Synced(now time.Time) {
+// MarkSynced records that the output of the last Take is durable.
+func (l *Log) MarkSynced(now time.Time) {
 	l.synced = min(l.lastOutputIndex, l.last().Index)
 	if l.role == leader {
 		l.advanceCommit(now)
--- a/internal/agreement/hingelog/log_test.go
+++ b/internal/agreement/hingelog/log_test.go
@@ -34,10 +34,10 @@
 	t.Helper()
 	now := simStart
 	l := New(now, Settings{
-		Self:      memberA,
-		Election:  DefaultElection,
-		Heartbeat: DefaultHeartbeat,
-	}, Stored{
+		Self:              memberA,
+		ElectionTimeout:   DefaultElectionTimeout,
+		HeartbeatInterval: DefaultHeartbeatInterval,
+	}, DurableState{
 		HardState: HardState{
 			Term: 3,
 		},
@@ -48,7 +48,7 @@
 			},
 			Members: Members{Voters: []Member{memberA, memberB, memberC}},
 		},
-		Before: Position{
+		BasePosition: Position{
 			Term:  1,
 			Index: 1,
 		},
@@ -61,24 +61,24 @@
 	answer := func(m Message) {
 		m.From, m.To, m.Granted = memberB, memberA, true
 		l.Step(now, m)
-		l.Take()
-		l.Synced(now)
+		l.DrainOutput()
+		l.MarkSynced(now)
 	}
 	answer(Message{
-		Kind:  CheckInAnswer,
+		Kind:  CheckInResponse,
 		Round: l.checkInRound,
 	})
-	now = now.Add(3 * DefaultElection)
+	now = now.Add(3 * DefaultElectionTimeout)
 	l.Tick(now)
 	answer(Message{
-		Kind: PreVoteAnswer,
+		Kind: PreVoteResponse,
 		Term: 4,
 	})
 	answer(Message{
-		Kind: VoteAnswer,
+		Kind: VoteResponse,
 		Term: 4,
 	})
-	if !l.Standing().Leads {
+	if !l.Status().IsLeader {
 		t.Fatal("member didn't become leader")
 	}
 	return l, now
@@ -86,7 +86,7 @@
 
 func confirm(l *Log, now time.Time, i Index) {
 	l.Step(now, Message{
-		Kind: AppendAnswer,
+		Kind: AppendResponse,
 		From: memberB,
 		To:   memberA,
 		Term: 4,
@@ -96,8 +96,8 @@
 		Granted: true,
 		SentAt:  int64(now.Sub(l.started)),
 	})
-	l.Take()
-	l.Synced(now)
+	l.DrainOutput()
+	l.MarkSynced(now)
 }
 
 // Guards against committing an entry of an earlier term by counting replicas: a member without it
@@ -105,9 +105,9 @@
 func TestEntryOfAnEarlierTermIsNotCommittedByCounting(t *testing.T) {
 	l, now := newTestLeader(t)
 	confirm(l, now, 2)
-	early := l.Standing().Commit
+	early := l.Status().Commit
 	confirm(l, now, 3)
-	if diff := cmp.Diff([]Index{1, 3}, []Index{early, l.Standing().Commit}); diff != "" {
+	if diff := cmp.Diff([]Index{1, 3}, []Index{early, l.Status().Commit}); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -129,13 +129,13 @@
 		Member: memberC,
 	}
 	errs := []error{
-		l.Reconfigure(now, add),
+		l.ChangeMembers(now, add),
 	}
 	confirm(l, now, 3)
-	errs = append(errs, l.Reconfigure(now, add), l.Reconfigure(now, remove))
+	errs = append(errs, l.ChangeMembers(now, add), l.ChangeMembers(now, remove))
 	confirm(l, now, 4)
-	errs = append(errs, l.Reconfigure(now, promote))
-	want := []error{ErrNotLeader, nil, ErrChangePending, ErrNotCaughtUp}
+	errs = append(errs, l.ChangeMembers(now, promote))
+	want := []error{ErrNotLeader, nil, ErrChangePending, ErrLearnerNotCaughtUp}
 	if diff := cmp.Diff(want, errs, cmpopts.EquateErrors()); diff != "" {
 		t.Fatal(diff)
 	}
@@ -194,7 +194,7 @@
 			}},
 		},
 		{
-			Kind: Install,
+			Kind: InstallSnapshot,
 			Term: 9,
 			Snapshot: &Snapshot{
 				At: Position{
@@ -204,7 +204,7 @@
 			},
 		},
 		{
-			Kind: AppendAnswer,
+			Kind: AppendResponse,
 			Term: 4,
 			At: Position{
 				Index: 1 << 62,
@@ -229,9 +229,9 @@
 			m.From, m.To = memberB, memberA
 			l.Step(now, m)
 			l.Tick(now)
-			l.Take()
-			l.Synced(now)
-			if l.Standing().Commit < 3 || l.Standing().Last < 3 {
+			l.DrainOutput()
+			l.MarkSynced(now)
+			if l.Status().Commit < 3 || l.Status().LastIndex < 3 {
 				t.Fatal("a committed entry was lost")
 			}
 			if term, known := l.termAt(2); known && term != 2 {
--- a/internal/agreement/hingelog/members.go
+++ b/internal/agreement/hingelog/members.go
@@ -29,10 +29,10 @@
 
 // Errors of rejected membership changes. A rejected change adds nothing to the log.
 var (
-	ErrChangePending = eris.New("the previous membership change is not committed yet")
-	ErrNotCaughtUp   = eris.New("the learner has not confirmed all committed entries yet")
-	ErrLastVoter     = eris.New("cannot remove the last voter")
-	ErrUnknownMember = eris.New("the host or disk is not a member of the group")
+	ErrChangePending      = eris.New("the previous membership change is not committed yet")
+	ErrLearnerNotCaughtUp = eris.New("the learner has not confirmed all committed entries yet")
+	ErrLastVoter          = eris.New("cannot remove the last voter")
+	ErrUnknownMember      = eris.New("the host or disk is not a member of the group")
 )
 
 // currentMembers returns the members in force, those of the newest change in the log, committed or
@@ -73,9 +73,9 @@
 	}
 }
 
-// Reconfigure proposes a membership change (rule 10). It returns nil if the change is in force
+// ChangeMembers proposes a membership change (rule 10). It returns nil if the change is in force
 // already.
-func (l *Log) Reconfigure(now time.Time, c Change) error {
+func (l *Log) ChangeMembers(now time.Time, c Change) error {
 	if !l.MayLead(now) {
 		return ErrNotLeader
 	}
@@ -124,7 +124,7 @@
 	}
 	// Rule 11.
 	if l.progressOf(x).match < l.commit {
-		return nil, ErrNotCaughtUp
+		return nil, ErrLearnerNotCaughtUp
 	}
 	next.Learners = without(next.Learners, x)
 	next.Voters = append(next.Voters, x)
@@ -184,7 +184,7 @@
 	}
 	if x, ok := l.lostLearner(now); ok {
 		// The next tick retries if another change is pending.
-		_ = l.Reconfigure(now, Change{
+		_ = l.ChangeMembers(now, Change{
 			Kind:   Remove,
 			Member: x,
 		})
@@ -193,7 +193,7 @@
 	for _, x := range l.currentMembers().Learners {
 		if c, needed := l.repairStep(now, x); needed {
 			// The next tick retries if another change is pending.
-			_ = l.Reconfigure(now, c)
+			_ = l.ChangeMembers(now, c)
 			return
 		}
 	}
@@ -209,7 +209,7 @@
 		}
 	}
 	p := l.progressOf(x)
-	if p.match < l.commit || now.Sub(p.ackedSendTime) > l.settings.Election {
+	if p.match < l.commit || now.Sub(p.ackedSendTime) > l.settings.ElectionTimeout {
 		return Change{}, false
 	}
 	for _, m := range l.currentMembers().Voters {
@@ -234,7 +234,7 @@
 		}, true
 	}
 	for _, m := range l.currentMembers().Voters {
-		if m != l.settings.Self && l.unansweredFor(now, m) > l.settings.Silence {
+		if m != l.settings.Self && l.unansweredFor(now, m) > l.settings.SilenceTimeout {
 			return Change{
 				Kind:   Remove,
 				Member: m,
@@ -264,7 +264,7 @@
 		return Member{}, false
 	}
 	for _, m := range l.currentMembers().Learners {
-		if l.unansweredFor(now, m) > lostLearnerFactor*l.settings.Silence {
+		if l.unansweredFor(now, m) > lostLearnerFactor*l.settings.SilenceTimeout {
 			return m, true
 		}
 	}
--- a/internal/agreement/hingelog/replicate.go
+++ b/internal/agreement/hingelog/replicate.go
@@ -9,8 +9,8 @@
 
 // Errors of rejected proposals. A rejected proposal adds nothing to the log.
 var (
-	ErrNotLeader = eris.New("not the leader, or the leader's lease has expired")
-	ErrTooMany   = eris.New("too many uncommitted proposals")
+	ErrNotLeader          = eris.New("not the leader, or the leader's lease has expired")
+	ErrTooManyUncommitted = eris.New("too many uncommitted proposals")
 )
 
 // Propose appends data to the log and returns its position. It fails with ErrNotLeader outside the
@@ -21,7 +21,7 @@
 		return Position{}, ErrNotLeader
 	}
 	if l.last().Index-l.commit >= maxUncommitted {
-		return Position{}, ErrTooMany
+		return Position{}, ErrTooManyUncommitted
 	}
 	l.append(Entry{
 		Kind: Data,
@@ -80,7 +80,7 @@
 }
 
 func (l *Log) heartbeat(now time.Time) {
-	l.nextHeartbeatAt = now.Add(l.settings.Heartbeat)
+	l.nextHeartbeatAt = now.Add(l.settings.HeartbeatInterval)
 	l.recordMatches(l.matches())
 	for _, m := range l.others() {
 		l.sendAppend(now, m, l.progressOf(m))
@@ -104,10 +104,10 @@
 			Term:  t,
 			Index: p.next - 1,
 		},
-		Entries:  l.batch(p.next),
-		Commit:   l.commit,
-		SentAt:   int64(now.Sub(l.started)),
-		Holdings: l.matches(),
+		Entries:      l.batch(p.next),
+		Commit:       l.commit,
+		SentAt:       int64(now.Sub(l.started)),
+		MatchIndexes: l.matches(),
 	}
 	p.next += Index(len(m.Entries))
 	l.send(m)
@@ -128,14 +128,14 @@
 
 // matches returns the committed index that each member is known to hold durably. Followers need it
 // for check-ins (rule 12).
-func (l *Log) matches() []Holding {
-	var out []Holding
+func (l *Log) matches() []MatchIndex {
+	var out []MatchIndex
 	for _, m := range l.currentMembers().All() {
 		match := l.synced
 		if m != l.settings.Self {
 			match = l.progressOf(m).match
 		}
-		out = append(out, Holding{
+		out = append(out, MatchIndex{
 			Member: m,
 			// An uncommitted entry may still be replaced.
 			Index: min(match, l.commit),
@@ -160,8 +160,8 @@
 	}
 	l.leaderLastSeen = now
 	l.resetElection(now)
-	l.recordMatches(m.Holdings)
-	if m.Kind == Install {
+	l.recordMatches(m.MatchIndexes)
+	if m.Kind == InstallSnapshot {
 		l.onInstall(m)
 		return
 	}
@@ -249,7 +249,7 @@
 		at.Index = l.commit
 	}
 	l.send(Message{
-		Kind:    AppendAnswer,
+		Kind:    AppendResponse,
 		To:      m.From,
 		Term:    l.hardState.Term,
 		At:      at,
@@ -306,7 +306,7 @@
 	l.commit = i
 	// Followers learn the commit index from the next message. Sending it early saves them most of a
 	// heartbeat interval.
-	if earliest := now.Add(l.settings.Heartbeat / 8); earliest.Before(l.nextHeartbeatAt) {
+	if earliest := now.Add(l.settings.HeartbeatInterval / 8); earliest.Before(l.nextHeartbeatAt) {
 		l.nextHeartbeatAt = earliest
 	}
 	l.stepDownIfRemoved(now)
--- a/internal/agreement/hingelog/schedules_test.go
+++ b/internal/agreement/hingelog/schedules_test.go
@@ -126,7 +126,7 @@
 	if l == nil || len(l.log.currentMembers().Voters) < 4 || !c.fullyRepaired() {
 		return
 	}
-	_ = l.log.Reconfigure(c.clock(l), Change{
+	_ = l.log.ChangeMembers(c.clock(l), Change{
 		Kind:   Remove,
 		Member: n.self,
 	})
--- a/internal/agreement/hingelog/script_test.go
+++ b/internal/agreement/hingelog/script_test.go
@@ -29,7 +29,7 @@
 			}
 			s := script{
 				c:      newCluster(7, "a", "b", "c"),
-				copies: make(map[string]Stored),
+				copies: make(map[string]DurableState),
 			}
 			for i, line := range expandRepeats(string(b)) {
 				if line == "" || strings.HasPrefix(line, "#") {
@@ -76,7 +76,7 @@
 	oldLeader *node
 	other     *node
 	third     *node
-	copies    map[string]Stored
+	copies    map[string]DurableState
 }
 
 func (s *script) host(name string) *node {
@@ -163,7 +163,7 @@
 		s.c.compact(n, 0)
 	case "removeItself":
 		defer s.c.processOutput(n, 0)
-		return n.log.Reconfigure(s.c.clock(n), Change{
+		return n.log.ChangeMembers(s.c.clock(n), Change{
 			Kind:   Remove,
 			Member: n.self,
 		})
@@ -200,7 +200,7 @@
 			return eris.Errorf("%v leads", l.self)
 		}
 	case "wantNoRole":
-		if n := s.host(w[1]); n.log.Standing().Leads {
+		if n := s.host(w[1]); n.log.Status().IsLeader {
 			return eris.Errorf("%v still has the leader role", n.self)
 		}
 	case "wantHeld":
@@ -212,7 +212,7 @@
 			return eris.Errorf("applied index is %d, commit index is %d", n.appliedIndex, s.c.commit)
 		}
 	case "wantSent":
-		kinds := map[string]MessageKind{"install": Install, "vote": Vote, "append": Append}
+		kinds := map[string]MessageKind{"install": InstallSnapshot, "vote": Vote, "append": Append}
 		if got := s.c.sent[kinds[w[1]]]; fmt.Sprint(got) != w[2] {
 			return eris.Errorf("%d messages of this kind were sent", got)
 		}
@@ -225,11 +225,11 @@
 			return eris.Errorf("unexpected members or incomplete repair: %v", s.c.members)
 		}
 	case "wantForgetful":
-		if n := s.host(w[1]); !n.log.Forgetful() {
+		if n := s.host(w[1]); !n.log.HasStaleDisk() {
 			return eris.New("member didn't stop with ForgetfulDisk")
 		}
 	case "wantTerm":
-		if got := s.c.activeLeader().log.Standing().Term; fmt.Sprint(got) != w[1] {
+		if got := s.c.activeLeader().log.Status().Term; fmt.Sprint(got) != w[1] {
 			return eris.Errorf("term is %d", got)
 		}
 	default:
--- a/internal/agreement/hingelog/snapshot.go
+++ b/internal/agreement/hingelog/snapshot.go
@@ -5,10 +5,10 @@
 // Compact replaces the entries up to an applied index by a snapshot of the state machine at that
 // index. It keeps the newest of these entries for members that lag slightly. It returns the state
 // to store, or false if the index can't be compacted.
-func (l *Log) Compact(at Index, data []byte, keep int) (Stored, bool) {
+func (l *Log) Compact(at Index, data []byte, keep int) (DurableState, bool) {
 	t, known := l.termAt(at)
 	if !known || at > l.applied || at <= l.snapshot.At.Index {
-		return Stored{}, false
+		return DurableState{}, false
 	}
 	l.snapshot = Snapshot{
 		At: Position{
@@ -32,19 +32,19 @@
 }
 
 // stored returns the whole state to store for a compaction.
-func (l *Log) stored() Stored {
-	return Stored{
-		HardState: l.hardState,
-		Snapshot:  l.snapshot,
-		Before:    l.base,
-		Entries:   l.entriesBetween(l.base.Index+1, l.last().Index),
+func (l *Log) stored() DurableState {
+	return DurableState{
+		HardState:    l.hardState,
+		Snapshot:     l.snapshot,
+		BasePosition: l.base,
+		Entries:      l.entriesBetween(l.base.Index+1, l.last().Index),
 	}
 }
 
 // sendSnapshot sends the snapshot, and repeats it only after an election time.
 func (l *Log) sendSnapshot(now time.Time, to Member, p *progress) {
 	m := Message{
-		Kind:   Install,
+		Kind:   InstallSnapshot,
 		To:     to,
 		Term:   l.hardState.Term,
 		SentAt: int64(now.Sub(l.started)),
@@ -52,8 +52,8 @@
 	if !now.Before(p.snapshotRetryAt) {
 		s := l.snapshot
 		m.Snapshot = &s
-		m.Holdings = l.matches()
-		p.snapshotRetryAt = now.Add(l.settings.Election)
+		m.MatchIndexes = l.matches()
+		p.snapshotRetryAt = now.Add(l.settings.ElectionTimeout)
 	}
 	// Without a snapshot the message is a heartbeat that confirms no entries.
 	l.send(m)
@@ -94,7 +94,7 @@
 // answerHeartbeat confirms that the heartbeat was received. It confirms no entries.
 func (l *Log) answerHeartbeat(m Message) {
 	l.send(Message{
-		Kind:    AppendAnswer,
+		Kind:    AppendResponse,
 		To:      m.From,
 		Term:    l.hardState.Term,
 		At:      l.last(),
--- a/internal/agreement/hingelog/types.go
+++ b/internal/agreement/hingelog/types.go
@@ -57,7 +57,7 @@
 // holds the new Members.
 const (
 	Data EntryKind = iota
-	Opening
+	NoOp
 	MembersChange
 )
 
@@ -76,8 +76,8 @@
 	Index Index `cbor:"2,keyasint"`
 }
 
-// Before reports whether a log that ends at p is less up to date than one that ends at o.
-func (p Position) Before(o Position) bool {
+// LessUpToDate reports whether a log that ends at p is less up to date than one that ends at o.
+func (p Position) LessUpToDate(o Position) bool {
 	if p.Term != o.Term {
 		return p.Term < o.Term
 	}
@@ -97,14 +97,14 @@
 	Data    []byte   `cbor:"3,keyasint"`
 }
 
-// Stored is the durable state of a member. Before is the position before the first of Entries.
+// DurableState is the durable state of a member. Before is the position before the first of Entries.
 // Entries may start before the end of the snapshot, so that a member that lags slightly needs no
 // snapshot.
-type Stored struct {
-	HardState HardState
-	Snapshot  Snapshot
-	Before    Position
-	Entries   []Entry
+type DurableState struct {
+	HardState    HardState
+	Snapshot     Snapshot
+	BasePosition Position
+	Entries      []Entry
 }
 
 // MessageKind is the kind of a message.
@@ -113,18 +113,18 @@
 // The kinds of messages.
 const (
 	PreVote MessageKind = iota + 1
-	PreVoteAnswer
+	PreVoteResponse
 	Vote
-	VoteAnswer
+	VoteResponse
 	Append
-	AppendAnswer
-	Install
+	AppendResponse
+	InstallSnapshot
 	CheckIn
-	CheckInAnswer
+	CheckInResponse
 )
 
-// Holding means that a member holds the committed entries up to Index durably.
-type Holding struct {
+// MatchIndex means that a member holds the committed entries up to Index durably.
+type MatchIndex struct {
 	Member Member `cbor:"1,keyasint"`
 	Index  Index  `cbor:"2,keyasint"`
 }
@@ -142,10 +142,10 @@
 	Commit  Index    `cbor:"7,keyasint,omitempty"`
 	// SentAt is the time since the leader's start by its own clock, in nanoseconds. Answers echo
 	// it.
-	SentAt   int64     `cbor:"8,keyasint,omitempty"`
-	Granted  bool      `cbor:"9,keyasint,omitempty"`
-	Snapshot *Snapshot `cbor:"10,keyasint,omitempty"`
-	Holdings []Holding `cbor:"11,keyasint,omitempty"`
+	SentAt       int64        `cbor:"8,keyasint,omitempty"`
+	Granted      bool         `cbor:"9,keyasint,omitempty"`
+	Snapshot     *Snapshot    `cbor:"10,keyasint,omitempty"`
+	MatchIndexes []MatchIndex `cbor:"11,keyasint,omitempty"`
 	// Round identifies the start that a check-in belongs to. Answers echo it.
 	Round uint64 `cbor:"12,keyasint,omitempty"`
 }
@@ -163,7 +163,7 @@
 	LearnerAdded
 	Promoted
 	Removed
-	ForgetfulDisk
+	StaleDisk
 )
 
 // Event is a state change of a member or of the group.
@@ -176,8 +176,8 @@
 
 // Output is what the caller processes, in the order of the fields.
 type Output struct {
-	// Install is stored and restored into the state machine, and replaces all earlier state.
-	Install *Snapshot
+	// InstallSnapshot is stored and restored into the state machine, and replaces all earlier state.
+	InstallSnapshot *Snapshot
 	// HardState is stored if it isn't nil.
 	HardState *HardState
 	// Entries are stored. They replace all stored entries from the first one's index on.
@@ -191,19 +191,19 @@
 
 // Empty reports whether there is nothing to process.
 func (o Output) Empty() bool {
-	return !o.MustSync() && len(o.Messages) == 0 && len(o.Committed) == 0 && len(o.Events) == 0
+	return !o.NeedsSync() && len(o.Messages) == 0 && len(o.Committed) == 0 && len(o.Events) == 0
 }
 
-// MustSync reports whether the output has state to store durably.
-func (o Output) MustSync() bool {
-	return o.Install != nil || o.HardState != nil || len(o.Entries) > 0
+// NeedsSync reports whether the output has state to store durably.
+func (o Output) NeedsSync() bool {
+	return o.InstallSnapshot != nil || o.HardState != nil || len(o.Entries) > 0
 }
 
-// Early splits the messages into those that may be sent before the sync and the others. A leader's
+// SplitMessages splits the messages into those that may be sent before the sync and the others. A leader's
 // entries don't depend on its own disk: it counts itself only after Synced, and it can't lead the
 // same term again after a crash. Its sync thus runs in parallel with those of the followers.
-func (o Output) Early() (early, late []Message) {
-	if o.HardState != nil || o.Install != nil {
+func (o Output) SplitMessages() (early, late []Message) {
+	if o.HardState != nil || o.InstallSnapshot != nil {
 		return nil, o.Messages
 	}
 	for _, m := range o.Messages {
@@ -219,35 +219,35 @@
 // Settings are the settings of one member.
 type Settings struct {
 	Self Member
-	// Election is the election time of rules 3, 5, 6 and 7.
-	Election time.Duration
-	// Heartbeat is the interval between a leader's heartbeats.
-	Heartbeat time.Duration
+	// ElectionTimeout is the election time of rules 3, 5, 6 and 7.
+	ElectionTimeout time.Duration
+	// HeartbeatInterval is the interval between a leader's heartbeats.
+	HeartbeatInterval time.Duration
 	// Seed is the random seed of election timeouts (rule 3) and of the check-in round (rule 12). It
 	// must differ from start to start.
 	Seed uint64
 	// Voters is the intended number of voters, an odd number. With zero, all learners are promoted
 	// (rule 13).
 	Voters int
-	// Silence is how long a voter may leave the leader's messages unanswered before a learner
+	// SilenceTimeout is how long a voter may leave the leader's messages unanswered before a learner
 	// replaces it (rule 13).
-	Silence time.Duration
+	SilenceTimeout time.Duration
 }
 
 // DefaultElection and DefaultHeartbeat suit zones a few milliseconds apart and disks that sync
 // within a quarter of a second. A lost leader is replaced within two election times and some
 // retries.
 const (
-	DefaultElection  = 600 * time.Millisecond
-	DefaultHeartbeat = 120 * time.Millisecond
+	DefaultElectionTimeout   = 600 * time.Millisecond
+	DefaultHeartbeatInterval = 120 * time.Millisecond
 )
 
-// DefaultSilence is longer than the restart of a process with its check-in.
-const DefaultSilence = 5 * time.Second
+// DefaultSilenceTimeout is longer than the restart of a process with its check-in.
+const DefaultSilenceTimeout = 5 * time.Second
 
-// Lease returns the duration of a lease, counted from the send time of its heartbeat.
-func (s Settings) Lease() time.Duration {
-	return s.Election * 9 / 10
+// LeaseDuration returns the duration of a lease, counted from the send time of its heartbeat.
+func (s Settings) LeaseDuration() time.Duration {
+	return s.ElectionTimeout * 9 / 10
 }
 
 const (
--- a/internal/agreement/hingeshared/shared.go
+++ b/internal/agreement/hingeshared/shared.go
@@ -31,13 +31,13 @@
 	return m
 }
 
-// Views returns the cell in which the newest configuration is published.
-func (m *Machine) Views() *hingeboard.Cell[hingeversion.Document] {
-	return m.versions.Views()
+// Documents returns the cell in which the newest configuration is published.
+func (m *Machine) Documents() *hingeboard.Cell[hingeversion.Document] {
+	return m.versions.Documents()
 }
 
-// Poisons returns the cell in which the list of poison requests is published.
-func (m *Machine) Poisons() *hingeboard.Cell[hingepoison.List] {
+// PoisonRequests returns the cell in which the list of poison requests is published.
+func (m *Machine) PoisonRequests() *hingeboard.Cell[hingepoison.List] {
 	return &m.poisons
 }
 
@@ -81,7 +81,7 @@
 // Snapshot encodes the configuration and the list.
 func (m *Machine) Snapshot() []byte {
 	b, err := cbor.Marshal(snapshot{
-		Document: *m.Views().Load(),
+		Document: *m.Documents().Load(),
 		Poisons:  *m.poisons.Load(),
 	})
 	if err != nil {
--- a/internal/agreement/hingeshared/shared_test.go
+++ b/internal/agreement/hingeshared/shared_test.go
@@ -43,19 +43,19 @@
 	if err := next.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(&config, next.Views().Load()); diff != "" {
+	if diff := cmp.Diff(&config, next.Documents().Load()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(m.Poisons().Load(), next.Poisons().Load()); diff != "" {
+	if diff := cmp.Diff(m.PoisonRequests().Load(), next.PoisonRequests().Load()); diff != "" {
 		t.Error(diff)
 	}
-	if _, found := next.Poisons().Load().Find(7); !found {
+	if _, found := next.PoisonRequests().Load().Find(7); !found {
 		t.Error("the request is missing from the list")
 	}
 	apply(t, next, Change{
 		Record: hingepoison.Lift(time.UnixMilli(2), 7),
 	})
-	if l := next.Poisons().Load(); len(l.Refused()) != 0 || l.Revision != 2 {
+	if l := next.PoisonRequests().Load(); len(l.Refused()) != 0 || l.Revision != 2 {
 		t.Errorf("list is %+v after the block was lifted", l)
 	}
 }
@@ -76,7 +76,7 @@
 	if err := m.Restore(old.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(&d, m.Views().Load()); diff != "" {
+	if diff := cmp.Diff(&d, m.Documents().Load()); diff != "" {
 		t.Error(diff)
 	}
 	// An older build reads the configuration and ignores the list.
@@ -93,7 +93,7 @@
 		t.Fatal(err)
 	}
 	old.Apply(0, change)
-	if diff := cmp.Diff(&d, old.Views().Load()); diff != "" {
+	if diff := cmp.Diff(&d, old.Documents().Load()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/agreement/hingespread/decide.go
+++ b/internal/agreement/hingespread/decide.go
@@ -103,7 +103,7 @@
 		return nil
 	}
 	// Rule 4: With rejects older revisions.
-	next, err := c.state.View.With(*a.Difference)
+	next, err := c.state.View.Apply(*a.Difference)
 	if err != nil || next.Revision == c.state.View.Revision {
 		return nil
 	}
@@ -142,7 +142,7 @@
 		if m.Documents.To <= newest.Revision {
 			continue
 		}
-		if next, err := newest.With(m.Documents); err == nil {
+		if next, err := newest.Apply(m.Documents); err == nil {
 			newest = next
 		}
 	}
--- a/internal/agreement/hingespread/messages.go
+++ b/internal/agreement/hingespread/messages.go
@@ -56,7 +56,7 @@
 	Host     hingeids.HostID   `cbor:"1,keyasint" json:"host"`
 	Applied  hingeids.Revision `cbor:"2,keyasint" json:"applied"`
 	Newest   hingeids.Revision `cbor:"3,keyasint" json:"newest"`
-	HeardAt  int64             `cbor:"4,keyasint" json:"heardAt"`
+	LastSeen int64             `cbor:"4,keyasint" json:"heardAt"`
 	LagSince int64             `cbor:"5,keyasint,omitempty" json:"lagSince,omitempty"`
 }
 
--- a/internal/agreement/hingespread/origin.go
+++ b/internal/agreement/hingespread/origin.go
@@ -8,26 +8,26 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeboard"
 )
 
-// Disk is the Origin of a disk host, a member of the consensus group.
-type Disk struct {
+// DiskOrigin is the Origin of a disk host, a member of the consensus group.
+type DiskOrigin struct {
 	Group   *hingegroup.Group
 	Machine *hingeconfig.Machine
 }
 
-var _ Origin = Disk{}
+var _ Origin = DiskOrigin{}
 
 // Views returns the cell in which the state machine publishes accepted revisions.
-func (d Disk) Views() *hingeboard.Cell[hingeconfig.View] {
+func (d DiskOrigin) Views() *hingeboard.Cell[hingeconfig.View] {
 	return d.Machine.Views()
 }
 
 // Read reads the newest index from the leader and waits until the state machine has applied it.
-func (d Disk) Read(ctx context.Context) error {
+func (d DiskOrigin) Read(ctx context.Context) error {
 	_, err := d.Group.Read(ctx)
 	return err
 }
 
-// InTouch reports whether the group knows a leader.
-func (d Disk) InTouch() bool {
+// HasLeader reports whether the group knows a leader.
+func (d DiskOrigin) HasLeader() bool {
 	return d.Group.Leader() != ""
 }
--- a/internal/agreement/hingespread/source.go
+++ b/internal/agreement/hingespread/source.go
@@ -37,8 +37,8 @@
 	Views() *hingeboard.Cell[hingeconfig.View]
 	// Read waits until the published view includes all changes accepted before the call.
 	Read(ctx context.Context) error
-	// InTouch reports whether the host hears a leader.
-	InTouch() bool
+	// HasLeader reports whether the host hears a leader.
+	HasLeader() bool
 }
 
 // source responds to the followers of a disk host.
@@ -77,7 +77,7 @@
 	v := s.origin.Views().Load()
 	a := response{
 		Revision:        v.Revision,
-		HasLeader:       s.origin.InTouch(),
+		HasLeader:       s.origin.HasLeader(),
 		NewestConfirmed: newestConfirmed,
 		PollTime:        pollTime,
 	}
@@ -97,11 +97,11 @@
 
 func difference(v *hingeconfig.View, applied hingeids.Revision) hingeconfig.Difference {
 	if v.Revision-applied > maxDifferenceRevisions {
-		return v.Whole()
+		return v.FullDifference()
 	}
 	d, ok := v.Diff(applied, v.Revision)
 	if !ok {
-		return v.Whole()
+		return v.FullDifference()
 	}
 	return d
 }
@@ -154,10 +154,10 @@
 	var out []Lag
 	for h, f := range s.followers {
 		l := Lag{
-			Host:    h,
-			Applied: f.applied,
-			Newest:  newest,
-			HeardAt: f.lastSeen.UnixNano(),
+			Host:     h,
+			Applied:  f.applied,
+			Newest:   newest,
+			LastSeen: f.lastSeen.UnixNano(),
 		}
 		if f.applied < newest {
 			l.LagSince = f.lastSeen.UnixNano()
--- a/internal/agreement/hingespread/spread.go
+++ b/internal/agreement/hingespread/spread.go
@@ -15,9 +15,9 @@
 
 // Peer is an entry host of the settings. Disk is set on a disk host.
 type Peer struct {
-	Host hingeids.HostID
-	Zone hingeids.Zone
-	Disk bool
+	Host    hingeids.HostID
+	Zone    hingeids.Zone
+	HasDisk bool
 }
 
 // Settings configures a Spread.
@@ -51,8 +51,8 @@
 	lagTimeout = 200 * time.Millisecond
 )
 
-// Spread follows the configuration on one host, and serves it to followers if the host has a disk.
-type Spread struct {
+// Replicator follows the configuration on one host, and serves it to followers if the host has a disk.
+type Replicator struct {
 	settings    Settings
 	link        hingelink.Link
 	source      *source
@@ -70,8 +70,8 @@
 }
 
 // New returns a host's Spread and registers its handlers with the link. The origin is nil on a host without a disk.
-func New(s Settings, link hingelink.Link, origin Origin) *Spread {
-	x := &Spread{
+func New(s Settings, link hingelink.Link, origin Origin) *Replicator {
+	x := &Replicator{
 		settings: s,
 		link:     link,
 		records:  make(map[hingeids.HostID]hingeids.Revision),
@@ -79,7 +79,7 @@
 	}
 	var sources []hingeids.HostID
 	for _, p := range s.Peers {
-		if p.Disk {
+		if p.HasDisk {
 			sources = append(sources, p.Host)
 		}
 		if p.Zone == s.Zone && p.Host != s.Self.Host {
@@ -117,17 +117,17 @@
 }
 
 // Applied returns the cell in which the configuration in force is published.
-func (x *Spread) Applied() *hingeboard.Cell[State] {
+func (x *Replicator) Applied() *hingeboard.Cell[State] {
 	return &x.applied
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (x *Spread) Done() <-chan struct{} {
+func (x *Replicator) Done() <-chan struct{} {
 	return x.done
 }
 
 // Run polls sources until the context is done.
-func (x *Spread) Run(ctx context.Context) error {
+func (x *Replicator) Run(ctx context.Context) error {
 	defer close(x.done)
 	var reports sync.WaitGroup
 	defer reports.Wait()
@@ -140,13 +140,13 @@
 	return nil
 }
 
-func (x *Spread) publish() {
+func (x *Replicator) publish() {
 	s := x.selector.state
 	x.applied.Store(&s)
 }
 
 // pollOnce polls one source once and applies the response (rule 1).
-func (x *Spread) pollOnce(ctx context.Context) {
+func (x *Replicator) pollOnce(ctx context.Context) {
 	source := x.selector.source(x.settings.Clock())
 	resp, err := x.poll(ctx, source)
 	now := x.settings.Clock()
@@ -167,7 +167,7 @@
 	x.publish()
 }
 
-func (x *Spread) poll(ctx context.Context, source hingeids.HostID) (response, error) {
+func (x *Replicator) poll(ctx context.Context, source hingeids.HostID) (response, error) {
 	pollTime := x.selector.pollTime
 	if !x.selector.state.Ready {
 		// The source may have to read from the leader before it responds.
@@ -187,7 +187,7 @@
 }
 
 // call calls a link method, or handles a poll of this host by itself without the link.
-func (x *Spread) call(
+func (x *Replicator) call(
 	ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte,
 ) ([]byte, error) {
 	if to == x.settings.Self.Host && x.source != nil && m == methodFollow {
@@ -198,7 +198,7 @@
 
 // handleCutOff runs when no source is reached. A host that isn't ready queries its
 // peers, a ready one keeps its configuration (rules 6 and 7). It then delays the next round.
-func (x *Spread) handleCutOff(ctx context.Context) {
+func (x *Replicator) handleCutOff(ctx context.Context) {
 	if !x.selector.state.Ready {
 		next, ready := x.selector.evaluateRecall(x.recall(ctx))
 		if next.Revision > x.selector.state.View.Revision {
@@ -219,7 +219,7 @@
 
 // apply puts the next view in force, if any. Only a ready host sends its revision to the record
 // peers, since that of another would pass for a record of its earlier incarnation.
-func (x *Spread) apply(ctx context.Context, next *hingeconfig.View, proven bool) {
+func (x *Replicator) apply(ctx context.Context, next *hingeconfig.View, proven bool) {
 	s := &x.selector.state
 	becomesReady := proven && !s.Ready
 	if next == nil {
@@ -239,7 +239,7 @@
 	})
 }
 
-func (x *Spread) recordCutOff(now time.Time, wasCutOff bool) {
+func (x *Replicator) recordCutOff(now time.Time, wasCutOff bool) {
 	cutOff := !x.selector.state.CutOffSince.IsZero()
 	switch {
 	case cutOff && !wasCutOff:
@@ -255,11 +255,11 @@
 
 // Lag queries all disk hosts for the lag of all hosts. If several know a host,
 // the one that it polled last counts.
-func (x *Spread) Lag(ctx context.Context) []Lag {
+func (x *Replicator) Lag(ctx context.Context) []Lag {
 	answers := make(chan []Lag, len(x.settings.Peers))
 	var calls sync.WaitGroup
 	for _, p := range x.settings.Peers {
-		if p.Disk {
+		if p.HasDisk {
 			calls.Go(func() {
 				answers <- x.lagsFrom(ctx, p.Host)
 			})
@@ -270,7 +270,7 @@
 	newest := make(map[hingeids.HostID]Lag)
 	for list := range answers {
 		for _, l := range list {
-			if l.HeardAt >= newest[l.Host].HeardAt {
+			if l.LastSeen >= newest[l.Host].LastSeen {
 				newest[l.Host] = l
 			}
 		}
@@ -284,7 +284,7 @@
 }
 
 // lagsFrom returns the lags that one disk host reports, nil if it doesn't respond.
-func (x *Spread) lagsFrom(ctx context.Context, h hingeids.HostID) []Lag {
+func (x *Replicator) lagsFrom(ctx context.Context, h hingeids.HostID) []Lag {
 	if h == x.settings.Self.Host && x.source != nil {
 		return x.source.lags()
 	}
--- a/internal/agreement/hingespread/witness.go
+++ b/internal/agreement/hingespread/witness.go
@@ -10,7 +10,7 @@
 )
 
 // handleRecord records the revision that a peer has in force or is about to apply (rule 6).
-func (x *Spread) handleRecord(from hingeids.HostID, body []byte) error {
+func (x *Replicator) handleRecord(from hingeids.HostID, body []byte) error {
 	r, err := decode[revisionRecord](body)
 	if err != nil {
 		return err
@@ -22,20 +22,20 @@
 }
 
 // handleRecall responds to a peer that starts and reaches no quorum.
-func (x *Spread) handleRecall(from hingeids.HostID) recallResponse {
+func (x *Replicator) handleRecall(from hingeids.HostID) recallResponse {
 	x.mu.Lock()
 	r, found := x.records[from]
 	x.mu.Unlock()
 	return recallResponse{
 		HasRecord: found,
 		Recorded:  r,
-		Documents: x.applied.Load().View.Whole(),
+		Documents: x.applied.Load().View.FullDifference(),
 	}
 }
 
 // sendRecord sends a revision to the record peers and waits until a majority confirms. It keeps a
 // host that crashes right after a change from restarting with the previous revision.
-func (x *Spread) sendRecord(ctx context.Context, r hingeids.Revision) {
+func (x *Replicator) sendRecord(ctx context.Context, r hingeids.Revision) {
 	if len(x.recordPeers) == 0 {
 		return
 	}
@@ -69,7 +69,7 @@
 
 // resendRecords sends the revision to the record peers periodically, for those that were
 // unreachable or have restarted.
-func (x *Spread) resendRecords(ctx context.Context) {
+func (x *Replicator) resendRecords(ctx context.Context) {
 	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
 	for {
@@ -94,7 +94,7 @@
 
 // recallTargets returns the record peers and some of the other peers in turn, which have
 // no record but may offer a newer configuration.
-func (x *Spread) recallTargets() []hingeids.HostID {
+func (x *Replicator) recallTargets() []hingeids.HostID {
 	out := slices.Clone(x.recordPeers)
 	for i := range min(recallExtraPeers, len(x.others)) {
 		out = append(out, x.others[(x.failedRounds*recallExtraPeers+i)%len(x.others)])
@@ -103,7 +103,7 @@
 }
 
 // recall queries peers of the zone in parallel for their records of this host.
-func (x *Spread) recall(ctx context.Context) map[hingeids.HostID]recallResponse {
+func (x *Replicator) recall(ctx context.Context) map[hingeids.HostID]recallResponse {
 	callCtx, stop := context.WithTimeout(ctx, recallTimeout)
 	defer stop()
 	out := make(map[hingeids.HostID]recallResponse)
--- a/internal/agreement/hingespread/world_test.go
+++ b/internal/agreement/hingespread/world_test.go
@@ -21,7 +21,7 @@
 // process is a running entry host of the simulated cluster.
 type process struct {
 	peer    Peer
-	spread  *Spread
+	spread  *Replicator
 	group   *hingegroup.Group
 	machine *hingeconfig.Machine
 	stop    context.CancelFunc
@@ -61,12 +61,12 @@
 	for i := range hosts {
 		z := zones[i%3]
 		p := Peer{
-			Host: hingeids.HostID(fmt.Sprintf("%s-%d", z, i/3+1)),
-			Zone: z,
-			Disk: i < 3,
+			Host:    hingeids.HostID(fmt.Sprintf("%s-%d", z, i/3+1)),
+			Zone:    z,
+			HasDisk: i < 3,
 		}
 		w.peers = append(w.peers, p)
-		if p.Disk {
+		if p.HasDisk {
 			w.disks = append(w.disks, p.Host)
 		}
 	}
@@ -90,9 +90,9 @@
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop = stop
 	var origin Origin
-	if p.Disk {
+	if p.HasDisk {
 		x.openGroup(w, link)
-		origin = Disk{
+		origin = DiskOrigin{
 			Group:   x.group,
 			Machine: x.machine,
 		}
@@ -120,7 +120,7 @@
 }
 
 func (x *process) openGroup(w *cluster, link hingelink.Link) {
-	files, err := hingejournal.Folder(w.folder + "/" + string(x.peer.Host))
+	files, err := hingejournal.OpenDirectory(w.folder + "/" + string(x.peer.Host))
 	if err != nil {
 		w.t.Fatal(err)
 	}
--- a/internal/agreement/hingeversion/version.go
+++ b/internal/agreement/hingeversion/version.go
@@ -41,8 +41,8 @@
 	return m
 }
 
-// Views returns the cell in which the newest configuration is published.
-func (m *Machine) Views() *hingeboard.Cell[Document] {
+// Documents returns the cell in which the newest configuration is published.
+func (m *Machine) Documents() *hingeboard.Cell[Document] {
 	return &m.views
 }
 
--- a/internal/agreement/hingeversion/version_test.go
+++ b/internal/agreement/hingeversion/version_test.go
@@ -24,7 +24,7 @@
 		highest, body := Version(0), ""
 		for i, v := range versions {
 			content := string(rune('a' + i))
-			before := m.Views().Load().Version
+			before := m.Documents().Load().Version
 			apply(t, m, Document{
 				Version: Version(v),
 				Body:    []byte(content),
@@ -32,7 +32,7 @@
 			if Version(v) > highest {
 				highest, body = Version(v), content
 			}
-			if after := m.Views().Load().Version; after < before {
+			if after := m.Documents().Load().Version; after < before {
 				t.Fatalf("version %d after %d", after, before)
 			}
 		}
@@ -40,7 +40,7 @@
 			Version: highest,
 			Body:    []byte(body),
 		}
-		if diff := cmp.Diff(&want, m.Views().Load()); diff != "" {
+		if diff := cmp.Diff(&want, m.Documents().Load()); diff != "" {
 			t.Fatal(diff)
 		}
 	})
@@ -56,7 +56,7 @@
 			Body:    []byte(body),
 		})
 	}
-	if got := string(m.Views().Load().Body); got != "first" {
+	if got := string(m.Documents().Load().Body); got != "first" {
 		t.Fatalf("the configuration is %q", got)
 	}
 }
@@ -70,11 +70,11 @@
 	if err := other.Restore(m.Snapshot()); err != nil {
 		t.Fatal(err)
 	}
-	if diff := cmp.Diff(m.Views().Load(), other.Views().Load()); diff != "" {
+	if diff := cmp.Diff(m.Documents().Load(), other.Documents().Load()); diff != "" {
 		t.Fatal(diff)
 	}
-	if err := other.Restore(nil); err != nil || other.Views().Load().Version != 0 {
-		t.Fatalf("an empty snapshot gives %v, error %v", other.Views().Load(), err)
+	if err := other.Restore(nil); err != nil || other.Documents().Load().Version != 0 {
+		t.Fatalf("an empty snapshot gives %v, error %v", other.Documents().Load(), err)
 	}
 	if err := other.Restore([]byte("broken")); err == nil {
 		t.Fatal("a broken snapshot was restored without an error")
--- a/internal/ledger/hingeledger/group_test.go
+++ b/internal/ledger/hingeledger/group_test.go
@@ -93,7 +93,7 @@
 		Keep:    func() time.Duration { return testKeep },
 	}
 	if disk {
-		files, err := hingejournal.Folder(t.TempDir())
+		files, err := hingejournal.OpenDirectory(t.TempDir())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -139,7 +139,7 @@
 func (r *realHosts) syncs() (n int64) {
 	for _, h := range r.all {
 		if h.group != nil {
-			n += h.group.Standing().Journal.Syncs + h.keeper.syncs.Load()
+			n += h.group.Status().Journal.Syncs + h.keeper.syncs.Load()
 		}
 	}
 	return n
--- a/internal/membership/hingefollow/askers.go
+++ b/internal/membership/hingefollow/askers.go
@@ -12,24 +12,24 @@
 // followerSetBits is the size of the bitmap. In 512 bytes it counts 69 hosts to within two, and 560 to within two percent.
 const followerSetBits = 4096
 
-// Askers is the set of entry hosts that follow a control host, a bitmap indexed by a hash of the host name (linear counting).
+// FollowerSet is the set of entry hosts that follow a control host, a bitmap indexed by a hash of the host name (linear counting).
 // An entry host follows several control hosts, and for a few seconds one more while it switches between them, so the sum of
 // the control hosts' counts is too high. A union of their sets counts each entry host once.
-type Askers []byte
+type FollowerSet []byte
 
-// NewAskers returns an empty set.
-func NewAskers() Askers {
-	return make(Askers, followerSetBits/8)
+// NewFollowerSet returns an empty set.
+func NewFollowerSet() FollowerSet {
+	return make(FollowerSet, followerSetBits/8)
 }
 
 // Add adds an entry host to the set.
-func (a Askers) Add(h hingeids.HostID) {
+func (a FollowerSet) Add(h hingeids.HostID) {
 	bit := xxhash.Sum64String(string(h)) % followerSetBits
 	a[bit/8] |= 1 << (bit % 8)
 }
 
 // Join adds all hosts of another set. It ignores a set of another size, which comes from a different build.
-func (a Askers) Join(o Askers) {
+func (a FollowerSet) Join(o FollowerSet) {
 	if len(o) != len(a) {
 		return
 	}
@@ -39,7 +39,7 @@
 }
 
 // Count estimates the number of hosts in the set. It corrects for hosts whose hashes share a bit.
-func (a Askers) Count() int {
+func (a FollowerSet) Count() int {
 	set := 0
 	for _, b := range a {
 		set += bits.OnesCount8(b)
--- a/internal/membership/hingefollow/follow.go
+++ b/internal/membership/hingefollow/follow.go
@@ -96,8 +96,8 @@
 	VersionOnly bool `cbor:"6,keyasint,omitempty"`
 	// Single marks a query of rule 8: the control host doesn't count the sender as its follower.
 	Single bool `cbor:"7,keyasint,omitempty"`
-	// Poisons is the revision of the follower's list of poison requests (rule 9).
-	Poisons uint64 `cbor:"8,keyasint,omitempty"`
+	// PoisonRequests is the revision of the follower's list of poison requests (rule 9).
+	PoisonRequests uint64 `cbor:"8,keyasint,omitempty"`
 }
 
 // memberInfo names a control host in a response. Zone is empty if it isn't known.
@@ -108,65 +108,65 @@
 
 // followResponse is a control host's response to a follower.
 type followResponse struct {
-	Incarnation hingeids.Incarnation   `cbor:"1,keyasint"`
-	Change      uint64                 `cbor:"2,keyasint"`
-	Records     []hingeannounce.Record `cbor:"3,keyasint,omitempty"`
-	Document    *hingeversion.Document `cbor:"4,keyasint,omitempty"`
-	Leader      hingeids.HostID        `cbor:"5,keyasint,omitempty"`
-	Control     []memberInfo           `cbor:"6,keyasint,omitempty"`
+	Incarnation  hingeids.Incarnation   `cbor:"1,keyasint"`
+	Change       uint64                 `cbor:"2,keyasint"`
+	Records      []hingeannounce.Record `cbor:"3,keyasint,omitempty"`
+	Document     *hingeversion.Document `cbor:"4,keyasint,omitempty"`
+	Leader       hingeids.HostID        `cbor:"5,keyasint,omitempty"`
+	ControlHosts []memberInfo           `cbor:"6,keyasint,omitempty"`
 	// Version is the version of the newest configuration, also if Document is nil.
 	Version hingeversion.Version `cbor:"12,keyasint,omitempty"`
-	// Askers are the entry hosts that follow the control host; it is sent only to control hosts. Entries counts the entry
+	// FollowerSet are the entry hosts that follow the control host; it is sent only to control hosts. Entries counts the entry
 	// hosts of all control hosts.
-	Askers          Askers        `cbor:"15,keyasint,omitempty"`
-	Entries         int           `cbor:"7,keyasint,omitempty"`
+	FollowerSet     FollowerSet   `cbor:"15,keyasint,omitempty"`
+	EntryHosts      int           `cbor:"7,keyasint,omitempty"`
 	NewestConfirmed bool          `cbor:"8,keyasint,omitempty"`
-	InTouch         bool          `cbor:"9,keyasint,omitempty"`
+	HasLeader       bool          `cbor:"9,keyasint,omitempty"`
 	Term            uint64        `cbor:"10,keyasint,omitempty"`
 	Zone            hingeids.Zone `cbor:"11,keyasint,omitempty"`
-	// Poisons is the list of poison requests if it is newer than the follower's, otherwise nil.
-	Poisons *hingepoison.List `cbor:"16,keyasint,omitempty"`
+	// PoisonRequests is the list of poison requests if it is newer than the follower's, otherwise nil.
+	PoisonRequests *hingepoison.List `cbor:"16,keyasint,omitempty"`
 }
 
 // State is the replicated state of a follower. A published state is immutable.
 type State struct {
 	Document hingeversion.Document
-	// Poisons is the list of poison requests, which crash servers.
-	Poisons hingepoison.List
+	// PoisonRequests is the list of poison requests, which crash servers.
+	PoisonRequests hingepoison.List
 	// Ready is set once a configuration was confirmed by the leader (rule 4).
 	Ready bool
 	// Leader is the last reported leader of the control hosts, in Term.
 	Leader hingeids.HostID
 	Term   uint64
-	// Entries is the last reported number of entry hosts.
-	Entries int
-	// Control lists the known control hosts, ordered by name.
-	Control []ControlHost
-	// HeardAt is when the last response came from a control host that hears a leader.
-	HeardAt time.Time
+	// EntryHosts is the last reported number of entry hosts.
+	EntryHosts int
+	// ControlHosts lists the known control hosts, ordered by name.
+	ControlHosts []ControlHost
+	// LastSeen is when the last response came from a control host that hears a leader.
+	LastSeen time.Time
 }
 
 // ControlHost is a control host and its last reported state.
 type ControlHost struct {
 	Host hingeids.HostID
 	Zone hingeids.Zone
-	// InTouch is set if it heard a leader at its last response. HeardAt is the time of that response, zero before the first.
-	InTouch bool
-	HeardAt time.Time
-	// Askers are the entry hosts that follow it.
-	Askers Askers
+	// HasLeader is set if it heard a leader at its last response. HeardAt is the time of that response, zero before the first.
+	HasLeader bool
+	LastSeen  time.Time
+	// FollowerSet are the entry hosts that follow it.
+	FollowerSet FollowerSet
 }
 
 // Settings configures a Follower.
 type Settings struct {
 	Self hingeids.HostID
 	Zone hingeids.Zone
-	// Entry is set on hosts that accept requests from callers. Other followers are control hosts,
+	// EntryHost is set on hosts that accept requests from callers. Other followers are control hosts,
 	// which follow all control hosts (rule 5).
-	Entry bool
-	Clock func() time.Time
-	// Took is called with the records of each response, from the goroutine that received it.
-	Took func(now time.Time, records []hingeannounce.Record)
+	EntryHost bool
+	Clock     func() time.Time
+	// OnRecords is called with the records of each response, from the goroutine that received it.
+	OnRecords func(now time.Time, records []hingeannounce.Record)
 }
 
 // Follower polls the control hosts and publishes the newest state.
@@ -207,8 +207,8 @@
 	return f.done
 }
 
-// Reseed replaces the seeds.
-func (f *Follower) Reseed(seeds []hingeids.HostID) {
+// SetSeeds replaces the seeds.
+func (f *Follower) SetSeeds(seeds []hingeids.HostID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.seeds = slices.Clone(seeds)
@@ -266,13 +266,13 @@
 	s := f.state.Load()
 	f.mu.Lock()
 	q := followRequest{
-		Incarnation:   h.incarnation,
-		Change:        h.change,
-		Version:       s.Document.Version,
-		Poisons:       s.Poisons.Revision,
-		ConfirmNewest: !s.Ready,
-		EntryHost:     f.settings.Entry,
-		VersionOnly:   s.Ready && !h.sendsDocuments && !h.documentLate,
+		Incarnation:    h.incarnation,
+		Change:         h.change,
+		Version:        s.Document.Version,
+		PoisonRequests: s.PoisonRequests.Revision,
+		ConfirmNewest:  !s.Ready,
+		EntryHost:      f.settings.EntryHost,
+		VersionOnly:    s.Ready && !h.sendsDocuments && !h.documentLate,
 	}
 	f.mu.Unlock()
 	callCtx, stop := context.WithTimeout(ctx, longPollTime+responseGrace)
@@ -297,7 +297,7 @@
 // apply merges a response into the state (rule 2).
 func (f *Follower) apply(now time.Time, h *host, a followResponse) {
 	if len(a.Records) > 0 {
-		f.settings.Took(now, a.Records)
+		f.settings.OnRecords(now, a.Records)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -306,22 +306,22 @@
 	h.change = a.Change
 	h.zone = a.Zone
 	h.documentLate = false
-	h.hasLeader = a.InTouch
-	h.followers = a.Askers
+	h.hasLeader = a.HasLeader
+	h.followers = a.FollowerSet
 	next := *f.state.Load()
 	if a.Document != nil && a.Document.Version > next.Document.Version {
 		next.Document = *a.Document
 	}
-	if a.Poisons != nil && a.Poisons.Revision > next.Poisons.Revision {
-		next.Poisons = *a.Poisons
+	if a.PoisonRequests != nil && a.PoisonRequests.Revision > next.PoisonRequests.Revision {
+		next.PoisonRequests = *a.PoisonRequests
 	}
 	// A control host that hears no leader may have an outdated list of members.
-	if a.InTouch {
-		next.HeardAt = now
-		if a.Entries > 0 {
-			next.Entries = a.Entries
+	if a.HasLeader {
+		next.LastSeen = now
+		if a.EntryHosts > 0 {
+			next.EntryHosts = a.EntryHosts
 		}
-		for _, c := range a.Control {
+		for _, c := range a.ControlHosts {
 			f.markNamed(now, c.Host)
 			if h := f.hosts[c.Host]; h != nil && c.Zone != "" {
 				h.zone = c.Zone
@@ -333,6 +333,6 @@
 		next.Term = a.Term
 	}
 	next.Ready = next.Ready || a.NewestConfirmed && next.Document.Version > 0
-	next.Control = f.controlHosts()
+	next.ControlHosts = f.controlHosts()
 	f.state.Store(&next)
 }
--- a/internal/membership/hingefollow/follow_test.go
+++ b/internal/membership/hingefollow/follow_test.go
@@ -24,22 +24,22 @@
 	documents hingeboard.Cell[hingeversion.Document]
 	poisons   hingeboard.Cell[hingepoison.List]
 	mu        sync.Mutex
-	standing  Standing
+	standing  GroupStatus
 	// noLeader makes Read fail.
 	noLeader bool
 }
 
 func (o *origin) Documents() *hingeboard.Cell[hingeversion.Document] { return &o.documents }
 
-func (o *origin) Poisons() *hingeboard.Cell[hingepoison.List] { return &o.poisons }
+func (o *origin) PoisonRequests() *hingeboard.Cell[hingepoison.List] { return &o.poisons }
 
-func (o *origin) Standing() Standing {
+func (o *origin) GroupStatus() GroupStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	return o.standing
 }
 
-func (o *origin) setStanding(s Standing) {
+func (o *origin) setStanding(s GroupStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.standing = s
@@ -96,12 +96,12 @@
 type testControl struct {
 	*origin
 	source    *Source
-	followers []Askers
+	followers []FollowerSet
 }
 
 func (c *testControl) ZoneOf(hingeids.HostID) hingeids.Zone { return "" }
 
-func (c *testControl) Askers() []Askers { return c.followers }
+func (c *testControl) FollowerSets() []FollowerSet { return c.followers }
 
 // cluster is a simulated cluster of two control hosts and their followers, under a fake clock.
 type cluster struct {
@@ -138,11 +138,11 @@
 func (x *cluster) start(h hingeids.HostID, incarnation hingeids.Incarnation) *testControl {
 	c := &testControl{
 		origin: &origin{
-			standing: Standing{
-				Leader:  "control-1",
-				Term:    1,
-				Members: []hingeids.HostID{"control-1", "control-2"},
-				InTouch: true,
+			standing: GroupStatus{
+				Leader:    "control-1",
+				Term:      1,
+				Members:   []hingeids.HostID{"control-1", "control-2"},
+				HasLeader: true,
 			},
 		},
 	}
@@ -162,10 +162,10 @@
 		records: hingeannounce.NewDirectory(self),
 	}
 	f := New(Settings{
-		Self:  self,
-		Entry: true,
-		Clock: time.Now,
-		Took:  d.addRecords,
+		Self:      self,
+		EntryHost: true,
+		Clock:     time.Now,
+		OnRecords: d.addRecords,
 	}, x.network.Link(self), []hingeids.HostID{seed})
 	x.followers = append(x.followers, f)
 	go func() {
@@ -189,13 +189,13 @@
 	withCluster(t, func(t *testing.T, x *cluster) {
 		f, d := x.startFollower("entry-1", "control-1")
 		x.hosts["control-1"].accept(1)
-		x.hosts["control-2"].source.Hear(time.Now(), announcement("engine"))
+		x.hosts["control-2"].source.HandleAnnouncement(time.Now(), announcement("engine"))
 		time.Sleep(3 * time.Second)
 		if got := len(d.servers()); got != 1 {
 			t.Fatalf("%d servers are known, want 1", got)
 		}
 		s := f.State().Load()
-		if !s.Ready || s.Document.Version != 1 || s.Entries != 1 {
+		if !s.Ready || s.Document.Version != 1 || s.EntryHosts != 1 {
 			t.Fatalf("state is %+v", s)
 		}
 	})
@@ -221,7 +221,7 @@
 	withCluster(t, func(t *testing.T, x *cluster) {
 		partitioned := x.hosts["control-1"]
 		partitioned.noLeader = true
-		partitioned.setStanding(Standing{})
+		partitioned.setStanding(GroupStatus{})
 		partitioned.accept(1)
 		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
@@ -229,7 +229,7 @@
 			t.Fatalf("state is %+v after an outdated response", s)
 		}
 		x.hosts["control-2"].accept(5)
-		f.Reseed([]hingeids.HostID{"control-2"})
+		f.SetSeeds([]hingeids.HostID{"control-2"})
 		time.Sleep(3 * time.Second)
 		if s := f.State().Load(); !s.Ready || s.Document.Version != 5 {
 			t.Fatalf("state is %+v", s)
@@ -263,10 +263,10 @@
 
 // followerSets returns the set of each control host if each entry host follows maxFollowed of them, and the first ones, which are
 // switching, one more.
-func followerSets(controls, entries, switching int) []Askers {
-	out := make([]Askers, controls)
+func followerSets(controls, entries, switching int) []FollowerSet {
+	out := make([]FollowerSet, controls)
 	for i := range out {
-		out[i] = NewAskers()
+		out[i] = NewFollowerSet()
 	}
 	for i := range entries {
 		followed := min(maxFollowed, controls)
@@ -318,7 +318,7 @@
 			tolerance: 11,
 		},
 	} {
-		all := NewAskers()
+		all := NewFollowerSet()
 		for _, a := range followerSets(c.controls, c.entries, c.switching) {
 			all.Join(a)
 		}
@@ -332,7 +332,7 @@
 		f, _ := x.startFollower("entry-of-its-own", "control-1")
 		x.network.Remove("control-2")
 		time.Sleep(5 * time.Second)
-		if n := f.State().Load().Entries; n < 63 || n > 67 {
+		if n := f.State().Load().EntryHosts; n < 63 || n > 67 {
 			t.Errorf("%d entry hosts, want 65", n)
 		}
 	})
@@ -345,18 +345,18 @@
 		x.startFollower("entry-1", "control-1")
 		x.startFollower("entry-2", "control-1")
 		f := New(Settings{
-			Self:  "control-3",
-			Clock: time.Now,
-			Took:  func(time.Time, []hingeannounce.Record) {},
+			Self:      "control-3",
+			Clock:     time.Now,
+			OnRecords: func(time.Time, []hingeannounce.Record) {},
 		}, x.network.Link("control-3"), []hingeids.HostID{"control-1"})
 		x.followers = append(x.followers, f)
 		go func() {
 			_ = f.Run(x.ctx)
 		}()
 		time.Sleep(6 * time.Second)
-		all := NewAskers()
-		for _, c := range f.State().Load().Control {
-			all.Join(c.Askers)
+		all := NewFollowerSet()
+		for _, c := range f.State().Load().ControlHosts {
+			all.Join(c.FollowerSet)
 		}
 		if n := all.Count(); n != 2 {
 			t.Errorf("%d entry hosts, want 2", n)
@@ -386,11 +386,11 @@
 	withCluster(t, func(t *testing.T, x *cluster) {
 		_, d := x.startFollower("entry-1", "control-1")
 		for _, id := range []hingeids.ServerID{"a", "b", "c"} {
-			x.hosts["control-1"].source.Hear(time.Now(), announcement(id))
+			x.hosts["control-1"].source.HandleAnnouncement(time.Now(), announcement(id))
 		}
 		time.Sleep(3 * time.Second)
 		next := x.start("control-1", 2)
-		next.source.Hear(time.Now(), announcement("d"))
+		next.source.HandleAnnouncement(time.Now(), announcement("d"))
 		time.Sleep(3 * time.Second)
 		want := map[hingeids.ServerID]bool{
 			"a": true,
@@ -410,16 +410,16 @@
 		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
 		x.network.Remove("control-1")
-		x.hosts["control-2"].setStanding(Standing{
-			Leader:  "control-2",
-			Term:    2,
-			Members: []hingeids.HostID{"control-2"},
-			InTouch: true,
+		x.hosts["control-2"].setStanding(GroupStatus{
+			Leader:    "control-2",
+			Term:      2,
+			Members:   []hingeids.HostID{"control-2"},
+			HasLeader: true,
 		})
-		f.Reseed([]hingeids.HostID{"control-2"})
+		f.SetSeeds([]hingeids.HostID{"control-2"})
 		time.Sleep(40 * time.Second)
 		var got []hingeids.HostID
-		for _, c := range f.State().Load().Control {
+		for _, c := range f.State().Load().ControlHosts {
 			got = append(got, c.Host)
 		}
 		if diff := cmp.Diff([]hingeids.HostID{"control-2"}, got); diff != "" {
@@ -447,7 +447,7 @@
 		for i := range servers {
 			a := announcement(hingeids.ServerID(fmt.Sprint("server-", i)))
 			a.Address = fmt.Sprint("10.0.0.1:", 1000+i)
-			x.hosts["control-1"].source.Hear(time.Now(), a)
+			x.hosts["control-1"].source.HandleAnnouncement(time.Now(), a)
 			time.Sleep(2500 * time.Microsecond)
 		}
 		time.Sleep(time.Second)
@@ -475,14 +475,14 @@
 		}
 		x.hosts["control-1"].accept(1)
 		time.Sleep(3 * time.Second)
-		x.hosts["control-1"].source.Hear(time.Now(), announcement("server"))
+		x.hosts["control-1"].source.HandleAnnouncement(time.Now(), announcement("server"))
 		time.Sleep(time.Millisecond)
-		x.hosts["control-1"].setStanding(Standing{
-			Leader:  "control-2",
-			Term:    2,
-			InTouch: true,
+		x.hosts["control-1"].setStanding(GroupStatus{
+			Leader:    "control-2",
+			Term:      2,
+			HasLeader: true,
 		})
-		x.hosts["control-1"].source.Wake()
+		x.hosts["control-1"].source.WakePolls()
 		time.Sleep(5 * time.Millisecond)
 		for i, f := range all {
 			if l := f.State().Load().Leader; l != "control-2" {
@@ -502,9 +502,9 @@
 			records: hingeannounce.NewDirectory("control-2"),
 		}
 		f := New(Settings{
-			Self:  "control-2",
-			Clock: time.Now,
-			Took:  d.addRecords,
+			Self:      "control-2",
+			Clock:     time.Now,
+			OnRecords: d.addRecords,
 		}, x.network.Link("control-3"), []hingeids.HostID{"control-1"})
 		x.followers = append(x.followers, f)
 		go func() {
@@ -512,7 +512,7 @@
 		}()
 		x.hosts["control-1"].accept(1)
 		time.Sleep(3 * time.Second)
-		x.hosts["control-1"].source.Hear(time.Now(), announcement("server"))
+		x.hosts["control-1"].source.HandleAnnouncement(time.Now(), announcement("server"))
 		time.Sleep(2 * minBatchDelay)
 		if len(d.servers()) != 1 {
 			t.Error("the other control host didn't receive the server's record")
@@ -533,14 +533,14 @@
 			// No long poll is woken, as if the change were still in transit.
 			c.documents.Load().Version = 4
 		}
-		if v, known := f.Newest(context.Background()); !known || v != 4 {
+		if v, known := f.NewestVersion(context.Background()); !known || v != 4 {
 			t.Fatalf("version %d, known %v", v, known)
 		}
 		for _, c := range x.hosts {
 			c.noLeader = true
 		}
 		time.Sleep(time.Second)
-		if v, known := f.Newest(context.Background()); known {
+		if v, known := f.NewestVersion(context.Background()); known {
 			t.Fatalf("version %d was confirmed as the newest without a leader", v)
 		}
 	})
@@ -579,7 +579,7 @@
 		})
 		start := time.Now()
 		x.hosts["control-2"].poisons.Store(newer)
-		for len(f.State().Load().Poisons.Records) == 0 && time.Since(start) < time.Second {
+		for len(f.State().Load().PoisonRequests.Records) == 0 && time.Since(start) < time.Second {
 			time.Sleep(time.Millisecond)
 		}
 		if elapsed := time.Since(start); elapsed > 20*time.Millisecond {
@@ -587,7 +587,7 @@
 		}
 		x.hosts["control-1"].poisons.Store(older)
 		time.Sleep(3 * time.Second)
-		if diff := cmp.Diff(*newer, f.State().Load().Poisons); diff != "" {
+		if diff := cmp.Diff(*newer, f.State().Load().PoisonRequests); diff != "" {
 			t.Error(diff)
 		}
 	})
--- a/internal/membership/hingefollow/hosts.go
+++ b/internal/membership/hingefollow/hosts.go
@@ -21,7 +21,7 @@
 	change      uint64
 	zone        hingeids.Zone
 	hasLeader   bool
-	followers   Askers
+	followers   FollowerSet
 	// sendsDocuments is set if the host sends new configurations. documentLate is set if it
 	// reported the version of one that hasn't arrived (rule 6).
 	sendsDocuments bool
@@ -47,7 +47,7 @@
 	}
 	for i, id := range f.ranked(now) {
 		h := f.hosts[id]
-		if f.settings.Entry && i >= maxFollowed {
+		if f.settings.EntryHost && i >= maxFollowed {
 			h.stopPolling()
 			continue
 		}
@@ -115,11 +115,11 @@
 	out := make([]ControlHost, 0, len(f.hosts))
 	for id, h := range f.hosts {
 		out = append(out, ControlHost{
-			Host:    id,
-			Zone:    h.zone,
-			InTouch: h.hasLeader,
-			HeardAt: h.lastSeen,
-			Askers:  h.followers,
+			Host:        id,
+			Zone:        h.zone,
+			HasLeader:   h.hasLeader,
+			LastSeen:    h.lastSeen,
+			FollowerSet: h.followers,
 		})
 	}
 	slices.SortFunc(out, func(a, b ControlHost) int {
--- a/internal/membership/hingefollow/newest.go
+++ b/internal/membership/hingefollow/newest.go
@@ -26,9 +26,9 @@
 	known   bool
 }
 
-// Newest returns the version of the newest configuration accepted before the call, to within versionQueryMaxAge. The follower
+// NewestVersion returns the version of the newest configuration accepted before the call, to within versionQueryMaxAge. The follower
 // holds that configuration when Newest returns. It returns false if no control host confirmed one (rule 8).
-func (f *Follower) Newest(ctx context.Context) (hingeversion.Version, bool) {
+func (f *Follower) NewestVersion(ctx context.Context) (hingeversion.Version, bool) {
 	q := f.currentQuery(f.settings.Clock())
 	select {
 	case <-q.done:
@@ -102,7 +102,7 @@
 		Change:        h.change,
 		Version:       f.state.Load().Document.Version,
 		ConfirmNewest: true,
-		EntryHost:     f.settings.Entry,
+		EntryHost:     f.settings.EntryHost,
 		Single:        true,
 	}
 	f.mu.Unlock()
--- a/internal/membership/hingefollow/source.go
+++ b/internal/membership/hingefollow/source.go
@@ -18,13 +18,13 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Standing is a control host's view of the consensus group of the configuration.
-type Standing struct {
+// GroupStatus is a control host's view of the consensus group of the configuration.
+type GroupStatus struct {
 	Leader  hingeids.HostID
 	Term    uint64
 	Members []hingeids.HostID
-	// InTouch is set while the host hears a leader.
-	InTouch bool
+	// HasLeader is set while the host hears a leader.
+	HasLeader bool
 	// Zone is the host's own zone.
 	Zone hingeids.Zone
 }
@@ -33,19 +33,19 @@
 type Origin interface {
 	// Documents returns the cell in which accepted configurations are published.
 	Documents() *hingeboard.Cell[hingeversion.Document]
-	// Poisons returns the cell in which the list of poison requests is published.
-	Poisons() *hingeboard.Cell[hingepoison.List]
+	// PoisonRequests returns the cell in which the list of poison requests is published.
+	PoisonRequests() *hingeboard.Cell[hingepoison.List]
 	// Read waits until the published configuration is no older than any accepted before the call.
 	Read(ctx context.Context) error
-	Standing() Standing
+	GroupStatus() GroupStatus
 }
 
 // Peers provides what a control host knows of the other control hosts.
 type Peers interface {
 	// ZoneOf returns the zone of a control host, empty if it isn't known.
 	ZoneOf(h hingeids.HostID) hingeids.Zone
-	// Askers returns the set of entry hosts that follow each of the others.
-	Askers() []Askers
+	// FollowerSets returns the set of entry hosts that follow each of the others.
+	FollowerSets() []FollowerSet
 }
 
 // Source responds to followers and holds the directory of a control host. Its methods are safe for concurrent use.
@@ -104,8 +104,8 @@
 	return s
 }
 
-// Hear merges a backend server's announcement to this host, and reports whether it changed the directory.
-func (s *Source) Hear(now time.Time, a hingeannounce.Announcement) bool {
+// HandleAnnouncement merges a backend server's announcement to this host, and reports whether it changed the directory.
+func (s *Source) HandleAnnouncement(now time.Time, a hingeannounce.Announcement) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	changed := s.directory.Receive(now, a)
@@ -113,15 +113,15 @@
 	return changed
 }
 
-// Leave records that a backend server leaves. The incarnation is zero if the server didn't send it.
-func (s *Source) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
+// HandleLeave records that a backend server leaves. The incarnation is zero if the server didn't send it.
+func (s *Source) HandleLeave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notifyIfChanged(s.directory.MarkLeaving(now, id, i))
 }
 
-// Wake makes waiting long polls check for changes of Origin.
-func (s *Source) Wake() {
+// WakePolls makes waiting long polls check for changes of Origin.
+func (s *Source) WakePolls() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notifyIfChanged(true)
@@ -145,8 +145,8 @@
 	s.notifyIfChanged(changed)
 }
 
-// Step removes expired records and entry hosts. It is called periodically.
-func (s *Source) Step(now time.Time) {
+// RemoveExpired removes expired records and entry hosts. It is called periodically.
+func (s *Source) RemoveExpired(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.notifyIfChanged(s.directory.Step(now))
@@ -197,17 +197,17 @@
 
 // respond returns a cached response to a follower with the same state, or a new one.
 func (s *Source) respond(q followRequest, confirmed bool) ([]byte, error) {
-	standing := s.origin.Standing()
+	standing := s.origin.GroupStatus()
 	k := responseKey{
 		since:              q.Change,
 		heldVersion:        q.Version,
 		version:            s.origin.Documents().Load().Version,
-		heldPoisonRevision: q.Poisons,
-		poisonRevision:     s.origin.Poisons().Load().Revision,
+		heldPoisonRevision: q.PoisonRequests,
+		poisonRevision:     s.origin.PoisonRequests().Load().Revision,
 		leader:             standing.Leader,
 		term:               standing.Term,
 		versionOnly:        q.VersionOnly,
-		hasLeader:          standing.InTouch,
+		hasLeader:          standing.HasLeader,
 		confirmed:          confirmed,
 		entryHost:          q.EntryHost,
 	}
@@ -250,22 +250,22 @@
 }
 
 func (s *Source) followResponse(q followRequest) followResponse {
-	standing := s.origin.Standing()
+	standing := s.origin.GroupStatus()
 	a := followResponse{
-		Incarnation: s.self,
-		Leader:      standing.Leader,
-		Term:        standing.Term,
-		Control:     s.memberInfo(standing.Members),
-		InTouch:     standing.InTouch,
-		Zone:        standing.Zone,
+		Incarnation:  s.self,
+		Leader:       standing.Leader,
+		Term:         standing.Term,
+		ControlHosts: s.memberInfo(standing.Members),
+		HasLeader:    standing.HasLeader,
+		Zone:         standing.Zone,
 	}
 	d := s.origin.Documents().Load()
 	a.Version = d.Version
 	if d.Version > q.Version && !q.VersionOnly {
 		a.Document = d
 	}
-	if l := s.origin.Poisons().Load(); l.Revision > q.Poisons {
-		a.Poisons = l
+	if l := s.origin.PoisonRequests().Load(); l.Revision > q.PoisonRequests {
+		a.PoisonRequests = l
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -273,22 +273,22 @@
 	a.Records = s.directory.Since(q.Change)
 	own := s.followerSet()
 	if !q.EntryHost {
-		a.Askers = own
+		a.FollowerSet = own
 	}
-	a.Entries = s.countEntryHosts(own)
+	a.EntryHosts = s.countEntryHosts(own)
 	return a
 }
 
-// Entries returns the number of entry hosts that follow this or another control host.
-func (s *Source) Entries() int {
+// EntryHosts returns the number of entry hosts that follow this or another control host.
+func (s *Source) EntryHosts() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.countEntryHosts(s.followerSet())
 }
 
 // followerSet returns the entry hosts that follow this host. The caller holds the lock.
-func (s *Source) followerSet() Askers {
-	out := NewAskers()
+func (s *Source) followerSet() FollowerSet {
+	out := NewFollowerSet()
 	for h := range s.entryHosts {
 		out.Add(h)
 	}
@@ -296,10 +296,10 @@
 }
 
 // countEntryHosts counts the entry hosts that follow this or another control host.
-func (s *Source) countEntryHosts(own Askers) int {
-	all := NewAskers()
+func (s *Source) countEntryHosts(own FollowerSet) int {
+	all := NewFollowerSet()
 	all.Join(own)
-	for _, a := range s.peers.Askers() {
+	for _, a := range s.peers.FollowerSets() {
 		all.Join(a)
 	}
 	return all.Count()
@@ -321,18 +321,18 @@
 func (s *Source) waitForChange(ctx context.Context, q followRequest) {
 	timer := time.NewTimer(longPollTime)
 	defer timer.Stop()
-	leader := s.origin.Standing().Leader
+	leader := s.origin.GroupStatus().Leader
 	batching := false
 	for {
 		documents := s.origin.Documents().Changed()
-		poisons := s.origin.Poisons().Changed()
+		poisons := s.origin.PoisonRequests().Changed()
 		s.mu.Lock()
 		servers := s.changed
 		newRecords := s.directory.Change() > q.Change
 		delay := s.batchDelay(q)
 		s.mu.Unlock()
-		if s.origin.Documents().Load().Version > q.Version || s.origin.Poisons().Load().Revision > q.Poisons ||
-			s.origin.Standing().Leader != leader {
+		if s.origin.Documents().Load().Version > q.Version || s.origin.PoisonRequests().Load().Revision > q.PoisonRequests ||
+			s.origin.GroupStatus().Leader != leader {
 			hingeclock.Sleep(ctx, minBatchDelay)
 			return
 		}
--- a/internal/serve/hingecontrol/announce.go
+++ b/internal/serve/hingecontrol/announce.go
@@ -17,13 +17,13 @@
 	if !c.world.Load().Table().Names(a.Service) {
 		return eris.Errorf("service %q isn't in the configuration", a.Service)
 	}
-	c.source.Hear(now, a)
+	c.source.HandleAnnouncement(now, a)
 	return nil
 }
 
 // Leave takes a backend server's word that it leaves, in an incarnation that is zero if it doesn't say it.
 func (c *Control) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
-	c.source.Leave(now, id, i)
+	c.source.HandleLeave(now, id, i)
 }
 
 // Refuse records an announcement that wasn't taken, bounded: another writer may send any number.
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -124,7 +124,7 @@
 		Self:  o.Life.Host,
 		Zone:  o.Zone,
 		Clock: hingeclock.BootTime,
-		Took: func(now time.Time, records []hingeannounce.Record) {
+		OnRecords: func(now time.Time, records []hingeannounce.Record) {
 			c.source.Merge(now, records)
 		},
 	}, c.link, o.Seeds)
@@ -138,7 +138,7 @@
 func (c *Control) openGroup(ctx context.Context) (*hingegroup.Group, error) {
 	var last error
 	for range openTries {
-		files, err := hingejournal.Folder(filepath.Join(c.options.Data, "config"))
+		files, err := hingejournal.OpenDirectory(filepath.Join(c.options.Data, "config"))
 		if err == nil {
 			var g *hingegroup.Group
 			if g, err = c.newGroup(files); err == nil {
@@ -158,19 +158,19 @@
 	return nil, eris.Wrap(last, "open the configuration's journal")
 }
 
-func (c *Control) newGroup(files hingejournal.Files) (*hingegroup.Group, error) {
+func (c *Control) newGroup(files hingejournal.Directory) (*hingegroup.Group, error) {
 	o := c.options
 	return hingegroup.New(hingegroup.Settings{
 		Name:      "config",
 		Self:      o.Life.Host,
 		Hosts:     o.Seeds,
 		Open:      true,
-		Joins:     !o.Founds,
+		JoinOnly:  !o.Founds,
 		Voters:    o.Voters,
 		Election:  election,
 		Heartbeat: heartbeat,
 		Clock:     hingeclock.BootTime,
-		Today:     time.Now,
+		WallClock: time.Now,
 		Seed:      uint64(o.Life.Incarnation),
 		Recorder:  o.Recorder,
 	}, c.link, files, c.machine)
@@ -205,8 +205,8 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			c.source.Step(hingeclock.BootTime())
-			c.entries.Store(int64(c.source.Entries()))
+			c.source.RemoveExpired(hingeclock.BootTime())
+			c.entries.Store(int64(c.source.EntryHosts()))
 		}
 	}
 }
@@ -215,10 +215,10 @@
 func (c *Control) watchLeader(ctx context.Context) error {
 	known := hingeids.HostID("")
 	for {
-		changed := c.group.Standings().Changed()
+		changed := c.group.StatusCell().Changed()
 		if l := c.group.Leader(); l != known {
 			known = l
-			c.source.Wake()
+			c.source.WakePolls()
 		}
 		select {
 		case <-changed:
@@ -232,9 +232,9 @@
 func (c *Control) watchWorld(ctx context.Context) error {
 	var table *hingeroutes.Table
 	for {
-		documents := c.machine.Views().Changed()
+		documents := c.machine.Documents().Changed()
 		servers := c.source.Changed()
-		if d := c.machine.Views().Load(); d.Version > 0 && (table == nil || table.Version < uint64(d.Version)) {
+		if d := c.machine.Documents().Load(); d.Version > 0 && (table == nil || table.Version < uint64(d.Version)) {
 			t, err := c.options.Parse(d.Body)
 			if err != nil {
 				c.options.Recorder.Record(time.Now(), hingeevents.RevisionUnread, hingeevents.Fields{
@@ -336,7 +336,7 @@
 // IsElectedLeader reports whether this host was elected, whether or not its lease holds at the
 // moment: placing is advice, and a lease that lapses for a heartbeat is no reason to forget the fleet.
 func (c *Control) IsElectedLeader() bool {
-	return c.group.Standing().Leads
+	return c.group.Status().IsLeader
 }
 
 // places reports whether streams are placed here.
@@ -346,7 +346,7 @@
 
 // Documents is where each accepted configuration is published.
 func (c *Control) Documents() *hingeboard.Cell[hingeversion.Document] {
-	return c.machine.Views()
+	return c.machine.Documents()
 }
 
 // Read waits until the newest document is no older than any accepted before the call (rule 2).
@@ -355,14 +355,14 @@
 	return err
 }
 
-// Standing is what this host knows of the group.
-func (c *Control) Standing() hingefollow.Standing {
-	s := c.group.Standing()
-	out := hingefollow.Standing{
-		Leader:  s.Leader.Host,
-		Term:    uint64(s.Term),
-		InTouch: !s.Leader.IsZero(),
-		Zone:    c.options.Zone,
+// GroupStatus is what this host knows of the group.
+func (c *Control) GroupStatus() hingefollow.GroupStatus {
+	s := c.group.Status()
+	out := hingefollow.GroupStatus{
+		Leader:    s.Leader.Host,
+		Term:      uint64(s.Term),
+		HasLeader: !s.Leader.IsZero(),
+		Zone:      c.options.Zone,
 	}
 	for _, m := range s.Members.All() {
 		out.Members = append(out.Members, m.Host)
@@ -375,7 +375,7 @@
 	if h == c.options.Life.Host {
 		return c.options.Zone
 	}
-	for _, x := range c.follower.State().Load().Control {
+	for _, x := range c.follower.State().Load().ControlHosts {
 		if x.Host == h {
 			return x.Zone
 		}
@@ -387,13 +387,13 @@
 // among those that are asked.
 const peerSilence = 5 * time.Second
 
-// Askers gives the entry hosts that ask each of the other control hosts.
-func (c *Control) Askers() []hingefollow.Askers {
-	var out []hingefollow.Askers
+// FollowerSets gives the entry hosts that ask each of the other control hosts.
+func (c *Control) FollowerSets() []hingefollow.FollowerSet {
+	var out []hingefollow.FollowerSet
 	now := hingeclock.BootTime()
-	for _, x := range c.follower.State().Load().Control {
-		if now.Sub(x.HeardAt) < peerSilence {
-			out = append(out, x.Askers)
+	for _, x := range c.follower.State().Load().ControlHosts {
+		if now.Sub(x.LastSeen) < peerSilence {
+			out = append(out, x.FollowerSet)
 		}
 	}
 	return out
@@ -411,6 +411,6 @@
 
 // Reseed takes other seeds.
 func (c *Control) Reseed(seeds []hingeids.HostID) {
-	c.follower.Reseed(seeds)
-	c.group.Meet(seeds)
+	c.follower.SetSeeds(seeds)
+	c.group.SetExtraHosts(seeds)
 }
--- a/internal/serve/hingecontrol/operators.go
+++ b/internal/serve/hingecontrol/operators.go
@@ -63,7 +63,7 @@
 
 func (o Operators) list(w *hingewire.Writer) {
 	now := time.Now()
-	l := o.Control.Poisons().Load()
+	l := o.Control.PoisonRequests().Load()
 	var records []record
 	for _, r := range l.Refused() {
 		records = append(records, record{
--- a/internal/serve/hingecontrol/poison.go
+++ b/internal/serve/hingecontrol/poison.go
@@ -22,14 +22,14 @@
 	listTime = 2 * time.Second
 )
 
-// Poisons is where the list of the requests that end servers is published.
-func (c *Control) Poisons() *hingeboard.Cell[hingepoison.List] {
-	return c.machine.Poisons()
+// PoisonRequests is where the list of the requests that end servers is published.
+func (c *Control) PoisonRequests() *hingeboard.Cell[hingepoison.List] {
+	return c.machine.PoisonRequests()
 }
 
 // PoisonEntry gives what the list says of a request.
 func (c *Control) PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed {
-	return c.Poisons().Load().At(time.Now(), p)
+	return c.PoisonRequests().Load().At(time.Now(), p)
 }
 
 // Propose hands a record to whoever proposes it, who waits for disks. The placer mustn't.
@@ -44,7 +44,7 @@
 // WriteMetrics writes the control host's metrics as text.
 func (c *Control) WriteMetrics(w io.Writer) {
 	// A reader that left needs no answer.
-	_, _ = fmt.Fprintf(w, "swifthinge_poison_requests %d\n", len(c.Poisons().Load().Refused()))
+	_, _ = fmt.Fprintf(w, "swifthinge_poison_requests %d\n", len(c.PoisonRequests().Load().Refused()))
 }
 
 // proposeList has changes of the list agreed on.
--- a/internal/serve/hingecontrol/roles.go
+++ b/internal/serve/hingecontrol/roles.go
@@ -88,12 +88,12 @@
 
 // Holder gives the leader's term as the fencing number.
 func (i issuer) Holder(now time.Time) (hingeids.Fence, time.Time, bool) {
-	s := i.group.group.Standing()
+	s := i.group.group.Status()
 	settled := i.group.settled.Load()
-	if settled == nil || *settled != hingeids.Fence(s.Term) || !s.Leads {
+	if settled == nil || *settled != hingeids.Fence(s.Term) || !s.IsLeader {
 		return 0, time.Time{}, false
 	}
-	return hingeids.Fence(s.Term), s.LeadsUntil, now.Before(s.LeadsUntil)
+	return hingeids.Fence(s.Term), s.LeaseUntil, now.Before(s.LeaseUntil)
 }
 
 // run decides until the context ends.
@@ -111,9 +111,9 @@
 }
 
 func (r *roles) step(now time.Time) {
-	s := r.control.group.Standing()
+	s := r.control.group.Status()
 	term := hingeids.Fence(s.Term)
-	if !s.Leads {
+	if !s.IsLeader {
 		r.stepDown()
 		return
 	}
--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -104,11 +104,11 @@
 		return nil, err
 	}
 	f.follower = hingefollow.New(hingefollow.Settings{
-		Self:  o.Life.Host,
-		Zone:  o.Zone,
-		Entry: true,
-		Clock: hingeclock.BootTime,
-		Took:  f.took,
+		Self:      o.Life.Host,
+		Zone:      o.Zone,
+		EntryHost: true,
+		Clock:     hingeclock.BootTime,
+		OnRecords: f.took,
 	}, f.link, o.Seeds)
 	f.owner = hingeplacer.NewOwner(o.Life.Host, f.link, f, hingeclock.BootTime, o.Recorder, o.Quotas)
 	f.proxy = hingeproxy.New(hingeproxy.Settings{
@@ -287,7 +287,7 @@
 
 // Reseed takes other seeds.
 func (f *Front) Reseed(seeds []hingeids.HostID) {
-	f.follower.Reseed(seeds)
+	f.follower.SetSeeds(seeds)
 }
 
 // Proxy gives the part that answers callers.
--- a/internal/serve/hingefront/world.go
+++ b/internal/serve/hingefront/world.go
@@ -28,7 +28,7 @@
 
 // ConfirmNewest reports whether the routes in force are the newest that were accepted before the call.
 func (f *Front) ConfirmNewest(ctx context.Context) bool {
-	version, known := f.follower.Newest(ctx)
+	version, known := f.follower.NewestVersion(ctx)
 	if !known {
 		return false
 	}
@@ -77,7 +77,7 @@
 
 // EntryHosts is how many entry hosts there are.
 func (f *Front) EntryHosts() int {
-	return max(f.follower.State().Load().Entries, 1)
+	return max(f.follower.State().Load().EntryHosts, 1)
 }
 
 // Quota gives a customer's quota.
@@ -87,7 +87,7 @@
 
 // PoisonEntry gives what the list says of a request, as a control host told it.
 func (f *Front) PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed {
-	return f.follower.State().Load().Poisons.At(time.Now(), p)
+	return f.follower.State().Load().PoisonRequests.At(time.Now(), p)
 }
 
 // IsElectedLeader is false: an entry host is elected by nobody.
@@ -105,12 +105,12 @@
 	s := f.follower.State().Load()
 	now := hingeclock.BootTime()
 	var leader, near, far []hingeids.HostID
-	if s.Leader != "" && now.Sub(s.HeardAt) < controlSilence {
+	if s.Leader != "" && now.Sub(s.LastSeen) < controlSilence {
 		leader = []hingeids.HostID{s.Leader}
 	}
-	for _, c := range s.Control {
+	for _, c := range s.ControlHosts {
 		switch {
-		case c.InTouch || now.Sub(c.HeardAt) > controlSilence:
+		case c.HasLeader || now.Sub(c.LastSeen) > controlSilence:
 		case c.Zone == f.options.Zone:
 			near = append(near, c.Host)
 		default:
--- a/internal/serve/hingeserver/lives.go
+++ b/internal/serve/hingeserver/lives.go
@@ -39,7 +39,7 @@
 		},
 		Operator: string(l.Host),
 		SentAt:   now.UnixNano(),
-		Fact:     true,
+		System:   true,
 	}
 }
 
@@ -54,7 +54,7 @@
 		}
 		id := hingeids.HostID(host)
 		incarnation := hingeids.Incarnation(binary.BigEndian.Uint64(document))
-		over := v.OverUpTo(id)
+		over := v.EndedUpTo(id)
 		record[id] = hingemembers.RegistryEntry{
 			Incarnation: max(incarnation, over),
 			Ended:       over >= incarnation,
@@ -97,7 +97,7 @@
 		if record.HasEnded(life) {
 			continue
 		}
-		if !s.recordFact(ctx, hingeconfig.LifeOver(life, s.settings.Host, now)) {
+		if !s.recordFact(ctx, hingeconfig.InstanceEnded(life, s.settings.Host, now)) {
 			continue
 		}
 		s.recorder.Record(now, hingeevents.LifeRecordedOver, hingeevents.Fields{
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -68,9 +68,9 @@
 			return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
 				Code: v.Code,
 				Winner: hingeadmin.Accepted{
-					Revision: a.Winner.Revision,
-					ChangeID: hingeadmin.ChangeID(a.Winner.ID),
-					Operator: a.Winner.Operator,
+					Revision: a.AcceptedChange.Revision,
+					ChangeID: hingeadmin.ChangeID(a.AcceptedChange.ID),
+					Operator: a.AcceptedChange.Operator,
 				},
 			}
 		}
@@ -104,7 +104,7 @@
 	switch {
 	case r > view.Revision:
 		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionAhead
-	case r < view.OperatorAt:
+	case r < view.OperatorRevision:
 		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionGone
 	}
 	items := make(map[string]string)
@@ -160,7 +160,7 @@
 	view := o.server.shared.machine.Views().Load()
 	var out []hingeadmin.Accepted
 	for _, h := range slices.Backward(view.History) {
-		if h.Change.Fact {
+		if h.Change.System {
 			continue
 		}
 		out = append(out, hingeadmin.Accepted{
@@ -195,7 +195,7 @@
 // votes tells whether this host counts towards the quorums of both groups.
 func (s *Server) votes() bool {
 	for _, group := range []*hingegroup.Group{s.shared.config, s.shared.ledgerGroup} {
-		standing := group.Standing()
+		standing := group.Status()
 		if s.settings.DataFolder == "" || !standing.Members.HasVoter(standing.Self) {
 			return false
 		}
--- a/internal/serve/hingeserver/orders.go
+++ b/internal/serve/hingeserver/orders.go
@@ -52,7 +52,7 @@
 // Holder gives the leader's term and the end of its lease.
 func (o *orders) Holder(now time.Time) (fence hingeids.Fence, until time.Time, ok bool) {
 	fence, ok = o.server.shared.config.Leading(now)
-	return fence, o.server.shared.config.Standing().LeadsUntil, ok
+	return fence, o.server.shared.config.Status().LeaseUntil, ok
 }
 
 // State asks an engine what it is.
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -27,7 +27,7 @@
 	link        *hingelink.QUIC
 	machine     *hingeconfig.Machine
 	config      *hingegroup.Group
-	spread      *hingespread.Spread
+	spread      *hingespread.Replicator
 	ledgerGroup *hingegroup.Group
 	keeper      *hingeledger.Keeper
 	ledger      *hingeledger.Ledger
@@ -146,7 +146,7 @@
 	if c.settings.DataFolder == "" {
 		return hingegroup.New(settings, s.link, nil, nil)
 	}
-	files, err := hingejournal.Folder(filepath.Join(c.settings.DataFolder, name))
+	files, err := hingejournal.OpenDirectory(filepath.Join(c.settings.DataFolder, name))
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +162,7 @@
 	s.config = group
 	var origin hingespread.Origin
 	if c.settings.DataFolder != "" {
-		origin = hingespread.Disk{
+		origin = hingespread.DiskOrigin{
 			Group:   group,
 			Machine: s.machine,
 		}
@@ -170,9 +170,9 @@
 	peers := make([]hingespread.Peer, 0, len(c.settings.Peers))
 	for _, p := range c.settings.Peers {
 		peers = append(peers, hingespread.Peer{
-			Host: p.Host,
-			Zone: p.Zone,
-			Disk: p.Disk,
+			Host:    p.Host,
+			Zone:    p.Zone,
+			HasDisk: p.Disk,
 		})
 	}
 	s.spread = hingespread.New(hingespread.Settings{
@@ -215,7 +215,7 @@
 
 func (s *shared) openKeeper(c sharedConfig) error {
 	folder := filepath.Join(c.settings.DataFolder, "keeper")
-	if _, err := hingejournal.Folder(folder); err != nil {
+	if _, err := hingejournal.OpenDirectory(folder); err != nil {
 		return err
 	}
 	store, err := hingeledger.OpenFileStore(folder)
