--- a/internal/operate/hingeadmin/bodies.go
+++ b/internal/operate/hingeadmin/bodies.go
@@ -8,87 +8,90 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// ChangeID is the operator's name for one change. A resend carries it again.
+// ChangeID identifies a change. Resends of the change carry the same ID.
 type ChangeID string
 
-// Change is what an operator asks for, the body of POST /v1/changes.
+// Change is a configuration change, the body of POST /v1/changes.
 type Change struct {
 	ChangeID ChangeID `json:"changeId"`
-	// ExpectedRevision is the one that the change was made from. It is accepted
-	// only if that one is still the newest.
+	// ExpectedRevision is the revision that the change is based on. The change is
+	// accepted only if this is still the newest revision.
 	ExpectedRevision hingeids.Revision `json:"expectedRevision"`
-	// Operator names who made the change, for the history.
+	// Operator is the name recorded in the history.
 	Operator string `json:"operator"`
-	// Puts are new documents by path, Deletes paths to remove.
+	// Puts maps paths to new documents. Deletes lists paths to remove.
 	Puts    map[string]string `json:"puts,omitempty"`
 	Deletes []string          `json:"deletes,omitempty"`
 }
 
-// Accepted is a change that became a revision.
+// Accepted describes an accepted change and the revision that it created.
 type Accepted struct {
 	Revision hingeids.Revision `json:"revision"`
 	ChangeID ChangeID          `json:"changeId"`
 	Operator string            `json:"operator"`
 	At       time.Time         `json:"at"`
-	// Paths are the items it put or deleted.
+	// Paths lists the items that the change put or deleted.
 	Paths []string `json:"paths"`
-	// Repeated says that this is the first answer, given again to a resend.
+	// Repeated reports that the change had been accepted before and that this
+	// is the response to a resend.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
-// Snapshot is the configuration at a revision, the body of GET /v1/configuration.
+// Snapshot is the configuration at a revision, the response body of GET /v1/configuration.
 type Snapshot struct {
 	Revision hingeids.Revision `json:"revision"`
 	Items    map[string]string `json:"items"`
 }
 
-// History is the body of GET /v1/history, newest first.
+// History is the response body of GET /v1/history. Changes are ordered from newest to oldest.
 type History struct {
 	Changes []Accepted `json:"changes"`
 }
 
-// Status is the body of GET /v1/status: what one entry host knows.
+// Status is the response body of GET /v1/status: the cluster view of one entry host.
 type Status struct {
 	Host        hingeids.HostID      `json:"host"`
 	Zone        hingeids.Zone        `json:"zone"`
 	Incarnation hingeids.Incarnation `json:"incarnation"`
-	// Ready says that the host takes requests; Reason why it doesn't.
+	// Ready reports whether the host accepts requests. Reason explains why it doesn't.
 	Ready  bool   `json:"ready"`
 	Reason string `json:"reason,omitempty"`
-	// Draining says that the host finishes what it has, InProgress how many
-	// requests that is.
+	// Draining reports that the host accepts no new requests. InProgress counts
+	// the requests that it is still serving.
 	Draining   bool `json:"draining"`
 	InProgress int  `json:"inProgress"`
-	// Leader leads the configuration log, as far as this host knows; it is empty
-	// when there is no quorum.
+	// Leader is the known leader of the configuration log. It is empty when there
+	// is no quorum.
 	Leader hingeids.HostID `json:"leader,omitempty"`
-	// Voting says that the host counts towards a quorum of the configuration log.
-	// The repair of a lost disk is done only then.
+	// Voting reports whether the host counts towards a quorum of the configuration
+	// log. The replacement of a lost disk is complete only when this is set.
 	Voting bool `json:"voting"`
-	// Committed is the newest accepted revision that this host knows of.
+	// Committed is the newest accepted revision known to this host.
 	Committed hingeids.Revision `json:"committed"`
 	Hosts     []HostStatus      `json:"hosts"`
 	Servers   []ServerStatus    `json:"servers"`
 }
 
-// HostStatus is an entry host as another one sees it.
+// HostStatus is the state of an entry host as observed by the host that responds.
 type HostStatus struct {
 	Host hingeids.HostID `json:"host"`
 	Zone hingeids.Zone   `json:"zone"`
-	// Operators is where it takes operators' commands, if the settings say.
+	// Operators is the address for operators' commands. It is empty if the
+	// settings don't contain one.
 	Operators string `json:"operators,omitempty"`
 	Disk      bool   `json:"disk"`
 	Alive     bool   `json:"alive"`
-	// SilentSince is when it was last heard from, if it is not alive.
+	// SilentSince is the time of the last heartbeat of a host that is not alive.
 	SilentSince time.Time            `json:"silentSince,omitzero"`
 	Incarnation hingeids.Incarnation `json:"incarnation"`
-	// Revision is what it applies, as it last said.
+	// Revision is the applied revision in the host's last report.
 	Revision hingeids.Revision `json:"revision"`
-	// LagsSince is since when it has applied less than the newest revision.
+	// LagsSince is the time since which the host's applied revision has been older
+	// than the newest one.
 	LagsSince time.Time `json:"lagsSince,omitzero"`
 }
 
-// ServerStatus is a backend server as an entry host sees it.
+// ServerStatus is the state of a backend server as observed by an entry host.
 type ServerStatus struct {
 	Server  hingeids.ServerID `json:"server"`
 	Kind    string            `json:"kind"`
@@ -97,34 +100,35 @@
 	Service hingeids.Service  `json:"service,omitempty"`
 	Running int               `json:"running"`
 	Slots   hingeids.Slots    `json:"slots,omitempty"`
-	// Granting says that requests may be placed there: for a decode engine, that
-	// this host has had slots of it to grant.
+	// Granting reports whether requests may be placed on the server. For a decode
+	// engine, this host must have received slots that it can grant.
 	Granting bool `json:"granting"`
-	// Listed says that it stands in the inventory; others are not used.
+	// Listed reports whether the server is in the inventory. Servers that are not
+	// receive no requests.
 	Listed      bool      `json:"listed"`
 	Leaving     bool      `json:"leaving"`
 	SilentSince time.Time `json:"silentSince,omitzero"`
 }
 
-// Drain is the body of the answer to POST /v1/drain.
+// Drain is the response body of POST /v1/drain.
 type Drain struct {
 	Draining   bool `json:"draining"`
 	InProgress int  `json:"inProgress"`
 }
 
-// Voters is the body of POST /v1/voters: a host to let in, or one to take out.
+// Voters is the body of POST /v1/voters. Exactly one of Admit and Remove is set.
 type Voters struct {
 	Admit  hingeids.HostID `json:"admit,omitempty"`
 	Remove hingeids.HostID `json:"remove,omitempty"`
 }
 
-// Failure is the body of every answer that is not a success.
+// Failure is the body of every error response.
 type Failure struct {
 	Code    hingeverdict.Code `json:"code"`
 	Verdict string            `json:"verdict"`
 	Error   string            `json:"error"`
-	// Winner is the change that was accepted first, after a conflict.
+	// Winner is the accepted change that caused a conflict.
 	Winner *Accepted `json:"winner,omitempty"`
-	// Problems are what is wrong with a change.
+	// Problems lists the validation errors of a change.
 	Problems []hingetoml.Problem `json:"problems,omitempty"`
 }
--- a/internal/operate/hingeadmin/change.go
+++ b/internal/operate/hingeadmin/change.go
@@ -22,20 +22,20 @@
 	now := h.Clock()
 	change, err := parseChange(c.PostBody())
 	if err != nil {
-		refuseErr(c, err)
+		respondError(c, err)
 		return
 	}
 	problems, err := h.check(change)
 	if err != nil {
-		refuseErr(c, err)
+		respondError(c, err)
 		return
 	}
 	if len(problems) > 0 {
-		h.note(now, hingeevents.ChangeRefused, change, problems[0].String())
-		refuse(c, fasthttp.StatusUnprocessableEntity, Failure{
+		h.recordRefusal(now, hingeevents.ChangeRefused, change, problems[0].String())
+		respondFailure(c, fasthttp.StatusUnprocessableEntity, Failure{
 			Code:     hingeverdict.CodeMalformed,
 			Verdict:  hingeverdict.NotRun.String(),
-			Error:    "the configuration would have problems",
+			Error:    "the change would make the configuration invalid",
 			Problems: problems,
 		})
 		return
@@ -48,8 +48,8 @@
 	defer cancel()
 	accepted, err := h.Configuration.Propose(ctx, change, now)
 	if err != nil {
-		h.note(now, hingeevents.ChangeRefused, change, err.Error())
-		refuseErr(c, err)
+		h.recordRefusal(now, hingeevents.ChangeRefused, change, err.Error())
+		respondError(c, err)
 		return
 	}
 	number := hingeevents.ChangeAccepted
@@ -60,57 +60,58 @@
 		Revision: accepted.Revision,
 		Detail:   change.Operator + " " + string(change.ChangeID),
 	})
-	answer(c, accepted)
+	respond(c, accepted)
 }
 
-func (h *Handler) note(now time.Time, n hingeevents.Number, change Change, reason string) {
+func (h *Handler) recordRefusal(now time.Time, n hingeevents.Number, change Change, reason string) {
 	h.Events.Record(now, n, hingeevents.Fields{
 		Revision: change.ExpectedRevision,
 		Detail:   change.Operator + " " + string(change.ChangeID) + ": " + reason,
 	})
 }
 
-// parseChange reads a change strictly: an unknown field may be a misspelt
-// expectedRevision, which would race over someone else's change.
+// parseChange decodes a change and rejects unknown fields. A misspelt
+// expectedRevision would otherwise be ignored, and the change could overwrite
+// another operator's change.
 func parseChange(body []byte) (Change, error) {
 	if len(body) > MaxChange {
 		return Change{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeTooLarge, 0,
-			eris.Errorf("the change has %d bytes, the limit is %d", len(body), MaxChange))
+			eris.Errorf("change is %d bytes, limit is %d bytes", len(body), MaxChange))
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
 	var change Change
 	if err := d.Decode(&change); err != nil {
-		return Change{}, malformed(eris.Wrap(err, "change"))
+		return Change{}, malformed(eris.Wrap(err, "decode change"))
 	}
 	if d.More() {
-		return Change{}, malformed(eris.New("change: more follows the JSON object"))
+		return Change{}, malformed(eris.New("change: unexpected data after the JSON object"))
 	}
-	if change.ChangeID == "" || len(change.ChangeID) > maxName || change.Operator == "" || len(change.Operator) > maxName {
-		return Change{}, malformed(eris.Errorf("change: want changeId and operator, each of 1 to %d bytes", maxName))
+	if change.ChangeID == "" || len(change.ChangeID) > maxNameBytes || change.Operator == "" || len(change.Operator) > maxNameBytes {
+		return Change{}, malformed(eris.Errorf("change: changeId and operator must each have 1 to %d bytes", maxNameBytes))
 	}
 	if len(change.Puts)+len(change.Deletes) == 0 {
-		return Change{}, malformed(eris.New("change: want puts or deletes"))
+		return Change{}, malformed(eris.New("change: puts and deletes are both empty"))
 	}
 	for _, path := range change.Deletes {
 		if _, ok := change.Puts[path]; ok {
-			return Change{}, malformed(eris.Errorf("change: %q is both put and deleted", path))
+			return Change{}, malformed(eris.Errorf("change: path %q is in both puts and deletes", path))
 		}
 	}
 	return change, nil
 }
 
-// maxName bounds change ids and operators' names, which are kept for good.
-const maxName = 128
+// maxNameBytes bounds change IDs and operator names, which the log never deletes.
+const maxNameBytes = 128
 
 func malformed(err error) error {
 	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0, err)
 }
 
-// check carries out Rules 1 and 2.
+// check validates a change (Rules 1 and 2).
 func (h *Handler) check(change Change) ([]hingetoml.Problem, error) {
 	if change.ExpectedRevision == 0 {
-		return problemsAfter(nil, change), nil
+		return validateChange(nil, change), nil
 	}
 	base, err := h.Configuration.At(change.ExpectedRevision)
 	if errors.Is(err, ErrRevisionGone) {
@@ -122,16 +123,16 @@
 	if err != nil {
 		return nil, err
 	}
-	return problemsAfter(base.Items, change), nil
+	return validateChange(base.Items, change), nil
 }
 
-func problemsAfter(base map[string]string, change Change) []hingetoml.Problem {
+func validateChange(base map[string]string, change Change) []hingetoml.Problem {
 	items := hingeinventory.Patch(ToItems(base), ToItems(change.Puts), change.Deletes)
 	_, _, problems := hingeinventory.Join(items)
 	return problems
 }
 
-// ToItems gives documents from their form in JSON.
+// ToItems converts documents from their JSON representation.
 func ToItems(documents map[string]string) hingeinventory.Items {
 	items := make(hingeinventory.Items, len(documents))
 	for path, d := range documents {
@@ -140,7 +141,7 @@
 	return items
 }
 
-// FromItems gives documents in their form in JSON.
+// FromItems converts documents to their JSON representation.
 func FromItems(items hingeinventory.Items) map[string]string {
 	documents := make(map[string]string, len(items))
 	for path, d := range items {
@@ -152,23 +153,23 @@
 func (h *Handler) configuration(c *fasthttp.RequestCtx) {
 	revision, err := numberArgument(c, "revision")
 	if err != nil {
-		refuseErr(c, err)
+		respondError(c, err)
 		return
 	}
 	s, err := h.Configuration.At(hingeids.Revision(revision))
 	switch {
 	case errors.Is(err, ErrRevisionGone):
-		refuse(c, fasthttp.StatusGone, Failure{
+		respondFailure(c, fasthttp.StatusGone, Failure{
 			Code:    hingeverdict.CodeRevisionConflict,
 			Verdict: hingeverdict.NotRun.String(),
 			Error:   err.Error(),
 		})
 	case errors.Is(err, ErrRevisionAhead):
-		refuseErr(c, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, time.Second, err))
+		respondError(c, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, time.Second, err))
 	case err != nil:
-		refuseErr(c, err)
+		respondError(c, err)
 	default:
-		answer(c, s)
+		respond(c, s)
 	}
 }
 
@@ -179,7 +180,7 @@
 	}
 	n, err := strconv.ParseUint(text, 10, 63)
 	if err != nil {
-		return 0, malformed(eris.Errorf("%s: want a number, not %q", name, text))
+		return 0, malformed(eris.Errorf("query argument %s: %q is not an unsigned 63-bit integer", name, text))
 	}
 	return n, nil
 }
--- a/internal/operate/hingeadmin/events.go
+++ b/internal/operate/hingeadmin/events.go
@@ -8,30 +8,30 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingetimeline"
 )
 
-// events gives what this process keeps from a wall time on.
+// events responds with the retained events since a wall clock time.
 func (h *Handler) events(c *fasthttp.RequestCtx) {
 	since, err := numberArgument(c, "since")
 	if err != nil {
-		refuseErr(c, err)
+		respondError(c, err)
 		return
 	}
-	answer(c, h.source(int64(since)))
+	respond(c, h.source(int64(since)))
 }
 
-// explain gives what this process keeps about one request.
+// explain responds with the retained events of one request.
 func (h *Handler) explain(c *fasthttp.RequestCtx) {
 	request, err := hingeids.ParseRequestID(string(c.QueryArgs().Peek("request")))
 	if err != nil {
-		refuseErr(c, malformed(err))
+		respondError(c, malformed(err))
 		return
 	}
 	s := h.source(0)
-	one := hingetimeline.Merge([]hingetimeline.Source{s}, nil)
-	s.Events = one.Explain(request).Events
+	timeline := hingetimeline.Merge([]hingetimeline.Source{s}, nil)
+	s.Events = timeline.Explain(request).Events
 	if s.Events == nil {
 		s.Events = []hingeevents.Event{}
 	}
-	answer(c, s)
+	respond(c, s)
 }
 
 func (h *Handler) source(since int64) hingetimeline.Source {
@@ -39,8 +39,7 @@
 	s := hingetimeline.Source{
 		Life:   h.Events.Life(),
 		Events: make([]hingeevents.Event, 0, len(kept)),
-		// What was dropped doesn't matter if something older than asked for is
-		// still there.
+		// If an event older than since is retained, no event since then was dropped.
 		Dropped: h.Events.Dropped() && (len(kept) == 0 || kept[0].Stamp.Wall >= since),
 	}
 	for _, e := range kept {
--- a/internal/operate/hingeadmin/handler.go
+++ b/internal/operate/hingeadmin/handler.go
@@ -1,20 +1,20 @@
-// Package hingeadmin answers the operators' commands over HTTP, at the
-// operators' address of an entry host.
+// Package hingeadmin implements the operators' HTTP API of an entry host.
 //
-//  1. A change is checked as a whole before it is proposed: the items as they
-//     will be are put together, and any problem refuses it. The log itself
-//     takes any bytes, so what passes here is what every process must read.
-//  2. The check looks at the revision that the change expects. If that is older
-//     than what this host still keeps, the change can't be accepted any more: it
-//     is a resend or a conflict, and the log knows which. If it is newer than
-//     what this host applies, the host can't check it and refuses for now.
-//  3. A refusal says by its verdict whether the change may have been accepted.
-//     Resending it with its change id is safe in every case.
-//  4. Reading never waits for a quorum: a host in a zone that is cut off tells
-//     what it applies and whom it hears.
+//  1. The complete configuration that results from a change is validated before
+//     the change is proposed, and any problem rejects it. The log itself accepts
+//     any bytes, so a change that passes must be readable by every process.
+//  2. A change is validated against its expected revision. If this host no longer
+//     retains that revision, the change can't be accepted as a new one: it is
+//     either a resend or a conflict, and the log determines which. If the
+//     revision is newer than the one that this host applies, the host can't
+//     validate the change and returns a temporary error.
+//  3. The verdict of an error states whether the change may have been accepted.
+//     Resending the change with the same change ID is always safe.
+//  4. Reads never wait for a quorum. A host in a partitioned zone returns the
+//     configuration that it applies and the hosts that it can reach.
 //
-// There is no sign-on: whoever reaches the address may change the
-// configuration. It has to be bound to a network that only operators reach.
+// The API has no authentication: every client that can connect may change the
+// configuration. Bind the address to a network that only operators can reach.
 package hingeadmin
 
 import (
@@ -35,14 +35,14 @@
 
 // Errors of Configuration.At.
 var (
-	// ErrRevisionGone says that the revision is older than what is kept.
-	ErrRevisionGone = eris.New("the revision is no longer kept here")
-	// ErrRevisionAhead says that this host has not applied the revision yet.
-	ErrRevisionAhead = eris.New("the revision is not applied here yet")
+	// ErrRevisionGone means that the revision is older than the retained ones.
+	ErrRevisionGone = eris.New("revision is no longer retained on this host")
+	// ErrRevisionAhead means that this host has not applied the revision yet.
+	ErrRevisionAhead = eris.New("revision is not yet applied on this host")
 )
 
-// ConflictError says that another change was accepted against the expected
-// revision, or that the change id was used for other content.
+// ConflictError means that another change was accepted against the expected
+// revision, or that the change ID was used for other content.
 type ConflictError struct {
 	Code   hingeverdict.Code
 	Winner Accepted
@@ -55,67 +55,69 @@
 	return fmt.Sprintf("revision %d by %s was accepted first", e.Winner.Revision, e.Winner.Operator)
 }
 
-// Configuration is the agreed configuration.
+// Configuration gives access to the replicated configuration.
 type Configuration interface {
-	// Propose asks for a change. Errors are *ConflictError or carry a verdict.
+	// Propose appends a change to the configuration log. Errors are
+	// *ConflictError or carry a verdict.
 	Propose(ctx context.Context, c Change, now time.Time) (Accepted, error)
-	// At gives the items at a revision, or at the one in force here for zero.
-	// Errors are ErrRevisionGone and ErrRevisionAhead.
+	// At returns the items at a revision. Revision zero means the one that this
+	// host applies. Errors are ErrRevisionGone and ErrRevisionAhead.
 	At(revision hingeids.Revision) (Snapshot, error)
-	// History gives accepted changes, newest first, as far as they are kept.
+	// History returns the retained accepted changes, newest first.
 	History() []Accepted
 }
 
-// StatusReader tells what this host knows.
+// StatusReader returns this host's view of the cluster.
 type StatusReader interface {
 	Status(now time.Time) Status
 }
 
-// Drainer starts a graceful shutdown. Drain may be called again.
+// Drainer starts a graceful shutdown. Drain returns the number of requests in
+// progress and may be called repeatedly.
 type Drainer interface {
 	Drain(now time.Time) (inProgress int)
 }
 
-// VoterChanger changes who votes on the configuration log and the quorum ledger.
+// VoterChanger changes the voters of the configuration log and the quorum ledger.
 type VoterChanger interface {
-	// ChangeVoters lets a host in, to be promoted once it holds everything, or takes
-	// one out for good. Doing the same again is no harm.
+	// ChangeVoters admits a host, which becomes a voter once it has caught up, or
+	// removes a host permanently. It is idempotent.
 	ChangeVoters(ctx context.Context, v Voters) error
 }
 
-// Config is what the handler answers from.
+// Config holds the dependencies of a Handler.
 type Config struct {
 	Configuration Configuration
 	Status        StatusReader
 	Drainer       Drainer
 	Voters        VoterChanger
 	Events        *hingeevents.Recorder
-	// Metrics writes the metrics; nil when there are none.
+	// Metrics writes the metrics in the Prometheus text format. It may be nil.
 	Metrics func(w io.Writer)
 	Clock   func() time.Time
 }
 
-// Handler answers operators' commands.
+// Handler serves the operators' API. It is safe for concurrent use if its
+// dependencies are.
 type Handler struct {
 	Config
 }
 
-// NewHandler makes a handler.
+// NewHandler returns a handler that uses the given dependencies.
 func NewHandler(c Config) *Handler {
 	return &Handler{
 		Config: c,
 	}
 }
 
-// proposeTimeout bounds the wait for a quorum: longer than an election, and
-// shorter than an operator's patience.
+// proposeTimeout bounds the wait for a quorum. It is longer than an election.
 const proposeTimeout = 10 * time.Second
 
-// MaxChange is the largest body of a change in bytes. An accepted change goes
-// to every process, and a snapshot of it must fit the links' calls.
+// MaxChange is the maximum body size of a change in bytes. Accepted changes are
+// replicated to every process, and their snapshot must fit into one link call.
 const MaxChange = 1 << 20
 
-// Handle answers a request.
+// Handle serves one HTTP request.
 func (h *Handler) Handle(c *fasthttp.RequestCtx) {
 	route := string(c.Method()) + " " + string(c.Path())
 	switch route {
@@ -124,17 +126,17 @@
 	case "GET /v1/configuration":
 		h.configuration(c)
 	case "GET /v1/history":
-		answer(c, History{
+		respond(c, History{
 			Changes: h.Configuration.History(),
 		})
 	case "GET /v1/status":
-		answer(c, h.Status.Status(h.Clock()))
+		respond(c, h.Status.Status(h.Clock()))
 	case "GET /v1/explain":
 		h.explain(c)
 	case "GET /v1/events":
 		h.events(c)
 	case "POST /v1/drain":
-		answer(c, Drain{
+		respond(c, Drain{
 			Draining:   true,
 			InProgress: h.Drainer.Drain(h.Clock()),
 		})
@@ -143,7 +145,7 @@
 	case "GET /metrics":
 		h.metrics(c)
 	default:
-		refuse(c, fasthttp.StatusNotFound, Failure{
+		respondFailure(c, fasthttp.StatusNotFound, Failure{
 			Code:    hingeverdict.CodeMethodNotAllowed,
 			Verdict: hingeverdict.NotRun.String(),
 			Error:   "no such route: " + route,
@@ -154,17 +156,17 @@
 func (h *Handler) voters(c *fasthttp.RequestCtx) {
 	var v Voters
 	if err := json.Unmarshal(c.PostBody(), &v); err != nil || (v.Admit == "") == (v.Remove == "") {
-		refuseErr(c, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0,
-			eris.New("want either admit or remove, each the name of a host")))
+		respondError(c, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0,
+			eris.New("exactly one of admit and remove must name a host")))
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), proposeTimeout)
 	defer cancel()
 	if err := h.Voters.ChangeVoters(ctx, v); err != nil {
-		refuseErr(c, err)
+		respondError(c, err)
 		return
 	}
-	answer(c, v)
+	respond(c, v)
 }
 
 func (h *Handler) metrics(c *fasthttp.RequestCtx) {
@@ -174,18 +176,18 @@
 	}
 }
 
-func answer(c *fasthttp.RequestCtx, body any) {
+func respond(c *fasthttp.RequestCtx, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		refuseErr(c, err)
+		respondError(c, err)
 		return
 	}
 	c.SetContentType("application/json")
 	c.SetBody(b)
 }
 
-// refuseErr answers with an error's own code and verdict.
-func refuseErr(c *fasthttp.RequestCtx, err error) {
+// respondError writes an error response with the code and verdict of err.
+func respondError(c *fasthttp.RequestCtx, err error) {
 	f := Failure{
 		Verdict: hingeverdict.Of(err).String(),
 		Error:   err.Error(),
@@ -195,28 +197,28 @@
 		f.Code = conflict.Code
 		f.Winner = &conflict.Winner
 		f.Verdict = hingeverdict.NotRun.String()
-		refuse(c, fasthttp.StatusConflict, f)
+		respondFailure(c, fasthttp.StatusConflict, f)
 		return
 	}
 	status := fasthttp.StatusInternalServerError
 	var e *hingeverdict.Error
 	if errors.As(err, &e) {
 		f.Code = e.Code
-		status = statusOf(e.Code)
+		status = httpStatus(e.Code)
 		if e.RetryAfter > 0 {
 			c.Response.Header.Set("Retry-After", fmt.Sprint(int((e.RetryAfter+time.Second-1)/time.Second)))
 		}
 	}
-	refuse(c, status, f)
+	respondFailure(c, status, f)
 }
 
-func refuse(c *fasthttp.RequestCtx, status int, f Failure) {
-	answer(c, f)
+func respondFailure(c *fasthttp.RequestCtx, status int, f Failure) {
+	respond(c, f)
 	c.SetStatusCode(status)
 }
 
-// statusOf gives the HTTP status of a code that operators can meet.
-func statusOf(code hingeverdict.Code) int {
+// httpStatus returns the HTTP status for a verdict code.
+func httpStatus(code hingeverdict.Code) int {
 	switch code {
 	case hingeverdict.CodeMalformed:
 		return fasthttp.StatusBadRequest
--- a/internal/operate/hingeadmin/handler_test.go
+++ b/internal/operate/hingeadmin/handler_test.go
@@ -20,7 +20,8 @@
 
 var testNow = time.Unix(1000, 0)
 
-// stub is a host that keeps revisions 5 to 7.
+// stub implements the dependencies of a Handler on a host that retains
+// revisions 5 to 7.
 type stub struct {
 	proposed []Change
 	err      error
@@ -58,7 +59,7 @@
 	return 0
 }
 
-func ask(s *stub, events *hingeevents.Recorder, method, uri, body string) (int, Failure, []byte) {
+func sendRequest(s *stub, events *hingeevents.Recorder, method, uri, body string) (int, Failure, []byte) {
 	h := NewHandler(Config{
 		Configuration: s,
 		Status:        s,
@@ -78,11 +79,11 @@
 	return c.Response.StatusCode(), f, c.Response.Body()
 }
 
-// Malformed changes, and changes that this host can't check, never reach the
-// log; each refusal has its number, and says that nothing was accepted.
+// Guards against proposing changes that are malformed or can't be validated, and
+// against error responses without code or with the wrong verdict.
 func TestRefusedChanges(t *testing.T) {
 	good := `"changeId":"a","operator":"mael","puts":{"models/m":"name='m'"}`
-	// Wanted are the status, the code and how many changes reached the log.
+	// The values are the HTTP status, the code and the number of proposed changes.
 	want := map[string]string{
 		`{`:                               "400 1001 0",
 		`{` + good + `} {}`:               "400 1001 0",
@@ -93,13 +94,13 @@
 		`{"changeId":"` + strings.Repeat("x", MaxChange) + `"}`:           "413 1002 0",
 		`{"expectedRevision":5,` + good + `}`:                             "422 1001 0",
 		`{"expectedRevision":9,` + good + `}`:                             "503 4002 0",
-		// Too old to be checked here: only the log knows whether it is a resend.
+		// The revision is no longer retained, so the log decides whether it is a resend.
 		`{"expectedRevision":2,` + good + `}`: "200 0 1",
 	}
 	got := make(map[string]string)
 	for body := range want {
 		s := &stub{}
-		status, f, _ := ask(s, nil, "POST", "/v1/changes", body)
+		status, f, _ := sendRequest(s, nil, "POST", "/v1/changes", body)
 		got[body] = fmt.Sprint(status, f.Code, len(s.proposed))
 		if status != 200 && f.Verdict != "notRun" {
 			t.Errorf("%.60s: verdict %s", body, f.Verdict)
@@ -110,20 +111,20 @@
 	}
 }
 
-// The quorum is lost while a change waits for it. Whether it was accepted is
-// not known, and the answer must not say that it was not.
+// Guards against reporting a change as not accepted when the quorum was lost
+// while the change was being proposed.
 func TestUncertainChange(t *testing.T) {
 	s := &stub{
 		err: errors.New("the link broke"),
 	}
-	status, f, _ := ask(s, nil, "POST", "/v1/changes", `{"changeId":"a","operator":"b","expectedRevision":2,"deletes":["x"]}`)
+	status, f, _ := sendRequest(s, nil, "POST", "/v1/changes", `{"changeId":"a","operator":"b","expectedRevision":2,"deletes":["x"]}`)
 	if status != 500 || f.Verdict != "mayHaveRun" {
 		t.Errorf("status %d, verdict %s", status, f.Verdict)
 	}
 }
 
-// An operator asks for the last minute of a process that has dropped older
-// events. Nothing of that minute is missing, and it is not called so.
+// Guards against reporting events as dropped when all events of the requested
+// period are retained.
 func TestEventsSince(t *testing.T) {
 	r := hingeevents.NewRecorder(hingeids.Life{
 		Host: "cancale-1",
@@ -137,7 +138,7 @@
 		},
 		"/v1/events?since=20900000000000": {},
 	} {
-		_, _, body := ask(&stub{}, r, "GET", uri, "")
+		_, _, body := sendRequest(&stub{}, r, "GET", uri, "")
 		var got hingetimeline.Source
 		if err := json.Unmarshal(body, &got); err != nil {
 			t.Fatal(err)
@@ -146,10 +147,10 @@
 			t.Errorf("%s: dropped %v, %d events", uri, got.Dropped, len(got.Events))
 		}
 	}
-	if status, f, _ := ask(&stub{}, r, "GET", "/v1/events?since=yesterday", ""); status != 400 || f.Code != hingeverdict.CodeMalformed {
+	if status, f, _ := sendRequest(&stub{}, r, "GET", "/v1/events?since=yesterday", ""); status != 400 || f.Code != hingeverdict.CodeMalformed {
 		t.Errorf("since=yesterday: status %d, code %d", status, f.Code)
 	}
-	if status, _, _ := ask(&stub{}, r, "PUT", "/v1/changes", ""); status != 404 {
+	if status, _, _ := sendRequest(&stub{}, r, "PUT", "/v1/changes", ""); status != 404 {
 		t.Errorf("PUT: status %d", status)
 	}
 }
@@ -160,9 +161,9 @@
 	f.Add(`[]`)
 	f.Fuzz(func(t *testing.T, body string) {
 		s := &stub{}
-		status, failure, _ := ask(s, nil, "POST", "/v1/changes", body)
+		status, failure, _ := sendRequest(s, nil, "POST", "/v1/changes", body)
 		if status != 200 && (failure.Code == 0 || failure.Error == "") {
-			t.Fatalf("status %d without a number or reason", status)
+			t.Fatalf("status %d without an error code or text", status)
 		}
 		if (status == 200) != (len(s.proposed) == 1) {
 			t.Fatalf("status %d, proposed %d times", status, len(s.proposed))
