--- a/internal/operate/hingekeys/keys.go
+++ b/internal/operate/hingekeys/keys.go
@@ -1,17 +1,20 @@
-// Package hingekeys makes and renews the keys and certificates by which the
-// project's own processes know each other, and loads them for the links.
+// Package hingekeys creates and renews the keys and certificates with which the
+// project's processes authenticate each other, and loads them for the links.
 //
-//  1. One authority signs a certificate for each host. It names the host id and
-//     nothing else, and serves for both ends of a connection.
-//  2. Making never writes over a file. Renewing replaces the certificate alone,
-//     under the key that is there, by one rename: at no moment do the two
-//     files not belong together.
-//  3. A renewed authority has the same key and name, so certificates signed
-//     before stay good, and hosts can be given the new file one by one.
-//  4. A running process looks at the files at each handshake and takes new ones
-//     that are whole and in date; otherwise it keeps those it has.
-//  5. A peer's certificate must be in date and signed by the authority. The
-//     host name in it is compared by the link, which knows whom it wants.
+//  1. A single certificate authority signs one certificate for each host. The
+//     certificate contains only the host ID and is valid for both client and
+//     server authentication.
+//  2. Creation never overwrites a file. Renewal keeps the private key and
+//     replaces only the certificate, by an atomic rename, so that key and
+//     certificate match at any time.
+//  3. A renewed authority has the same key and name. Certificates that it signed
+//     before remain valid, and the new file can be rolled out host by host.
+//  4. A running process checks its files at each handshake. It loads changed
+//     files if they are complete and valid, and otherwise keeps the ones that it
+//     loaded last.
+//  5. A peer's certificate must be within its validity period and signed by the
+//     authority. The link compares the host name, because it knows the expected
+//     one.
 package hingekeys
 
 import (
@@ -33,31 +36,32 @@
 )
 
 const (
-	// authorityLife is long, as replacing the authority's file touches every host.
-	authorityLife = 10 * 365 * 24 * time.Hour
-	// hostLife leaves small operators a yearly round.
-	hostLife = 400 * 24 * time.Hour
-	// clockMargin makes a certificate good on hosts whose clock is behind the maker's.
-	clockMargin = time.Hour
+	// authorityValidity is long because the authority's file is on every host.
+	authorityValidity = 10 * 365 * 24 * time.Hour
+	// hostValidity is longer than a yearly renewal interval.
+	hostValidity = 400 * 24 * time.Hour
+	// clockSkewMargin backdates a certificate for hosts whose clock is behind the
+	// signing machine's.
+	clockSkewMargin = time.Hour
 )
 
 const (
-	authorityName      = "swifthinge authority"
-	certificateBlock   = "CERTIFICATE"
-	privateKeyBlock    = "PRIVATE KEY"
-	onlyOwner          = 0o600
-	onlyOwnerFolder    = 0o700
-	serialNumberLength = 120
+	authorityName       = "swifthinge authority"
+	certificateBlock    = "CERTIFICATE"
+	privateKeyBlock     = "PRIVATE KEY"
+	ownerOnlyMode       = 0o600
+	ownerOnlyFolderMode = 0o700
+	serialNumberBits    = 120
 )
 
-// Paths are the files of one process.
+// Paths holds the paths of a process's PEM files.
 type Paths struct {
 	Authority   string
 	Certificate string
 	Key         string
 }
 
-// HostPaths are the names under which MakeHost leaves a host's files in the folder.
+// HostPaths returns the paths of the files that MakeHost writes for a host.
 func HostPaths(folder string, host hingeids.HostID) Paths {
 	return Paths{
 		Authority:   filepath.Join(folder, "authority.pem"),
@@ -70,45 +74,45 @@
 	return HostPaths(folder, "authority")
 }
 
-// MakeAuthority makes a new authority in the folder, and the folder if there is
-// none: authority.pem goes to every host, authority.key.pem to none. It fails if
-// there is an authority.
+// MakeAuthority creates a certificate authority in the folder, and the folder if
+// it doesn't exist. Only authority.pem belongs on the hosts, authority.key.pem
+// doesn't. It fails if the folder already contains an authority.
 func MakeAuthority(folder string, now time.Time) error {
-	if err := os.MkdirAll(folder, onlyOwnerFolder); err != nil {
-		return eris.Wrap(err, "folder of keys")
+	if err := os.MkdirAll(folder, ownerOnlyFolderMode); err != nil {
+		return eris.Wrap(err, "create key folder")
 	}
 	p := authorityPaths(folder)
-	private, err := makeKey(p.Key)
+	private, err := generateKey(p.Key)
 	if err != nil {
 		return err
 	}
 	return signAuthority(p, private, now, writeNew)
 }
 
-// RenewAuthority replaces authority.pem by one that ends later. Rule 3.
+// RenewAuthority replaces authority.pem by one that expires later (Rule 3).
 func RenewAuthority(folder string, now time.Time) error {
 	p := authorityPaths(folder)
 	private, err := readKey(p.Key)
 	if err != nil {
 		return err
 	}
-	return signAuthority(p, private, now, replace)
+	return signAuthority(p, private, now, replaceFile)
 }
 
-// MakeHost makes a host's key and certificate. It fails if there are any.
+// MakeHost creates a host's key and certificate. It fails if one of the files exists.
 func MakeHost(folder string, host hingeids.HostID, now time.Time) error {
 	if err := checkName(host); err != nil {
 		return err
 	}
 	p := HostPaths(folder, host)
-	private, err := makeKey(p.Key)
+	private, err := generateKey(p.Key)
 	if err != nil {
 		return err
 	}
 	return signHost(folder, host, private, now, writeNew)
 }
 
-// Renew replaces a host's certificate by one that ends later. Rule 2.
+// Renew replaces a host's certificate by one that expires later (Rule 2).
 func Renew(folder string, host hingeids.HostID, now time.Time) error {
 	if err := checkName(host); err != nil {
 		return err
@@ -117,22 +121,23 @@
 	if err != nil {
 		return err
 	}
-	return signHost(folder, host, private, now, replace)
+	return signHost(folder, host, private, now, replaceFile)
 }
 
-// checkName keeps a host's files in the folder and apart from the authority's.
+// checkName rejects names that would place a host's files outside the folder or
+// collide with the authority's files.
 func checkName(host hingeids.HostID) error {
 	name := string(host)
 	if name == "" || name == "authority" || filepath.Base(name) != name {
-		return eris.Errorf("%q can't be the name of a host's files", host)
+		return eris.Errorf("host ID %q can't be the name of key files: it is empty, reserved or contains a path separator", host)
 	}
 	return nil
 }
 
-type writer func(path string, block *pem.Block) error
+type writeFunc func(path string, block *pem.Block) error
 
-func signAuthority(p Paths, private ed25519.PrivateKey, now time.Time, write writer) error {
-	template, err := newTemplate(authorityName, now, authorityLife)
+func signAuthority(p Paths, private ed25519.PrivateKey, now time.Time, write writeFunc) error {
+	template, err := newTemplate(authorityName, now, authorityValidity)
 	if err != nil {
 		return err
 	}
@@ -143,7 +148,7 @@
 	return sign(p.Certificate, template, template, private, private, write)
 }
 
-func signHost(folder string, host hingeids.HostID, private ed25519.PrivateKey, now time.Time, write writer) error {
+func signHost(folder string, host hingeids.HostID, private ed25519.PrivateKey, now time.Time, write writeFunc) error {
 	p := authorityPaths(folder)
 	authorityKey, err := readKey(p.Key)
 	if err != nil {
@@ -153,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	template, err := newTemplate(string(host), now, hostLife)
+	template, err := newTemplate(string(host), now, hostValidity)
 	if err != nil {
 		return err
 	}
@@ -163,27 +168,27 @@
 	return sign(HostPaths(folder, host).Certificate, template, authority[0], private, authorityKey, write)
 }
 
-func newTemplate(name string, now time.Time, life time.Duration) (*x509.Certificate, error) {
-	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberLength))
+func newTemplate(name string, now time.Time, validity time.Duration) (*x509.Certificate, error) {
+	serial, err := rand.Int(rand.Reader, new(big.Int).Lsh(big.NewInt(1), serialNumberBits))
 	if err != nil {
-		return nil, eris.Wrap(err, "serial number")
+		return nil, eris.Wrap(err, "generate certificate serial number")
 	}
 	return &x509.Certificate{
 		SerialNumber: serial,
 		Subject: pkix.Name{
 			CommonName: name,
 		},
-		NotBefore: now.Add(-clockMargin),
-		NotAfter:  now.Add(life),
+		NotBefore: now.Add(-clockSkewMargin),
+		NotAfter:  now.Add(validity),
 	}, nil
 }
 
 func sign(
-	path string, template, parent *x509.Certificate, own, signer ed25519.PrivateKey, write writer,
+	path string, template, parent *x509.Certificate, subjectKey, signerKey ed25519.PrivateKey, write writeFunc,
 ) error {
-	der, err := x509.CreateCertificate(rand.Reader, template, parent, own.Public(), signer)
+	der, err := x509.CreateCertificate(rand.Reader, template, parent, subjectKey.Public(), signerKey)
 	if err != nil {
-		return eris.Wrapf(err, "sign %s", path)
+		return eris.Wrapf(err, "sign certificate %s", path)
 	}
 	return write(path, &pem.Block{
 		Type:  certificateBlock,
@@ -191,14 +196,14 @@
 	})
 }
 
-func makeKey(path string) (ed25519.PrivateKey, error) {
+func generateKey(path string) (ed25519.PrivateKey, error) {
 	_, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "make key")
+		return nil, eris.Wrap(err, "generate private key")
 	}
 	der, err := x509.MarshalPKCS8PrivateKey(private)
 	if err != nil {
-		return nil, eris.Wrap(err, "make key")
+		return nil, eris.Wrap(err, "encode private key")
 	}
 	return private, writeNew(path, &pem.Block{
 		Type:  privateKeyBlock,
@@ -208,23 +213,23 @@
 
 func writeNew(path string, block *pem.Block) error {
 	if _, err := os.Stat(path); !errors.Is(err, fs.ErrNotExist) {
-		return eris.Errorf("%s is there already: it is not written over", path)
+		return eris.Errorf("%s already exists and is not overwritten", path)
 	}
-	return replace(path, block)
+	return replaceFile(path, block)
 }
 
-// replace writes a file beside the old one, syncs it and renames it over. Without
-// the sync a power loss could leave an empty file under the name, and the host
-// would not start.
-func replace(path string, block *pem.Block) error {
+// replaceFile atomically replaces a file by writing, syncing and renaming a
+// temporary one. Without the sync, a power loss could leave an empty file, with
+// which the host can't start.
+func replaceFile(path string, block *pem.Block) error {
 	next := path + ".next"
-	f, err := os.OpenFile(next, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, onlyOwner)
+	f, err := os.OpenFile(next, os.O_CREATE|os.O_WRONLY|os.O_TRUNC, ownerOnlyMode)
 	if err != nil {
-		return eris.Wrap(err, "write keys")
+		return eris.Wrap(err, "create temporary key file")
 	}
 	err = errors.Join(pem.Encode(f, block), f.Sync(), f.Close())
 	if err != nil {
 		return eris.Wrapf(err, "write %s", next)
 	}
-	return eris.Wrap(os.Rename(next, path), "write keys")
+	return eris.Wrap(os.Rename(next, path), "replace key file")
 }
--- a/internal/operate/hingekeys/keys_test.go
+++ b/internal/operate/hingekeys/keys_test.go
@@ -13,15 +13,15 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-var begin = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
-func makeFolder(t *testing.T) string {
+func makeTestKeys(t *testing.T) string {
 	t.Helper()
-	// The folder is not there before the first key: nobody is told to make it.
+	// MakeAuthority must create a missing folder.
 	folder := filepath.Join(t.TempDir(), "new", "keys")
-	must(t, MakeAuthority(folder, begin))
-	must(t, MakeHost(folder, "cancale-1", begin))
-	must(t, MakeHost(folder, "roscoff-1", begin))
+	must(t, MakeAuthority(folder, startTime))
+	must(t, MakeHost(folder, "cancale-1", startTime))
+	must(t, MakeHost(folder, "roscoff-1", startTime))
 	return folder
 }
 
@@ -32,8 +32,8 @@
 	}
 }
 
-// shake joins a dialling and an accepting end and gives both ends' errors.
-func shake(t *testing.T, dial, accept Paths, now time.Time) error {
+// handshake connects a client and a server and returns the errors of both.
+func handshake(t *testing.T, dial, accept Paths, now time.Time) error {
 	t.Helper()
 	clock := func() time.Time {
 		return now
@@ -42,10 +42,10 @@
 	must(t, err)
 	a, err := loadTLS(accept, clock)
 	must(t, err)
-	return shakeConfigs(d, a)
+	return handshakeConfigs(d, a)
 }
 
-func shakeConfigs(d, a *tls.Config) error {
+func handshakeConfigs(d, a *tls.Config) error {
 	listener, err := tls.Listen("tcp", "127.0.0.1:0", a)
 	if err != nil {
 		return err
@@ -61,7 +61,8 @@
 	}()
 	c, err := tls.Dial("tcp", listener.Addr().String(), d)
 	if err == nil {
-		// The accepting end judges last; its refusal comes as an alert.
+		// The server verifies last; a read returns the alert by which it rejects
+		// the client.
 		_, err = c.Read(make([]byte, 1))
 		_ = c.Close()
 	}
@@ -71,49 +72,50 @@
 	return errors.Join(err, <-accepted, listener.Close())
 }
 
-func wantText(t *testing.T, err error, text string) {
+func wantErrorText(t *testing.T, err error, text string) {
 	t.Helper()
 	if err == nil || !strings.Contains(err.Error(), text) {
-		t.Fatalf("error %v, want one with %q", err, text)
+		t.Fatalf("error %v, want one that contains %q", err, text)
 	}
 }
 
-func TestHostsOfOneAuthorityKnowEachOther(t *testing.T) {
-	folder := makeFolder(t)
-	must(t, shake(t, HostPaths(folder, "cancale-1"), HostPaths(folder, "roscoff-1"), begin))
+// Guards against files with which hosts of one authority can't connect, key files
+// that other users can read, overwritten files and host names outside the folder.
+func TestHostsOfOneAuthorityAuthenticate(t *testing.T) {
+	folder := makeTestKeys(t)
+	must(t, handshake(t, HostPaths(folder, "cancale-1"), HostPaths(folder, "roscoff-1"), startTime))
 	info, err := os.Stat(HostPaths(folder, "cancale-1").Key)
 	must(t, err)
-	if diff := cmp.Diff(os.FileMode(onlyOwner), info.Mode().Perm()); diff != "" {
+	if diff := cmp.Diff(os.FileMode(ownerOnlyMode), info.Mode().Perm()); diff != "" {
 		t.Fatal(diff)
 	}
-	wantText(t, MakeHost(folder, "cancale-1", begin), "not written over")
-	wantText(t, MakeAuthority(folder, begin), "not written over")
-	wantText(t, MakeHost(folder, "../cancale-1", begin), "can't be the name")
+	wantErrorText(t, MakeHost(folder, "cancale-1", startTime), "not overwritten")
+	wantErrorText(t, MakeAuthority(folder, startTime), "not overwritten")
+	wantErrorText(t, MakeHost(folder, "../cancale-1", startTime), "can't be the name")
 }
 
-// Somebody makes an authority of their own and a certificate with the name of
-// one of our hosts. It must open no connection, whichever end dials.
+// Guards against accepting a certificate that another authority signed for the
+// name of a known host, as client or as server.
 func TestHostOfAnotherAuthorityIsRefused(t *testing.T) {
-	ours := HostPaths(makeFolder(t), "cancale-1")
-	theirs := HostPaths(makeFolder(t), "roscoff-1")
-	wantText(t, shake(t, ours, theirs, begin), `"roscoff-1" is signed by another authority`)
-	wantText(t, shake(t, theirs, ours, begin), `signed by another authority`)
+	ours := HostPaths(makeTestKeys(t), "cancale-1")
+	theirs := HostPaths(makeTestKeys(t), "roscoff-1")
+	wantErrorText(t, handshake(t, ours, theirs, startTime), `"roscoff-1" is signed by another authority`)
+	wantErrorText(t, handshake(t, theirs, ours, startTime), `signed by another authority`)
 	mixed := ours
 	mixed.Authority = theirs.Authority
 	_, err := loadTLS(mixed, time.Now)
-	wantText(t, err, "signed by another authority")
+	wantErrorText(t, err, "signed by another authority")
 	mixed = ours
 	mixed.Key = theirs.Key
 	_, err = loadTLS(mixed, time.Now)
-	wantText(t, err, "private key")
+	wantErrorText(t, err, "private key")
 }
 
-// Nobody renewed a certificate in time. New connections fail on every host from
-// that hour on; the error has to say why, and putting the renewed file in place
-// must be enough.
+// Guards against accepting expired certificates, and against requiring a restart
+// after renewal.
 func TestExpiredCertificateIsRefusedUntilRenewedWithoutRestart(t *testing.T) {
-	folder := makeFolder(t)
-	now := begin
+	folder := makeTestKeys(t)
+	now := startTime
 	clock := func() time.Time {
 		return now
 	}
@@ -121,29 +123,29 @@
 	must(t, err)
 	a, err := loadTLS(HostPaths(folder, "roscoff-1"), clock)
 	must(t, err)
-	now = begin.Add(hostLife + time.Hour)
-	wantText(t, shakeConfigs(d, a), "renew it or set the clock")
+	now = startTime.Add(hostValidity + time.Hour)
+	wantErrorText(t, handshakeConfigs(d, a), "renew it or set the clock")
 	_, err = loadTLS(HostPaths(folder, "cancale-1"), clock)
-	wantText(t, err, "renew it or set the clock")
+	wantErrorText(t, err, "renew it or set the clock")
 	must(t, RenewAuthority(folder, now))
 	must(t, Renew(folder, "cancale-1", now))
 	must(t, Renew(folder, "roscoff-1", now))
-	must(t, shakeConfigs(d, a))
+	must(t, handshakeConfigs(d, a))
 }
 
-// A file in place is torn or not ours, while the host serves. Links that could
-// be made before must still be made, and a start must say what is wrong.
-func TestBadFileKeepsTheOneInUse(t *testing.T) {
-	folder := makeFolder(t)
+// Guards against a corrupt file on a running host breaking new links, and against
+// a start with such a file.
+func TestInvalidFileKeepsLastValid(t *testing.T) {
+	folder := makeTestKeys(t)
 	clock := func() time.Time {
-		return begin
+		return startTime
 	}
 	d, err := loadTLS(HostPaths(folder, "cancale-1"), clock)
 	must(t, err)
 	a, err := loadTLS(HostPaths(folder, "roscoff-1"), clock)
 	must(t, err)
-	must(t, os.WriteFile(HostPaths(folder, "cancale-1").Certificate, []byte("torn"), onlyOwner))
-	must(t, shakeConfigs(d, a))
+	must(t, os.WriteFile(HostPaths(folder, "cancale-1").Certificate, []byte("torn"), ownerOnlyMode))
+	must(t, handshakeConfigs(d, a))
 	_, err = loadTLS(HostPaths(folder, "cancale-1"), clock)
-	wantText(t, err, "cancale-1.pem")
+	wantErrorText(t, err, "cancale-1.pem")
 }
--- a/internal/operate/hingekeys/load.go
+++ b/internal/operate/hingekeys/load.go
@@ -13,15 +13,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// LoadTLS loads a process's files for the links, which use the configuration for
-// both ends of a connection. It fails if they are missing, don't belong together
-// or are out of date. Renewed files are taken without a restart. Rule 4.
+// LoadTLS loads a process's key and certificates into a configuration for both
+// ends of a link. It fails if a file is missing, the files don't match or a
+// certificate has expired. Renewed files are loaded without a restart (Rule 4).
 func LoadTLS(p Paths) (*tls.Config, error) {
 	return loadTLS(p, time.Now)
 }
 
 func loadTLS(p Paths, clock func() time.Time) (*tls.Config, error) {
-	k := &keeper{
+	k := &fileReloader{
 		paths: p,
 		clock: clock,
 	}
@@ -31,8 +31,8 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		ClientAuth: tls.RequireAnyClientCert,
-		// VerifyConnection verifies in place of crypto/tls, which would hold on
-		// to the authority that it was given at the start.
+		// VerifyConnection replaces the verification by crypto/tls, which would
+		// keep using the authority that was loaded at the start.
 		InsecureSkipVerify: true,
 		VerifyConnection:   k.verify,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -44,42 +44,42 @@
 	}, nil
 }
 
-// fileSet is what the files held when they were last read.
+// fileSet holds the parsed contents of the files.
 type fileSet struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
 	versions    versions
 }
 
-// versions tell whether files were replaced.
-type versions [3]version
+// versions is compared to detect replaced files.
+type versions [3]fileVersion
 
-type version struct {
-	changed time.Time
+type fileVersion struct {
+	modTime time.Time
 	size    int64
 }
 
-// keeper holds the newest good files.
-type keeper struct {
+// fileReloader holds the newest valid files and reloads them when they change.
+type fileReloader struct {
 	paths Paths
 	clock func() time.Time
 	mu    sync.Mutex
 	files fileSet
 }
 
-// current gives the newest good files.
-func (k *keeper) current() fileSet {
+// current returns the newest valid files. It is safe for concurrent use.
+func (k *fileReloader) current() fileSet {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if v, err := readVersions(k.paths); err == nil && v != k.files.versions {
-		// A file that is wrong now must not end links that work: whoever replaces
-		// files does it while the host serves. The next handshake looks again.
+		// Files may be replaced one by one while the host is serving. If they are
+		// invalid, the loaded ones stay in use until the next handshake retries.
 		_ = k.load()
 	}
 	return k.files
 }
 
-func (k *keeper) load() error {
+func (k *fileReloader) load() error {
 	v, err := readVersions(k.paths)
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 	if err != nil {
 		return err
 	}
-	certificate, err := readPair(k.paths)
+	certificate, err := loadKeyPair(k.paths)
 	if err != nil {
 		return err
 	}
@@ -107,14 +107,14 @@
 	return nil
 }
 
-func (k *keeper) verify(s tls.ConnectionState) error {
+func (k *fileReloader) verify(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
-		return eris.New("the peer showed no certificate")
+		return eris.New("peer sent no certificate")
 	}
 	return k.current().check(s.PeerCertificates[0], k.clock())
 }
 
-// check verifies one certificate. Rule 5.
+// check verifies a certificate (Rule 5).
 func (f fileSet) check(c *x509.Certificate, now time.Time) error {
 	_, err := c.Verify(x509.VerifyOptions{
 		Roots:       f.authority,
@@ -130,13 +130,13 @@
 		return eris.Errorf("certificate of host %q is signed by another authority", name)
 	}
 	if now.Before(c.NotBefore) || now.After(c.NotAfter) {
-		return eris.Errorf("certificate of host %q is good from %s to %s, and now it is %s: renew it or set the clock",
-			name, utc(c.NotBefore), utc(c.NotAfter), utc(now))
+		return eris.Errorf("certificate of host %q is valid from %s to %s, and now it is %s: renew it or set the clock",
+			name, formatUTC(c.NotBefore), formatUTC(c.NotAfter), formatUTC(now))
 	}
 	return eris.Wrapf(err, "certificate of host %q", name)
 }
 
-func utc(t time.Time) string {
+func formatUTC(t time.Time) string {
 	return t.UTC().Format(time.RFC3339)
 }
 
@@ -145,20 +145,20 @@
 	for i, path := range []string{p.Authority, p.Certificate, p.Key} {
 		info, err := os.Stat(path)
 		if err != nil {
-			return v, eris.Wrap(err, "keys")
+			return v, eris.Wrap(err, "stat key file")
 		}
-		v[i] = version{
-			changed: info.ModTime(),
+		v[i] = fileVersion{
+			modTime: info.ModTime(),
 			size:    info.Size(),
 		}
 	}
 	return v, nil
 }
 
-func readPair(p Paths) (*tls.Certificate, error) {
+func loadKeyPair(p Paths) (*tls.Certificate, error) {
 	c, err := tls.LoadX509KeyPair(p.Certificate, p.Key)
 	if err != nil {
-		return nil, eris.Wrapf(err, "certificate %s and key %s", p.Certificate, p.Key)
+		return nil, eris.Wrapf(err, "load certificate %s and key %s", p.Certificate, p.Key)
 	}
 	return &c, nil
 }
@@ -166,18 +166,18 @@
 func readCertificates(path string) ([]*x509.Certificate, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys")
+		return nil, eris.Wrap(err, "read certificate file")
 	}
 	var all []*x509.Certificate
 	for block, rest := pem.Decode(raw); block != nil; block, rest = pem.Decode(rest) {
 		c, err := x509.ParseCertificate(block.Bytes)
 		if err != nil {
-			return nil, eris.Wrapf(err, "%s", path)
+			return nil, eris.Wrapf(err, "parse certificate %s", path)
 		}
 		all = append(all, c)
 	}
 	if len(all) == 0 {
-		return nil, eris.Errorf("%s holds no certificate in PEM", path)
+		return nil, eris.Errorf("%s contains no PEM block", path)
 	}
 	return all, nil
 }
@@ -185,19 +185,19 @@
 func readKey(path string) (ed25519.PrivateKey, error) {
 	raw, err := os.ReadFile(path)
 	if err != nil {
-		return nil, eris.Wrap(err, "keys")
+		return nil, eris.Wrap(err, "read private key file")
 	}
 	block, _ := pem.Decode(raw)
 	if block == nil {
-		return nil, eris.Errorf("%s holds no key in PEM", path)
+		return nil, eris.Errorf("%s contains no PEM block", path)
 	}
 	k, err := x509.ParsePKCS8PrivateKey(block.Bytes)
 	if err != nil {
-		return nil, eris.Wrapf(err, "%s", path)
+		return nil, eris.Wrapf(err, "parse private key %s", path)
 	}
 	private, ok := k.(ed25519.PrivateKey)
 	if !ok {
-		return nil, eris.Errorf("%s holds no ed25519 key", path)
+		return nil, eris.Errorf("%s contains a private key that is not ed25519", path)
 	}
 	return private, nil
 }
