--- a/internal/operate/hingecommand/account.go
+++ b/internal/operate/hingecommand/account.go
@@ -11,25 +11,25 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeaccount"
 )
 
-// accountSpan is the span of time of one row of the account, unless another is asked for.
-const accountSpan = 2 * time.Second
+// defaultAccountInterval is the default time interval that a row of the account covers.
+const defaultAccountInterval = 2 * time.Second
 
 func (p *program) accountCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "account",
-		Usage:     "tell from log files what callers got, and why some were late or not served",
+		Usage:     "summarize request outcomes from log files, with the reasons for late and failed requests",
 		ArgsUsage: "FILE...",
-		Description: "Each FILE holds the log lines of one process or of several. Requests are counted by route, by zone and by\n" +
-			"the second of their end, then by the reason for which they weren't on time, with how full engines were.",
+		Description: "Each FILE contains the log lines of one or more processes. Requests are counted by route, by zone and by\n" +
+			"completion time, then by the reason why they were late, with the utilization of engines.",
 		Flags: []cli.Flag{
 			&cli.DurationFlag{
 				Name:  "every",
-				Usage: "span of time of one row",
-				Value: accountSpan,
+				Usage: "time interval of a row",
+				Value: defaultAccountInterval,
 			},
 			&cli.StringFlag{
 				Name:  "plot",
-				Usage: "draw the outcomes over time into `FOLDER`",
+				Usage: "write plots of the outcomes over time to `FOLDER`",
 			},
 		},
 		Action: p.account,
@@ -37,9 +37,9 @@
 }
 
 func (p *program) account(_ context.Context, c *cli.Command) error {
-	every := c.Duration("every")
-	if !c.Args().Present() || every <= 0 {
-		return eris.New("account: want at least one log file, and a span of time above zero")
+	interval := c.Duration("every")
+	if !c.Args().Present() || interval <= 0 {
+		return eris.New("account: needs at least one log file and a positive --every")
 	}
 	a := hingeaccount.New()
 	for _, name := range c.Args().Slice() {
@@ -48,20 +48,20 @@
 		}
 	}
 	if folder := c.String("plot"); folder != "" {
-		if err := a.Plot(folder, every); err != nil {
+		if err := a.Plot(folder, interval); err != nil {
 			return err
 		}
 	}
-	return a.Write(p.Out, every)
+	return a.Write(p.Out, interval)
 }
 
 func readAccount(a *hingeaccount.Account, name string) error {
 	f, err := os.Open(name)
 	if err != nil {
-		return eris.Wrap(err, "log file")
+		return eris.Wrap(err, "open log file")
 	}
 	defer func() {
-		// It was only read.
+		// The file is only read, so closing it can't lose data.
 		_ = f.Close()
 	}()
 	return a.Read(f)
--- a/internal/operate/hingecommand/apply.go
+++ b/internal/operate/hingecommand/apply.go
@@ -22,37 +22,37 @@
 func (p *program) applyCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "apply",
-		Usage: "change the configuration to what inventory and rules say",
-		Description: "The files must have been made from the revision that --expect names; swifthinge get tells it. If another\n" +
-			"change was accepted since, this one is refused and the winner named. When an answer is lost the change is\n" +
-			"sent again under the same id, which never applies it twice. Waits until every entry host applies the\n" +
-			"revision, and names those that don't.",
+		Usage: "change the configuration to the contents of the inventory and rules files",
+		Description: "The files must be based on the revision that --expect names; swifthinge get prints it. If another change\n" +
+			"was accepted since, this one is refused and the accepted one is named. If a response is lost, the change is\n" +
+			"resent with the same ID, which never applies it twice. Waits until every entry host applies the revision,\n" +
+			"and names those that don't.",
 		Flags: []cli.Flag{
 			entryFlag(),
 			inventoryFlag(true),
 			rulesFlag(true),
 			&cli.Uint64Flag{
 				Name:     "expect",
-				Usage:    "`REVISION` that the files were made from; 0 for the first",
+				Usage:    "`REVISION` that the files are based on; 0 for the first configuration",
 				Required: true,
 			},
 			&cli.StringFlag{
 				Name:     "operator",
-				Usage:    "your `NAME`, for the history",
+				Usage:    "operator `NAME` to record in the history",
 				Sources:  cli.EnvVars("SWIFTHINGE_OPERATOR"),
 				Required: true,
 			},
 			&cli.StringFlag{
 				Name:  "change-id",
-				Usage: "`ID` of an earlier run without an answer, to resend its change",
+				Usage: "`ID` of the change of an earlier run that got no response, to resend it",
 			},
 			&cli.BoolFlag{
 				Name:  "dry-run",
-				Usage: "only print what would change",
+				Usage: "print the changes without applying them",
 			},
 			&cli.DurationFlag{
 				Name:  "wait",
-				Usage: "how long to wait until it is in force everywhere; 0 not to wait",
+				Usage: "how long to wait until all entry hosts apply the revision; 0 to not wait",
 				Value: 30 * time.Second,
 			},
 			timeoutFlag(),
@@ -62,29 +62,29 @@
 	}
 }
 
-// applied is the JSON output of apply.
-type applied struct {
+// applyResult is the JSON output of apply.
+type applyResult struct {
 	hingeadmin.Accepted
 	InForce bool `json:"inForce"`
-	// Lagging are the hosts that don't apply the revision yet, as far as known.
+	// Lagging lists the hosts that are not known to apply the revision.
 	Lagging []string `json:"lagging"`
 }
 
 func (p *program) apply(ctx context.Context, c *cli.Command) error {
-	inv, rules, problems, err := readFiles(c.String(inventoryName), c.String(rulesName))
+	inv, rules, problems, err := readFiles(c.String(inventoryFlagName), c.String(rulesFlagName))
 	if err != nil {
 		return err
 	}
 	if len(problems) > 0 {
-		return p.report(problems, c.Bool(jsonName))
+		return p.report(problems, c.Bool(jsonFlagName))
 	}
-	entries := c.StringSlice(entryName)
-	b, err := p.basis(ctx, c, entries)
+	entries := c.StringSlice(entryFlagName)
+	b, err := p.baseConfiguration(ctx, c, entries)
 	if err != nil {
 		return err
 	}
 	if b.accepted != nil {
-		return p.follow(ctx, c, *b.accepted, entries)
+		return p.reportRollout(ctx, c, *b.accepted, entries)
 	}
 	change := makeChange(c, b.Items, hingeinventory.Split(&inv, &rules))
 	if len(change.Puts)+len(change.Deletes) == 0 {
@@ -92,13 +92,13 @@
 		return nil
 	}
 	if c.Bool("dry-run") {
-		return p.printChange(change, c.Bool(jsonName))
+		return p.printChange(change, c.Bool(jsonFlagName))
 	}
-	accepted, address, err := p.send(ctx, change, entries, c.Duration(timeoutName))
+	accepted, address, err := p.send(ctx, change, entries, c.Duration(timeoutFlagName))
 	if err != nil {
 		return err
 	}
-	return p.follow(ctx, c, accepted, append([]string{address}, entries...))
+	return p.reportRollout(ctx, c, accepted, append([]string{address}, entries...))
 }
 
 func (p *program) printChange(change hingeadmin.Change, asJSON bool) error {
@@ -114,11 +114,12 @@
 	return nil
 }
 
-// resendPause spaces resends, so that a group without a leader gets time to
-// elect one between them.
-const resendPause = 500 * time.Millisecond
+// resendInterval is the delay between resends. It gives a group without a leader
+// time to elect one.
+const resendInterval = 500 * time.Millisecond
 
-// send carries out Rule 3. It gives the answer and who gave it.
+// send sends a change until a host responds (Rule 3). It returns the accepted
+// change and the address of the host that responded.
 func (p *program) send(ctx context.Context, change hingeadmin.Change, entries []string, timeout time.Duration) (hingeadmin.Accepted, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -133,25 +134,25 @@
 		if isFinal(err) {
 			return hingeadmin.Accepted{}, "", explainRefusal(err)
 		}
-		mayBeAccepted = mayBeAccepted || !surelyNot(err)
+		mayBeAccepted = mayBeAccepted || !provesNotAccepted(err)
 		p.progressf("%s; sending it again\n", oneLine(err))
-		if !pause(ctx, resendPause) {
-			return hingeadmin.Accepted{}, "", gaveUp(change, mayBeAccepted, err)
+		if !sleep(ctx, resendInterval) {
+			return hingeadmin.Accepted{}, "", sendTimeoutError(change, mayBeAccepted, err)
 		}
 	}
 }
 
-// surelyNot reports whether the error proves that the change was not accepted.
-func surelyNot(err error) bool {
+// provesNotAccepted reports whether the error proves that the change was not accepted.
+func provesNotAccepted(err error) bool {
 	var r *refusedError
 	if errors.As(err, &r) {
 		return r.Verdict == hingeverdict.NotRun.String()
 	}
-	// Nothing was sent where no connection came about.
-	return errors.Is(err, fasthttp.ErrDialTimeout) || isRefusedDial(err)
+	// Without a connection, no request was sent.
+	return errors.Is(err, fasthttp.ErrDialTimeout) || isConnectionRefused(err)
 }
 
-func gaveUp(change hingeadmin.Change, mayBeAccepted bool, err error) error {
+func sendTimeoutError(change hingeadmin.Change, mayBeAccepted bool, err error) error {
 	if !mayBeAccepted {
 		return eris.Errorf("the change was not accepted: %v", err)
 	}
@@ -178,23 +179,24 @@
 	return eris.Errorf("refused: %v", err)
 }
 
-// statusPause is how often apply and drain look again.
-const statusPause = 250 * time.Millisecond
+// statusPollInterval is the interval at which apply and drain poll the status.
+const statusPollInterval = 250 * time.Millisecond
 
-// follow waits until the revision is in force everywhere, and says who lags.
-func (p *program) follow(ctx context.Context, c *cli.Command, accepted hingeadmin.Accepted, entries []string) error {
-	asJSON := c.Bool(jsonName)
+// reportRollout prints the accepted revision, waits up to --wait until every host
+// applies it, and reports the hosts that don't.
+func (p *program) reportRollout(ctx context.Context, c *cli.Command, accepted hingeadmin.Accepted, entries []string) error {
+	asJSON := c.Bool(jsonFlagName)
 	if !asJSON {
 		p.printf("revision %d (change %s)\n", accepted.Revision, accepted.ChangeID)
 	}
-	lagging := []string{"not asked"}
+	lagging := []string{"not checked"}
 	if wait := c.Duration("wait"); wait > 0 {
 		lagging = p.waitInForce(ctx, accepted.Revision, entries, wait)
 	} else if !asJSON {
 		return nil
 	}
 	if asJSON {
-		if err := p.writeJSON(applied{
+		if err := p.writeJSON(applyResult{
 			Accepted: accepted,
 			InForce:  len(lagging) == 0,
 			Lagging:  lagging,
@@ -214,27 +216,27 @@
 func (p *program) waitInForce(ctx context.Context, revision hingeids.Revision, entries []string, wait time.Duration) []string {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	lagging := []string{"unknown: no entry host told"}
-	shown := ""
+	lagging := []string{"unknown: no status received from any entry host"}
+	lastProgress := ""
 	for {
 		var s hingeadmin.Status
 		if _, err := p.client.getAny(ctx, entries, "/v1/status", &s); err == nil && len(s.Hosts) > 0 {
-			lagging = behind(s, revision)
+			lagging = laggingHosts(s, revision)
 			progress := fmt.Sprintf("in force at %d of %d entry hosts", len(s.Hosts)-len(lagging), len(s.Hosts))
-			if progress != shown {
+			if progress != lastProgress {
 				p.progressf("%v\n", progress)
-				shown = progress
+				lastProgress = progress
 			}
 		}
-		if len(lagging) == 0 || !pause(ctx, statusPause) {
+		if len(lagging) == 0 || !sleep(ctx, statusPollInterval) {
 			return lagging
 		}
 	}
 }
 
-// behind names the hosts that don't apply a revision. A silent host counts as
-// behind: cut off, it goes on with what it has.
-func behind(s hingeadmin.Status, revision hingeids.Revision) []string {
+// laggingHosts describes the hosts whose last reported revision is older. A
+// partitioned host is among them, because it keeps its old configuration.
+func laggingHosts(s hingeadmin.Status, revision hingeids.Revision) []string {
 	lagging := []string{}
 	for _, h := range s.Hosts {
 		if h.Revision >= revision {
--- a/internal/operate/hingecommand/basis.go
+++ b/internal/operate/hingecommand/basis.go
@@ -12,40 +12,40 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// basis is what the files are compared with.
-type basis struct {
+// baseConfiguration is the configuration that the files are compared with.
+type baseConfiguration struct {
 	hingeadmin.Snapshot
-	// accepted is set where a change that is sent again was accepted before.
+	// accepted is set if the change is a resend that was accepted before.
 	accepted *hingeadmin.Accepted
 }
 
-// basis gives the expected revision (Rule 3). An entry host keeps the newest
-// one only, but what makes a newer one need not be an operator's change: the
-// lives of hosts are kept in the same log. So the files are compared with the
-// newest then, and the log, which is told the revision expected, refuses if an
-// operator's change is between: else a host that restarted would be enough to
-// have every operator get the files anew.
-func (p *program) basis(ctx context.Context, c *cli.Command, entries []string) (basis, error) {
-	var b basis
+// baseConfiguration returns the configuration at the expected revision (Rule 3),
+// or the newest one if hosts no longer retain the expected one. Newer revisions
+// need not be operators' changes, because the log also records the instances of
+// hosts. The log rejects the change if an operator's change lies between the two
+// revisions. Requiring the newest revision instead would invalidate the operators'
+// files whenever a host restarts.
+func (p *program) baseConfiguration(ctx context.Context, c *cli.Command, entries []string) (baseConfiguration, error) {
+	var b baseConfiguration
 	expected := c.Uint64("expect")
 	if expected == 0 {
 		return b, nil
 	}
 	_, err := p.client.getAny(ctx, entries, fmt.Sprintf("/v1/configuration?revision=%d", expected), &b.Snapshot)
-	if err == nil || !isGone(err) {
+	if err == nil || !isRevisionGone(err) {
 		return b, err
 	}
-	if b.accepted, err = p.acceptedBefore(ctx, c.String("change-id"), entries); err != nil || b.accepted != nil {
+	if b.accepted, err = p.findAccepted(ctx, c.String("change-id"), entries); err != nil || b.accepted != nil {
 		return b, err
 	}
 	_, err = p.client.getAny(ctx, entries, "/v1/configuration", &b.Snapshot)
 	return b, err
 }
 
-// acceptedBefore looks whether a change that is sent again stands in the
-// history. What it changed can't be told any more once a newer one is in force,
-// so that the log would take it for another one.
-func (p *program) acceptedBefore(ctx context.Context, id string, entries []string) (*hingeadmin.Accepted, error) {
+// findAccepted looks up a resent change in the history. The puts and deletes of
+// the change can't be recomputed after a newer revision, and the log would reject
+// the resend as a change with other content.
+func (p *program) findAccepted(ctx context.Context, id string, entries []string) (*hingeadmin.Accepted, error) {
 	if id == "" {
 		return nil, nil
 	}
--- a/internal/operate/hingecommand/check.go
+++ b/internal/operate/hingecommand/check.go
@@ -16,14 +16,14 @@
 )
 
 const (
-	settingsName  = "settings"
-	inventoryName = "inventory"
-	rulesName     = "rules"
+	settingsFlagName  = "settings"
+	inventoryFlagName = "inventory"
+	rulesFlagName     = "rules"
 )
 
 func inventoryFlag(required bool) cli.Flag {
 	return &cli.StringFlag{
-		Name:     inventoryName,
+		Name:     inventoryFlagName,
 		Usage:    "inventory `FILE`",
 		Required: required,
 	}
@@ -31,7 +31,7 @@
 
 func rulesFlag(required bool) cli.Flag {
 	return &cli.StringFlag{
-		Name:     rulesName,
+		Name:     rulesFlagName,
 		Usage:    "rules `FILE`",
 		Required: required,
 	}
@@ -41,11 +41,11 @@
 	return &cli.Command{
 		Name:  "check",
 		Usage: "check settings, inventory and rules without touching a running system",
-		Description: "Every problem is a line on standard error: file, line, key, what is wrong and what would be right.\n" +
-			"The files are checked against each other too. Give the settings of all entry hosts to have them compared.",
+		Description: "Every problem is a line on standard error with file, line, key, the fault and the expected value.\n" +
+			"The files are also checked against each other. Pass the settings of all entry hosts to compare them.",
 		Flags: []cli.Flag{
 			&cli.StringSliceFlag{
-				Name:  settingsName,
+				Name:  settingsFlagName,
 				Usage: "settings `FILE` of an entry host; may be given several times",
 			},
 			inventoryFlag(false),
@@ -57,13 +57,13 @@
 }
 
 func (p *program) check(_ context.Context, c *cli.Command) error {
-	settings := c.StringSlice(settingsName)
-	inventory, rules := c.String(inventoryName), c.String(rulesName)
+	settings := c.StringSlice(settingsFlagName)
+	inventory, rules := c.String(inventoryFlagName), c.String(rulesFlagName)
 	if len(settings) == 0 && inventory == "" {
-		return eris.New("nothing to check (give --settings, or --inventory and --rules)")
+		return eris.New("nothing to check (pass --settings, or --inventory and --rules)")
 	}
 	if (inventory == "") != (rules == "") {
-		return eris.New("inventory and rules are checked together: give both")
+		return eris.New("inventory and rules are checked together: pass both --inventory and --rules")
 	}
 	var inv *hingeinventory.Inventory
 	var problems []hingetoml.Problem
@@ -79,10 +79,10 @@
 	if err != nil {
 		return err
 	}
-	return p.report(append(problems, found...), c.Bool(jsonName))
+	return p.report(append(problems, found...), c.Bool(jsonFlagName))
 }
 
-// report writes problems, and gives an error if there are any.
+// report prints the problems and returns an error if there are any.
 func (p *program) report(problems []hingetoml.Problem, asJSON bool) error {
 	if asJSON {
 		if problems == nil {
@@ -106,7 +106,7 @@
 }
 
 func (p *program) writeJSON(v any) error {
-	return eris.Wrap(json.NewEncoder(p.Out).Encode(v), "output")
+	return eris.Wrap(json.NewEncoder(p.Out).Encode(v), "write JSON output")
 }
 
 func readFiles(inventoryPath, rulesPath string) (hingeinventory.Inventory, hingeinventory.Rules, []hingetoml.Problem, error) {
@@ -127,12 +127,12 @@
 	return inv, r, problems, nil
 }
 
-// checkSettings checks each settings file, against the inventory if there is
-// one, and against the first file: hosts whose lists of peers differ would
-// count different quorums.
+// checkSettings validates each settings file, its host against the inventory if
+// there is one, and its peers against those of the first file. Hosts with
+// different lists of peers would disagree about the quorum.
 func checkSettings(paths []string, inv *hingeinventory.Inventory) ([]hingetoml.Problem, error) {
 	var problems []hingetoml.Problem
-	var first []hingesettings.Peer
+	var firstPeers []hingesettings.Peer
 	for i, path := range paths {
 		data, err := os.ReadFile(path)
 		if err != nil {
@@ -143,7 +143,7 @@
 		if len(found) > 0 {
 			continue
 		}
-		if inv != nil && !stands(inv, s) {
+		if inv != nil && !listsHost(inv, s) {
 			problems = append(problems, hingetoml.Problem{
 				File: path,
 				Key:  "host",
@@ -152,9 +152,9 @@
 			})
 		}
 		if i == 0 {
-			first = s.Peers
+			firstPeers = s.Peers
 		}
-		if first != nil && !slices.Equal(first, s.Peers) {
+		if firstPeers != nil && !slices.Equal(firstPeers, s.Peers) {
 			problems = append(problems, hingetoml.Problem{
 				File: path,
 				Key:  "peers",
@@ -166,7 +166,7 @@
 	return problems, nil
 }
 
-func stands(inv *hingeinventory.Inventory, s hingesettings.Settings) bool {
+func listsHost(inv *hingeinventory.Inventory, s hingesettings.Settings) bool {
 	for _, z := range inv.Zones {
 		if z.Name == s.Zone {
 			return slices.Contains(z.Hosts, s.Host)
--- a/internal/operate/hingecommand/client.go
+++ b/internal/operate/hingecommand/client.go
@@ -15,18 +15,17 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// oneCall bounds one call to one entry host: longer than a host waits for a
-// quorum, so that its answer and not our impatience tells what became of it.
-const oneCall = 12 * time.Second
+// callTimeout bounds a call to an entry host. It is longer than a host waits for
+// a quorum, so that the response states the outcome instead of a client timeout.
+const callTimeout = 12 * time.Second
 
-// dialTimeout bounds connecting. Within a site a host answers in milliseconds;
-// one that is cut off should cost a command no more than this.
+// dialTimeout bounds the time that a command loses to an unreachable host.
 const dialTimeout = 2 * time.Second
 
-// maxAnswer bounds an answer in bytes: the events that a process keeps, with room.
-const maxAnswer = 64 << 20
+// maxResponseBytes is larger than all events that a process retains.
+const maxResponseBytes = 64 << 20
 
-// client talks to entry hosts.
+// client calls the operators' HTTP API of entry hosts.
 type client struct {
 	http *fasthttp.Client
 }
@@ -34,10 +33,9 @@
 func newClient() *client {
 	return &client{
 		http: &fasthttp.Client{
-			// The library would repeat calls by itself; who repeats what is
-			// decided here (Rules 2 and 3).
+			// Disables retries by the library. Rules 2 and 3 define the retries.
 			MaxIdemponentCallAttempts: 1,
-			MaxResponseBodySize:       maxAnswer,
+			MaxResponseBodySize:       maxResponseBytes,
 			Dial: func(address string) (net.Conn, error) {
 				return fasthttp.DialTimeout(address, dialTimeout)
 			},
@@ -49,7 +47,7 @@
 	c.http.CloseIdleConnections()
 }
 
-// refusedError is an answer that is not a success.
+// refusedError is an error response of an entry host.
 type refusedError struct {
 	hingeadmin.Failure
 	status  int
@@ -60,13 +58,13 @@
 	return fmt.Sprintf("%s answered %d: %s (code %d, %s)", e.address, e.status, e.Failure.Error, e.Code, e.Verdict)
 }
 
-// final reports whether another try can't have another outcome.
+// final reports whether a retry would return the same error.
 func (e *refusedError) final() bool {
 	return e.status < fasthttp.StatusInternalServerError
 }
 
-// call sends one request and reads its JSON answer.
-func (c *client) call(method, address, path string, body, into any) error {
+// call sends a request and decodes the JSON response into result.
+func (c *client) call(method, address, path string, body, result any) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
 	response := fasthttp.AcquireResponse()
@@ -76,63 +74,63 @@
 	if body != nil {
 		b, err := json.Marshal(body)
 		if err != nil {
-			return eris.Wrap(err, "request")
+			return eris.Wrap(err, "encode request")
 		}
 		request.Header.SetContentType("application/json")
 		request.SetBody(b)
 	}
-	if err := c.http.DoTimeout(request, response, oneCall); err != nil {
+	if err := c.http.DoTimeout(request, response, callTimeout); err != nil {
 		return eris.Wrapf(err, "no answer from %s", address)
 	}
 	if response.StatusCode() != fasthttp.StatusOK {
-		return refusal(address, response)
+		return newRefusedError(address, response)
 	}
-	if err := json.Unmarshal(response.Body(), into); err != nil {
-		return eris.Wrapf(err, "answer of %s to %s", address, path)
+	if err := json.Unmarshal(response.Body(), result); err != nil {
+		return eris.Wrapf(err, "decode response of %s to %s", address, path)
 	}
 	return nil
 }
 
-func refusal(address string, response *fasthttp.Response) error {
+func newRefusedError(address string, response *fasthttp.Response) error {
 	e := &refusedError{
 		status:  response.StatusCode(),
 		address: address,
 	}
 	if err := json.Unmarshal(response.Body(), &e.Failure); err != nil {
-		e.Failure.Error = "an answer that is not ours; is this the operators' address?"
+		e.Failure.Error = "response body is not a swifthinge error; check that this is the operators' address"
 	}
 	return e
 }
 
-func (c *client) get(address, path string, into any) error {
-	return c.call(fasthttp.MethodGet, address, path, nil, into)
+func (c *client) get(address, path string, result any) error {
+	return c.call(fasthttp.MethodGet, address, path, nil, result)
 }
 
-func (c *client) post(address, path string, body, into any) error {
-	return c.call(fasthttp.MethodPost, address, path, body, into)
+func (c *client) post(address, path string, body, result any) error {
+	return c.call(fasthttp.MethodPost, address, path, body, result)
 }
 
-// getAny asks one entry host after the other until one answers, and gives its
-// address. A refusal that is final is not asked of the next.
-func (c *client) getAny(ctx context.Context, entries []string, path string, into any) (string, error) {
-	var last error
+// getAny queries the entry hosts in order until one responds with success, and
+// returns its address. A final error is returned without querying further hosts.
+func (c *client) getAny(ctx context.Context, entries []string, path string, result any) (string, error) {
+	var lastErr error
 	for _, address := range entries {
 		if ctx.Err() != nil {
 			break
 		}
-		err := c.get(address, path, into)
+		err := c.get(address, path, result)
 		if err == nil {
 			return address, nil
 		}
-		last = err
+		lastErr = err
 		if isFinal(err) {
 			break
 		}
 	}
-	if last == nil {
-		last = eris.Wrap(ctx.Err(), "no entry host asked")
+	if lastErr == nil {
+		lastErr = eris.Wrap(ctx.Err(), "no entry host was queried")
 	}
-	return "", last
+	return "", lastErr
 }
 
 func isFinal(err error) bool {
@@ -140,14 +138,14 @@
 	return errors.As(err, &r) && r.final()
 }
 
-// isGone reports that the host keeps no such revision any more.
-func isGone(err error) bool {
+// isRevisionGone reports whether the host no longer retains the revision.
+func isRevisionGone(err error) bool {
 	var r *refusedError
 	return errors.As(err, &r) && r.status == fasthttp.StatusGone
 }
 
-// pause waits, or reports false when the context ends first.
-func pause(ctx context.Context, d time.Duration) bool {
+// sleep waits for d. It returns false if the context ends first.
+func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -158,9 +156,9 @@
 	}
 }
 
-// isRefusedDial reports that nothing listens at the address, which proves that
-// nothing was sent.
-func isRefusedDial(err error) bool {
+// isConnectionRefused reports whether the connection was refused, which proves
+// that no request was sent.
+func isConnectionRefused(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && errors.Is(err, syscall.ECONNREFUSED)
 }
--- a/internal/operate/hingecommand/command.go
+++ b/internal/operate/hingecommand/command.go
@@ -1,16 +1,16 @@
-// Package hingecommand is the swifthinge program: one subcommand to serve, and
-// others with which operators check and change the configuration and see what
-// the system does.
+// Package hingecommand implements the swifthinge command line: a subcommand that
+// runs an entry host, and subcommands with which operators validate and change
+// the configuration and observe the system.
 //
-//  1. What a script reads goes to standard output, progress to standard error.
-//     An error is one line on standard error, and the exit status is 1.
-//  2. Commands talk HTTP to the operators' address of any entry host, and find
-//     the others through it. Reads go to the next host when one does not answer.
-//  3. A change is sent again, with the same change id, until some host answers:
-//     the log gives a resend its first answer, so this can't apply it twice.
-//     Its basis is the revision that the operator names, never the newest one,
-//     or a change made meanwhile by someone else would be undone without notice.
-//  4. An answer that is not whole says so: hosts that did not answer are named.
+//  1. Results go to standard output and progress goes to standard error. An error
+//     is a single line on standard error, with exit status 1.
+//  2. Commands use the operators' HTTP API of any entry host and discover the
+//     other hosts through it. Reads fail over to the next host.
+//  3. A change is resent with the same change ID until a host responds. The log
+//     returns the first result to a resend, so a change is never applied twice.
+//     The change is based on the revision that the operator names and not on the
+//     newest one. Otherwise it could silently revert a concurrent change.
+//  4. Incomplete results name the hosts that did not respond.
 package hingecommand
 
 import (
@@ -28,39 +28,39 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Config is what the program is joined from.
+// Config holds the output streams and dependencies of the program.
 type Config struct {
 	Out io.Writer
 	Err io.Writer
 	Now func() time.Time
-	// Serve runs an entry host until the context ends.
+	// Serve runs an entry host until the context is canceled. It may be nil.
 	Serve func(ctx context.Context, s Start) error
-	// These write keys and certificates.
+	// The following functions write keys and certificates. They may be nil.
 	MakeAuthority  func(folder string, now time.Time) error
 	RenewAuthority func(folder string, now time.Time) error
 	MakeHost       func(folder string, host hingeids.HostID, now time.Time) error
 	Renew          func(folder string, host hingeids.HostID, now time.Time) error
 }
 
-// Start is what an entry host starts from.
+// Start holds the settings and the initial configuration of an entry host.
 type Start struct {
 	Settings hingesettings.Settings
-	// Inventory and Rules are those of the files that serve was given; Given
-	// says whether it was.
+	// Inventory and Rules are the contents of the files passed to serve. They are
+	// empty unless Given is set.
 	Inventory hingeinventory.Inventory
 	Rules     hingeinventory.Rules
 	Given     bool
 }
 
-// program is one run of the program.
+// program is a single invocation of the command line.
 type program struct {
 	Config
 	client *client
 }
 
-// Run runs the program and gives its exit status.
+// Run runs the command line and returns the exit status of the process.
 func Run(ctx context.Context, args []string, c Config) int {
-	out := &output{
+	out := &errorWriter{
 		w: c.Out,
 	}
 	c.Out = out
@@ -82,28 +82,28 @@
 	return 0
 }
 
-// output remembers that something could not be written: a script that reads a
-// cut output must see the exit status 1.
-type output struct {
+// errorWriter records the first write error, so that the exit status is 1 when
+// the output is truncated.
+type errorWriter struct {
 	w   io.Writer
 	err error
 }
 
-func (o *output) Write(b []byte) (int, error) {
+func (o *errorWriter) Write(b []byte) (int, error) {
 	n, err := o.w.Write(b)
 	if err != nil && o.err == nil {
-		o.err = eris.Wrap(err, "output")
+		o.err = eris.Wrap(err, "write output")
 	}
 	return n, err
 }
 
-// printf writes what was asked for; output keeps its error.
+// printf writes results to standard output. Run checks the recorded write error.
 func (p *program) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(p.Out, format, args...)
 }
 
-// progressf writes progress and errors. Where that fails there is nowhere left
-// to say so.
+// progressf writes progress and errors to standard error. Its write errors can't
+// be reported anywhere.
 func (p *program) progressf(format string, args ...any) {
 	_, _ = fmt.Fprintf(p.Err, format, args...)
 }
@@ -112,8 +112,8 @@
 	return &cli.Command{
 		Name:  "swifthinge",
 		Usage: "route requests to language models in separate prefill and decode pools",
-		Description: "Operators write an inventory and rules, check them, apply them, and see them in force.\n" +
-			"Commands that ask a running system take --entry, the operators' address of any entry host.",
+		Description: "Operators write an inventory and rules, check and apply them, and observe the running system.\n" +
+			"Commands that query a running system need --entry, the operators' address of any entry host.",
 		Commands: []*cli.Command{
 			p.serveCommand(),
 			p.checkCommand(),
@@ -140,8 +140,8 @@
 	}
 }
 
-// prepare makes every command return its errors, so that Run alone prints
-// them (Rule 1), and refuse arguments that it does not take.
+// prepare makes every command return its errors, so that only Run prints them
+// (Rule 1), and reject unexpected arguments.
 func prepare(c *cli.Command) {
 	c.ExitErrHandler = func(context.Context, *cli.Command, error) {}
 	c.OnUsageError = func(_ context.Context, c *cli.Command, err error, _ bool) error {
@@ -166,17 +166,16 @@
 	return strings.Join(strings.Fields(err.Error()), " ")
 }
 
-// Flags that several commands share.
-
+// Names of flags that several commands share.
 const (
-	entryName   = "entry"
-	jsonName    = "json"
-	timeoutName = "timeout"
+	entryFlagName   = "entry"
+	jsonFlagName    = "json"
+	timeoutFlagName = "timeout"
 )
 
 func entryFlag() cli.Flag {
 	return &cli.StringSliceFlag{
-		Name:     entryName,
+		Name:     entryFlagName,
 		Usage:    "operators' `ADDRESS` of an entry host; may be given several times",
 		Sources:  cli.EnvVars("SWIFTHINGE_ENTRIES"),
 		Required: true,
@@ -185,15 +184,15 @@
 
 func jsonFlag() cli.Flag {
 	return &cli.BoolFlag{
-		Name:  jsonName,
+		Name:  jsonFlagName,
 		Usage: "write JSON",
 	}
 }
 
 func timeoutFlag() cli.Flag {
 	return &cli.DurationFlag{
-		Name:  timeoutName,
-		Usage: "how long to try for an answer",
+		Name:  timeoutFlagName,
+		Usage: "how long to retry until a host responds",
 		Value: 15 * time.Second,
 	}
 }
--- a/internal/operate/hingecommand/command_test.go
+++ b/internal/operate/hingecommand/command_test.go
@@ -34,9 +34,8 @@
 	})
 }
 
-// The scripts in testdata run the program against entry hosts that are stood
-// in for by this test: A and B answer, C doesn't. What goes wrong on the way
-// is set by the commands below.
+// The scripts in testdata run the program against two fake entry hosts at $A and
+// $B. The commands below inject faults into these hosts.
 func TestScripts(t *testing.T) {
 	examples, err := filepath.Abs("../../../examples")
 	if err != nil {
@@ -56,27 +55,27 @@
 		},
 		Cmds: map[string]func(ts *testscript.TestScript, neg bool, args []string){
 			"lose": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, func(c *cluster, n int) {
-					c.loseAnswers = n
+				updateCluster(ts, args, func(c *cluster, n int) {
+					c.dropResponses = n
 				})
 			},
 			"noquorum": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, func(c *cluster, n int) {
+				updateCluster(ts, args, func(c *cluster, n int) {
 					c.noQuorum = n
 				})
 			},
 			"inprogress": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, func(c *cluster, n int) {
+				updateCluster(ts, args, func(c *cluster, n int) {
 					c.hosts[0].inProgress = n
 				})
 			},
 			"lag": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, func(c *cluster, n int) {
-					c.hosts[1].lags = n > 0
+				updateCluster(ts, args, func(c *cluster, n int) {
+					c.hosts[1].lagging = n > 0
 				})
 			},
 			"halt": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, func(c *cluster, n int) {
+				updateCluster(ts, args, func(c *cluster, n int) {
 					_ = c.hosts[n].server.Shutdown()
 				})
 			},
@@ -84,7 +83,7 @@
 				<-ts.Value("cluster").(*cluster).hosts[0].drained
 			},
 			"race": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, func(c *cluster, _ int) {
+				updateCluster(ts, args, func(c *cluster, _ int) {
 					c.accept(hingeadmin.Change{
 						ChangeID: "theirs",
 						Operator: "gaelle",
@@ -93,13 +92,13 @@
 				})
 			},
 			"record": func(ts *testscript.TestScript, _ bool, args []string) {
-				set(ts, args, recordRequest)
+				updateCluster(ts, args, recordRequest)
 			},
 		},
 	})
 }
 
-func set(ts *testscript.TestScript, args []string, f func(c *cluster, n int)) {
+func updateCluster(ts *testscript.TestScript, args []string, f func(c *cluster, n int)) {
 	c := ts.Value("cluster").(*cluster)
 	n := 0
 	if len(args) > 0 {
@@ -112,7 +111,8 @@
 	f(c, n)
 }
 
-// recordRequest records a request that passes from the first host to the second.
+// recordRequest records events of a request that the first host forwards to the
+// second, whose clock is an hour behind.
 func recordRequest(c *cluster, n int) {
 	f := hingeevents.Fields{
 		Request: hingeids.RequestID{
--- a/internal/operate/hingecommand/drain.go
+++ b/internal/operate/hingecommand/drain.go
@@ -13,15 +13,15 @@
 func (p *program) drainCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "drain",
-		Usage: "have an entry host finish what it has and take nothing new",
-		Description: "The host leaves the balancer, refuses new work with a hint when to come back, and finishes every request in\n" +
-			"progress. Its process goes on answering operators until it gets SIGTERM, which drains too. Give --entry\n" +
-			"once: the host to drain.",
+		Usage: "stop new requests at an entry host and let it finish those in progress",
+		Description: "The host leaves the balancer, refuses new requests with a retry time, and finishes every request in\n" +
+			"progress. Its process keeps responding to operators until SIGTERM, which also drains. Pass --entry once,\n" +
+			"with the host to drain.",
 		Flags: []cli.Flag{
 			entryFlag(),
 			&cli.DurationFlag{
 				Name:  "wait",
-				Usage: "how long to wait for its last request; 0 not to wait",
+				Usage: "how long to wait for the last request; 0 to not wait",
 				Value: 15 * time.Minute,
 			},
 			jsonFlag(),
@@ -31,7 +31,7 @@
 }
 
 func (p *program) drain(ctx context.Context, c *cli.Command) error {
-	entries := c.StringSlice(entryName)
+	entries := c.StringSlice(entryFlagName)
 	if len(entries) != 1 {
 		return eris.Errorf("want --entry once, the host to drain, not %d times", len(entries))
 	}
@@ -39,7 +39,7 @@
 	if err := p.client.post(entries[0], "/v1/drain", nil, &answer); err != nil {
 		return err
 	}
-	d := drained{
+	d := drainResult{
 		InProgress: answer.InProgress,
 	}
 	if wait := c.Duration("wait"); wait > 0 {
@@ -48,7 +48,7 @@
 			return eris.Errorf("still in progress at %s: %d requests", entries[0], d.InProgress)
 		}
 	}
-	if c.Bool(jsonName) {
+	if c.Bool(jsonFlagName) {
 		return p.writeJSON(d)
 	}
 	if d.Ended {
@@ -59,33 +59,33 @@
 	return nil
 }
 
-// drained is the outcome of a drain, and its JSON output.
-type drained struct {
-	// InProgress is what the host said last. Where it has Ended since, whether
-	// it finished these or was killed is for the time line to say.
+// drainResult is the JSON output of drain.
+type drainResult struct {
+	// InProgress is the last reported number of requests. If the process Ended
+	// later, the timeline shows whether they finished or the process was killed.
 	InProgress int  `json:"inProgress"`
 	Ended      bool `json:"ended"`
 }
 
-// waitDrained follows a host to its end. A host that refuses connections has
-// ended; one that merely does not answer is asked again.
-func (p *program) waitDrained(ctx context.Context, address string, d drained, wait time.Duration) drained {
+// waitDrained polls a host until no request is in progress or the host refuses
+// connections, which means that its process has ended. Other errors are retried.
+func (p *program) waitDrained(ctx context.Context, address string, d drainResult, wait time.Duration) drainResult {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	shown := -1
+	lastInProgress := -1
 	for d.InProgress > 0 {
-		if d.InProgress != shown {
+		if d.InProgress != lastInProgress {
 			p.progressf("in progress: %d\n", d.InProgress)
-			shown = d.InProgress
+			lastInProgress = d.InProgress
 		}
-		if !pause(ctx, statusPause) {
+		if !sleep(ctx, statusPollInterval) {
 			break
 		}
 		var s hingeadmin.Status
 		err := p.client.get(address, "/v1/status", &s)
 		if err == nil {
 			d.InProgress = s.InProgress
-		} else if isRefusedDial(err) {
+		} else if isConnectionRefused(err) {
 			d.Ended = true
 			break
 		}
--- a/internal/operate/hingecommand/fake_test.go
+++ b/internal/operate/hingecommand/fake_test.go
@@ -19,21 +19,21 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// cluster stands in for the agreed configuration that several entry hosts
-// answer from: an ordered list of accepted changes and nothing else.
+// cluster fakes the replicated configuration that several entry hosts share, as
+// an ordered list of accepted changes.
 type cluster struct {
 	mu        sync.Mutex
 	snapshots []hingeadmin.Snapshot
 	accepted  []hingeadmin.Accepted
 	changes   []hingeadmin.Change
 	hosts     []*entryHost
-	// loseAnswers is how many answers to changes are still to be lost, and
-	// noQuorum how many changes are still to be refused.
-	loseAnswers int
-	noQuorum    int
+	// dropResponses is the number of responses to changes still to be dropped.
+	// noQuorum is the number of changes still to be rejected.
+	dropResponses int
+	noQuorum      int
 }
 
-// entryHost is one entry host of a cluster.
+// entryHost is a fake entry host.
 type entryHost struct {
 	*cluster
 	name       hingeids.HostID
@@ -41,8 +41,8 @@
 	server     *fasthttp.Server
 	events     *hingeevents.Recorder
 	inProgress int
-	lags       bool
-	// drained gets a value when the host is asked to drain.
+	lagging    bool
+	// drained receives a value for each call of Drain.
 	drained chan struct{}
 }
 
@@ -86,7 +86,7 @@
 	h.server = &fasthttp.Server{
 		Handler: func(c *fasthttp.RequestCtx) {
 			handler.Handle(c)
-			if string(c.Path()) == "/v1/changes" && h.take(&h.loseAnswers) {
+			if string(c.Path()) == "/v1/changes" && h.consume(&h.dropResponses) {
 				_ = c.Conn().Close()
 			}
 		},
@@ -103,7 +103,7 @@
 	}
 }
 
-func (c *cluster) take(n *int) bool {
+func (c *cluster) consume(n *int) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if *n == 0 {
@@ -113,9 +113,9 @@
 	return true
 }
 
-// Propose accepts a change as the log does.
+// Propose accepts or rejects a change by the rules of the configuration log.
 func (c *cluster) Propose(_ context.Context, x hingeadmin.Change, now time.Time) (hingeadmin.Accepted, error) {
-	if c.take(&c.noQuorum) {
+	if c.consume(&c.noQuorum) {
 		return hingeadmin.Accepted{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoQuorum, time.Second, nil)
 	}
 	c.mu.Lock()
@@ -130,9 +130,9 @@
 				Winner: c.accepted[i],
 			}
 		}
-		again := c.accepted[i]
-		again.Repeated = true
-		return again, nil
+		repeated := c.accepted[i]
+		repeated.Repeated = true
+		return repeated, nil
 	}
 	if int(x.ExpectedRevision) != len(c.accepted) {
 		return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
@@ -164,7 +164,7 @@
 	return a
 }
 
-// At gives the items at a revision.
+// At returns the items at the newest revision.
 func (c *cluster) At(r hingeids.Revision) (hingeadmin.Snapshot, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -177,14 +177,14 @@
 	if r == 0 {
 		return hingeadmin.Snapshot{}, nil
 	}
-	// An entry host keeps the newest revision only.
+	// An entry host retains only the newest revision.
 	if int(r) < len(c.snapshots) {
 		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionGone
 	}
 	return c.snapshots[r-1], nil
 }
 
-// History gives accepted changes, newest first.
+// History returns the accepted changes, newest first.
 func (c *cluster) History() []hingeadmin.Accepted {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -193,7 +193,8 @@
 	return out
 }
 
-// Status gives the hosts; a stopped one has no address.
+// Status returns the status of the host. Each call finishes one request in
+// progress.
 func (h *entryHost) Status(now time.Time) hingeadmin.Status {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -234,10 +235,10 @@
 			Host:      x.name,
 			Zone:      "cancale",
 			Operators: x.address,
-			Alive:     !x.lags,
+			Alive:     !x.lagging,
 			Revision:  s.Committed,
 		}
-		if x.lags {
+		if x.lagging {
 			status.Revision--
 			status.SilentSince = now
 			status.LagsSince = now
@@ -247,7 +248,7 @@
 	return s
 }
 
-// Drain gives the requests in progress.
+// Drain returns the number of requests in progress.
 func (h *entryHost) Drain(time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/operate/hingecommand/observe.go
+++ b/internal/operate/hingecommand/observe.go
@@ -22,10 +22,10 @@
 func (p *program) explainCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "explain",
-		Usage:     "tell why a request was placed, queued, retried or refused",
+		Usage:     "show why a request was placed, queued, retried or refused",
 		ArgsUsage: "REQUEST",
-		Description: "REQUEST is the request id that came with the answer. The events about it are taken from all entry hosts\n" +
-			"that answer; those that don't are named.",
+		Description: "REQUEST is the request ID in the response header. Its events are collected from all entry hosts; hosts that\n" +
+			"don't respond are named.",
 		Flags: []cli.Flag{
 			entryFlag(),
 			jsonFlag(),
@@ -35,11 +35,11 @@
 			if err != nil {
 				return err
 			}
-			t, err := p.collect(ctx, c.StringSlice(entryName), "/v1/explain?request="+url.QueryEscape(request.String()))
+			t, err := p.collect(ctx, c.StringSlice(entryFlagName), "/v1/explain?request="+url.QueryEscape(request.String()))
 			if err != nil {
 				return err
 			}
-			if c.Bool(jsonName) {
+			if c.Bool(jsonFlagName) {
 				return t.WriteJSON(p.Out)
 			}
 			return t.WriteExplanation(p.Out, request)
@@ -55,7 +55,7 @@
 			entryFlag(),
 			&cli.StringFlag{
 				Name:  "format",
-				Usage: "text, json (a line for each event) or svg",
+				Usage: "text, json (one line per event) or svg",
 				Value: "text",
 			},
 			&cli.StringFlag{
@@ -64,7 +64,7 @@
 			},
 			&cli.DurationFlag{
 				Name:  "last",
-				Usage: "only events of this long ago at most; 0 for all that are kept",
+				Usage: "only events of this most recent period; 0 for all retained events",
 			},
 			&cli.StringFlag{
 				Name:  "request",
@@ -92,7 +92,7 @@
 }
 
 func (p *program) timeline(ctx context.Context, c *cli.Command) error {
-	query, err := queryOf(c)
+	query, err := parseQuery(c)
 	if err != nil {
 		return err
 	}
@@ -100,11 +100,11 @@
 	if last := c.Duration("last"); last > 0 {
 		path += fmt.Sprintf("?since=%d", p.Now().Add(-last).UnixNano())
 	}
-	write, err := writerOf(c.String("format"))
+	write, err := timelineWriter(c.String("format"))
 	if err != nil {
 		return err
 	}
-	t, err := p.collect(ctx, c.StringSlice(entryName), path)
+	t, err := p.collect(ctx, c.StringSlice(entryFlagName), path)
 	if err != nil {
 		return err
 	}
@@ -113,13 +113,13 @@
 		return err
 	}
 	if file := c.String("output"); file != "" {
-		return eris.Wrap(os.WriteFile(file, b.Bytes(), 0o644), "output")
+		return eris.Wrap(os.WriteFile(file, b.Bytes(), 0o644), "write timeline file")
 	}
 	_, err = p.Out.Write(b.Bytes())
-	return eris.Wrap(err, "output")
+	return eris.Wrap(err, "write output")
 }
 
-func writerOf(format string) (func(t hingetimeline.Timeline, b *bytes.Buffer) error, error) {
+func timelineWriter(format string) (func(t hingetimeline.Timeline, b *bytes.Buffer) error, error) {
 	switch format {
 	case "text":
 		return func(t hingetimeline.Timeline, b *bytes.Buffer) error {
@@ -138,7 +138,7 @@
 	}
 }
 
-func queryOf(c *cli.Command) (hingetimeline.Query, error) {
+func parseQuery(c *cli.Command) (hingetimeline.Query, error) {
 	q := hingetimeline.Query{
 		Server:   hingeids.ServerID(c.String("server")),
 		Caller:   hingeids.CallerID(c.String("caller")),
@@ -155,12 +155,13 @@
 	return q, nil
 }
 
-// askedAtOnce bounds the hosts asked at the same time: each answer may be
-// megabytes, and an operator's own machine has to hold them.
-const askedAtOnce = 16
+// maxConcurrentFetches bounds the memory for responses, each of which may be
+// several megabytes.
+const maxConcurrentFetches = 16
 
-// collect takes events from every entry host: those named and those that one of
-// them knows. A host that does not answer, or whose address nobody knows, is missing.
+// collect merges the events of the given entry hosts and of those that their
+// status lists. A host that doesn't respond or whose address is unknown is
+// reported as missing.
 func (p *program) collect(ctx context.Context, entries []string, path string) (hingetimeline.Timeline, error) {
 	var s hingeadmin.Status
 	if _, err := p.client.getAny(ctx, entries, "/v1/status", &s); err != nil {
@@ -172,7 +173,7 @@
 			addresses = append(addresses, h.Operators)
 		}
 	}
-	sources := p.ask(addresses, path)
+	sources := p.fetchSources(addresses, path)
 	answered := make(map[hingeids.HostID]bool)
 	for _, x := range sources {
 		answered[x.Life.Host] = true
@@ -186,9 +187,9 @@
 	return hingetimeline.Merge(sources, missing), nil
 }
 
-func (p *program) ask(addresses []string, path string) []hingetimeline.Source {
+func (p *program) fetchSources(addresses []string, path string) []hingetimeline.Source {
 	var g errgroup.Group
-	g.SetLimit(askedAtOnce)
+	g.SetLimit(maxConcurrentFetches)
 	var mu sync.Mutex
 	var sources []hingetimeline.Source
 	for _, address := range addresses {
@@ -205,7 +206,7 @@
 			return nil
 		})
 	}
-	// No error is returned above: a host without an answer is missing, not fatal.
+	// The functions return no error, because a host without response is not fatal.
 	_ = g.Wait()
 	return sources
 }
--- a/internal/operate/hingecommand/pages_test.go
+++ b/internal/operate/hingecommand/pages_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func read(t *testing.T, path string) string {
+func readFile(t *testing.T, path string) string {
 	t.Helper()
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -16,10 +16,10 @@
 	return string(b)
 }
 
-// A caller meets a code, or an operator a command, that the pages don't know.
-func TestPagesKnowCodesAndCommands(t *testing.T) {
-	interfaces := read(t, "../../../docs/INTERFACES.md")
-	codes := regexp.MustCompile(`Code(\w+) +Code = (\d+)`).FindAllStringSubmatch(read(t, "../../core/hingeverdict/codes.go"), -1)
+// Guards against error codes and commands that are missing in the documentation.
+func TestDocsListCodesAndCommands(t *testing.T) {
+	interfaces := readFile(t, "../../../docs/INTERFACES.md")
+	codes := regexp.MustCompile(`Code(\w+) +Code = (\d+)`).FindAllStringSubmatch(readFile(t, "../../core/hingeverdict/codes.go"), -1)
 	if len(codes) == 0 {
 		t.Fatal("no codes found")
 	}
@@ -28,7 +28,7 @@
 			t.Errorf("docs/INTERFACES.md has no row %q", row)
 		}
 	}
-	operating := read(t, "../../../docs/OPERATING.md")
+	operating := readFile(t, "../../../docs/OPERATING.md")
 	p := &program{}
 	for _, c := range p.root().Commands {
 		if row := "| `swifthinge " + c.Name; !strings.Contains(operating, row) {
--- a/internal/operate/hingecommand/read.go
+++ b/internal/operate/hingecommand/read.go
@@ -21,19 +21,19 @@
 func (p *program) getCommand() *cli.Command {
 	return &cli.Command{
 		Name:      "get",
-		Usage:     "show the configuration in force, or one item of it",
+		Usage:     "show the current configuration or one of its items",
 		ArgsUsage: "[PATH]",
-		Description: "With --folder, writes inventory.toml and rules.toml, ready to be edited and applied with --expect and the\n" +
-			"revision that is printed. Entries come sorted by name; comments of the files applied are not kept.",
+		Description: "With --folder, writes inventory.toml and rules.toml, which can be edited and applied with --expect and the\n" +
+			"printed revision. Entries are sorted by name; comments of the applied files are not preserved.",
 		Flags: []cli.Flag{
 			entryFlag(),
 			&cli.Uint64Flag{
 				Name:  "revision",
-				Usage: "an older `REVISION`, while it is kept",
+				Usage: "an older `REVISION`, if the host still retains it",
 			},
 			&cli.StringFlag{
 				Name:  "folder",
-				Usage: "write the files into `FOLDER`",
+				Usage: "write the files to `FOLDER`",
 			},
 			jsonFlag(),
 		},
@@ -44,7 +44,7 @@
 func (p *program) get(ctx context.Context, c *cli.Command) error {
 	var s hingeadmin.Snapshot
 	path := fmt.Sprintf("/v1/configuration?revision=%d", c.Uint64("revision"))
-	if _, err := p.client.getAny(ctx, c.StringSlice(entryName), path, &s); err != nil {
+	if _, err := p.client.getAny(ctx, c.StringSlice(entryFlagName), path, &s); err != nil {
 		return err
 	}
 	if item := c.Args().First(); item != "" {
@@ -56,7 +56,7 @@
 			item: document,
 		}
 	}
-	if c.Bool(jsonName) {
+	if c.Bool(jsonFlagName) {
 		return p.writeJSON(s)
 	}
 	if folder := c.String("folder"); folder != "" {
@@ -76,14 +76,14 @@
 	}
 	inventoryFile, rulesFile := hingeinventory.Format(&inv, &rules)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return eris.Wrap(err, "folder")
+		return eris.Wrap(err, "create output folder")
 	}
 	head := fmt.Sprintf("# Revision %d. Apply with --expect %d.\n\n", s.Revision, s.Revision)
 	if err := os.WriteFile(filepath.Join(folder, "inventory.toml"), append([]byte(head), inventoryFile...), 0o644); err != nil {
-		return eris.Wrap(err, "inventory")
+		return eris.Wrap(err, "write inventory")
 	}
 	if err := os.WriteFile(filepath.Join(folder, "rules.toml"), append([]byte(head), rulesFile...), 0o644); err != nil {
-		return eris.Wrap(err, "rules")
+		return eris.Wrap(err, "write rules")
 	}
 	p.printf("revision %d\n", s.Revision)
 	return nil
@@ -99,48 +99,48 @@
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			var h hingeadmin.History
-			if _, err := p.client.getAny(ctx, c.StringSlice(entryName), "/v1/history", &h); err != nil {
+			if _, err := p.client.getAny(ctx, c.StringSlice(entryFlagName), "/v1/history", &h); err != nil {
 				return err
 			}
-			if c.Bool(jsonName) {
+			if c.Bool(jsonFlagName) {
 				return p.writeJSON(h)
 			}
 			return p.table(func(row func(cells ...any)) {
 				row("REVISION", "AT", "OPERATOR", "CHANGE", "ITEMS")
 				for _, x := range h.Changes {
-					row(x.Revision, x.At.UTC().Format(time.RFC3339), x.Operator, x.ChangeID, shortList(x.Paths))
+					row(x.Revision, x.At.UTC().Format(time.RFC3339), x.Operator, x.ChangeID, formatPaths(x.Paths))
 				}
 			})
 		},
 	}
 }
 
-// shownPaths bounds the paths of a change in a table.
-const shownPaths = 4
+// maxShownPaths is the maximum number of paths in a table cell.
+const maxShownPaths = 4
 
-func shortList(paths []string) string {
-	if len(paths) <= shownPaths {
+func formatPaths(paths []string) string {
+	if len(paths) <= maxShownPaths {
 		return strings.Join(paths, " ")
 	}
-	return fmt.Sprintf("%s and %d more", strings.Join(paths[:shownPaths], " "), len(paths)-shownPaths)
+	return fmt.Sprintf("%s and %d more", strings.Join(paths[:maxShownPaths], " "), len(paths)-maxShownPaths)
 }
 
 func (p *program) statusCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "status",
-		Usage: "show entry hosts, backend servers, and who applies which revision",
-		Description: "Shows what the entry host that answers knows: in a zone that is cut off, the other zones are silent.\n" +
-			"The first line of the output names it.",
+		Usage: "show entry hosts with their applied revisions, and backend servers",
+		Description: "Shows the cluster view of the entry host that responds, which the first line of the output names. In a\n" +
+			"partitioned zone, the hosts of the other zones are silent.",
 		Flags: []cli.Flag{
 			entryFlag(),
 			jsonFlag(),
 		},
 		Action: func(ctx context.Context, c *cli.Command) error {
 			var s hingeadmin.Status
-			if _, err := p.client.getAny(ctx, c.StringSlice(entryName), "/v1/status", &s); err != nil {
+			if _, err := p.client.getAny(ctx, c.StringSlice(entryFlagName), "/v1/status", &s); err != nil {
 				return err
 			}
-			if c.Bool(jsonName) {
+			if c.Bool(jsonFlagName) {
 				return p.writeJSON(s)
 			}
 			return p.printStatus(s)
@@ -154,11 +154,11 @@
 		leader = string(s.Leader)
 	}
 	p.printf("as %s in %s sees it: revision %d, leader %s\n", s.Host, s.Zone, s.Committed, leader)
-	p.printf("it %s; requests in progress: %d\n\n", ownState(s), s.InProgress)
+	p.printf("it %s; requests in progress: %d\n\n", answeringHostState(s), s.InProgress)
 	if err := p.table(func(row func(cells ...any)) {
 		row("HOST", "ZONE", "DISK", "STATE", "REVISION", "LAGS SINCE")
 		for _, h := range s.Hosts {
-			row(h.Host, h.Zone, yesNo(h.Disk), hostState(h), h.Revision, since(h.LagsSince))
+			row(h.Host, h.Zone, yesNo(h.Disk), hostState(h), h.Revision, formatTime(h.LagsSince))
 		}
 	}); err != nil {
 		return err
@@ -172,8 +172,8 @@
 	})
 }
 
-// ownState tells how the host that answers stands.
-func ownState(s hingeadmin.Status) string {
+// answeringHostState describes the state of the host that responded.
+func answeringHostState(s hingeadmin.Status) string {
 	state := "takes requests"
 	switch {
 	case s.Draining:
@@ -194,7 +194,7 @@
 	if h.SilentSince.IsZero() {
 		return "silent"
 	}
-	return "silent since " + since(h.SilentSince)
+	return "silent since " + formatTime(h.SilentSince)
 }
 
 func serverState(s hingeadmin.ServerStatus) string {
@@ -204,7 +204,7 @@
 	case s.Leaving:
 		return "leaving"
 	case !s.SilentSince.IsZero():
-		return "silent since " + since(s.SilentSince)
+		return "silent since " + formatTime(s.SilentSince)
 	case !s.Granting:
 		return "no slots to grant yet"
 	default:
@@ -212,7 +212,7 @@
 	}
 }
 
-func since(t time.Time) string {
+func formatTime(t time.Time) string {
 	if t.IsZero() {
 		return "-"
 	}
@@ -234,8 +234,8 @@
 		for i, c := range cells {
 			texts[i] = fmt.Sprint(c)
 		}
-		// The writer keeps its error until Flush.
+		// Flush returns the error of earlier writes.
 		_, _ = fmt.Fprintln(w, strings.Join(texts, "\t"))
 	})
-	return eris.Wrap(w.Flush(), "output")
+	return eris.Wrap(w.Flush(), "write table")
 }
--- a/internal/operate/hingecommand/serve.go
+++ b/internal/operate/hingecommand/serve.go
@@ -26,11 +26,11 @@
 	return &cli.Command{
 		Name:  "serve",
 		Usage: "run an entry host",
-		Description: "Runs until SIGTERM or SIGINT, which start a graceful shutdown: the host leaves the balancer, refuses\n" +
-			"new work, finishes what it has, and ends. Inventory and rules are those to begin with.",
+		Description: "Runs until SIGTERM or SIGINT, which start a graceful shutdown: the host leaves the balancer, refuses new\n" +
+			"requests, finishes those in progress, and exits. Inventory and rules are the initial configuration.",
 		Flags: []cli.Flag{
 			&cli.StringFlag{
-				Name:     settingsName,
+				Name:     settingsFlagName,
 				Usage:    "settings `FILE`",
 				Required: true,
 			},
@@ -38,7 +38,7 @@
 			rulesFlag(false),
 			&cli.IntFlag{
 				Name:  "v",
-				Usage: "log `LEVEL`; 1 logs every event",
+				Usage: "log verbosity `LEVEL`; 1 logs every event",
 			},
 		},
 		Action: p.serve,
@@ -46,7 +46,7 @@
 }
 
 func (p *program) serve(ctx context.Context, c *cli.Command) error {
-	path := c.String(settingsName)
+	path := c.String(settingsFlagName)
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return eris.Wrap(err, "settings")
@@ -54,7 +54,7 @@
 	var start Start
 	s, problems := hingesettings.Check(path, data)
 	start.Settings = s
-	if inventory, rules := c.String(inventoryName), c.String(rulesName); inventory != "" && rules != "" {
+	if inventory, rules := c.String(inventoryFlagName), c.String(rulesFlagName); inventory != "" && rules != "" {
 		inv, r, found, err := readFiles(inventory, rules)
 		if err != nil {
 			return err
@@ -66,7 +66,7 @@
 		return p.report(problems, false)
 	}
 	if p.Serve == nil {
-		return eris.New("serve is not part of this program")
+		return eris.New("this build does not support serve")
 	}
 	if err := setLogLevel(c.Int("v")); err != nil {
 		return err
@@ -80,7 +80,7 @@
 func setLogLevel(level int) error {
 	flags := flag.NewFlagSet("klog", flag.ContinueOnError)
 	klog.InitFlags(flags)
-	return eris.Wrap(flags.Set("v", strconv.Itoa(level)), "log level")
+	return eris.Wrap(flags.Set("v", strconv.Itoa(level)), "set log level")
 }
 
 func (p *program) keysCommand() *cli.Command {
@@ -96,25 +96,25 @@
 	}
 	return &cli.Command{
 		Name:  "keys",
-		Usage: "make and renew the keys with which our own processes know each other",
-		Description: "Make the authority once, then a key and certificate for each entry host. Only the three files that a\n" +
-			"host's settings name belong on that host; the authority's own key belongs on none.",
+		Usage: "create and renew the keys and certificates with which hosts authenticate each other",
+		Description: "Create the authority once, then a key and certificate for each entry host. Copy only the three files that\n" +
+			"a host's settings name to that host. Never copy the authority's private key to a host.",
 		Commands: []*cli.Command{
 			{
 				Name:   "authority",
-				Usage:  "make the authority that signs the hosts' certificates",
+				Usage:  "create the authority that signs the hosts' certificates",
 				Flags:  []cli.Flag{folder},
 				Action: authorityAction(p.MakeAuthority, p.Now),
 			},
 			{
 				Name:   "renew-authority",
-				Usage:  "renew the authority's certificate; certificates signed before stay good",
+				Usage:  "renew the authority's certificate; certificates signed before remain valid",
 				Flags:  []cli.Flag{folder},
 				Action: authorityAction(p.RenewAuthority, p.Now),
 			},
 			{
 				Name:  "host",
-				Usage: "make the key and certificate of an entry host",
+				Usage: "create the key and certificate of an entry host",
 				Flags: []cli.Flag{
 					folder,
 					host,
@@ -132,45 +132,46 @@
 			},
 			{
 				Name:  "customer",
-				Usage: "make an API key for a customer, and print it and its digest",
-				Description: "The key goes to the customer, and nowhere else. The rules need the digest only (keyDigests), from which\n" +
-					"nobody finds the key.",
+				Usage: "generate an API key for a customer, and print it with its digest",
+				Description: "Give the key only to the customer. The rules contain only the digest (keyDigests), from which the key\n" +
+					"can't be recovered.",
 				Action: p.customerKey,
 			},
 		},
 	}
 }
 
-// customerKeyBytes is the chance in an API key: nobody finds one by trying.
+// customerKeyBytes is the number of random bytes in an API key, enough to make
+// guessing infeasible.
 const customerKeyBytes = 24
 
 func (p *program) customerKey(context.Context, *cli.Command) error {
 	b := make([]byte, customerKeyBytes)
 	if _, err := rand.Read(b); err != nil {
-		return eris.Wrap(err, "API key")
+		return eris.Wrap(err, "generate API key")
 	}
 	text := base64.RawURLEncoding.EncodeToString(b)
 	digest := hingeinventory.DigestText(hingecustomers.Key(text))
 	_, err := fmt.Fprintf(p.Out, "key     %s\ndigest  %s\n", text, digest)
-	return eris.Wrap(err, "API key")
+	return eris.Wrap(err, "write API key")
 }
 
-var errNoKeys = eris.New("keys are not part of this program")
+var errNoKeys = eris.New("this build does not support keys")
 
-func authorityAction(make func(string, time.Time) error, now func() time.Time) cli.ActionFunc {
+func authorityAction(create func(string, time.Time) error, now func() time.Time) cli.ActionFunc {
 	return func(_ context.Context, c *cli.Command) error {
-		if make == nil {
+		if create == nil {
 			return errNoKeys
 		}
-		return make(c.String("folder"), now())
+		return create(c.String("folder"), now())
 	}
 }
 
-func keyAction(make func(string, hingeids.HostID, time.Time) error, now func() time.Time) cli.ActionFunc {
+func keyAction(create func(string, hingeids.HostID, time.Time) error, now func() time.Time) cli.ActionFunc {
 	return func(_ context.Context, c *cli.Command) error {
-		if make == nil {
+		if create == nil {
 			return errNoKeys
 		}
-		return make(c.String("folder"), hingeids.HostID(c.String("host")), now())
+		return create(c.String("folder"), hingeids.HostID(c.String("host")), now())
 	}
 }
--- a/internal/operate/hingecommand/voters.go
+++ b/internal/operate/hingecommand/voters.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	admitName  = "admit"
-	removeName = "remove"
+	admitFlagName  = "admit"
+	removeFlagName = "remove"
 )
 
 func (p *program) votersCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "voters",
-		Usage: "replace an entry host with a disk that is lost for good",
-		Description: "A host that comes back under its own name, with its disk or an empty one, needs no command. For one that never\n" +
-			"comes back: start its replacement with a data folder, --admit it, wait until status says that it votes, and only\n" +
-			"then --remove the lost one.",
+		Usage: "replace a permanently lost entry host that has a disk",
+		Description: "A host that restarts with the same name, with its disk or an empty one, needs no command. To replace a\n" +
+			"permanently lost host, start its replacement with a data folder, --admit it, wait until status shows that it\n" +
+			"votes, and only then --remove the lost host.",
 		Flags: []cli.Flag{
 			entryFlag(),
 			&cli.StringFlag{
-				Name:  admitName,
-				Usage: "the `HOST` to let in",
+				Name:  admitFlagName,
+				Usage: "the `HOST` to admit as a voter",
 			},
 			&cli.StringFlag{
-				Name:  removeName,
-				Usage: "the `HOST` to take out for good",
+				Name:  removeFlagName,
+				Usage: "the `HOST` to remove permanently",
 			},
 			jsonFlag(),
 		},
@@ -40,27 +40,27 @@
 
 func (p *program) voters(_ context.Context, c *cli.Command) error {
 	v := hingeadmin.Voters{
-		Admit:  hingeids.HostID(c.String(admitName)),
-		Remove: hingeids.HostID(c.String(removeName)),
+		Admit:  hingeids.HostID(c.String(admitFlagName)),
+		Remove: hingeids.HostID(c.String(removeFlagName)),
 	}
 	if (v.Admit == "") == (v.Remove == "") {
-		return eris.New("want either --admit or --remove")
+		return eris.New("exactly one of --admit and --remove is required")
 	}
-	entries := c.StringSlice(entryName)
+	entries := c.StringSlice(entryFlagName)
 	if len(entries) == 0 {
-		return eris.New("want --entry, any entry host")
+		return eris.New("--entry is required, with the address of any entry host")
 	}
 	var answer hingeadmin.Voters
 	if err := p.client.post(entries[0], "/v1/voters", v, &answer); err != nil {
 		return err
 	}
-	if c.Bool(jsonName) {
+	if c.Bool(jsonFlagName) {
 		return p.writeJSON(answer)
 	}
 	if v.Admit != "" {
-		p.printf("%s may join; it votes once status says so\n", v.Admit)
+		p.printf("%s is admitted; status shows when it votes\n", v.Admit)
 		return nil
 	}
-	p.printf("%s is taken out\n", v.Remove)
+	p.printf("%s is removed\n", v.Remove)
 	return nil
 }
