--- a/cmd/swifthinge/main.go
+++ b/cmd/swifthinge/main.go
@@ -1,5 +1,4 @@
-// Command swifthinge runs an entry host, and is what operators check, change
-// and watch the system with.
+// Command swifthinge runs an entry host and provides the operators' commands.
 package main
 
 import (
--- a/cmd/swifthinge/main_test.go
+++ b/cmd/swifthinge/main_test.go
@@ -26,10 +26,10 @@
 	})
 }
 
-// The script is an operator's first day, with the real program as entry hosts
-// and as commands: $A, $B and $C are the operators' addresses of one in each of
-// three zones. Engines of the first zone stand ready.
-func TestOperatorsDay(t *testing.T) {
+// Guards against operators' commands that fail against real entry hosts. $A, $B
+// and $C are the operators' addresses of an entry host in each of three zones. The
+// first zone also has engines.
+func TestOperatorWorkflow(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
 		Setup: setUp,
@@ -42,7 +42,7 @@
 	})
 }
 
-// hostNames are the entry hosts of the script, each in the zone it is named for.
+// hostNames lists the entry hosts. Their zones are the names without the suffix.
 var hostNames = []string{"cancale-1", "roscoff-1", "quiberon-1"}
 
 func setUp(env *testscript.Env) error {
@@ -56,17 +56,17 @@
 			host, zoneOf(host), addresses[4*i+3], addresses[4*i+2])
 	}
 	for i, host := range hostNames {
-		of := addresses[4*i:]
+		hostAddresses := addresses[4*i:]
 		text := fmt.Sprintf("host = %q\nzone = %q\ndataFolder = %q\n"+
 			"[listen]\ncallers = %q\nservers = %q\noperators = %q\nlink = %q\n"+
 			"[keys]\nauthority = 'keys/authority.pem'\ncertificate = 'keys/%s.pem'\nkey = 'keys/%s.key.pem'\n",
-			host, zoneOf(host), "data/"+host, of[0], of[1], of[2], of[3], host, host)
+			host, zoneOf(host), "data/"+host, hostAddresses[0], hostAddresses[1], hostAddresses[2], hostAddresses[3], host, host)
 		if err := os.WriteFile(filepath.Join(env.WorkDir, host+".toml"), []byte(text+peers), 0o600); err != nil {
 			return err
 		}
 		letter := string(rune('A' + i))
-		env.Setenv(letter, of[2])
-		env.Setenv("CALLERS_"+letter, of[0])
+		env.Setenv(letter, hostAddresses[2])
+		env.Setenv("CALLERS_"+letter, hostAddresses[0])
 	}
 	return startEngines(env, addresses[1])
 }
@@ -75,7 +75,7 @@
 	return strings.TrimSuffix(host, "-1")
 }
 
-// freeAddresses finds addresses on loopback that nothing uses now.
+// freeAddresses returns unused loopback addresses.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for range n {
@@ -105,36 +105,35 @@
 		if err != nil {
 			return err
 		}
-		ended := make(chan struct{})
+		done := make(chan struct{})
 		go func() {
-			defer close(ended)
+			defer close(done)
 			_ = engine.Run(ctx)
 		}()
 		env.Defer(func() {
 			cancel()
-			<-ended
+			<-done
 		})
 	}
 	return nil
 }
 
-// tries bounds how often until looks; what it waits for comes in under two
-// seconds on an idle machine.
-const tries = 100
+// maxAttempts bounds the runs of until and newer, which are 100 ms apart.
+const maxAttempts = 100
 
-// until runs the program until it prints what matches.
+// until runs the program until its output matches the regular expression args[0].
 func until(ts *testscript.TestScript, _ bool, args []string) {
 	want := regexp.MustCompile("(?m)" + args[0])
-	for range tries {
+	for range maxAttempts {
 		if ts.Exec("swifthinge", args[1:]...) == nil && want.MatchString(ts.ReadFile("stdout")) {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	ts.Fatalf("never printed %s, but:\n%s", args[0], ts.ReadFile("stdout"))
+	ts.Fatalf("output never matched %s; last output:\n%s", args[0], ts.ReadFile("stdout"))
 }
 
-// revision keeps the revision that was just printed as $REVISION.
+// revision sets $REVISION to the revision that the last command printed.
 func revision(ts *testscript.TestScript, _ bool, _ []string) {
 	found := regexp.MustCompile(`(?m)^revision (\d+)`).FindStringSubmatch(ts.ReadFile("stdout"))
 	if found == nil {
@@ -143,19 +142,19 @@
 	ts.Setenv("REVISION", found[1])
 }
 
-// newer runs the program until a host applies a revision after $REVISION.
+// newer runs the program until a host applies a revision other than $REVISION.
 func newer(ts *testscript.TestScript, _ bool, args []string) {
 	old := "# revision " + ts.Getenv("REVISION") + "\n"
-	for range tries {
+	for range maxAttempts {
 		if ts.Exec("swifthinge", "get", "--entry", args[0]) == nil && !strings.HasPrefix(ts.ReadFile("stdout"), old) {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	ts.Fatalf("still revision %s", ts.Getenv("REVISION"))
+	ts.Fatalf("host still applies revision %s", ts.Getenv("REVISION"))
 }
 
-// complete asks for a completion at an address, and keeps its id as $REQUEST.
+// complete sends a completion request to an address and sets $REQUEST to its ID.
 func complete(ts *testscript.TestScript, neg bool, args []string) {
 	body := strings.NewReader(`{"model": "redacteur", "prompt": "moules de Cancale", "max_tokens": 4}`)
 	answer, err := http.Post("http://"+args[0]+"/v1/completions", "application/json", body)
@@ -163,6 +162,6 @@
 	ts.Check(answer.Body.Close())
 	ts.Setenv("REQUEST", answer.Header.Get("X-Request-Id"))
 	if (answer.StatusCode == http.StatusOK) == neg {
-		ts.Check(errors.New("answered " + answer.Status))
+		ts.Check(errors.New("unexpected response status " + answer.Status))
 	}
 }
