--- a/cmd/swifthinge-demo/main.go
+++ b/cmd/swifthinge-demo/main.go
@@ -1,5 +1,5 @@
-// Command swifthinge-demo runs a whole deployment in one process on loopback
-// addresses, breaks parts of it, and prints what its callers got.
+// Command swifthinge-demo runs a complete deployment in one process on loopback
+// addresses, injects faults, and prints the outcomes of requests.
 package main
 
 import (
@@ -15,9 +15,9 @@
 )
 
 func main() {
-	requests := flag.Int("requests", 300, "requests to send")
-	seed := flag.Uint64("seed", 1, "seed of the mix of requests")
-	logs := flag.Bool("logs", false, "show the events of all hosts")
+	requests := flag.Int("requests", 300, "number of requests to send")
+	seed := flag.Uint64("seed", 1, "seed of the random request mix")
+	logs := flag.Bool("logs", false, "log the events of all hosts to standard error")
 	flag.Parse()
 	if !*logs {
 		klog.LogToStderr(false)
