--- a/cmd/swifthinge-fleet/main.go
+++ b/cmd/swifthinge-fleet/main.go
@@ -1,5 +1,5 @@
-// Command swifthinge-fleet runs an entry host or a control host on the
-// platform whose settings its environment names.
+// Command swifthinge-fleet runs an entry host or a control host of a fleet. An
+// environment variable names the settings file that the platform provides.
 package main
 
 import (
@@ -15,18 +15,18 @@
 func main() {
 	command := &cli.Command{
 		Name:  "swifthinge-fleet",
-		Usage: "run a host of a fleet on its platform",
+		Usage: "run an entry host or a control host of a fleet",
 		Commands: []*cli.Command{
 			{
 				Name:  "front",
-				Usage: "take requests from callers",
+				Usage: "run an entry host, which serves callers' requests",
 				Action: func(ctx context.Context, _ *cli.Command) error {
 					return hingeplatform.RunFront(ctx)
 				},
 			},
 			{
 				Name:  "control",
-				Usage: "agree on the configuration, hear backend servers, place streams",
+				Usage: "run a control host, which replicates the configuration, receives heartbeats and places streams",
 				Action: func(ctx context.Context, _ *cli.Command) error {
 					return hingeplatform.RunControl(ctx)
 				},
