--- a/cmd/swifthinge-load/main.go
+++ b/cmd/swifthinge-load/main.go
@@ -1,5 +1,5 @@
-// Command swifthinge-load sends the firms' work to entry hosts, judges every
-// answer, and compares decisions on the engine model.
+// Command swifthinge-load sends workloads to entry hosts, checks every response,
+// and compares placement policies on the engine model.
 package main
 
 import (
