--- a/cmd/swifthinge-soak/main.go
+++ b/cmd/swifthinge-soak/main.go
@@ -1,5 +1,5 @@
-// Command swifthinge-soak runs the fleet's programs under random faults and checks what
-// their users are promised.
+// Command swifthinge-soak runs the fleet's programs under random faults and checks
+// the guarantees to callers.
 package main
 
 import (
@@ -15,7 +15,7 @@
 	"github.com/swifthinge/swifthinge/internal/soak/hingesoak"
 )
 
-var errBroken = errors.New("a promise was broken")
+var errGuaranteeBroken = errors.New("a guarantee was broken")
 
 func main() {
 	command := &cli.Command{
@@ -29,7 +29,7 @@
 			},
 			&cli.StringFlag{
 				Name:  "folder",
-				Usage: "where settings, data and logs go",
+				Usage: "folder for settings, data and logs",
 				Value: filepath.Join(os.TempDir(), "swifthinge-soak"),
 			},
 			&cli.Uint64Flag{
@@ -39,26 +39,26 @@
 			},
 			&cli.IntFlag{
 				Name:  "seeds",
-				Usage: "how many seeds, one after the other",
+				Usage: "number of consecutive seeds to run",
 				Value: 1,
 			},
 			&cli.IntFlag{
 				Name:  "controls",
-				Usage: "how many control hosts",
+				Usage: "number of control hosts",
 				Value: 3,
 			},
 			&cli.IntFlag{
 				Name:  "entries",
-				Usage: "how many entry hosts",
+				Usage: "number of entry hosts",
 				Value: 3,
 			},
 			&cli.IntFlag{
 				Name:  "poison",
-				Usage: "how many requests end each server that runs them, and come again and again",
+				Usage: "number of poison requests, which crash every server that runs them and are resent repeatedly",
 			},
 			&cli.DurationFlag{
 				Name:  "lasts",
-				Usage: "how long faults are injected for each seed",
+				Usage: "duration of fault injection per seed",
 				Value: 20 * time.Second,
 			},
 		},
@@ -87,7 +87,7 @@
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
-		fmt.Printf("seed %d: asked %d, answered %d, refused %d, changes %d, faults %d, servers ended %d, broken %d\n",
+		fmt.Printf("seed %d: requests %d, answered %d, refused %d, changes %d, faults %d, servers crashed %d, broken %d\n",
 			seed, r.Asked, r.Answered, r.Refused, r.Changes, r.Faults, r.Ended, len(r.Broken))
 		for _, b := range r.Broken {
 			broken = true
@@ -95,7 +95,7 @@
 		}
 	}
 	if broken {
-		return errBroken
+		return errGuaranteeBroken
 	}
 	return nil
 }
