--- a/cmd/swifthinge-standin/main.go
+++ b/cmd/swifthinge-standin/main.go
@@ -1,5 +1,4 @@
-// Command swifthinge-standin runs one stand-in backend server as a process of
-// its own, for tests and trials.
+// Command swifthinge-standin runs a simulated backend server as a process, for tests.
 package main
 
 import (
@@ -27,16 +26,16 @@
 func run() error {
 	var (
 		server   = flag.String("server", "engine", "name of the backend server")
-		kind     = flag.String("kind", "decode", "prefill, decode, both or service")
+		kind     = flag.String("kind", "decode", "server kind: prefill, decode, both or service")
 		zone     = flag.String("zone", "", "availability zone")
-		model    = flag.String("model", "", "model that an engine serves")
-		service  = flag.String("service", "", "plain service that a replica serves")
-		listen   = flag.String("listen", "127.0.0.1:0", "IP number and port to take requests at")
-		announce = flag.String("announce", "", "entry hosts' addresses for servers, with commas")
-		slots    = flag.Int("slots", 20, "requests that a decode engine holds at once")
+		model    = flag.String("model", "", "model that the engine serves")
+		service  = flag.String("service", "", "service that the replica serves, if it is not an engine")
+		listen   = flag.String("listen", "127.0.0.1:0", "IP address and port to listen on for requests")
+		announce = flag.String("announce", "", "comma-separated addresses at which entry hosts accept announcements")
+		slots    = flag.Int("slots", 20, "number of concurrent requests of a decode engine")
 		gap      = flag.Duration("gap", 10*time.Millisecond, "time between tokens")
 		prefill  = flag.Duration("prefill", 100*time.Microsecond, "time to prefill one token")
-		fence    = flag.Bool("checks-fence", false, "refuse orders with an old fencing number")
+		fence    = flag.Bool("checks-fence", false, "reject orders with an outdated fencing number")
 	)
 	flag.Parse()
 	s, err := hingestandin.New(hingestandin.Options{
