--- a/internal/operate/hingecommand/apply.go
+++ b/internal/operate/hingecommand/apply.go
@@ -189,7 +189,7 @@
 	if !asJSON {
 		p.printf("revision %d (change %s)\n", accepted.Revision, accepted.ChangeID)
 	}
-	lagging := []string{"not checked"}
+	lagging := []string{"not asked"}
 	if wait := c.Duration("wait"); wait > 0 {
 		lagging = p.waitInForce(ctx, accepted.Revision, entries, wait)
 	} else if !asJSON {
@@ -216,7 +216,7 @@
 func (p *program) waitInForce(ctx context.Context, revision hingeids.Revision, entries []string, wait time.Duration) []string {
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	lagging := []string{"unknown: no status received from any entry host"}
+	lagging := []string{"unknown: no entry host told"}
 	lastProgress := ""
 	for {
 		var s hingeadmin.Status
