--- a/cmd/swifthinge/main.go
+++ b/cmd/swifthinge/main.go
@@ -17,9 +17,9 @@
 		Now:   time.Now,
 		Serve: serve,
 
-		MakeAuthority:  hingekeys.MakeAuthority,
-		RenewAuthority: hingekeys.RenewAuthority,
-		MakeHost:       hingekeys.MakeHost,
-		Renew:          hingekeys.Renew,
+		CreateAuthority:       hingekeys.CreateAuthority,
+		RenewAuthority:        hingekeys.RenewAuthority,
+		CreateHostCertificate: hingekeys.CreateHostCertificate,
+		RenewHostCertificate:  hingekeys.RenewHostCertificate,
 	}))
 }
--- a/cmd/swifthinge/serve.go
+++ b/cmd/swifthinge/serve.go
@@ -8,12 +8,12 @@
 	"github.com/swifthinge/swifthinge/internal/serve/hingeserver"
 )
 
-func serve(ctx context.Context, s hingecommand.Start) error {
+func serve(ctx context.Context, s hingecommand.ServeOptions) error {
 	server, err := hingeserver.New(hingeserver.Options{
 		Settings:  s.Settings,
 		Inventory: s.Inventory,
 		Rules:     s.Rules,
-		Given:     s.Given,
+		Given:     s.HasConfiguration,
 	}, time.Now())
 	if err != nil {
 		return err
--- a/internal/link/hingelink/quic_test.go
+++ b/internal/link/hingelink/quic_test.go
@@ -289,9 +289,9 @@
 func makeKeys(t *testing.T, hosts ...hingeids.HostID) string {
 	t.Helper()
 	folder := t.TempDir()
-	err := hingekeys.MakeAuthority(folder, time.Now())
+	err := hingekeys.CreateAuthority(folder, time.Now())
 	for _, host := range hosts {
-		err = errors.Join(err, hingekeys.MakeHost(folder, host, time.Now()))
+		err = errors.Join(err, hingekeys.CreateHostCertificate(folder, host, time.Now()))
 	}
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operate/hingeadmin/bodies.go
+++ b/internal/operate/hingeadmin/bodies.go
@@ -24,8 +24,8 @@
 	Deletes []string          `json:"deletes,omitempty"`
 }
 
-// Accepted describes an accepted change and the revision that it created.
-type Accepted struct {
+// AcceptedChange describes an accepted change and the revision that it created.
+type AcceptedChange struct {
 	Revision hingeids.Revision `json:"revision"`
 	ChangeID ChangeID          `json:"changeId"`
 	Operator string            `json:"operator"`
@@ -45,7 +45,7 @@
 
 // History is the response body of GET /v1/history. Changes are ordered from newest to oldest.
 type History struct {
-	Changes []Accepted `json:"changes"`
+	Changes []AcceptedChange `json:"changes"`
 }
 
 // Status is the response body of GET /v1/status: the cluster view of one entry host.
@@ -110,14 +110,14 @@
 	SilentSince time.Time `json:"silentSince,omitzero"`
 }
 
-// Drain is the response body of POST /v1/drain.
-type Drain struct {
+// DrainStatus is the response body of POST /v1/drain.
+type DrainStatus struct {
 	Draining   bool `json:"draining"`
 	InProgress int  `json:"inProgress"`
 }
 
-// Voters is the body of POST /v1/voters. Exactly one of Admit and Remove is set.
-type Voters struct {
+// VoterChange is the body of POST /v1/voters. Exactly one of Admit and Remove is set.
+type VoterChange struct {
 	Admit  hingeids.HostID `json:"admit,omitempty"`
 	Remove hingeids.HostID `json:"remove,omitempty"`
 }
@@ -128,7 +128,7 @@
 	Verdict string            `json:"verdict"`
 	Error   string            `json:"error"`
 	// Winner is the accepted change that caused a conflict.
-	Winner *Accepted `json:"winner,omitempty"`
+	Winner *AcceptedChange `json:"winner,omitempty"`
 	// Problems lists the validation errors of a change.
 	Problems []hingetoml.Problem `json:"problems,omitempty"`
 }
--- a/internal/operate/hingeadmin/change.go
+++ b/internal/operate/hingeadmin/change.go
@@ -74,9 +74,9 @@
 // expectedRevision would otherwise be ignored, and the change could overwrite
 // another operator's change.
 func parseChange(body []byte) (Change, error) {
-	if len(body) > MaxChange {
+	if len(body) > MaxChangeBytes {
 		return Change{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeTooLarge, 0,
-			eris.Errorf("change is %d bytes, limit is %d bytes", len(body), MaxChange))
+			eris.Errorf("change is %d bytes, limit is %d bytes", len(body), MaxChangeBytes))
 	}
 	d := json.NewDecoder(bytes.NewReader(body))
 	d.DisallowUnknownFields()
@@ -114,10 +114,10 @@
 		return validateChange(nil, change), nil
 	}
 	base, err := h.Configuration.At(change.ExpectedRevision)
-	if errors.Is(err, ErrRevisionGone) {
+	if errors.Is(err, ErrRevisionNotRetained) {
 		return nil, nil
 	}
-	if errors.Is(err, ErrRevisionAhead) {
+	if errors.Is(err, ErrRevisionNotApplied) {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, time.Second, err)
 	}
 	if err != nil {
@@ -158,13 +158,13 @@
 	}
 	s, err := h.Configuration.At(hingeids.Revision(revision))
 	switch {
-	case errors.Is(err, ErrRevisionGone):
+	case errors.Is(err, ErrRevisionNotRetained):
 		respondFailure(c, fasthttp.StatusGone, Failure{
 			Code:    hingeverdict.CodeRevisionConflict,
 			Verdict: hingeverdict.NotRun.String(),
 			Error:   err.Error(),
 		})
-	case errors.Is(err, ErrRevisionAhead):
+	case errors.Is(err, ErrRevisionNotApplied):
 		respondError(c, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, time.Second, err))
 	case err != nil:
 		respondError(c, err)
--- a/internal/operate/hingeadmin/handler.go
+++ b/internal/operate/hingeadmin/handler.go
@@ -35,17 +35,17 @@
 
 // Errors of Configuration.At.
 var (
-	// ErrRevisionGone means that the revision is older than the retained ones.
-	ErrRevisionGone = eris.New("revision is no longer retained on this host")
-	// ErrRevisionAhead means that this host has not applied the revision yet.
-	ErrRevisionAhead = eris.New("revision is not yet applied on this host")
+	// ErrRevisionNotRetained means that the revision is older than the retained ones.
+	ErrRevisionNotRetained = eris.New("revision is no longer retained on this host")
+	// ErrRevisionNotApplied means that this host has not applied the revision yet.
+	ErrRevisionNotApplied = eris.New("revision is not yet applied on this host")
 )
 
 // ConflictError means that another change was accepted against the expected
 // revision, or that the change ID was used for other content.
 type ConflictError struct {
 	Code   hingeverdict.Code
-	Winner Accepted
+	Winner AcceptedChange
 }
 
 func (e *ConflictError) Error() string {
@@ -59,12 +59,12 @@
 type Configuration interface {
 	// Propose appends a change to the configuration log. Errors are
 	// *ConflictError or carry a verdict.
-	Propose(ctx context.Context, c Change, now time.Time) (Accepted, error)
+	Propose(ctx context.Context, c Change, now time.Time) (AcceptedChange, error)
 	// At returns the items at a revision. Revision zero means the one that this
 	// host applies. Errors are ErrRevisionGone and ErrRevisionAhead.
 	At(revision hingeids.Revision) (Snapshot, error)
 	// History returns the retained accepted changes, newest first.
-	History() []Accepted
+	History() []AcceptedChange
 }
 
 // StatusReader returns this host's view of the cluster.
@@ -82,7 +82,7 @@
 type VoterChanger interface {
 	// ChangeVoters admits a host, which becomes a voter once it has caught up, or
 	// removes a host permanently. It is idempotent.
-	ChangeVoters(ctx context.Context, v Voters) error
+	ChangeVoters(ctx context.Context, v VoterChange) error
 }
 
 // Config holds the dependencies of a Handler.
@@ -113,9 +113,9 @@
 // proposeTimeout bounds the wait for a quorum. It is longer than an election.
 const proposeTimeout = 10 * time.Second
 
-// MaxChange is the maximum body size of a change in bytes. Accepted changes are
+// MaxChangeBytes is the maximum body size of a change in bytes. Accepted changes are
 // replicated to every process, and their snapshot must fit into one link call.
-const MaxChange = 1 << 20
+const MaxChangeBytes = 1 << 20
 
 // Handle serves one HTTP request.
 func (h *Handler) Handle(c *fasthttp.RequestCtx) {
@@ -136,7 +136,7 @@
 	case "GET /v1/events":
 		h.events(c)
 	case "POST /v1/drain":
-		respond(c, Drain{
+		respond(c, DrainStatus{
 			Draining:   true,
 			InProgress: h.Drainer.Drain(h.Clock()),
 		})
@@ -154,7 +154,7 @@
 }
 
 func (h *Handler) voters(c *fasthttp.RequestCtx) {
-	var v Voters
+	var v VoterChange
 	if err := json.Unmarshal(c.PostBody(), &v); err != nil || (v.Admit == "") == (v.Remove == "") {
 		respondError(c, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0,
 			eris.New("exactly one of admit and remove must name a host")))
--- a/internal/operate/hingeadmin/handler_test.go
+++ b/internal/operate/hingeadmin/handler_test.go
@@ -27,9 +27,9 @@
 	err      error
 }
 
-func (s *stub) Propose(_ context.Context, c Change, _ time.Time) (Accepted, error) {
+func (s *stub) Propose(_ context.Context, c Change, _ time.Time) (AcceptedChange, error) {
 	s.proposed = append(s.proposed, c)
-	return Accepted{
+	return AcceptedChange{
 		Revision: 8,
 	}, s.err
 }
@@ -37,9 +37,9 @@
 func (s *stub) At(r hingeids.Revision) (Snapshot, error) {
 	switch {
 	case r > 0 && r < 5:
-		return Snapshot{}, ErrRevisionGone
+		return Snapshot{}, ErrRevisionNotRetained
 	case r > 7:
-		return Snapshot{}, ErrRevisionAhead
+		return Snapshot{}, ErrRevisionNotApplied
 	default:
 		return Snapshot{
 			Revision: 7,
@@ -47,7 +47,7 @@
 	}
 }
 
-func (s *stub) History() []Accepted {
+func (s *stub) History() []AcceptedChange {
 	return nil
 }
 
@@ -91,7 +91,7 @@
 		`{"changeId":"a"}`:                "400 1001 0",
 		`{"changeId":"a","operator":"b"}`: "400 1001 0",
 		`{"changeId":"a","operator":"b","puts":{"x":""},"deletes":["x"]}`: "400 1001 0",
-		`{"changeId":"` + strings.Repeat("x", MaxChange) + `"}`:           "413 1002 0",
+		`{"changeId":"` + strings.Repeat("x", MaxChangeBytes) + `"}`:      "413 1002 0",
 		`{"expectedRevision":5,` + good + `}`:                             "422 1001 0",
 		`{"expectedRevision":9,` + good + `}`:                             "503 4002 0",
 		// The revision is no longer retained, so the log decides whether it is a resend.
--- a/internal/operate/hingecommand/apply.go
+++ b/internal/operate/hingecommand/apply.go
@@ -64,7 +64,7 @@
 
 // applyResult is the JSON output of apply.
 type applyResult struct {
-	hingeadmin.Accepted
+	hingeadmin.AcceptedChange
 	InForce bool `json:"inForce"`
 	// Lagging lists the hosts that are not known to apply the revision.
 	Lagging []string `json:"lagging"`
@@ -120,24 +120,24 @@
 
 // send sends a change until a host responds (Rule 3). It returns the accepted
 // change and the address of the host that responded.
-func (p *program) send(ctx context.Context, change hingeadmin.Change, entries []string, timeout time.Duration) (hingeadmin.Accepted, string, error) {
+func (p *program) send(ctx context.Context, change hingeadmin.Change, entries []string, timeout time.Duration) (hingeadmin.AcceptedChange, string, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	mayBeAccepted := false
 	for i := 0; ; i++ {
 		address := entries[i%len(entries)]
-		var accepted hingeadmin.Accepted
+		var accepted hingeadmin.AcceptedChange
 		err := p.client.post(address, "/v1/changes", change, &accepted)
 		if err == nil {
 			return accepted, address, nil
 		}
 		if isFinal(err) {
-			return hingeadmin.Accepted{}, "", explainRefusal(err)
+			return hingeadmin.AcceptedChange{}, "", explainRefusal(err)
 		}
 		mayBeAccepted = mayBeAccepted || !provesNotAccepted(err)
 		p.progressf("%s; sending it again\n", oneLine(err))
 		if !sleep(ctx, resendInterval) {
-			return hingeadmin.Accepted{}, "", sendTimeoutError(change, mayBeAccepted, err)
+			return hingeadmin.AcceptedChange{}, "", sendTimeoutError(change, mayBeAccepted, err)
 		}
 	}
 }
@@ -184,7 +184,7 @@
 
 // reportRollout prints the accepted revision, waits up to --wait until every host
 // applies it, and reports the hosts that don't.
-func (p *program) reportRollout(ctx context.Context, c *cli.Command, accepted hingeadmin.Accepted, entries []string) error {
+func (p *program) reportRollout(ctx context.Context, c *cli.Command, accepted hingeadmin.AcceptedChange, entries []string) error {
 	asJSON := c.Bool(jsonFlagName)
 	if !asJSON {
 		p.printf("revision %d (change %s)\n", accepted.Revision, accepted.ChangeID)
@@ -197,9 +197,9 @@
 	}
 	if asJSON {
 		if err := p.writeJSON(applyResult{
-			Accepted: accepted,
-			InForce:  len(lagging) == 0,
-			Lagging:  lagging,
+			AcceptedChange: accepted,
+			InForce:        len(lagging) == 0,
+			Lagging:        lagging,
 		}); err != nil {
 			return err
 		}
--- a/internal/operate/hingecommand/basis.go
+++ b/internal/operate/hingecommand/basis.go
@@ -16,7 +16,7 @@
 type baseConfiguration struct {
 	hingeadmin.Snapshot
 	// accepted is set if the change is a resend that was accepted before.
-	accepted *hingeadmin.Accepted
+	accepted *hingeadmin.AcceptedChange
 }
 
 // baseConfiguration returns the configuration at the expected revision (Rule 3),
@@ -45,7 +45,7 @@
 // findAccepted looks up a resent change in the history. The puts and deletes of
 // the change can't be recomputed after a newer revision, and the log would reject
 // the resend as a change with other content.
-func (p *program) findAccepted(ctx context.Context, id string, entries []string) (*hingeadmin.Accepted, error) {
+func (p *program) findAccepted(ctx context.Context, id string, entries []string) (*hingeadmin.AcceptedChange, error) {
 	if id == "" {
 		return nil, nil
 	}
--- a/internal/operate/hingecommand/command.go
+++ b/internal/operate/hingecommand/command.go
@@ -34,22 +34,22 @@
 	Err io.Writer
 	Now func() time.Time
 	// Serve runs an entry host until the context is canceled. It may be nil.
-	Serve func(ctx context.Context, s Start) error
+	Serve func(ctx context.Context, s ServeOptions) error
 	// The following functions write keys and certificates. They may be nil.
-	MakeAuthority  func(folder string, now time.Time) error
-	RenewAuthority func(folder string, now time.Time) error
-	MakeHost       func(folder string, host hingeids.HostID, now time.Time) error
-	Renew          func(folder string, host hingeids.HostID, now time.Time) error
+	CreateAuthority       func(folder string, now time.Time) error
+	RenewAuthority        func(folder string, now time.Time) error
+	CreateHostCertificate func(folder string, host hingeids.HostID, now time.Time) error
+	RenewHostCertificate  func(folder string, host hingeids.HostID, now time.Time) error
 }
 
-// Start holds the settings and the initial configuration of an entry host.
-type Start struct {
+// ServeOptions holds the settings and the initial configuration of an entry host.
+type ServeOptions struct {
 	Settings hingesettings.Settings
 	// Inventory and Rules are the contents of the files passed to serve. They are
 	// empty unless Given is set.
-	Inventory hingeinventory.Inventory
-	Rules     hingeinventory.Rules
-	Given     bool
+	Inventory        hingeinventory.Inventory
+	Rules            hingeinventory.Rules
+	HasConfiguration bool
 }
 
 // program is a single invocation of the command line.
--- a/internal/operate/hingecommand/command_test.go
+++ b/internal/operate/hingecommand/command_test.go
@@ -22,11 +22,11 @@
 				Out: os.Stdout,
 				Err: os.Stderr,
 				Now: time.Now,
-				Serve: func(_ context.Context, s Start) error {
+				Serve: func(_ context.Context, s ServeOptions) error {
 					_, err := os.Stdout.WriteString("serving as " + string(s.Settings.Host) + "\n")
 					return err
 				},
-				MakeHost: func(folder string, host hingeids.HostID, _ time.Time) error {
+				CreateHostCertificate: func(folder string, host hingeids.HostID, _ time.Time) error {
 					return os.WriteFile(filepath.Join(folder, string(host)+".pem"), nil, 0o600)
 				},
 			}))
--- a/internal/operate/hingecommand/drain.go
+++ b/internal/operate/hingecommand/drain.go
@@ -35,7 +35,7 @@
 	if len(entries) != 1 {
 		return eris.Errorf("want --entry once, the host to drain, not %d times", len(entries))
 	}
-	var answer hingeadmin.Drain
+	var answer hingeadmin.DrainStatus
 	if err := p.client.post(entries[0], "/v1/drain", nil, &answer); err != nil {
 		return err
 	}
--- a/internal/operate/hingecommand/fake_test.go
+++ b/internal/operate/hingecommand/fake_test.go
@@ -24,7 +24,7 @@
 type cluster struct {
 	mu        sync.Mutex
 	snapshots []hingeadmin.Snapshot
-	accepted  []hingeadmin.Accepted
+	accepted  []hingeadmin.AcceptedChange
 	changes   []hingeadmin.Change
 	hosts     []*entryHost
 	// dropResponses is the number of responses to changes still to be dropped.
@@ -114,9 +114,9 @@
 }
 
 // Propose accepts or rejects a change by the rules of the configuration log.
-func (c *cluster) Propose(_ context.Context, x hingeadmin.Change, now time.Time) (hingeadmin.Accepted, error) {
+func (c *cluster) Propose(_ context.Context, x hingeadmin.Change, now time.Time) (hingeadmin.AcceptedChange, error) {
 	if c.consume(&c.noQuorum) {
-		return hingeadmin.Accepted{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoQuorum, time.Second, nil)
+		return hingeadmin.AcceptedChange{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoQuorum, time.Second, nil)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -125,7 +125,7 @@
 			continue
 		}
 		if !cmp.Equal(old, x) {
-			return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
+			return hingeadmin.AcceptedChange{}, &hingeadmin.ConflictError{
 				Code:   hingeverdict.CodeChangeOtherContent,
 				Winner: c.accepted[i],
 			}
@@ -135,7 +135,7 @@
 		return repeated, nil
 	}
 	if int(x.ExpectedRevision) != len(c.accepted) {
-		return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
+		return hingeadmin.AcceptedChange{}, &hingeadmin.ConflictError{
 			Code:   hingeverdict.CodeRevisionConflict,
 			Winner: c.accepted[x.ExpectedRevision],
 		}
@@ -143,12 +143,12 @@
 	return c.accept(x, now), nil
 }
 
-func (c *cluster) accept(x hingeadmin.Change, now time.Time) hingeadmin.Accepted {
+func (c *cluster) accept(x hingeadmin.Change, now time.Time) hingeadmin.AcceptedChange {
 	base := hingeinventory.Items{}
 	if n := len(c.snapshots); n > 0 {
 		base = hingeadmin.ToItems(c.snapshots[n-1].Items)
 	}
-	a := hingeadmin.Accepted{
+	a := hingeadmin.AcceptedChange{
 		Revision: hingeids.Revision(len(c.accepted) + 1),
 		ChangeID: x.ChangeID,
 		Operator: x.Operator,
@@ -172,20 +172,20 @@
 		r = hingeids.Revision(len(c.snapshots))
 	}
 	if int(r) > len(c.snapshots) {
-		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionAhead
+		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionNotApplied
 	}
 	if r == 0 {
 		return hingeadmin.Snapshot{}, nil
 	}
 	// An entry host retains only the newest revision.
 	if int(r) < len(c.snapshots) {
-		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionGone
+		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionNotRetained
 	}
 	return c.snapshots[r-1], nil
 }
 
 // History returns the accepted changes, newest first.
-func (c *cluster) History() []hingeadmin.Accepted {
+func (c *cluster) History() []hingeadmin.AcceptedChange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	out := slices.Clone(c.accepted)
--- a/internal/operate/hingecommand/serve.go
+++ b/internal/operate/hingecommand/serve.go
@@ -51,7 +51,7 @@
 	if err != nil {
 		return eris.Wrap(err, "settings")
 	}
-	var start Start
+	var start ServeOptions
 	s, problems := hingesettings.Check(path, data)
 	start.Settings = s
 	if inventory, rules := c.String(inventoryFlagName), c.String(rulesFlagName); inventory != "" && rules != "" {
@@ -60,7 +60,7 @@
 			return err
 		}
 		problems = append(problems, found...)
-		start.Inventory, start.Rules, start.Given = inv, r, true
+		start.Inventory, start.Rules, start.HasConfiguration = inv, r, true
 	}
 	if len(problems) > 0 {
 		return p.report(problems, false)
@@ -104,7 +104,7 @@
 				Name:   "authority",
 				Usage:  "create the authority that signs the hosts' certificates",
 				Flags:  []cli.Flag{folder},
-				Action: authorityAction(p.MakeAuthority, p.Now),
+				Action: authorityAction(p.CreateAuthority, p.Now),
 			},
 			{
 				Name:   "renew-authority",
@@ -119,7 +119,7 @@
 					folder,
 					host,
 				},
-				Action: keyAction(p.MakeHost, p.Now),
+				Action: keyAction(p.CreateHostCertificate, p.Now),
 			},
 			{
 				Name:  "renew",
@@ -128,7 +128,7 @@
 					folder,
 					host,
 				},
-				Action: keyAction(p.Renew, p.Now),
+				Action: keyAction(p.RenewHostCertificate, p.Now),
 			},
 			{
 				Name:  "customer",
--- a/internal/operate/hingecommand/voters.go
+++ b/internal/operate/hingecommand/voters.go
@@ -39,7 +39,7 @@
 }
 
 func (p *program) voters(_ context.Context, c *cli.Command) error {
-	v := hingeadmin.Voters{
+	v := hingeadmin.VoterChange{
 		Admit:  hingeids.HostID(c.String(admitFlagName)),
 		Remove: hingeids.HostID(c.String(removeFlagName)),
 	}
@@ -50,7 +50,7 @@
 	if len(entries) == 0 {
 		return eris.New("--entry is required, with the address of any entry host")
 	}
-	var answer hingeadmin.Voters
+	var answer hingeadmin.VoterChange
 	if err := p.client.post(entries[0], "/v1/voters", v, &answer); err != nil {
 		return err
 	}
--- a/internal/operate/hingekeys/keys.go
+++ b/internal/operate/hingekeys/keys.go
@@ -74,10 +74,10 @@
 	return HostPaths(folder, "authority")
 }
 
-// MakeAuthority creates a certificate authority in the folder, and the folder if
+// CreateAuthority creates a certificate authority in the folder, and the folder if
 // it doesn't exist. Only authority.pem belongs on the hosts, authority.key.pem
 // doesn't. It fails if the folder already contains an authority.
-func MakeAuthority(folder string, now time.Time) error {
+func CreateAuthority(folder string, now time.Time) error {
 	if err := os.MkdirAll(folder, ownerOnlyFolderMode); err != nil {
 		return eris.Wrap(err, "create key folder")
 	}
@@ -99,8 +99,8 @@
 	return signAuthority(p, private, now, replaceFile)
 }
 
-// MakeHost creates a host's key and certificate. It fails if one of the files exists.
-func MakeHost(folder string, host hingeids.HostID, now time.Time) error {
+// CreateHostCertificate creates a host's key and certificate. It fails if one of the files exists.
+func CreateHostCertificate(folder string, host hingeids.HostID, now time.Time) error {
 	if err := checkName(host); err != nil {
 		return err
 	}
@@ -112,8 +112,8 @@
 	return signHost(folder, host, private, now, writeNew)
 }
 
-// Renew replaces a host's certificate by one that expires later (Rule 2).
-func Renew(folder string, host hingeids.HostID, now time.Time) error {
+// RenewHostCertificate replaces a host's certificate by one that expires later (Rule 2).
+func RenewHostCertificate(folder string, host hingeids.HostID, now time.Time) error {
 	if err := checkName(host); err != nil {
 		return err
 	}
--- a/internal/operate/hingekeys/keys_test.go
+++ b/internal/operate/hingekeys/keys_test.go
@@ -19,9 +19,9 @@
 	t.Helper()
 	// MakeAuthority must create a missing folder.
 	folder := filepath.Join(t.TempDir(), "new", "keys")
-	must(t, MakeAuthority(folder, startTime))
-	must(t, MakeHost(folder, "cancale-1", startTime))
-	must(t, MakeHost(folder, "roscoff-1", startTime))
+	must(t, CreateAuthority(folder, startTime))
+	must(t, CreateHostCertificate(folder, "cancale-1", startTime))
+	must(t, CreateHostCertificate(folder, "roscoff-1", startTime))
 	return folder
 }
 
@@ -89,9 +89,9 @@
 	if diff := cmp.Diff(os.FileMode(ownerOnlyMode), info.Mode().Perm()); diff != "" {
 		t.Fatal(diff)
 	}
-	wantErrorText(t, MakeHost(folder, "cancale-1", startTime), "not overwritten")
-	wantErrorText(t, MakeAuthority(folder, startTime), "not overwritten")
-	wantErrorText(t, MakeHost(folder, "../cancale-1", startTime), "can't be the name")
+	wantErrorText(t, CreateHostCertificate(folder, "cancale-1", startTime), "not overwritten")
+	wantErrorText(t, CreateAuthority(folder, startTime), "not overwritten")
+	wantErrorText(t, CreateHostCertificate(folder, "../cancale-1", startTime), "can't be the name")
 }
 
 // Guards against accepting a certificate that another authority signed for the
@@ -128,8 +128,8 @@
 	_, err = loadTLS(HostPaths(folder, "cancale-1"), clock)
 	wantErrorText(t, err, "renew it or set the clock")
 	must(t, RenewAuthority(folder, now))
-	must(t, Renew(folder, "cancale-1", now))
-	must(t, Renew(folder, "roscoff-1", now))
+	must(t, RenewHostCertificate(folder, "cancale-1", now))
+	must(t, RenewHostCertificate(folder, "roscoff-1", now))
 	must(t, handshakeConfigs(d, a))
 }
 
--- a/internal/serve/hingeserver/fleet_test.go
+++ b/internal/serve/hingeserver/fleet_test.go
@@ -370,8 +370,8 @@
 }
 
 // apply puts the whole inventory and rules, or a changed part, as one change.
-func (f *fleet) apply(at hingeids.HostID, change hingeadmin.Change) (hingeadmin.Accepted, int, error) {
-	var accepted hingeadmin.Accepted
+func (f *fleet) apply(at hingeids.HostID, change hingeadmin.Change) (hingeadmin.AcceptedChange, int, error) {
+	var accepted hingeadmin.AcceptedChange
 	status, err := f.post(f.hosts[at].settings.Listen.Operators, "/v1/changes", change, &accepted)
 	return accepted, status, err
 }
@@ -406,7 +406,7 @@
 // configure applies the example's configuration and waits until all are ready.
 func (f *fleet) configure() hingeids.Revision {
 	f.t.Helper()
-	var accepted hingeadmin.Accepted
+	var accepted hingeadmin.AcceptedChange
 	whole := f.whole()
 	f.await("the first change to be accepted", 10*time.Second, func() error {
 		status, err := 0, error(nil)
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -34,7 +34,7 @@
 // Propose asks the configuration log for a change.
 func (o operatorsSide) Propose(
 	ctx context.Context, c hingeadmin.Change, now time.Time,
-) (hingeadmin.Accepted, error) {
+) (hingeadmin.AcceptedChange, error) {
 	change := hingeconfig.Change{
 		ID:       hingeconfig.ChangeID(c.ChangeID),
 		Expected: c.ExpectedRevision,
@@ -50,33 +50,33 @@
 	}
 	raw, err := o.server.shared.config.Propose(ctx, change.Encode())
 	if err != nil {
-		return hingeadmin.Accepted{}, err
+		return hingeadmin.AcceptedChange{}, err
 	}
 	answer, err := hingeconfig.DecodeAnswer(raw)
 	if err != nil {
-		return hingeadmin.Accepted{}, err
+		return hingeadmin.AcceptedChange{}, err
 	}
 	return o.accepted(c, answer, now)
 }
 
 func (o operatorsSide) accepted(
 	c hingeadmin.Change, a hingeconfig.Answer, now time.Time,
-) (hingeadmin.Accepted, error) {
+) (hingeadmin.AcceptedChange, error) {
 	if err := a.Err(); err != nil {
 		var v *hingeverdict.Error
 		if errors.As(err, &v) && a.Result != hingeconfig.Malformed {
-			return hingeadmin.Accepted{}, &hingeadmin.ConflictError{
+			return hingeadmin.AcceptedChange{}, &hingeadmin.ConflictError{
 				Code: v.Code,
-				Winner: hingeadmin.Accepted{
+				Winner: hingeadmin.AcceptedChange{
 					Revision: a.AcceptedChange.Revision,
 					ChangeID: hingeadmin.ChangeID(a.AcceptedChange.ID),
 					Operator: a.AcceptedChange.Operator,
 				},
 			}
 		}
-		return hingeadmin.Accepted{}, err
+		return hingeadmin.AcceptedChange{}, err
 	}
-	return hingeadmin.Accepted{
+	return hingeadmin.AcceptedChange{
 		Revision: a.Revision,
 		ChangeID: c.ChangeID,
 		Operator: c.Operator,
@@ -103,9 +103,9 @@
 	}
 	switch {
 	case r > view.Revision:
-		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionAhead
+		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionNotApplied
 	case r < view.OperatorRevision:
-		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionGone
+		return hingeadmin.Snapshot{}, hingeadmin.ErrRevisionNotRetained
 	}
 	items := make(map[string]string)
 	for path, document := range view.Documents {
@@ -128,7 +128,7 @@
 // History gives the accepted changes that are kept, newest first. A host without
 // a disk has none itself and asks those that have one; it gives none if it
 // reaches none of them.
-func (o operatorsSide) History() []hingeadmin.Accepted {
+func (o operatorsSide) History() []hingeadmin.AcceptedChange {
 	if o.server.settings.DataFolder != "" {
 		return o.ownHistory()
 	}
@@ -140,14 +140,14 @@
 	return nil
 }
 
-func (o operatorsSide) historyOf(host hingeids.HostID) ([]hingeadmin.Accepted, error) {
+func (o operatorsSide) historyOf(host hingeids.HostID) ([]hingeadmin.AcceptedChange, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), historyLimit)
 	defer cancel()
 	raw, err := o.server.shared.link.Call(ctx, host, methodHistory, nil)
 	if err != nil {
 		return nil, err
 	}
-	var out []hingeadmin.Accepted
+	var out []hingeadmin.AcceptedChange
 	err = json.Unmarshal(raw, &out)
 	return out, eris.Wrapf(err, "history of %s", host)
 }
@@ -156,14 +156,14 @@
 	return json.Marshal(o.ownHistory())
 }
 
-func (o operatorsSide) ownHistory() []hingeadmin.Accepted {
+func (o operatorsSide) ownHistory() []hingeadmin.AcceptedChange {
 	view := o.server.shared.machine.Views().Load()
-	var out []hingeadmin.Accepted
+	var out []hingeadmin.AcceptedChange
 	for _, h := range slices.Backward(view.History) {
 		if h.Change.System {
 			continue
 		}
-		out = append(out, hingeadmin.Accepted{
+		out = append(out, hingeadmin.AcceptedChange{
 			Revision: h.Revision,
 			ChangeID: hingeadmin.ChangeID(h.Change.ID),
 			Operator: h.Change.Operator,
@@ -204,7 +204,7 @@
 }
 
 // ChangeVoters lets a host into both groups, or takes it out of them.
-func (o operatorsSide) ChangeVoters(ctx context.Context, v hingeadmin.Voters) error {
+func (o operatorsSide) ChangeVoters(ctx context.Context, v hingeadmin.VoterChange) error {
 	for _, group := range []*hingegroup.Group{o.server.shared.config, o.server.shared.ledgerGroup} {
 		var err error
 		if v.Admit != "" {
--- a/internal/serve/hingeserver/proofs_test.go
+++ b/internal/serve/hingeserver/proofs_test.go
@@ -203,21 +203,21 @@
 	f.write(next)
 	f.start(next)
 	f.awaitRevision(revision, next)
-	voters := func(v hingeadmin.Voters) {
+	voters := func(v hingeadmin.VoterChange) {
 		t.Helper()
 		f.await("a change of voters", 10*time.Second, func() error {
-			var answer hingeadmin.Voters
+			var answer hingeadmin.VoterChange
 			_, err := f.post(f.hosts[other].settings.Listen.Operators, "/v1/voters", v, &answer)
 			return err
 		})
 	}
-	voters(hingeadmin.Voters{
+	voters(hingeadmin.VoterChange{
 		Admit: next,
 	})
 	f.await("the new host to vote", 15*time.Second, func() error {
 		return f.repaired(next)
 	})
-	voters(hingeadmin.Voters{
+	voters(hingeadmin.VoterChange{
 		Remove: lost,
 	})
 	f.kill(other)
--- a/internal/serve/hingeserver/run.go
+++ b/internal/serve/hingeserver/run.go
@@ -119,7 +119,7 @@
 		{
 			listener: s.listeners.operators,
 			handler:  admin.Handle,
-			limit:    2 * hingeadmin.MaxChange,
+			limit:    2 * hingeadmin.MaxChangeBytes,
 		},
 	} {
 		web := &fasthttp.Server{
