--- a/internal/ledger/hingeledger/bench_test.go
+++ b/internal/ledger/hingeledger/bench_test.go
@@ -18,60 +18,60 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// waitingStore holds its first write until it is let go, so that a test decides what
-// waits for the second.
-type waitingStore struct {
+// blockingStore blocks its first Append until unblock is closed, so that a test decides
+// which commands are queued for the second.
+type blockingStore struct {
 	memoryStore
 	entered chan struct{}
-	letGo   chan struct{}
+	unblock chan struct{}
 	appends int
 }
 
-func (w *waitingStore) Append(frame []byte) error {
-	w.appends++
-	if w.appends == 1 {
-		close(w.entered)
-		<-w.letGo
+func (b *blockingStore) Append(frame []byte) error {
+	b.appends++
+	if b.appends == 1 {
+		close(b.entered)
+		<-b.unblock
 	}
-	return w.memoryStore.Append(frame)
+	return b.memoryStore.Append(frame)
 }
 
-// While the disk syncs one claim, a burst of others arrives. One sync each would
-// bound a zone to the disk's syncs a second; they must share the next one.
-func TestClaimsThatWaitShareOneSync(t *testing.T) {
-	disk := &waitingStore{
+// Claims that arrive during a sync must share the next one. Otherwise the disk's sync
+// rate would bound the rate of claims.
+func TestQueuedClaimsShareOneSync(t *testing.T) {
+	disk := &blockingStore{
 		entered: make(chan struct{}),
-		letGo:   make(chan struct{}),
+		unblock: make(chan struct{}),
 	}
-	k := openKeeper(t, disk, begin)
+	k := openKeyOwner(t, disk, startTime)
 	key, err := k.issue()
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := &submission{command: claimCommand(key, 1), outcome: make(chan Outcome, 1)}
 	k.queue <- first
-	stop := runKeeper(t, k)
+	stop := runKeyOwner(t, k)
 	<-disk.entered
-	for i := range groupMost {
+	for i := range maxBatch {
 		k.queue <- &submission{command: claimCommand(key, uint64(i+2)), outcome: make(chan Outcome, 1)}
 	}
-	close(disk.letGo)
+	close(disk.unblock)
 	<-first.outcome
-	claimOf(t, k, key, 9999)
+	submitClaim(t, k, key, 9999)
 	_ = stop()
-	// One for the first, one for the burst, one for the last.
+	// One sync each for the first claim, the burst and the last claim.
 	if disk.appends > 3 {
-		t.Fatalf("%d syncs for %d claims", disk.appends, groupMost+2)
+		t.Fatalf("%d syncs for %d claims", disk.appends, maxBatch+2)
 	}
 }
 
-// BenchmarkKeeper claims new keys on a real disk from so many callers at once.
+// BenchmarkKeeper claims new keys on a real disk with concurrent callers.
 func BenchmarkKeeper(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(strconv.Itoa(callers), func(b *testing.B) {
 			folder := b.TempDir()
-			k := openKeeper(b, openStore(b, folder), begin)
-			stop := runKeeper(b, k)
+			k := openKeyOwner(b, openStore(b, folder), startTime)
+			stop := runKeyOwner(b, k)
 			prefix, err := k.issue()
 			if err != nil {
 				b.Fatal(err)
@@ -97,7 +97,7 @@
 			b.ReportMetric(float64(k.syncs.Load()-before)/float64(b.N), "syncs/claim")
 			b.ReportMetric(float64(b.N)/b.Elapsed().Seconds(), "claims/s")
 			_ = stop()
-			if info, err := os.Stat(journal(folder)); err == nil {
+			if info, err := os.Stat(journalPath(folder)); err == nil {
 				b.ReportMetric(float64(info.Size())/float64(b.N), "diskBytes/key")
 			}
 		})
@@ -107,7 +107,7 @@
 func applyClaims(s *State, from, to int) {
 	for i := from; i < to; i++ {
 		c := claimCommand(hingeids.IdempotencyKey(fmt.Sprintf("status-of-lot-%012d", i)), uint64(i))
-		c.Time = begin.UnixNano()
+		c.Time = startTime.UnixNano()
 		c.Claim.Caller = hingeids.CallerID(fmt.Sprintf("franchisee-%04d", i%1000))
 		s.Apply(0, encode(c))
 	}
@@ -120,7 +120,7 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemoryOfKeys gives what a key without an answer takes up.
+// BenchmarkMemoryOfKeys measures the memory of a key without an answer.
 func BenchmarkMemoryOfKeys(b *testing.B) {
 	for b.Loop() {
 		const keys = 100_000
@@ -134,7 +134,7 @@
 	}
 }
 
-// BenchmarkState applies claims of new keys.
+// BenchmarkState measures Apply for claims of new keys.
 func BenchmarkState(b *testing.B) {
 	l := DefaultLimits()
 	l.Entries, l.CallerEntries, l.Bytes, l.CallerBytes = 1<<30, 1<<30, 1<<40, 1<<40
@@ -142,7 +142,7 @@
 	commands := make([][]byte, b.N)
 	for i := range commands {
 		c := claimCommand(hingeids.IdempotencyKey(strconv.Itoa(i)), uint64(i))
-		c.Time = begin.UnixNano()
+		c.Time = startTime.UnixNano()
 		commands[i] = encode(c)
 	}
 	b.ReportAllocs()
@@ -152,9 +152,8 @@
 	}
 }
 
-// A group takes a snapshot in the goroutine that also sends its heartbeats. If that
-// encoded every key, a full ledger would keep its leader silent for about an
-// election time at each one, and callers would be refused meanwhile.
+// The group takes snapshots in the goroutine that sends its heartbeats. Encoding every
+// entry there would delay heartbeats beyond the election timeout.
 func TestSnapshotEncodesNoEntry(t *testing.T) {
 	s := NewState(DefaultLimits())
 	applyClaims(s, 0, 20_000)
@@ -162,8 +161,8 @@
 	runtime.ReadMemStats(&before)
 	size := uint64(len(s.Snapshot()))
 	runtime.ReadMemStats(&after)
-	if took := after.TotalAlloc - before.TotalAlloc; took > 2*size {
-		t.Fatalf("%d bytes allocated for a snapshot of %d", took, size)
+	if allocated := after.TotalAlloc - before.TotalAlloc; allocated > 2*size {
+		t.Fatalf("%d bytes allocated for a snapshot of %d bytes", allocated, size)
 	}
 }
 
@@ -177,21 +176,21 @@
 	}
 }
 
-// What a key is counted as must cover what it takes, or the limit in bytes does
-// not keep a small host from running out of memory.
-func TestKeysAreCountedAsLargeAsTheyAre(t *testing.T) {
+// The counted bytes must cover the memory of the keys, or the limit in bytes doesn't
+// protect a small host from running out of memory.
+func TestCountedBytesCoverHeapUse(t *testing.T) {
 	const keys = 20_000
 	before := heapInUse()
 	s := NewState(DefaultLimits())
 	applyClaims(s, 0, keys)
-	took := heapInUse() - before
-	if int64(took) > int64(s.bytes)*5/4 {
-		t.Fatalf("%d keys take %d bytes and count as %d", keys, took, s.bytes)
+	allocated := heapInUse() - before
+	if int64(allocated) > int64(s.bytes)*5/4 {
+		t.Fatalf("%d keys use %d bytes of memory, but are counted as %d bytes", keys, allocated, s.bytes)
 	}
 	runtime.KeepAlive(s)
 }
 
-// quicHosts are real hosts over QUIC on loopback.
+// quicHosts starts real hosts that are connected over QUIC on loopback.
 func quicHosts(b *testing.B) *realHosts {
 	r := &realHosts{
 		links: make(map[hingeids.HostID]hingelink.Link),
@@ -221,38 +220,38 @@
 	return r
 }
 
-// BenchmarkClaim claims through a host without a disk, over QUIC, the real group
-// and real files: what the ledger adds to a request.
+// BenchmarkClaim measures the latency of a claim by a host without a disk, with QUIC
+// links, the real group and real files.
 func BenchmarkClaim(b *testing.B) {
 	r := quicHosts(b)
-	defer r.end()
-	asking := r.all[len(r.all)-1]
+	defer r.stopAll()
+	requester := r.all[len(r.all)-1]
 	sequence := uint64(0)
 	claim := func(prefix hingeids.IdempotencyKey) error {
 		sequence++
-		_, err := realClaim(asking, prefix+hingeids.IdempotencyKey(strconv.FormatUint(sequence, 10)), sequence)
+		_, err := realClaim(requester, prefix+hingeids.IdempotencyKey(strconv.FormatUint(sequence, 10)), sequence)
 		return err
 	}
 	for claim("first") != nil {
 		time.Sleep(100 * time.Millisecond)
 	}
-	issued, err := asking.ledger.Issue(context.Background(), "depot")
+	issued, err := requester.ledger.Issue(context.Background(), "depot")
 	if err != nil {
 		b.Fatal(err)
 	}
 	for name, prefix := range map[string]hingeids.IdempotencyKey{"free": "lot-", "issued": issued} {
 		b.Run(name, func(b *testing.B) {
-			took := hdrhistogram.New(1, int64(time.Minute), 3)
+			latencies := hdrhistogram.New(1, int64(time.Minute), 3)
 			b.ReportAllocs()
 			for b.Loop() {
-				began := time.Now()
+				start := time.Now()
 				if err := claim(prefix); err != nil {
 					b.Fatal(err)
 				}
-				_ = took.RecordValue(int64(time.Since(began)))
+				_ = latencies.RecordValue(int64(time.Since(start)))
 			}
-			b.ReportMetric(float64(took.ValueAtQuantile(50))/1e3, "p50-us")
-			b.ReportMetric(float64(took.ValueAtQuantile(99))/1e3, "p99-us")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(50))/1e3, "p50-us")
+			b.ReportMetric(float64(latencies.ValueAtQuantile(99))/1e3, "p99-us")
 		})
 	}
 }
--- a/internal/ledger/hingeledger/claim.go
+++ b/internal/ledger/hingeledger/claim.go
@@ -13,11 +13,11 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Digest stands for the body of a request.
+// Digest identifies a request by its method, path and body.
 type Digest [16]byte
 
-// DigestOf gives the digest of what makes two requests under one key the same:
-// method, path and body.
+// DigestOf returns the digest of method, path and body. Two requests under one key
+// are the same request if their digests are equal.
 func DigestOf(method, path string, body []byte) Digest {
 	h := sha256.New()
 	for _, part := range []string{method, path} {
@@ -28,69 +28,72 @@
 	return Digest(h.Sum(nil)[:len(Digest{})])
 }
 
-// Claim asks for the right to send a request.
+// Claim requests the right to send a request.
 type Claim struct {
 	Caller  hingeids.CallerID       `cbor:"1,keyasint"`
 	Key     hingeids.IdempotencyKey `cbor:"2,keyasint"`
 	Digest  Digest                  `cbor:"3,keyasint"`
 	Request hingeids.RequestID      `cbor:"4,keyasint"`
-	// Until is the time, in Unix nanoseconds, from which the claimer neither
-	// sends nor waits any more.
+	// Until is the time, in Unix nanoseconds, from which the claiming host no
+	// longer sends the request or waits for its answer.
 	Until int64 `cbor:"5,keyasint"`
-	// Keep is how long the key is remembered; Ledger sets it from the rules.
+	// Keep is the retention of the key. Ledger sets it from the rules in force.
 	Keep time.Duration `cbor:"6,keyasint"`
 }
 
-// Kind says what became of a claim.
+// Kind is the kind of an Outcome.
 type Kind uint8
 
 // The kinds of outcome.
 const (
-	// Malformed is a command that can't be read.
+	// Malformed means that the command could not be decoded.
 	Malformed Kind = iota
-	// Granted lets the claimer send the request now.
+	// Granted permits the claiming host to send the request.
 	Granted
-	// InProgress means that another attempt has the claim.
+	// InProgress means that another attempt holds the claim.
 	InProgress
-	// Answered gives the answer of the attempt that ran.
+	// Answered means that an attempt has run. The Outcome contains its answer.
 	Answered
-	// AnsweredUnkept means that it ran, and its answer was too large to keep.
+	// AnsweredUnkept means that an attempt has run, but its answer was too large
+	// to store.
 	AnsweredUnkept
-	// Uncertain means that an attempt may have run and nobody can tell.
+	// Uncertain means that an attempt may have run and its result is unknown.
 	Uncertain
-	// OtherBody means that the key was used for another request.
+	// OtherBody means that the key was used for a request with another digest.
 	OtherBody
-	// Withdrawn means that this request id has released its claim, or that its life is over.
+	// Withdrawn means that the claim of this request id was already released, or
+	// that its host instance has ended.
 	Withdrawn
-	// CallerFull and Full refuse for want of room.
+	// CallerFull and Full mean that the caller or the whole ledger is at its limit.
 	CallerFull
 	Full
-	// Noted is the outcome of finishing, releasing and the end of a life.
+	// Noted acknowledges a finish, a release or the end of a host instance.
 	Noted
 )
 
-// Outcome is what became of a claim.
+// Outcome is the result of a command.
 type Outcome struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// By is the attempt that has or had the claim.
+	// By is the request id that holds or held the claim, or the refused request
+	// if the key has no claim.
 	By hingeids.RequestID `cbor:"2,keyasint"`
-	// Until is when that attempt's claim ends, in Unix nanoseconds.
+	// Until is the end of that request's claim, in Unix nanoseconds.
 	Until int64 `cbor:"3,keyasint,omitempty"`
-	// Answer is what that attempt was answered, for Answered.
+	// Answer is the stored answer, set for Answered only.
 	Answer []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// verb is what a command does.
+// verb selects the operation of a command.
 type verb uint8
 
 const (
 	verbClaim verb = iota + 1
 	verbFinish
 	verbRelease
-	verbEndLife
+	verbEndInstance
 )
 
-// command is one input of State. Rule 6.
+// command is one input of State (rule 6).
 type command struct {
 	Verb   verb          `cbor:"1,keyasint"`
 	Time   int64         `cbor:"2,keyasint"`
@@ -99,32 +102,34 @@
 	Life   hingeids.Life `cbor:"5,keyasint"`
 }
 
-// issuedPrefix marks issued keys. Callers' own keys that begin with it are taken
-// as issued ones, which is safe: the text alone says where a key goes. Rule 8.
+// issuedPrefix marks issued keys. A caller's own key with this prefix is treated
+// as an issued one, which is safe because the text of a key alone determines where
+// it is claimed (rule 8).
 const issuedPrefix = "hinge."
 
-// issuedKey is an issued key in its parts.
+// issuedKey contains the parsed parts of an issued key.
 type issuedKey struct {
 	zone        hingeids.Zone
 	incarnation hingeids.Incarnation
 }
 
-func newIssuedKey(zone hingeids.Zone, keeper hingeids.Incarnation) (hingeids.IdempotencyKey, error) {
+func newIssuedKey(zone hingeids.Zone, incarnation hingeids.Incarnation) (hingeids.IdempotencyKey, error) {
 	var random [16]byte
 	if _, err := rand.Read(random[:]); err != nil {
-		return "", eris.Wrap(err, "issue key")
+		return "", eris.Wrap(err, "generate idempotency key")
 	}
 	return hingeids.IdempotencyKey(issuedPrefix + string(zone) + "." +
-		strconv.FormatUint(uint64(keeper), 36) + "." + hex.EncodeToString(random[:])), nil
+		strconv.FormatUint(uint64(incarnation), 36) + "." + hex.EncodeToString(random[:])), nil
 }
 
-// IsIssued reports whether a zone's keeper issued the key, by its form.
+// IsIssued reports whether the key has the format of an issued key. It doesn't check
+// that a key owner issued it.
 func IsIssued(key hingeids.IdempotencyKey) bool {
 	_, ok := parseIssued(key)
 	return ok
 }
 
-// parseIssued reads hinge.zone.incarnation.random. A zone may hold dots.
+// parseIssued parses hinge.zone.incarnation.random. The zone may contain dots.
 func parseIssued(key hingeids.IdempotencyKey) (issuedKey, bool) {
 	rest, ok := strings.CutPrefix(string(key), issuedPrefix)
 	if !ok {
--- a/internal/ledger/hingeledger/doc.go
+++ b/internal/ledger/hingeledger/doc.go
@@ -1,37 +1,39 @@
-// Package hingeledger remembers idempotency keys, so that a request that must not
+// Package hingeledger records idempotency keys, so that a request that must not
 // be repeated runs at most once, whichever entry host of whichever zone a
 // resend reaches.
 //
 //  1. A key is claimed before its request is sent to a backend server, and only
-//     who was granted the claim sends. A claim names the request id, and asking
-//     again under the same id gives the same grant: a claim whose answer was
-//     lost is simply asked again. A request id is sent at most once, before the
-//     claim's Until.
-//  2. A claim ends as finished, with the answer, or as released, with proof that
+//     the holder of the claim sends the request. A claim names the request id,
+//     and claiming again under the same id returns the same grant, so a claim
+//     whose reply was lost can be repeated. A request id is sent at most once,
+//     before the claim's Until.
+//  2. A claim is either finished, with the answer, or released, with proof that
 //     the request was not run. A released key may be claimed under another
-//     request id; under the same one it is refused, so a late copy of a claim
-//     takes nothing.
-//  3. A claim whose claimer's life is over, or whose Until has passed, and that
-//     is neither finished nor released, may have run: nobody gets the key again.
-//     A later life of a host that claims anything ends its earlier ones.
-//  4. A key whose body differs from the first one's is refused: it names another
-//     request.
-//  5. Entries are kept for the time that came with their claim, counted from
-//     their last change, and never less than until Until. What is full refuses
-//     new claims as not run; nothing unexpired is ever thrown out for room,
-//     as a forgotten key is a request that can run twice.
-//  6. All that decides comes in the command, the time too, which whoever takes
-//     the command in stamps and which never goes back. So replicas agree.
-//  7. A free key, which the caller made up, is claimed in the quorum's replicated
-//     State. Without a quorum it is refused at once as not run.
-//  8. An issued key names a zone and the incarnation of that zone's keeper. The
-//     keeper alone claims it, with one synced write to its own disk, so a zone
-//     that is cut off goes on with its own issued keys. Where a key goes is told
-//     by its text alone: no change of the inventory sends it elsewhere.
-//  9. A keeper whose disk was lost, or another host in its place, has another
-//     incarnation. It can't know what was claimed before, and says of keys of any
-//     other incarnation that they may have run.
-//  10. Not run is said of one attempt. Of the key it says that nothing was sent
-//     for this attempt; an earlier attempt whose fate the caller doesn't know
-//     is asked for by resending with the same key.
+//     request id. Under the same id it is refused, so a delayed copy of a claim
+//     has no effect.
+//  3. A claim that is neither finished nor released may have run once its
+//     Until has passed or the claiming host instance has ended: the key is not
+//     granted again. A claim by a newer instance of a host ends the host's older
+//     instances.
+//  4. A key whose request differs from the first one's is refused, because it
+//     names another request.
+//  5. Entries are kept for the retention of their claim, counted from their
+//     last change, and at least until Until. A full ledger refuses new claims
+//     as not run. It never evicts an unexpired entry, because a forgotten key
+//     is a request that can run twice.
+//  6. A command contains all inputs of its decision, including the time, which
+//     the host that accepts the command sets. The state's time never goes back.
+//     So all replicas reach the same state.
+//  7. A free key, which the caller chose, is claimed in the quorum's replicated
+//     State. Without a quorum the claim is refused at once as not run.
+//  8. An issued key names a zone and the incarnation of that zone's key owner.
+//     Only the key owner claims it, with one synced write to its own disk, so an
+//     isolated zone continues to serve its own issued keys. The text of a key
+//     alone determines where it is claimed, whatever changes in the inventory.
+//  9. A key owner that lost its disk, or another host that replaces it, has
+//     another incarnation. It doesn't know the earlier claims and reports keys
+//     of any other incarnation as uncertain.
+//  10. The verdict "not run" is about one attempt: nothing was sent for it. To
+//     learn the outcome of an earlier attempt, the caller resends with the
+//     same key.
 package hingeledger
--- a/internal/ledger/hingeledger/gate.go
+++ b/internal/ledger/hingeledger/gate.go
@@ -5,45 +5,44 @@
 	"time"
 )
 
-// holdOff is the time between two tries of a place that could not be asked.
-const holdOff = 500 * time.Millisecond
+// probeInterval is the time between two calls to an unreachable target.
+const probeInterval = 500 * time.Millisecond
 
-// gate refuses at once while a place can't be asked.
-//
-// The load it is for: a zone that is cut off under full traffic. Without it each
-// request would wait out claimTime before it is refused, and thousands of them
-// would hold their memory meanwhile; seen as refusals that take a second. One
-// request in each holdOff still tries, so the way back is noticed within it.
-type gate struct {
-	mu      sync.Mutex
-	closed  bool
-	nextTry time.Time
+// breaker is a circuit breaker that rejects calls while a target is unreachable.
+// Without it, requests of an isolated zone would each wait for claimTimeout and use
+// memory meanwhile. One call in each probeInterval is let through as a probe.
+// It is safe for concurrent use.
+type breaker struct {
+	mu        sync.Mutex
+	tripped   bool
+	nextProbe time.Time
 }
 
-// admit reports whether the place may be asked now.
-func (g *gate) admit(now time.Time) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if !g.closed {
+// allow reports whether the target may be called now.
+func (b *breaker) allow(now time.Time) bool {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	if !b.tripped {
 		return true
 	}
-	if now.Before(g.nextTry) {
+	if now.Before(b.nextProbe) {
 		return false
 	}
-	g.nextTry = now.Add(holdOff)
+	b.nextProbe = now.Add(probeInterval)
 	return true
 }
 
-// note takes in how asking went. It reports whether the gate closed by it.
-func (g *gate) note(now time.Time, reached bool) (closed bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// record stores the result of a call. It reports whether this result tripped the
+// breaker.
+func (b *breaker) record(now time.Time, reached bool) (tripped bool) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
 	if reached {
-		g.closed = false
+		b.tripped = false
 		return false
 	}
-	closed = !g.closed
-	g.closed = true
-	g.nextTry = now.Add(holdOff)
-	return closed
+	tripped = !b.tripped
+	b.tripped = true
+	b.nextProbe = now.Add(probeInterval)
+	return tripped
 }
--- a/internal/ledger/hingeledger/group_test.go
+++ b/internal/ledger/hingeledger/group_test.go
@@ -18,36 +18,36 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// countedLink counts what a host sends to others.
-type countedLink struct {
+// countingLink counts the messages between a host and others.
+type countingLink struct {
 	hingelink.Link
 	messages *atomic.Int64
 }
 
-func (l countedLink) Call(ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte) ([]byte, error) {
+func (l countingLink) Call(ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte) ([]byte, error) {
 	if to != l.Self() {
 		l.messages.Add(2)
 	}
 	return l.Link.Call(ctx, to, m, body)
 }
 
-func (l countedLink) Send(to hingeids.HostID, m hingelink.Method, body []byte) {
+func (l countingLink) Send(to hingeids.HostID, m hingelink.Method, body []byte) {
 	if to != l.Self() {
 		l.messages.Add(1)
 	}
 	l.Link.Send(to, m, body)
 }
 
-// realHost is an entry host with the real group and keeper on real files.
+// realHost is an entry host with the real group and key owner on real files.
 type realHost struct {
-	id     hingeids.HostID
-	group  *hingegroup.Group
-	keeper *Keeper
-	ledger *Ledger
-	stop   context.CancelFunc
+	id       hingeids.HostID
+	group    *hingegroup.Group
+	keyOwner *Keeper
+	ledger   *Ledger
+	stop     context.CancelFunc
 }
 
-// realHosts are a host with a disk in each zone and one without in cancale.
+// realHosts are one host with a disk in each zone, and one without a disk in cancale.
 type realHosts struct {
 	network  *hingefake.Network
 	links    map[hingeids.HostID]hingelink.Link
@@ -82,7 +82,7 @@
 }
 
 func (r *realHosts) start(t testing.TB, id hingeids.HostID, zone hingeids.Zone, disk bool) {
-	link := countedLink{Link: r.links[id], messages: &r.messages}
+	link := countingLink{Link: r.links[id], messages: &r.messages}
 	ctx, stop := context.WithCancel(context.Background())
 	h := &realHost{id: id, stop: stop}
 	c := Config{
@@ -90,7 +90,7 @@
 		Link:    link,
 		Voters:  diskHosts,
 		Keepers: map[hingeids.Zone]hingeids.HostID{"cancale": "cancale-1", "roscoff": "roscoff-1", "quiberon": "quiberon-1"},
-		Keep:    func() time.Duration { return testKeep },
+		Keep:    func() time.Duration { return testRetention },
 	}
 	if disk {
 		files, err := hingejournal.Folder(t.TempDir())
@@ -108,16 +108,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		h.keeper = openKeeper(t, openStore(t, t.TempDir()), time.Now())
-		c.Group, c.Keeper = h.group, h.keeper
+		h.keyOwner = openKeyOwner(t, openStore(t, t.TempDir()), time.Now())
+		c.Group, c.Keeper = h.group, h.keyOwner
 		r.running.Go(func() { _ = h.group.Run(ctx) })
-		r.running.Go(func() { _ = h.keeper.Run(ctx) })
+		r.running.Go(func() { _ = h.keyOwner.Run(ctx) })
 	}
 	h.ledger = New(c)
 	r.all = append(r.all, h)
 }
 
-// kill ends a host; it neither claims nor votes any more.
+// kill stops a host and removes it from the network.
 func (r *realHosts) kill(id hingeids.HostID) {
 	r.network.Remove(id)
 	for i, h := range r.all {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (r *realHosts) end() {
+func (r *realHosts) stopAll() {
 	for _, h := range r.all {
 		h.stop()
 	}
@@ -139,7 +139,7 @@
 func (r *realHosts) syncs() (n int64) {
 	for _, h := range r.all {
 		if h.group != nil {
-			n += h.group.Standing().Journal.Syncs + h.keeper.syncs.Load()
+			n += h.group.Standing().Journal.Syncs + h.keyOwner.syncs.Load()
 		}
 	}
 	return n
@@ -150,17 +150,17 @@
 		Caller:  "depot",
 		Key:     key,
 		Request: hingeids.RequestID{Life: hingeids.Life{Host: h.id, Incarnation: 1}, Sequence: sequence},
-		Until:   time.Now().Add(claimSpan).UnixNano(),
+		Until:   time.Now().Add(claimDuration).UnixNano(),
 	})
 }
 
-// A caller's app sends one request through every entry host at the same time, over
-// and over, and a host with a disk is lost meanwhile. Of each key one attempt may
-// be granted, and once the others have a leader keys are granted again.
-func TestOfConcurrentAttemptsOneIsGranted(t *testing.T) {
+// Every entry host claims each key at the same time, and a voter is lost meanwhile. At
+// most one claim per key may be granted, and keys are granted again after the
+// election of a leader.
+func TestAtMostOneConcurrentAttemptIsGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startRealHosts(t)
-		defer r.end()
+		defer r.stopAll()
 		const keys = 60
 		var grants [keys]atomic.Int64
 		for k := range keys {
@@ -184,23 +184,22 @@
 			if n > 1 {
 				t.Errorf("key %d was granted %d times", k, n)
 			}
-			// The last third began 4 s after the loss.
+			// The claims of the last third start 4 s after the loss of the voter.
 			if n == 0 && (k < keys/3 || k >= 2*keys/3) {
-				t.Errorf("key %d was granted to nobody", k)
+				t.Errorf("key %d was not granted to any attempt", k)
 			}
 		}
 	})
 }
 
-// What a key costs its request, counted at the links and journals: the bounds are
-// what this test logged, and keep a change from adding a round trip or a sync.
-func TestMessagesAndSyncsOfAClaim(t *testing.T) {
+// Guards against additional round trips or syncs per claim.
+func TestMessagesAndSyncsPerClaim(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startRealHosts(t)
-		defer r.end()
+		defer r.stopAll()
 		const claims = 200
-		asking := r.all[len(r.all)-1]
-		prefix, err := asking.ledger.Issue(context.Background(), "depot")
+		requester := r.all[len(r.all)-1]
+		prefix, err := requester.ledger.Issue(context.Background(), "depot")
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -216,7 +215,7 @@
 			messages, syncs := r.messages.Load(), r.syncs()
 			for i := range claims {
 				key := kind.prefix + hingeids.IdempotencyKey(fmt.Sprint(i))
-				o, err := realClaim(asking, key, uint64(i))
+				o, err := realClaim(requester, key, uint64(i))
 				if err != nil {
 					t.Fatal(err)
 				}
@@ -224,11 +223,11 @@
 					t.Fatal(diff)
 				}
 			}
-			perMessage := float64(r.messages.Load()-messages) / claims
-			perSync := float64(r.syncs()-syncs) / claims
-			t.Logf("%s key: %.2f messages, %.2f syncs a claim", kind.name, perMessage, perSync)
-			if perMessage > kind.messages*1.1 || perSync > kind.syncs*1.1 {
-				t.Errorf("%s key: more than %.0f messages or %.0f syncs a claim", kind.name, kind.messages, kind.syncs)
+			messagesPerClaim := float64(r.messages.Load()-messages) / claims
+			syncsPerClaim := float64(r.syncs()-syncs) / claims
+			t.Logf("%s key: %.2f messages, %.2f syncs per claim", kind.name, messagesPerClaim, syncsPerClaim)
+			if messagesPerClaim > kind.messages*1.1 || syncsPerClaim > kind.syncs*1.1 {
+				t.Errorf("%s key: more than %.0f messages or %.0f syncs per claim", kind.name, kind.messages, kind.syncs)
 			}
 		}
 	})
--- a/internal/ledger/hingeledger/keeper.go
+++ b/internal/ledger/hingeledger/keeper.go
@@ -13,64 +13,66 @@
 )
 
 const (
-	// groupMost bounds the commands of one synced write, and so the wait of the
-	// first of them for the others' encoding.
-	groupMost = 256
-	// compactAfter is the journal's size from which it is replaced by a snapshot
-	// once it is also larger than twice the last one: so rewriting costs at most
-	// as much as was written, and a restart reads little.
+	// maxBatch bounds the commands of one synced write, and with it the time that
+	// the first command waits for the others to be encoded.
+	maxBatch = 256
+	// compactAfter is the minimum journal size in bytes at which a snapshot
+	// replaces the journal. The journal must also exceed twice the size of the last
+	// snapshot, so that compaction writes at most as much as the commands did.
 	compactAfter = 4 << 20
 )
 
-// frame is what the keeper writes: the first one of a journal is a snapshot with
-// the incarnation, the others are the commands of one synced write.
+// frame is a record of the key owner's journal. The first frame contains the
+// incarnation and a snapshot, each later one the commands of one synced write.
 type frame struct {
 	Incarnation hingeids.Incarnation `cbor:"1,keyasint,omitempty"`
 	Snapshot    []byte               `cbor:"2,keyasint,omitempty"`
 	Commands    [][]byte             `cbor:"3,keyasint,omitempty"`
 }
 
-// Keeper claims the issued keys of one zone on one disk. Rules 8 and 9.
+// Keeper is the key owner of a zone: it processes the claims of the zone's issued
+// keys and stores them on one disk (rules 8 and 9).
 //
-// Commands that wait while a write is synced go into the next one together
-// (group commit), so the disk's syncs a second don't bound the claims a second.
+// Commands that arrive during a sync are written together by the next one (group
+// commit), so the disk's sync rate doesn't bound the rate of claims.
 type Keeper struct {
-	zone        hingeids.Zone
-	incarnation hingeids.Incarnation
-	store       Store
-	state       *State
-	written     int
-	base        int
-	queue       chan *submission
-	done        chan struct{}
-	recorder    *hingeevents.Recorder
-	clock       func() time.Time
-	syncs       atomic.Int64
-}
-
-// submission is one command on its way through the keeper.
+	zone          hingeids.Zone
+	incarnation   hingeids.Incarnation
+	store         Store
+	state         *State
+	journalBytes  int
+	snapshotBytes int
+	queue         chan *submission
+	done          chan struct{}
+	recorder      *hingeevents.Recorder
+	clock         func() time.Time
+	syncs         atomic.Int64
+}
+
+// submission is a queued command with the channel for its outcome.
 type submission struct {
 	command command
 	outcome chan Outcome
 }
 
-// KeeperConfig says what a keeper keeps and where.
+// KeeperConfig configures a Keeper.
 type KeeperConfig struct {
 	Zone     hingeids.Zone
 	Store    Store
 	Limits   Limits
 	Recorder *hingeevents.Recorder
-	// Clock reads the present time; nil means the system's clock.
+	// Clock returns the current time; nil means the system clock.
 	Clock func() time.Time
 }
 
-// OpenKeeper loads what the store holds. An empty one begins a new incarnation.
+// OpenKeeper restores a Keeper from its store. An empty store starts a new
+// incarnation. The caller must call Run.
 func OpenKeeper(c KeeperConfig) (*Keeper, error) {
 	k := &Keeper{
 		zone:     c.Zone,
 		store:    c.Store,
 		state:    NewState(c.Limits),
-		queue:    make(chan *submission, groupMost),
+		queue:    make(chan *submission, maxBatch),
 		done:     make(chan struct{}),
 		recorder: c.Recorder,
 		clock:    c.Clock,
@@ -97,11 +99,11 @@
 	for i, raw := range frames {
 		var f frame
 		if err := cbor.Unmarshal(raw, &f); err != nil {
-			return eris.Wrapf(err, "keeper journal: frame %d", i)
+			return eris.Wrapf(err, "decode frame %d of the key owner journal", i)
 		}
 		if i == 0 {
 			k.incarnation = f.Incarnation
-			k.base = len(raw)
+			k.snapshotBytes = len(raw)
 			if err := k.state.Restore(f.Snapshot); err != nil {
 				return err
 			}
@@ -109,7 +111,7 @@
 		for _, c := range f.Commands {
 			k.state.Apply(0, c)
 		}
-		k.written += len(raw)
+		k.journalBytes += len(raw)
 	}
 	return nil
 }
@@ -119,24 +121,25 @@
 		Incarnation: k.incarnation,
 		Snapshot:    k.state.Snapshot(),
 	})
-	k.written = len(raw)
-	k.base = len(raw)
+	k.journalBytes = len(raw)
+	k.snapshotBytes = len(raw)
 	return k.store.Replace(raw)
 }
 
-// Incarnation is that of the disk. Keys of others are uncertain here.
+// Incarnation returns the incarnation stored on the disk. The outcome of commands for
+// keys of other incarnations is Uncertain.
 func (k *Keeper) Incarnation() hingeids.Incarnation {
 	return k.incarnation
 }
 
-// Done closes when the keeper has ended.
+// Done returns a channel that is closed when Run has returned.
 func (k *Keeper) Done() <-chan struct{} {
 	return k.done
 }
 
-// Run writes and answers commands until the context ends or the disk fails.
-// After a failed sync the disk's content is unknown, so nothing more is answered
-// from this life's memory; the next life reads what the disk really holds.
+// Run processes commands until the context ends or the disk fails. After a failed
+// sync the content of the disk is unknown, so Run returns the error and no further
+// command is answered until the store is opened again.
 func (k *Keeper) Run(ctx context.Context) error {
 	defer close(k.done)
 	for {
@@ -144,7 +147,7 @@
 		case <-ctx.Done():
 			return nil
 		case first := <-k.queue:
-			if err := k.commit(k.gather(first)); err != nil {
+			if err := k.commit(k.collectBatch(first)); err != nil {
 				k.record(hingeevents.KeeperFailed, 0)
 				return err
 			}
@@ -152,9 +155,9 @@
 	}
 }
 
-func (k *Keeper) gather(first *submission) []*submission {
+func (k *Keeper) collectBatch(first *submission) []*submission {
 	batch := []*submission{first}
-	for len(batch) < groupMost {
+	for len(batch) < maxBatch {
 		select {
 		case s := <-k.queue:
 			batch = append(batch, s)
@@ -165,7 +168,7 @@
 	return batch
 }
 
-// commit applies a batch, syncs it, and only then answers it.
+// commit applies a batch and syncs it before it returns the outcomes.
 func (k *Keeper) commit(batch []*submission) error {
 	now := k.clock().UnixNano()
 	f := frame{
@@ -182,17 +185,17 @@
 	if err := k.store.Append(raw); err != nil {
 		return err
 	}
-	k.written += len(raw)
+	k.journalBytes += len(raw)
 	for i, s := range batch {
 		s.outcome <- outcomes[i]
 	}
-	if k.written > compactAfter && k.written > 2*k.base {
+	if k.journalBytes > compactAfter && k.journalBytes > 2*k.snapshotBytes {
 		return k.compact()
 	}
 	return nil
 }
 
-// submit hands a command in and waits until it is synced.
+// submit queues a command and waits until it is synced.
 func (k *Keeper) submit(ctx context.Context, c command) (Outcome, error) {
 	if key, ok := parseIssued(c.Claim.Key); !ok || key.zone != k.zone || key.incarnation != k.incarnation {
 		// Rule 9.
@@ -207,7 +210,7 @@
 	select {
 	case k.queue <- s:
 	case <-k.done:
-		return Outcome{}, errLost
+		return Outcome{}, errKeyOwnerStopped
 	case <-ctx.Done():
 		return Outcome{}, ctx.Err()
 	}
@@ -215,7 +218,7 @@
 	case o := <-s.outcome:
 		return o, nil
 	case <-k.done:
-		return Outcome{}, errLost
+		return Outcome{}, errKeyOwnerStopped
 	case <-ctx.Done():
 		return Outcome{}, ctx.Err()
 	}
@@ -232,9 +235,9 @@
 	})
 }
 
-// decodeCommand reads a command that came over a link.
+// decodeCommand decodes a command received over a link.
 func decodeCommand(body []byte) (command, error) {
 	var c command
 	err := cbor.Unmarshal(body, &c)
-	return c, eris.Wrap(err, "ledger command")
+	return c, eris.Wrap(err, "decode ledger command")
 }
--- a/internal/ledger/hingeledger/kill_test.go
+++ b/internal/ledger/hingeledger/kill_test.go
@@ -13,13 +13,13 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// childFolder is the environment variable that makes this test binary a keeper's
-// process instead, on that folder.
+// childFolder is the environment variable that makes this test binary run a key owner
+// in the given folder instead of the tests.
 const childFolder = "HINGELEDGER_CHILD_FOLDER"
 
-// keepAsChild claims new keys from several goroutines and prints each one that
-// was granted, until it is killed.
-func keepAsChild(folder string) error {
+// runKeyOwnerChild claims new keys from several goroutines and prints each granted one,
+// until the process is killed.
+func runKeyOwnerChild(folder string) error {
 	store, err := OpenFileStore(folder)
 	if err != nil {
 		return err
@@ -45,8 +45,8 @@
 	return k.Run(context.Background())
 }
 
-// A keeper's process is killed with -9 while it claims keys. What it had granted
-// was sent: after the restart none of these keys may be granted to another attempt.
+// A key owner that is killed with SIGKILL must know all granted claims after the
+// restart, since their requests may have been sent.
 func TestKilledProcessForgetsNoGrant(t *testing.T) {
 	folder := t.TempDir()
 	for round := range 3 {
@@ -71,7 +71,7 @@
 		}
 		_ = c.Wait()
 		if len(granted) < 300 {
-			t.Fatalf("round %d: %d keys granted before the process ended", round, len(granted))
+			t.Fatalf("round %d: only %d keys granted before the process ended", round, len(granted))
 		}
 		checkGranted(t, folder, granted)
 	}
@@ -79,13 +79,13 @@
 
 func checkGranted(t *testing.T, folder string, granted []hingeids.IdempotencyKey) {
 	t.Helper()
-	k := openKeeper(t, openStore(t, folder), begin)
-	stop := runKeeper(t, k)
+	k := openKeyOwner(t, openStore(t, folder), startTime)
+	stop := runKeyOwner(t, k)
 	defer func() {
 		_ = stop()
 	}()
 	for _, key := range granted {
-		if kind := claimOf(t, k, key, 1<<40); kind != InProgress && kind != Uncertain {
+		if kind := submitClaim(t, k, key, 1<<40); kind != InProgress && kind != Uncertain {
 			t.Fatalf("key %s was granted before the kill and is %s after it", key, kindNames[kind])
 		}
 	}
--- a/internal/ledger/hingeledger/ledger.go
+++ b/internal/ledger/hingeledger/ledger.go
@@ -12,201 +12,203 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// The methods by which entry hosts ask voters and keepers.
+// Link methods that entry hosts call at voters and key owners.
 const (
 	methodSubmit hingelink.Method = "ledger.submit"
 	methodIssue  hingelink.Method = "ledger.issue"
 )
 
 const (
-	// claimTime bounds a claim before its request is refused as not run. Two
-	// tries of a voter fit, so one lost leader or link costs a request a wait and
-	// not a refusal; longer, and quay queries miss their target anyway.
-	claimTime = 1200 * time.Millisecond
-	// tryTime bounds one try: several round trips between zones and a sync.
-	tryTime = 400 * time.Millisecond
+	// claimTimeout bounds a claim before its request is refused as not run. It
+	// leaves time to call another voter after a call has timed out.
+	claimTimeout = 1200 * time.Millisecond
+	// callTimeout bounds one call: several round trips between zones and a sync.
+	callTimeout = 400 * time.Millisecond
 )
 
-// Proposer is the replicated group that a host with a disk belongs to. It gives
-// what State.Apply gave.
+// Proposer is the replicated group of the voters. Propose returns the result of
+// State.Apply once the command is committed.
 type Proposer interface {
 	Propose(ctx context.Context, data []byte) ([]byte, error)
 }
 
-// Config says who this host is and whom it asks.
+// Config configures a Ledger.
 type Config struct {
 	Zone hingeids.Zone
 	Link hingelink.Link
-	// Group is nil on a host that is no voter.
+	// Group is nil unless this host is a voter.
 	Group Proposer
-	// Voters are the hosts whose Group can be asked, the nearest first.
+	// Voters are the hosts with a Group, the nearest first.
 	Voters []hingeids.HostID
-	// Keepers are the hosts that keep the zones' issued keys.
+	// Keepers are the key owners of the zones.
 	Keepers map[hingeids.Zone]hingeids.HostID
-	// Keeper is nil unless this host is its zone's.
+	// Keeper is nil unless this host is the key owner of its zone.
 	Keeper *Keeper
-	// Keep gives how long keys are remembered, from the rules in force.
+	// Keep returns the retention of keys from the rules in force.
 	Keep     func() time.Duration
 	Recorder *hingeevents.Recorder
-	// Clock reads the present time; nil means the system's clock.
+	// Clock returns the current time; nil means the system clock.
 	Clock func() time.Time
 }
 
-// Ledger is what the request path asks. It is safe for many goroutines.
+// Ledger is the client of the request path, and the server for calls of other hosts.
+// It is safe for concurrent use.
 type Ledger struct {
-	config Config
-	clock  func() time.Time
-	quorum gate
-	zones  map[hingeids.Zone]*gate
-	notes  notes
-	done   chan struct{}
+	config        Config
+	clock         func() time.Time
+	quorumBreaker breaker
+	ownerBreakers map[hingeids.Zone]*breaker
+	retryQueue    retryQueue
+	done          chan struct{}
 }
 
-// New makes a host's ledger and sets its handlers on the link, which must not run yet.
+// New creates a host's ledger and registers its handlers on the link, which must not be
+// running yet.
 func New(c Config) *Ledger {
 	l := &Ledger{
-		config: c,
-		clock:  c.Clock,
-		zones:  make(map[hingeids.Zone]*gate),
-		done:   make(chan struct{}),
+		config:        c,
+		clock:         c.Clock,
+		ownerBreakers: make(map[hingeids.Zone]*breaker),
+		done:          make(chan struct{}),
 	}
 	if l.clock == nil {
 		l.clock = time.Now
 	}
 	for zone := range c.Keepers {
-		l.zones[zone] = &gate{}
+		l.ownerBreakers[zone] = &breaker{}
 	}
 	c.Link.HandleCall(methodSubmit, l.serveSubmit)
 	c.Link.HandleCall(methodIssue, l.serveIssue)
 	return l
 }
 
-// Claim asks for the right to send a request, before it is sent. The outcome is
-// Granted, to send it before the claim's Until and then Finish or Release; or
-// Answered, with the answer to give in place of sending it. Every other case is a
-// *hingeverdict.Error for the caller.
+// Claim requests the right to send a request. After Granted, the request must be
+// sent before the claim's Until and then be finished or released. After Answered,
+// the stored answer is returned instead of sending the request. Every other case
+// is a *hingeverdict.Error for the caller.
 //
-// An error NotRun means that nothing is to be sent. The claim may have been taken
-// all the same; it is then released as soon as the ledger can be asked.
+// After an error the request must not be sent. If the claim may have been accepted
+// although the call failed, it is released as soon as the ledger is reachable.
 func (l *Ledger) Claim(ctx context.Context, c Claim) (Outcome, error) {
 	now := l.clock()
-	place, err := l.placeOf(c.Key)
+	target, err := l.targetOf(c.Key)
 	if err != nil {
 		return Outcome{}, err
 	}
 	if c.Until <= now.UnixNano() {
 		return Outcome{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeDeadline, 0,
-			eris.New("the time for the request was over before its key was claimed"))
+			eris.New("request deadline passed before its idempotency key was claimed"))
 	}
-	if !place.gate.admit(now) {
-		return Outcome{}, place.unreachable(c.Request, eris.New("it could not be asked a moment ago"))
+	if !target.breaker.allow(now) {
+		return Outcome{}, target.unreachable(c.Request, eris.New("call skipped after a recent failure"))
 	}
 	c.Keep = l.config.Keep()
-	asked := command{
+	claim := command{
 		Verb:  verbClaim,
 		Claim: c,
 	}
-	within, cancel := context.WithTimeout(ctx, claimTime)
+	callCtx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	outcome, err := l.ask(within, place, asked)
-	// A caller that left says nothing about the place.
+	outcome, err := l.send(callCtx, target, claim)
+	// A canceled call says nothing about whether the target is reachable.
 	if ctx.Err() == nil {
-		l.noteAsked(place, err)
+		l.recordSend(target, err)
 	}
 	if err != nil {
-		l.noteRelease(c)
-		return Outcome{}, place.unreachable(c.Request, err)
+		l.queueRelease(c)
+		return Outcome{}, target.unreachable(c.Request, err)
 	}
 	l.recordClaim(c, outcome)
 	return outcome, verdictOf(outcome, c, now)
 }
 
-// noteAsked tells the gate how asking went.
-func (l *Ledger) noteAsked(p place, err error) {
+// recordSend records the result of a call in the target's breaker.
+func (l *Ledger) recordSend(t target, err error) {
 	now := l.clock()
-	if p.gate.note(now, err == nil) {
+	if t.breaker.record(now, err == nil) {
 		l.config.Recorder.Record(now, hingeevents.LedgerUnreachable, hingeevents.Fields{
-			Zone:   p.zone,
+			Zone:   t.zone,
 			Detail: err.Error(),
 		})
 	}
 }
 
-// Finish keeps the answer for resends. On an error it is tried again by Run.
+// Finish stores the answer for resends. If the ledger is unreachable, Finish returns
+// an error and Run retries the command.
 func (l *Ledger) Finish(ctx context.Context, c Claim, answer []byte) error {
-	return l.tell(ctx, command{
+	return l.deliver(ctx, command{
 		Verb:   verbFinish,
 		Claim:  c,
 		Answer: answer,
 	})
 }
 
-// Release gives a key back, with proof that the request was not run and is not
-// going to be. On an error it is tried again by Run.
+// Release releases the claim of a request that was not run and won't be. If the
+// ledger is unreachable, Release returns an error and Run retries the command.
 func (l *Ledger) Release(ctx context.Context, c Claim) error {
-	return l.tell(ctx, command{
+	return l.deliver(ctx, command{
 		Verb:  verbRelease,
 		Claim: c,
 	})
 }
 
-// EndLife tells the quorum and this host's keeper that a life of a host is over, so
-// that what it had claimed becomes uncertain at once and not at its Until.
-func (l *Ledger) EndLife(ctx context.Context, life hingeids.Life) error {
+// EndLife reports to the quorum and to this host's key owner that a host instance
+// has ended, so that its claims become uncertain at once and not at their Until.
+func (l *Ledger) EndLife(ctx context.Context, instance hingeids.Life) error {
 	c := command{
-		Verb: verbEndLife,
-		Life: life,
+		Verb: verbEndInstance,
+		Life: instance,
 	}
 	if l.config.Keeper != nil {
 		key, err := l.config.Keeper.issue()
 		if err != nil {
 			return err
 		}
-		own := c
-		own.Claim.Key = key
-		if _, err := l.config.Keeper.submit(ctx, own); err != nil {
+		ownerCommand := c
+		ownerCommand.Claim.Key = key
+		if _, err := l.config.Keeper.submit(ctx, ownerCommand); err != nil {
 			return err
 		}
 	}
-	place, err := l.placeOf("")
+	target, err := l.targetOf("")
 	if err != nil {
 		return err
 	}
-	_, err = l.ask(ctx, place, c)
+	_, err = l.send(ctx, target, c)
 	return err
 }
 
-// Issue gives a new key of this host's zone. It asks the keeper each time, so a
-// caller gets none while its zone could not claim it.
+// Issue returns a new key of this host's zone. It calls the key owner each time, so
+// that no key is issued while the zone could not claim it.
 func (l *Ledger) Issue(ctx context.Context, _ hingeids.CallerID) (hingeids.IdempotencyKey, error) {
-	keeper, ok := l.config.Keepers[l.config.Zone]
+	owner, ok := l.config.Keepers[l.config.Zone]
 	if !ok {
 		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeeperUnreachable, 0,
-			eris.Errorf("zone %s has no host that keeps issued keys", l.config.Zone))
+			eris.Errorf("zone %s has no key owner", l.config.Zone))
 	}
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	key, err := l.config.Link.Call(ctx, keeper, methodIssue, nil)
+	key, err := l.config.Link.Call(ctx, owner, methodIssue, nil)
 	if err != nil {
 		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeeperUnreachable, time.Second,
-			eris.Wrapf(err, "keeper of zone %s", l.config.Zone))
+			eris.Wrapf(err, "request a key from the key owner of zone %s", l.config.Zone))
 	}
 	return hingeids.IdempotencyKey(key), nil
 }
 
-// ask brings a command to its place and gives the outcome. Every command may be
-// brought more than once (rules 1 and 2), so whatever went wrong, the next
-// host is asked until the context ends or each was asked twice.
-func (l *Ledger) ask(ctx context.Context, p place, c command) (Outcome, error) {
+// send delivers a command to its target and returns the outcome. Commands are
+// idempotent (rules 1 and 2), so after any error the next host is called until the
+// context ends or each host was called twice.
+func (l *Ledger) send(ctx context.Context, t target, c command) (Outcome, error) {
 	body := encode(c)
-	err := eris.New("nobody to ask")
+	err := eris.New("no host was called")
 	for range 2 {
-		for _, host := range p.hosts {
+		for _, host := range t.hosts {
 			if ctx.Err() != nil {
 				return Outcome{}, eris.Wrap(err, ctx.Err().Error())
 			}
 			var outcome Outcome
-			if outcome, err = l.askHost(ctx, host, body); err == nil {
+			if outcome, err = l.sendTo(ctx, host, body); err == nil {
 				return outcome, nil
 			}
 		}
@@ -214,8 +216,8 @@
 	return Outcome{}, err
 }
 
-func (l *Ledger) askHost(ctx context.Context, host hingeids.HostID, body []byte) (Outcome, error) {
-	ctx, cancel := context.WithTimeout(ctx, tryTime)
+func (l *Ledger) sendTo(ctx context.Context, host hingeids.HostID, body []byte) (Outcome, error) {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	answer, err := l.config.Link.Call(ctx, host, methodSubmit, body)
 	if err != nil {
@@ -224,19 +226,19 @@
 	return decodeOutcome(answer)
 }
 
-// serveSubmit is the voter's and the keeper's end.
+// serveSubmit handles commands on voters and key owners.
 func (l *Ledger) serveSubmit(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
 	c, err := decodeCommand(body)
 	if err != nil {
 		return nil, err
 	}
-	if c.Verb != verbEndLife && c.Claim.Request.Host != from {
-		// A host claims for itself alone: in another's name it could end that host's life.
-		return nil, eris.Errorf("host %s claimed for request %s", from, c.Claim.Request)
+	if c.Verb != verbEndInstance && c.Claim.Request.Host != from {
+		// A claim in another host's name could end an instance of that host.
+		return nil, eris.Errorf("host %s sent a command for request %s of another host", from, c.Claim.Request)
 	}
 	if _, issued := parseIssued(c.Claim.Key); issued {
 		if l.config.Keeper == nil {
-			return nil, eris.Errorf("host %s keeps no issued keys", l.config.Link.Self())
+			return nil, eris.Errorf("host %s is not a key owner", l.config.Link.Self())
 		}
 		o, err := l.config.Keeper.submit(ctx, c)
 		if err != nil {
@@ -245,7 +247,7 @@
 		return encode(o), nil
 	}
 	if l.config.Group == nil {
-		return nil, eris.Errorf("host %s is no voter", l.config.Link.Self())
+		return nil, eris.Errorf("host %s is not a voter", l.config.Link.Self())
 	}
 	c.Time = l.clock().UnixNano()
 	return l.config.Group.Propose(ctx, encode(c))
@@ -253,11 +255,11 @@
 
 func (l *Ledger) serveIssue(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 	if l.config.Keeper == nil {
-		return nil, eris.Errorf("host %s keeps no issued keys", l.config.Link.Self())
+		return nil, eris.Errorf("host %s is not a key owner", l.config.Link.Self())
 	}
 	select {
 	case <-l.config.Keeper.Done():
-		return nil, errLost
+		return nil, errKeyOwnerStopped
 	default:
 	}
 	key, err := l.config.Keeper.issue()
--- a/internal/ledger/hingeledger/notes.go
+++ b/internal/ledger/hingeledger/notes.go
@@ -11,82 +11,83 @@
 )
 
 const (
-	// noteEvery is the time between two rounds of bringing what could not be brought.
-	noteEvery = 500 * time.Millisecond
-	// notesMost and noteBytesMost bound what waits during a long cut.
-	notesMost     = 4096
-	noteBytesMost = 16 << 20
-	// noteTime is how long after its Until a note is worth bringing: by then the
-	// resends that it would help have been told that the key is uncertain.
-	noteTime = 10 * time.Minute
+	// retryInterval is the time between two rounds of retries.
+	retryInterval = 500 * time.Millisecond
+	// maxQueuedCommands and maxQueuedBytes bound the queue during a long partition.
+	maxQueuedCommands = 4096
+	maxQueuedBytes    = 16 << 20
+	// retryExpiry is the time after the claim's Until at which a command is dropped.
+	// Resends before that time were refused as uncertain.
+	retryExpiry = 10 * time.Minute
 )
 
-// notes are the answers and releases that the ledger could not be told yet. What
-// is dropped for room or age leaves its key uncertain, which is safe.
-type notes struct {
-	mu      sync.Mutex
-	waiting []command
-	bytes   int
+// retryQueue contains the finish and release commands that are not delivered to the
+// ledger yet. A command dropped because of the queue's limits or its age leaves its
+// key uncertain, which is safe. It is safe for concurrent use.
+type retryQueue struct {
+	mu       sync.Mutex
+	commands []command
+	bytes    int
 }
 
-func (n *notes) add(c command) bool {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(n.waiting) >= notesMost || n.bytes+len(c.Answer) > noteBytesMost {
+func (q *retryQueue) add(c command) bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.commands) >= maxQueuedCommands || q.bytes+len(c.Answer) > maxQueuedBytes {
 		return false
 	}
-	n.waiting = append(n.waiting, c)
-	n.bytes += len(c.Answer)
+	q.commands = append(q.commands, c)
+	q.bytes += len(c.Answer)
 	return true
 }
 
-func (n *notes) takeAll() []command {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	all := n.waiting
-	n.waiting = nil
-	n.bytes = 0
+func (q *retryQueue) drain() []command {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	all := q.commands
+	q.commands = nil
+	q.bytes = 0
 	return all
 }
 
-// tell brings a note now, or leaves it for Run.
-func (l *Ledger) tell(ctx context.Context, c command) error {
-	place, err := l.placeOf(c.Claim.Key)
+// deliver sends a command now and queues it for Run if that fails.
+func (l *Ledger) deliver(ctx context.Context, c command) error {
+	target, err := l.targetOf(c.Claim.Key)
 	if err != nil {
 		return err
 	}
 	c.Claim.Keep = l.config.Keep()
-	if !place.gate.admit(l.clock()) {
-		// During a cut, callers whose requests ran must not wait for the ledger, too.
-		l.addNote(c)
-		return untold(c, eris.New("the ledger could not be asked a moment ago"))
+	if !target.breaker.allow(l.clock()) {
+		// During a partition, finished requests must not wait for the ledger.
+		l.queueRetry(c)
+		return deliveryError(c, eris.New("call skipped after a recent failure"))
 	}
-	ctx, cancel := context.WithTimeout(ctx, claimTime)
+	ctx, cancel := context.WithTimeout(ctx, claimTimeout)
 	defer cancel()
-	_, err = l.ask(ctx, place, c)
-	l.noteAsked(place, err)
+	_, err = l.send(ctx, target, c)
+	l.recordSend(target, err)
 	if err != nil {
-		l.addNote(c)
-		return untold(c, err)
+		l.queueRetry(c)
+		return deliveryError(c, err)
 	}
 	return nil
 }
 
-// untold keeps the cause's text and not its verdict: "not run" is true of the
-// note there, and would be false of the request.
-func untold(c command, cause error) error {
-	return eris.Errorf("the ledger could not be told yet of request %s: %v", c.Claim.Request, cause)
+// deliveryError returns the text of the cause without its verdict. The verdict "not
+// run" is about the command and would be wrong about the request.
+func deliveryError(c command, cause error) error {
+	return eris.Errorf("command for request %s is not delivered to the ledger yet: %v", c.Claim.Request, cause)
 }
 
-func (l *Ledger) noteRelease(c Claim) {
-	l.addNote(command{
+func (l *Ledger) queueRelease(c Claim) {
+	l.queueRetry(command{
 		Verb:  verbRelease,
 		Claim: c,
 	})
 }
 
-func (l *Ledger) addNote(c command) {
-	if !l.notes.add(c) {
+func (l *Ledger) queueRetry(c command) {
+	if !l.retryQueue.add(c) {
 		l.recordDropped(c)
 	}
 }
@@ -98,45 +99,45 @@
 	})
 }
 
-// bringNotes tries once to bring every note that waits. Once a place could not be
-// asked, its other notes wait for the next round: during a cut a round costs one
-// try for each place and not one for each note.
-func (l *Ledger) bringNotes(ctx context.Context, now time.Time) {
-	away := make(map[*gate]bool)
-	for _, c := range l.notes.takeAll() {
-		place, err := l.placeOf(c.Claim.Key)
-		if err != nil || now.UnixNano() > c.Claim.Until+int64(noteTime) {
+// retryQueued sends every queued command once. After a failure the target's other
+// commands stay queued for the next round, so that a round during a partition
+// makes one attempt per target and not one per command.
+func (l *Ledger) retryQueued(ctx context.Context, now time.Time) {
+	unreachable := make(map[*breaker]bool)
+	for _, c := range l.retryQueue.drain() {
+		target, err := l.targetOf(c.Claim.Key)
+		if err != nil || now.UnixNano() > c.Claim.Until+int64(retryExpiry) {
 			l.recordDropped(c)
 			continue
 		}
-		if !away[place.gate] {
-			_, err = l.ask(ctx, place, c)
-			l.noteAsked(place, err)
-			away[place.gate] = err != nil
+		if !unreachable[target.breaker] {
+			_, err = l.send(ctx, target, c)
+			l.recordSend(target, err)
+			unreachable[target.breaker] = err != nil
 			if err == nil {
 				continue
 			}
 		}
-		l.addNote(c)
+		l.queueRetry(c)
 	}
 }
 
-// Run brings what could not be brought at once, until the context ends.
+// Run retries undelivered commands until the context ends.
 func (l *Ledger) Run(ctx context.Context) error {
 	defer close(l.done)
-	t := time.NewTicker(noteEvery)
+	t := time.NewTicker(retryInterval)
 	defer t.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case <-t.C:
-			l.bringNotes(ctx, l.clock())
+			l.retryQueued(ctx, l.clock())
 		}
 	}
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (l *Ledger) Done() <-chan struct{} {
 	return l.done
 }
--- a/internal/ledger/hingeledger/room.go
+++ b/internal/ledger/hingeledger/room.go
@@ -7,21 +7,21 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Limits bound a State. They have to be the same on all replicas.
+// Limits bound a State. They must be the same on all replicas.
 type Limits struct {
 	// Entries and Bytes bound all keys.
 	Entries int
 	Bytes   hingeids.Bytes
-	// CallerEntries and CallerBytes bound one caller's, so that one caller among
-	// thousands can't fill the ledger for the others.
+	// CallerEntries and CallerBytes bound the keys of one caller, so that it can't
+	// fill the ledger.
 	CallerEntries int
 	CallerBytes   hingeids.Bytes
-	// AnswerBytes bounds the answer kept with a key. Bytes can be passed by at
-	// most this much for each claim in progress: answers are not refused.
+	// AnswerBytes bounds a stored answer. Answers are not refused, so Bytes can be
+	// exceeded by up to AnswerBytes for each claim in progress.
 	AnswerBytes hingeids.Bytes
 }
 
-// DefaultLimits keep a State within the 256 MB of a small entry host.
+// DefaultLimits returns limits for an entry host with 256 MB of memory.
 func DefaultLimits() Limits {
 	return Limits{
 		Entries:       200_000,
@@ -32,27 +32,27 @@
 	}
 }
 
-// longestKeep bounds the time a claim may ask to be kept.
-const longestKeep = 31 * 24 * time.Hour
+// maxRetention bounds the retention that a claim may request.
+const maxRetention = 31 * 24 * time.Hour
 
-// entryOverhead is what an entry counts in memory besides its strings and answer:
-// more than the 340 bytes that BenchmarkMemoryOfKeys gives, as a map that grows
-// takes up to twice its size for a while.
+// entryOverhead is the memory, in bytes, that an entry is counted with besides its
+// strings and answer. It includes a reserve for the temporary memory of a growing
+// map.
 const entryOverhead = 420
 
-// usage is what one caller takes up.
+// usage is the size of one caller's entries.
 type usage struct {
 	entries int
 	bytes   hingeids.Bytes
 }
 
-// size counts the two strings twice: they stand in encoded, too, and answer is a
-// part of that.
+// size returns the counted memory of the entry. The two strings count twice because
+// encoded contains a copy of them; answer is a slice of encoded.
 func (e *entry) size() hingeids.Bytes {
 	return hingeids.Bytes(entryOverhead + 2*len(e.id.caller) + 2*len(e.id.key) + len(e.answer))
 }
 
-// add makes an entry if there is room. Rule 5.
+// add creates an entry unless a limit is reached (rule 5).
 func (s *State) add(c *Claim, p phase) (*entry, Kind) {
 	u := s.callers[c.Caller]
 	if u != nil && (u.entries >= s.limits.CallerEntries || u.bytes >= s.limits.CallerBytes) {
@@ -71,8 +71,8 @@
 		request: c.Request,
 		until:   c.Until,
 	}
-	s.keep(e, c.Keep)
-	e.queued = e.expires
+	s.extendExpiry(e, c.Keep)
+	e.checkAt = e.expires
 	e.encode()
 	s.insert(e)
 	return e, Granted
@@ -80,33 +80,33 @@
 
 func (s *State) insert(e *entry) {
 	s.entries[e.id] = e
-	s.count(e, 1)
+	s.updateUsage(e, 1)
 	heap.Push(&s.queue, e)
 }
 
-// keep sets when the entry may be forgotten. Rule 5.
-func (s *State) keep(e *entry, d time.Duration) {
-	d = min(max(d, 0), longestKeep)
-	e.expires = max(e.expires, s.now+int64(d), min(e.until, s.now+int64(longestKeep)))
+// extendExpiry sets the earliest time at which the entry may be removed (rule 5).
+func (s *State) extendExpiry(e *entry, retention time.Duration) {
+	retention = min(max(retention, 0), maxRetention)
+	e.expires = max(e.expires, s.now+int64(retention), min(e.until, s.now+int64(maxRetention)))
 }
 
-// expire forgets what is past its time. An entry kept longer since it was queued
-// is queued again.
+// expire removes expired entries. An entry whose expiry was extended since it was
+// queued is queued again.
 func (s *State) expire() {
-	for len(s.queue) > 0 && s.queue[0].queued < s.now {
+	for len(s.queue) > 0 && s.queue[0].checkAt < s.now {
 		e := s.queue[0]
 		if e.expires >= s.now {
-			e.queued = e.expires
+			e.checkAt = e.expires
 			heap.Fix(&s.queue, 0)
 			continue
 		}
 		heap.Pop(&s.queue)
-		s.count(e, -1)
+		s.updateUsage(e, -1)
 		delete(s.entries, e.id)
 	}
 }
 
-func (s *State) count(e *entry, sign int) {
+func (s *State) updateUsage(e *entry, sign int) {
 	size := hingeids.Bytes(sign) * e.size()
 	u := s.callers[e.id.caller]
 	if u == nil {
@@ -121,7 +121,7 @@
 	}
 }
 
-// expiryQueue is a heap of entries by the time they are queued under.
+// expiryQueue is a heap of entries ordered by checkAt.
 type expiryQueue []*entry
 
 func (q expiryQueue) Len() int {
@@ -129,19 +129,19 @@
 }
 
 func (q expiryQueue) Less(i, j int) bool {
-	return q[i].queued < q[j].queued
+	return q[i].checkAt < q[j].checkAt
 }
 
 func (q expiryQueue) Swap(i, j int) {
 	q[i], q[j] = q[j], q[i]
 }
 
-// Push is for container/heap.
+// Push implements heap.Interface.
 func (q *expiryQueue) Push(x any) {
 	*q = append(*q, x.(*entry))
 }
 
-// Pop is for container/heap.
+// Pop implements heap.Interface.
 func (q *expiryQueue) Pop() any {
 	old := *q
 	last := len(old) - 1
--- a/internal/ledger/hingeledger/schedule_test.go
+++ b/internal/ledger/hingeledger/schedule_test.go
@@ -12,172 +12,172 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Callers resend to any host of any zone while hosts are killed, disks lost, ways
-// cut, answers lost and messages brought late. A caller would notice a second
-// run as a lot shipped twice.
+// No key may run twice while callers resend to any host, hosts and disks are lost, links
+// are cut, and replies are lost or messages delayed.
 func TestNoKeyRunsTwiceInAnySchedule(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t, t)
-		defer w.end()
+		sc := newCluster(t, t)
+		defer sc.stopAll()
 		for range rapid.IntRange(20, 120).Draw(t, "steps") {
-			w.act()
+			sc.randomAction()
 		}
-		w.checkReplicasAgree()
-		w.checkRecovery()
+		sc.checkReplicasAgree()
+		sc.checkRecovery()
 	})
 }
 
-func (w *world) act() {
-	switch w.draw("act", 14) {
+func (sc *simCluster) randomAction() {
+	switch sc.pick("action", 14) {
 	case 0, 1:
-		w.newOperation()
+		sc.newOperation()
 	case 2, 3, 4:
-		w.resend()
+		sc.resend()
 	case 5, 6, 7, 8:
-		if len(w.attempts) > 0 {
-			w.step(w.attempts[w.draw("attempt", len(w.attempts))])
+		if len(sc.attempts) > 0 {
+			sc.advance(sc.attempts[sc.pick("attempt", len(sc.attempts))])
 		}
 	case 9:
-		w.killOrStart()
+		sc.killOrStart()
 	case 10:
-		w.cutOrHeal()
+		sc.cutOrHeal()
 	case 11:
-		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(w.random, "wait")) * time.Millisecond)
+		sc.now = sc.now.Add(time.Duration(rapid.IntRange(1, 8000).Draw(sc.random, "wait")) * time.Millisecond)
 	case 12:
-		if h := w.upHost(); h != nil {
-			h.ledger.bringNotes(context.Background(), w.now)
+		if h := sc.pickUpHost(); h != nil {
+			h.ledger.retryQueued(context.Background(), sc.now)
 		}
 	case 13:
-		w.bringHeldOrEndLife()
+		sc.deliverDelayedOrEndInstance()
 	}
 }
 
-func (w *world) newOperation() {
-	h := w.upHost()
+func (sc *simCluster) newOperation() {
+	h := sc.pickUpHost()
 	if h == nil {
 		return
 	}
 	op := &operation{
-		caller: hingeids.CallerID(fmt.Sprintf("depot-%d", w.draw("caller", 2))),
-		key:    hingeids.IdempotencyKey(fmt.Sprintf("lot-%d", len(w.ops))),
+		caller: hingeids.CallerID(fmt.Sprintf("depot-%d", sc.pick("caller", 2))),
+		key:    hingeids.IdempotencyKey(fmt.Sprintf("lot-%d", len(sc.ops))),
 	}
-	if rapid.Bool().Draw(w.random, "issued") {
+	if rapid.Bool().Draw(sc.random, "issued") {
 		key, err := h.ledger.Issue(context.Background(), op.caller)
 		if err != nil {
 			return
 		}
 		op.key = key
 	}
-	w.ops = append(w.ops, op)
-	_ = w.request(op, h, "body")
+	sc.ops = append(sc.ops, op)
+	_ = sc.request(op, h, "body")
 }
 
-func (w *world) resend() {
-	h := w.upHost()
-	if h == nil || len(w.ops) == 0 {
+func (sc *simCluster) resend() {
+	h := sc.pickUpHost()
+	if h == nil || len(sc.ops) == 0 {
 		return
 	}
 	body := "body"
-	if w.draw("other body", 8) == 0 {
+	if sc.pick("other body", 8) == 0 {
 		body = "other body"
 	}
-	_ = w.request(w.ops[w.draw("operation", len(w.ops))], h, body)
+	_ = sc.request(sc.ops[sc.pick("operation", len(sc.ops))], h, body)
 }
 
-func (w *world) killOrStart() {
-	h := w.order[w.draw("host", len(w.order))]
+func (sc *simCluster) killOrStart() {
+	h := sc.order[sc.pick("host", len(sc.order))]
 	if h.up {
-		if h.disk != nil && w.draw("while writing", 2) == 0 {
-			h.disk.dies = true
-			h.disk.keeps = rapid.Bool().Draw(w.random, "written")
+		if h.disk != nil && sc.pick("while writing", 2) == 0 {
+			h.disk.failAppend = true
+			h.disk.persists = rapid.Bool().Draw(sc.random, "written")
 			return
 		}
-		w.kill(h)
+		sc.kill(h)
 		return
 	}
-	if h.disk != nil && w.draw("lose disk", 3) == 0 {
+	if h.disk != nil && sc.pick("lose disk", 3) == 0 {
 		h.disk.frames = nil
 	}
-	w.start(h)
+	sc.start(h)
 }
 
-func (w *world) cutOrHeal() {
+func (sc *simCluster) cutOrHeal() {
 	p := pair{
-		from: w.order[w.draw("from", len(w.order))].id,
-		to:   w.order[w.draw("to", len(w.order))].id,
+		from: sc.order[sc.pick("from", len(sc.order))].id,
+		to:   sc.order[sc.pick("to", len(sc.order))].id,
 	}
-	if w.cuts[p] {
-		delete(w.cuts, p)
-		w.network.Heal(p.from, p.to)
+	if sc.cuts[p] {
+		delete(sc.cuts, p)
+		sc.network.Heal(p.from, p.to)
 		return
 	}
-	w.cuts[p] = true
-	w.network.Cut(p.from, p.to)
+	sc.cuts[p] = true
+	sc.network.Cut(p.from, p.to)
 }
 
-// bringHeldOrEndLife brings a late message, or tells a host that a life is over,
-// which may be false.
-func (w *world) bringHeldOrEndLife() {
-	if len(w.held) > 0 && rapid.Bool().Draw(w.random, "held") {
-		i := w.draw("which", len(w.held))
-		deliver := w.held[i]
-		w.held = append(w.held[:i], w.held[i+1:]...)
+// deliverDelayedOrEndInstance delivers a delayed message, or reports to a host that an
+// instance has ended, which may be false.
+func (sc *simCluster) deliverDelayedOrEndInstance() {
+	if len(sc.delayed) > 0 && rapid.Bool().Draw(sc.random, "deliver delayed") {
+		i := sc.pick("which", len(sc.delayed))
+		deliver := sc.delayed[i]
+		sc.delayed = append(sc.delayed[:i], sc.delayed[i+1:]...)
 		deliver()
 		return
 	}
-	h := w.upHost()
+	h := sc.pickUpHost()
 	if h == nil {
 		return
 	}
-	over := w.order[w.draw("over", len(w.order))]
-	_ = h.ledger.EndLife(context.Background(), hingeids.Life{Host: over.id, Incarnation: over.life})
+	ended := sc.order[sc.pick("ended", len(sc.order))]
+	_ = h.ledger.EndLife(context.Background(), hingeids.Life{Host: ended.id, Incarnation: ended.incarnation})
 }
 
-func (w *world) checkReplicasAgree() {
+func (sc *simCluster) checkReplicasAgree() {
 	var first []byte
-	for _, h := range w.order {
+	for _, h := range sc.order {
 		if h.member == nil {
 			continue
 		}
 		h.member.catchUp()
 		s := h.member.state.Snapshot()
 		if first != nil && !bytes.Equal(first, s) {
-			w.t.Fatalf("the State of %s differs", h.id)
+			sc.t.Fatalf("the State of %s differs from that of another replica", h.id)
 		}
 		first = s
 	}
 }
 
-// checkRecovery heals everything: new keys of both kinds must be granted again.
-func (w *world) checkRecovery() {
-	w.calm = true
-	for p := range w.cuts {
-		w.network.Heal(p.from, p.to)
-		delete(w.cuts, p)
-	}
-	for _, h := range w.order {
+// checkRecovery checks that new keys of both kinds are granted after all faults are
+// repaired.
+func (sc *simCluster) checkRecovery() {
+	sc.reliable = true
+	for p := range sc.cuts {
+		sc.network.Heal(p.from, p.to)
+		delete(sc.cuts, p)
+	}
+	for _, h := range sc.order {
 		if h.disk != nil {
-			h.disk.dies = false
+			h.disk.failAppend = false
 		}
 		if h.up {
-			w.kill(h)
+			sc.kill(h)
 		}
-		w.start(h)
+		sc.start(h)
 	}
-	for _, h := range w.order {
+	for _, h := range sc.order {
 		key, err := h.ledger.Issue(context.Background(), "depot-9")
 		if err != nil {
-			w.t.Fatalf("after all faults: %v", err)
+			sc.t.Fatalf("after all faults were repaired: %v", err)
 		}
 		for _, k := range []hingeids.IdempotencyKey{key, hingeids.IdempotencyKey("last of " + h.id)} {
 			op := &operation{caller: "depot-9", key: k}
-			if err := w.request(op, h, "body"); err != nil {
-				w.t.Fatalf("after all faults: %v", err)
+			if err := sc.request(op, h, "body"); err != nil {
+				sc.t.Fatalf("after all faults were repaired: %v", err)
 			}
-			w.step(w.attempts[len(w.attempts)-1])
+			sc.advance(sc.attempts[len(sc.attempts)-1])
 		}
 	}
-	for _, op := range w.ops {
-		_ = w.request(op, w.order[0], "body")
+	for _, op := range sc.ops {
+		_ = sc.request(op, sc.order[0], "body")
 	}
 }
--- a/internal/ledger/hingeledger/script_test.go
+++ b/internal/ledger/hingeledger/script_test.go
@@ -28,21 +28,21 @@
 	Noted:          "",
 }
 
-// script runs the steps of one file on one State:
+// script executes the steps of one file on one State:
 //
-//	claim|release CALLER KEY BODY HOST.LIFE.SEQUENCE [-> OUTCOME]
-//	finish CALLER KEY BODY HOST.LIFE.SEQUENCE ANSWER
-//	over HOST LIFE
+//	claim|release CALLER KEY BODY HOST.INCARNATION.SEQUENCE [-> OUTCOME]
+//	finish CALLER KEY BODY HOST.INCARNATION.SEQUENCE ANSWER
+//	over HOST INCARNATION
 //	at TIME
 //	restore
 //
-// Claims last 10 s and are kept for an hour.
+// Claims last 10 s and have a retention of one hour.
 type script struct {
 	state *State
 	now   time.Duration
 }
 
-// scriptLimits are small enough for a script to reach.
+// scriptLimits returns limits that are small enough for a script to reach.
 func scriptLimits() Limits {
 	l := DefaultLimits()
 	l.Entries = 4
@@ -69,12 +69,12 @@
 		s.state = fresh
 		return ""
 	case "over":
-		life, err := strconv.ParseUint(words[2], 10, 64)
+		incarnation, err := strconv.ParseUint(words[2], 10, 64)
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.apply(t, command{Verb: verbEndLife, Life: hingeids.Life{
-			Host: hingeids.HostID(words[1]), Incarnation: hingeids.Incarnation(life),
+		return s.apply(t, command{Verb: verbEndInstance, Life: hingeids.Life{
+			Host: hingeids.HostID(words[1]), Incarnation: hingeids.Incarnation(incarnation),
 		}})
 	}
 	c := command{
@@ -98,7 +98,7 @@
 		Key:     hingeids.IdempotencyKey(words[2]),
 		Digest:  DigestOf("POST", "/", []byte(words[3])),
 		Request: request,
-		Until:   int64(s.now + claimSpan),
+		Until:   int64(s.now + claimDuration),
 		Keep:    time.Hour,
 	}
 }
@@ -146,9 +146,9 @@
 	}
 }
 
-// A group that was just founded restores an empty snapshot on every member. One that
-// refused it would leave the zones without a quorum ledger from the first start on.
-func TestEmptySnapshotIsTheStateAtTheFounding(t *testing.T) {
+// Every member of a new group restores an empty snapshot, which must result in an empty
+// State.
+func TestEmptySnapshotRestoresEmptyState(t *testing.T) {
 	s := NewState(scriptLimits())
 	s.apply(&command{Verb: verbClaim, Claim: Claim{Caller: "depot", Key: "lot-7"}})
 	if err := s.Restore(nil); err != nil {
--- a/internal/ledger/hingeledger/snapshot.go
+++ b/internal/ledger/hingeledger/snapshot.go
@@ -9,12 +9,12 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// A snapshot is its head and then the entries, in the order of the expiry queue.
-// Each of them has its size before it, and an entry the time it is queued under; these
-// numbers are eight bytes each with the highest first.
+// A snapshot consists of a header and the entries in the order of the expiry queue.
+// The header and each entry are preceded by their size in bytes, and the size of an
+// entry by its checkAt. These numbers are big-endian and have eight bytes.
 
-// snapshotHead is what a snapshot holds besides the entries.
-type snapshotHead struct {
+// snapshotHeader contains the parts of a State other than its entries.
+type snapshotHeader struct {
 	Now     int64                                    `cbor:"1,keyasint"`
 	Newest  map[hingeids.HostID]hingeids.Incarnation `cbor:"2,keyasint"`
 	Entries int                                      `cbor:"3,keyasint"`
@@ -41,7 +41,8 @@
 	return m
 }
 
-// encode writes our own types, which always can be written.
+// encode returns v in CBOR. It panics on types that can't be encoded, which none of
+// this package's are.
 func encode(v any) []byte {
 	b, err := encoder.Marshal(v)
 	if err != nil {
@@ -50,8 +51,8 @@
 	return b
 }
 
-// encode makes the entry's part of a snapshot. The answer is its last field, and
-// from then on the same memory.
+// encode sets encoded. The answer is the last encoded field, so e.answer becomes
+// a slice of encoded to share its memory.
 func (e *entry) encode() {
 	e.encoded = encode(snapshotEntry{
 		Caller:  e.id.caller,
@@ -66,36 +67,36 @@
 	e.answer = e.encoded[len(e.encoded)-len(e.answer):]
 }
 
-// Snapshot gives the whole State. States that took the same commands give the
-// same bytes, also if one of them was restored on the way.
+// Snapshot returns the encoded State. States that have applied the same commands
+// return the same bytes, even if one of them was restored from a snapshot.
 func (s *State) Snapshot() []byte {
-	head := encode(snapshotHead{
+	header := encode(snapshotHeader{
 		Now:     s.now,
-		Newest:  s.newest,
+		Newest:  s.minIncarnation,
 		Entries: len(s.queue),
 	})
-	size := numberSize + len(head)
+	size := numberSize + len(header)
 	for _, e := range s.queue {
 		size += 2*numberSize + len(e.encoded)
 	}
 	out := make([]byte, 0, size)
-	out = binary.BigEndian.AppendUint64(out, uint64(len(head)))
-	out = append(out, head...)
+	out = binary.BigEndian.AppendUint64(out, uint64(len(header)))
+	out = append(out, header...)
 	for _, e := range s.queue {
-		out = binary.BigEndian.AppendUint64(out, uint64(e.queued))
+		out = binary.BigEndian.AppendUint64(out, uint64(e.checkAt))
 		out = binary.BigEndian.AppendUint64(out, uint64(len(e.encoded)))
 		out = append(out, e.encoded...)
 	}
 	return out
 }
 
-// Restore puts a snapshot in place of the State; an empty one is that of a group
-// that was just founded. On an error the State is as before.
+// Restore replaces the State by a snapshot. An empty snapshot is the state of a new
+// group. On an error the State is unchanged.
 func (s *State) Restore(data []byte) error {
 	fresh := NewState(s.limits)
 	if len(data) > 0 {
-		if err := fresh.read(&snapshotReader{left: data}); err != nil {
-			return eris.Wrap(err, "ledger snapshot")
+		if err := fresh.read(&snapshotReader{remaining: data}); err != nil {
+			return eris.Wrap(err, "restore ledger snapshot")
 		}
 	}
 	*s = *fresh
@@ -103,31 +104,31 @@
 }
 
 func (s *State) read(r *snapshotReader) error {
-	var head snapshotHead
-	if err := cbor.Unmarshal(r.part(), &head); err != nil {
-		return eris.Wrap(err, "head")
+	var header snapshotHeader
+	if err := cbor.Unmarshal(r.block(), &header); err != nil {
+		return eris.Wrap(err, "decode header")
 	}
-	s.now = head.Now
-	for host, i := range head.Newest {
-		s.newest[host] = i
+	s.now = header.Now
+	for host, i := range header.Newest {
+		s.minIncarnation[host] = i
 	}
-	for i := range head.Entries {
-		queued := r.number()
-		raw := r.part()
-		if r.short {
-			return eris.Errorf("ends in entry %d of %d", i, head.Entries)
+	for i := range header.Entries {
+		checkAt := r.number()
+		raw := r.block()
+		if r.truncated {
+			return eris.Errorf("truncated in entry %d of %d", i, header.Entries)
 		}
-		if err := s.readEntry(queued, raw); err != nil {
+		if err := s.readEntry(checkAt, raw); err != nil {
 			return eris.Wrapf(err, "entry %d", i)
 		}
 	}
-	if len(r.left) > 0 {
-		return eris.Errorf("%d bytes after the last entry", len(r.left))
+	if len(r.remaining) > 0 {
+		return eris.Errorf("%d bytes after the last entry", len(r.remaining))
 	}
 	return nil
 }
 
-func (s *State) readEntry(queued int64, raw []byte) error {
+func (s *State) readEntry(checkAt int64, raw []byte) error {
 	var in snapshotEntry
 	if err := cbor.Unmarshal(raw, &in); err != nil {
 		return err
@@ -142,13 +143,13 @@
 		request: in.Request,
 		until:   in.Until,
 		expires: in.Expires,
-		queued:  queued,
+		checkAt: checkAt,
 		answer:  in.Answer,
 	}
 	if s.entries[e.id] != nil {
-		return eris.Errorf("key %q of %q stands twice", in.Key, in.Caller)
+		return eris.Errorf("duplicate key %q of caller %q", in.Key, in.Caller)
 	}
-	// Made anew and not kept as it is, which would hold the whole snapshot in memory.
+	// Encoded again, because a slice of raw would retain the whole snapshot in memory.
 	e.encode()
 	s.insert(e)
 	return nil
@@ -156,29 +157,29 @@
 
 const numberSize = 8
 
-// snapshotReader takes a snapshot apart.
+// snapshotReader parses a snapshot. It sets truncated if a read exceeds the data.
 type snapshotReader struct {
-	left  []byte
-	short bool
+	remaining []byte
+	truncated bool
 }
 
 func (r *snapshotReader) number() int64 {
-	if len(r.left) < numberSize {
-		r.short = true
+	if len(r.remaining) < numberSize {
+		r.truncated = true
 		return 0
 	}
-	n := binary.BigEndian.Uint64(r.left)
-	r.left = r.left[numberSize:]
+	n := binary.BigEndian.Uint64(r.remaining)
+	r.remaining = r.remaining[numberSize:]
 	return int64(n)
 }
 
-func (r *snapshotReader) part() []byte {
+func (r *snapshotReader) block() []byte {
 	size := r.number()
-	if size < 0 || size > int64(len(r.left)) {
-		r.short = true
+	if size < 0 || size > int64(len(r.remaining)) {
+		r.truncated = true
 		return nil
 	}
-	p := r.left[:size]
-	r.left = r.left[size:]
+	p := r.remaining[:size]
+	r.remaining = r.remaining[size:]
 	return p
 }
--- a/internal/ledger/hingeledger/state.go
+++ b/internal/ledger/hingeledger/state.go
@@ -11,7 +11,7 @@
 const (
 	phaseClaimed phase = iota
 	phaseAnswered
-	phaseUnkept
+	phaseNotStored
 	phaseReleased
 )
 
@@ -27,18 +27,19 @@
 	request hingeids.RequestID
 	until   int64
 	expires int64
-	// queued is the time that the expiry queue has it under: at or before expires.
-	queued int64
-	answer []byte
-	// encoded is the entry for a snapshot, made anew at each change. Without it a
-	// snapshot of a full State would take longer than a voter may be silent, and
-	// the group would change its leader each time it compacts its log.
+	// checkAt is the time at which expire next examines the entry, at or before
+	// expires.
+	checkAt int64
+	answer  []byte
+	// encoded is the entry as part of a snapshot, updated at each change. Encoding
+	// all entries of a full State for a snapshot would delay the leader's heartbeats
+	// beyond the election timeout.
 	encoded []byte
 }
 
-// State is the ledger's state machine: it does no input or output, reads no
-// clock, and gives the same outcomes for the same commands. It is not safe for use by
-// several goroutines at once.
+// State is the deterministic state machine of the ledger: it does no I/O, reads no
+// clock, and returns the same outcomes for the same commands. It is not safe for
+// concurrent use.
 type State struct {
 	limits  Limits
 	now     int64
@@ -46,22 +47,22 @@
 	callers map[hingeids.CallerID]*usage
 	bytes   hingeids.Bytes
 	queue   expiryQueue
-	// newest is the latest life of each host that is not known to be over.
-	newest map[hingeids.HostID]hingeids.Incarnation
+	// minIncarnation is the lowest incarnation of each host that may still be running.
+	minIncarnation map[hingeids.HostID]hingeids.Incarnation
 }
 
-// NewState makes an empty State.
+// NewState returns an empty State.
 func NewState(l Limits) *State {
 	return &State{
-		limits:  l,
-		entries: make(map[entryID]*entry),
-		callers: make(map[hingeids.CallerID]*usage),
-		newest:  make(map[hingeids.HostID]hingeids.Incarnation),
+		limits:         l,
+		entries:        make(map[entryID]*entry),
+		callers:        make(map[hingeids.CallerID]*usage),
+		minIncarnation: make(map[hingeids.HostID]hingeids.Incarnation),
 	}
 }
 
-// Apply carries out an encoded command and gives the encoded outcome. The index
-// is that of the replicated log and not used.
+// Apply executes an encoded command and returns the encoded outcome. The index of
+// the command in the replicated log is not used.
 func (s *State) Apply(_ uint64, data []byte) []byte {
 	var c command
 	if err := cbor.Unmarshal(data, &c); err != nil {
@@ -82,8 +83,8 @@
 		return s.finish(&c.Claim, c.Answer)
 	case verbRelease:
 		return s.release(&c.Claim)
-	case verbEndLife:
-		s.sawLife(c.Life.Host, c.Life.Incarnation+1)
+	case verbEndInstance:
+		s.endInstancesBefore(c.Life.Host, c.Life.Incarnation+1)
 		return Outcome{
 			Kind: Noted,
 		}
@@ -94,12 +95,13 @@
 	}
 }
 
-// claim gives the key to the first who asks, and says to others what became of it.
+// claim grants the key to the first request and returns the state of the key to later
+// ones.
 func (s *State) claim(c *Claim) Outcome {
-	if c.Request.Incarnation < s.newest[c.Request.Host] {
+	if c.Request.Incarnation < s.minIncarnation[c.Request.Host] {
 		return s.outcome(Withdrawn, c.Request, c.Until)
 	}
-	s.sawLife(c.Request.Host, c.Request.Incarnation)
+	s.endInstancesBefore(c.Request.Host, c.Request.Incarnation)
 	e := s.entries[entryID{caller: c.Caller, key: c.Key}]
 	if e == nil {
 		return s.grantNew(c)
@@ -110,23 +112,24 @@
 	if e.digest != c.Digest {
 		return s.outcome(OtherBody, e.request, e.until)
 	}
-	return s.standing(e, c)
+	return s.existingOutcome(e, c)
 }
 
-// standing says what a claim meets that is not the first. Rules 1 and 3.
-func (s *State) standing(e *entry, c *Claim) Outcome {
+// existingOutcome returns the outcome of a claim for a key that is already claimed or
+// finished (rules 1 and 3).
+func (s *State) existingOutcome(e *entry, c *Claim) Outcome {
 	switch e.phase {
 	case phaseAnswered:
 		o := s.outcome(Answered, e.request, e.until)
 		o.Answer = e.answer
 		return o
-	case phaseUnkept:
+	case phaseNotStored:
 		return s.outcome(AnsweredUnkept, e.request, e.until)
 	}
 	if e.request == c.Request {
 		return s.outcome(Granted, e.request, e.until)
 	}
-	if e.request.Incarnation < s.newest[e.request.Host] || s.now > e.until {
+	if e.request.Incarnation < s.minIncarnation[e.request.Host] || s.now > e.until {
 		return s.outcome(Uncertain, e.request, e.until)
 	}
 	return s.outcome(InProgress, e.request, e.until)
@@ -140,7 +143,7 @@
 	return s.outcome(Granted, e.request, e.until)
 }
 
-// grantReleased gives a released key to another request. Rule 2.
+// grantReleased grants a released key to another request (rule 2).
 func (s *State) grantReleased(e *entry, c *Claim) Outcome {
 	if e.request == c.Request {
 		return s.outcome(Withdrawn, e.request, e.until)
@@ -149,25 +152,25 @@
 	e.digest = c.Digest
 	e.request = c.Request
 	e.until = c.Until
-	s.keep(e, c.Keep)
+	s.extendExpiry(e, c.Keep)
 	e.encode()
 	return s.outcome(Granted, e.request, e.until)
 }
 
-// finish keeps the answer. It is taken from a life that is believed over, too:
-// what it says of its own request is true all the same.
+// finish stores the answer. It is accepted from an ended instance, too, because the
+// answer to its own request is still correct.
 func (s *State) finish(c *Claim, answer []byte) Outcome {
 	e := s.entries[entryID{caller: c.Caller, key: c.Key}]
 	if e != nil && e.phase == phaseClaimed && e.request == c.Request {
 		e.phase = phaseAnswered
-		s.count(e, -1)
+		s.updateUsage(e, -1)
 		e.answer = answer
 		if hingeids.Bytes(len(answer)) > s.limits.AnswerBytes {
-			e.phase = phaseUnkept
+			e.phase = phaseNotStored
 			e.answer = nil
 		}
-		s.count(e, 1)
-		s.keep(e, c.Keep)
+		s.updateUsage(e, 1)
+		s.extendExpiry(e, c.Keep)
 		e.encode()
 	}
 	return Outcome{
@@ -175,8 +178,8 @@
 	}
 }
 
-// release gives the key back. One that comes before its own claim leaves a mark,
-// so that the claim takes nothing when it comes. Rule 2.
+// release releases the key. A release that arrives before its own claim creates
+// a released entry, so that the late claim is refused (rule 2).
 func (s *State) release(c *Claim) Outcome {
 	e := s.entries[entryID{caller: c.Caller, key: c.Key}]
 	if e == nil {
@@ -190,10 +193,10 @@
 	}
 }
 
-// sawLife ends the lives of a host before the given one. Rule 3.
-func (s *State) sawLife(host hingeids.HostID, i hingeids.Incarnation) {
-	if i > s.newest[host] {
-		s.newest[host] = i
+// endInstancesBefore ends the instances of a host with a lower incarnation (rule 3).
+func (s *State) endInstancesBefore(host hingeids.HostID, i hingeids.Incarnation) {
+	if i > s.minIncarnation[host] {
+		s.minIncarnation[host] = i
 	}
 }
 
--- a/internal/ledger/hingeledger/store.go
+++ b/internal/ledger/hingeledger/store.go
@@ -12,54 +12,54 @@
 	"github.com/rotisserie/eris"
 )
 
-// Store keeps a keeper's frames. Once Append or Replace returns without an error,
-// Load gives them after any loss of power.
+// Store stores the frames of a key owner's journal. Frames are durable once Append
+// or Replace has returned without an error.
 type Store interface {
-	// Load gives all frames, oldest first, and the number of bytes of a torn
-	// last one that were cut off. No frames and no error means a new disk.
+	// Load returns all frames, oldest first, and the number of bytes of a torn last
+	// frame that were truncated. No frames and no error means a new disk.
 	Load() (frames [][]byte, torn int, err error)
-	// Append adds a frame.
+	// Append writes and syncs a frame after the existing ones.
 	Append(frame []byte) error
-	// Replace puts one frame in place of all, or leaves all as they were.
+	// Replace atomically replaces all frames by one.
 	Replace(frame []byte) error
 }
 
-// A frame in the file is a magic number, the length of its body, the body's
-// checksum, the checksum of these three, and the body; numbers are four bytes
-// each with the highest first.
+// A frame in the file consists of a magic number, the length of the body, the
+// checksum of the body, the checksum of these three fields, and the body. The fields
+// are big-endian and have four bytes each.
 const (
 	frameMagic  = 0x68696e67
 	frameHeader = 16
-	// longestFrame bounds what a length can make us read.
-	longestFrame = 1 << 30
+	// maxFrameBytes bounds the length that a header may contain.
+	maxFrameBytes = 1 << 30
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 // FileStore is a Store in one file.
 //
-// A power loss may leave any part of the last frame unwritten, but nothing
-// of the frames before it, since those were synced. So a bad frame with
-// nothing readable after it was never answered for and is cut off; a bad frame
-// before a readable one means that the disk lost synced bytes, and is an error that
-// an operator has to know of: skipping it would forget claims.
+// A power loss can damage only the last frame, since all earlier ones were synced. An
+// invalid frame without a valid one after it was never acknowledged and is
+// truncated. An invalid frame before a valid one means that the disk lost synced
+// data. This is an error for the operator, because skipping the frame would lose
+// claims.
 type FileStore struct {
 	path string
 	file *os.File
 }
 
-// OpenFileStore opens the store in a folder that exists.
+// OpenFileStore opens or creates the store in an existing folder.
 func OpenFileStore(folder string) (*FileStore, error) {
 	path := filepath.Join(folder, "keeper.journal")
 	f, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
-		return nil, eris.Wrap(err, "keeper journal")
+		return nil, eris.Wrap(err, "open key owner journal")
 	}
 	s := &FileStore{
 		path: path,
 		file: f,
 	}
-	if err := syncFolder(path); err != nil {
+	if err := syncParentFolder(path); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
 	return s, nil
@@ -67,41 +67,41 @@
 
 // Close closes the file.
 func (s *FileStore) Close() error {
-	return eris.Wrap(s.file.Close(), "keeper journal")
+	return eris.Wrap(s.file.Close(), "close key owner journal")
 }
 
-// Load reads the file and cuts off a torn last frame.
+// Load reads the file and truncates a torn last frame.
 func (s *FileStore) Load() (frames [][]byte, torn int, err error) {
 	raw, err := os.ReadFile(s.path)
 	if err != nil {
-		return nil, 0, eris.Wrap(err, "keeper journal")
+		return nil, 0, eris.Wrap(err, "read key owner journal")
 	}
-	frames, good, err := readFrames(raw)
+	frames, validBytes, err := readFrames(raw)
 	if err != nil {
-		return nil, 0, eris.Wrapf(err, "keeper journal %s", s.path)
+		return nil, 0, eris.Wrapf(err, "read key owner journal %s", s.path)
 	}
-	if good < len(raw) {
-		err = errors.Join(s.file.Truncate(int64(good)), s.file.Sync())
+	if validBytes < len(raw) {
+		err = errors.Join(s.file.Truncate(int64(validBytes)), s.file.Sync())
 	}
 	if err == nil {
-		_, err = s.file.Seek(int64(good), 0)
+		_, err = s.file.Seek(int64(validBytes), 0)
 	}
-	return frames, len(raw) - good, eris.Wrap(err, "keeper journal")
+	return frames, len(raw) - validBytes, eris.Wrap(err, "truncate key owner journal")
 }
 
 // Append writes and syncs a frame.
 func (s *FileStore) Append(frame []byte) error {
 	if _, err := s.file.Write(encodeFrame(frame)); err != nil {
-		return eris.Wrap(err, "keeper journal")
+		return eris.Wrap(err, "write key owner journal")
 	}
-	return eris.Wrap(s.file.Sync(), "keeper journal")
+	return eris.Wrap(s.file.Sync(), "sync key owner journal")
 }
 
-// Replace writes a new file beside the old one and renames it over.
+// Replace writes a new file in the same folder and renames it to the journal's name.
 func (s *FileStore) Replace(frame []byte) error {
 	next, err := os.OpenFile(s.path+".next", os.O_CREATE|os.O_RDWR|os.O_TRUNC, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "keeper journal")
+		return eris.Wrap(err, "create key owner journal")
 	}
 	_, err = next.Write(encodeFrame(frame))
 	err = errors.Join(err, next.Sync())
@@ -109,20 +109,20 @@
 		err = os.Rename(s.path+".next", s.path)
 	}
 	if err != nil {
-		return eris.Wrap(errors.Join(err, next.Close()), "keeper journal")
+		return eris.Wrap(errors.Join(err, next.Close()), "replace key owner journal")
 	}
 	old := s.file
 	s.file = next
-	return errors.Join(old.Close(), syncFolder(s.path))
+	return errors.Join(old.Close(), syncParentFolder(s.path))
 }
 
-// syncFolder makes a new or renamed file's name survive a power loss.
-func syncFolder(path string) error {
+// syncParentFolder makes the creation or renaming of a file durable.
+func syncParentFolder(path string) error {
 	d, err := os.Open(filepath.Dir(path))
 	if err != nil {
-		return eris.Wrap(err, "keeper journal")
+		return eris.Wrap(err, "open the folder of the key owner journal")
 	}
-	return eris.Wrap(errors.Join(d.Sync(), d.Close()), "keeper journal")
+	return eris.Wrap(errors.Join(d.Sync(), d.Close()), "sync the folder of the key owner journal")
 }
 
 func encodeFrame(body []byte) []byte {
@@ -134,17 +134,17 @@
 	return append(out, body...)
 }
 
-// readFrames gives the frames and where the good ones end.
-func readFrames(raw []byte) (frames [][]byte, good int, err error) {
-	for good < len(raw) {
-		body, ok := readFrame(raw[good:])
+// readFrames returns the valid frames at the start of raw and the offset of their end.
+func readFrames(raw []byte) (frames [][]byte, validBytes int, err error) {
+	for validBytes < len(raw) {
+		body, ok := readFrame(raw[validBytes:])
 		if !ok {
-			return frames, good, checkTail(raw, good)
+			return frames, validBytes, checkTail(raw, validBytes)
 		}
 		frames = append(frames, body)
-		good += frameHeader + len(body)
+		validBytes += frameHeader + len(body)
 	}
-	return frames, good, nil
+	return frames, validBytes, nil
 }
 
 func readFrame(raw []byte) (body []byte, ok bool) {
@@ -164,15 +164,16 @@
 		return 0, false
 	}
 	length = int(binary.BigEndian.Uint32(raw[4:]))
-	return length, length <= longestFrame
+	return length, length <= maxFrameBytes
 }
 
-// checkTail tells a torn end from a bad frame in the middle: after a torn end
-// there is no frame. The first frame is never torn, as it comes by a rename: a
-// file without one is another program's, or damaged, and must not be emptied.
+// checkTail returns an error unless the invalid frame at offset bad is a torn last one,
+// which has no valid frame after it. The first frame can't be torn, since Replace
+// writes it before a rename: a file without one is damaged or not a journal, and must
+// not be truncated.
 func checkTail(raw []byte, bad int) error {
 	if bad == 0 {
-		return eris.New("offset 0: not a keeper journal, or its first frame is damaged")
+		return eris.New("offset 0: not a key owner journal, or its first frame is corrupt")
 	}
 	var magic [4]byte
 	binary.BigEndian.PutUint32(magic[:], frameMagic)
@@ -183,12 +184,13 @@
 		}
 		at += next
 		if _, ok := readFrame(raw[at:]); ok {
-			return eris.Errorf("offset %d: bad frame before a good one at %d: the disk lost synced data", bad, at)
+			return eris.Errorf("offset %d: corrupt frame before a valid one at offset %d: the disk lost synced data", bad, at)
 		}
 	}
 }
 
 var _ Store = (*FileStore)(nil)
 
-// errLost is what a keeper answers once its disk has failed.
-var errLost = eris.Wrap(fs.ErrClosed, "keeper's disk failed")
+// errKeyOwnerStopped is returned for commands once Run has returned, for example after
+// a disk failure.
+var errKeyOwnerStopped = eris.Wrap(fs.ErrClosed, "key owner has stopped")
--- a/internal/ledger/hingeledger/store_test.go
+++ b/internal/ledger/hingeledger/store_test.go
@@ -29,11 +29,12 @@
 	return s
 }
 
-func journal(folder string) string {
+func journalPath(folder string) string {
 	return filepath.Join(folder, "keeper.journal")
 }
 
-// writeJournal leaves a file of a base and two frames, and gives where each ends.
+// writeJournal writes a file of a base frame and two others, and returns the offset of
+// the end of each.
 func writeJournal(t *testing.T, folder string) (frames [][]byte, ends []int) {
 	t.Helper()
 	s := openStore(t, folder)
@@ -50,18 +51,17 @@
 	return frames, ends
 }
 
-// Power is lost while the last frame is written, so that it is there in part or
-// with other bytes. Nothing in it was answered: it is cut off, and what is written
-// from then on is read again at the next start.
-func TestTornLastFrameIsCutOff(t *testing.T) {
+// A last frame that is incomplete or corrupt after a power loss must be truncated, and
+// frames appended afterwards must be readable.
+func TestTornLastFrameIsTruncated(t *testing.T) {
 	frames, ends := writeJournal(t, t.TempDir())
 	for size := ends[1] + 1; size <= ends[2]; size++ {
 		folder := t.TempDir()
 		writeJournal(t, folder)
-		raw, _ := os.ReadFile(journal(folder))
+		raw, _ := os.ReadFile(journalPath(folder))
 		raw = raw[:size]
 		raw[size-1] ^= 0x40
-		if err := os.WriteFile(journal(folder), raw, 0o600); err != nil {
+		if err := os.WriteFile(journalPath(folder), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		s := openStore(t, folder)
@@ -82,23 +82,23 @@
 	}
 }
 
-// The disk loses bytes that it had said were synced. Going on without them would
-// forget claims, and requests would run twice: the start fails and names the place.
+// Loss of synced data must fail the load with the offset of the damage. Ignoring it would
+// lose claims, and requests could run twice.
 func TestDamageInTheMiddleIsAnError(t *testing.T) {
 	_, ends := writeJournal(t, t.TempDir())
 	for at := range ends[1] {
 		folder := t.TempDir()
 		writeJournal(t, folder)
-		raw, _ := os.ReadFile(journal(folder))
+		raw, _ := os.ReadFile(journalPath(folder))
 		raw[at] ^= 0x40
-		if err := os.WriteFile(journal(folder), raw, 0o600); err != nil {
+		if err := os.WriteFile(journalPath(folder), raw, 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, _, err := openStore(t, folder).Load()
-		if err == nil || !strings.Contains(err.Error(), "offset") || !strings.Contains(err.Error(), journal(folder)) {
+		if err == nil || !strings.Contains(err.Error(), "offset") || !strings.Contains(err.Error(), journalPath(folder)) {
 			t.Fatalf("byte %d damaged: error %v", at, err)
 		}
-		if left, _ := os.ReadFile(journal(folder)); !bytes.Equal(raw, left) {
+		if after, _ := os.ReadFile(journalPath(folder)); !bytes.Equal(raw, after) {
 			t.Fatalf("byte %d damaged: the file was changed", at)
 		}
 	}
@@ -109,7 +109,7 @@
 	f.Add([]byte("not a journal"))
 	f.Add(encodeFrame(nil)[:9])
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		frames, good, err := readFrames(raw)
+		frames, validBytes, err := readFrames(raw)
 		if err != nil {
 			return
 		}
@@ -117,13 +117,13 @@
 		for _, b := range frames {
 			again = append(again, encodeFrame(b)...)
 		}
-		if !bytes.Equal(raw[:good], again) {
-			t.Fatal("frames don't read back as they were written")
+		if !bytes.Equal(raw[:validBytes], again) {
+			t.Fatal("frames differ after encoding them again")
 		}
 	})
 }
 
-// A command that another host or a damaged log holds must not panic a voter.
+// A malformed command from another host or a damaged log must not panic a voter.
 func FuzzCommand(f *testing.F) {
 	f.Add(encode(command{Verb: verbClaim, Claim: Claim{Caller: "depot", Key: "lot-7"}}))
 	f.Add([]byte{0xff})
@@ -135,13 +135,13 @@
 			t.Fatal(err)
 		}
 		if !bytes.Equal(s.Snapshot(), fresh.Snapshot()) {
-			t.Fatal("a restored State differs")
+			t.Fatal("a restored State differs from the original")
 		}
 		_ = fresh.Restore(raw)
 	})
 }
 
-func openKeeper(t testing.TB, s Store, now time.Time) *Keeper {
+func openKeyOwner(t testing.TB, s Store, now time.Time) *Keeper {
 	t.Helper()
 	k, err := OpenKeeper(KeeperConfig{
 		Zone:   "cancale",
@@ -155,7 +155,7 @@
 	return k
 }
 
-func runKeeper(t testing.TB, k *Keeper) (stop func() error) {
+func runKeyOwner(t testing.TB, k *Keeper) (stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -169,7 +169,7 @@
 	}
 }
 
-func claimOf(t testing.TB, k *Keeper, key hingeids.IdempotencyKey, sequence uint64) Kind {
+func submitClaim(t testing.TB, k *Keeper, key hingeids.IdempotencyKey, sequence uint64) Kind {
 	t.Helper()
 	o, err := k.submit(context.Background(), claimCommand(key, sequence))
 	if err != nil {
@@ -184,8 +184,8 @@
 		Claim: Claim{
 			Caller: "depot",
 			Key:    key,
-			Until:  begin.Add(time.Hour).UnixNano(),
-			Keep:   testKeep,
+			Until:  startTime.Add(time.Hour).UnixNano(),
+			Keep:   testRetention,
 			Request: hingeids.RequestID{
 				Life:     hingeids.Life{Host: "cancale-1", Incarnation: 1},
 				Sequence: sequence,
@@ -194,65 +194,63 @@
 	}
 }
 
-// The keeper's host is killed and comes back with its disk, then once more
-// without it. With the disk it knows the claim; without, it must not give out a key
-// that somebody may have run.
-func TestKeeperKnowsItsClaimsOrSaysThatItDoesNot(t *testing.T) {
+// A key owner that restarts with its disk must know earlier claims. One with a new disk
+// must not grant keys of the old one.
+func TestKeyOwnerRestartKeepsClaimsAndNewDiskIsUncertain(t *testing.T) {
 	folder := t.TempDir()
-	k := openKeeper(t, openStore(t, folder), begin)
-	stop := runKeeper(t, k)
+	k := openKeyOwner(t, openStore(t, folder), startTime)
+	stop := runKeyOwner(t, k)
 	key, err := k.issue()
 	if err != nil {
 		t.Fatal(err)
 	}
-	got := []Kind{claimOf(t, k, key, 1)}
+	got := []Kind{submitClaim(t, k, key, 1)}
 	_ = stop()
 
-	back := openKeeper(t, openStore(t, folder), begin.Add(time.Minute))
-	stop = runKeeper(t, back)
-	got = append(got, claimOf(t, back, key, 2))
+	reopened := openKeyOwner(t, openStore(t, folder), startTime.Add(time.Minute))
+	stop = runKeyOwner(t, reopened)
+	got = append(got, submitClaim(t, reopened, key, 2))
 	_ = stop()
 
-	empty := openKeeper(t, openStore(t, t.TempDir()), begin.Add(time.Hour))
-	stop = runKeeper(t, empty)
-	got = append(got, claimOf(t, empty, key, 3))
+	empty := openKeyOwner(t, openStore(t, t.TempDir()), startTime.Add(time.Hour))
+	stop = runKeyOwner(t, empty)
+	got = append(got, submitClaim(t, empty, key, 3))
 	_ = stop()
 	if diff := cmp.Diff([]Kind{Granted, InProgress, Uncertain}, got); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// The disk refuses a write. What it holds is unknown from then on, so the keeper
-// answers nothing more; a claim that was waiting gets no grant.
-func TestKeeperEndsWhenItsDiskFails(t *testing.T) {
+// After a failed write the content of the disk is unknown, so the key owner must stop and
+// grant no queued claim.
+func TestKeyOwnerStopsWhenDiskFails(t *testing.T) {
 	disk := &memoryStore{}
-	k := openKeeper(t, disk, begin)
-	stop := runKeeper(t, k)
+	k := openKeyOwner(t, disk, startTime)
+	stop := runKeyOwner(t, k)
 	key, err := k.issue()
 	if err != nil {
 		t.Fatal(err)
 	}
-	disk.dies = true
+	disk.failAppend = true
 	_, err = k.submit(context.Background(), claimCommand(key, 1))
-	if !eris.Is(err, errLost) {
-		t.Fatalf("error %v, want %v", err, errLost)
+	if !eris.Is(err, errKeyOwnerStopped) {
+		t.Fatalf("error %v, want %v", err, errKeyOwnerStopped)
 	}
 	if err := stop(); !eris.Is(err, errKilled) {
 		t.Fatalf("run ended with %v", err)
 	}
 }
 
-// The journal is replaced by a snapshot as it grows, or a restart after a busy
-// month would read a month. Nothing may be lost by it.
+// Compaction must bound the size of the journal without losing claims.
 func TestCompactionBoundsTheJournalAndKeepsClaims(t *testing.T) {
 	folder := t.TempDir()
-	k := openKeeper(t, openStore(t, folder), begin)
-	stop := runKeeper(t, k)
+	k := openKeyOwner(t, openStore(t, folder), startTime)
+	stop := runKeyOwner(t, k)
 	key, err := k.issue()
 	if err != nil {
 		t.Fatal(err)
 	}
-	claimOf(t, k, key, 1)
+	submitClaim(t, k, key, 1)
 	finish := claimCommand(key, 1)
 	finish.Verb = verbFinish
 	finish.Answer = bytes.Repeat([]byte("a"), 128<<10)
@@ -266,12 +264,12 @@
 	}
 	group.Wait()
 	_ = stop()
-	info, err := os.Stat(journal(folder))
+	info, err := os.Stat(journalPath(folder))
 	if err != nil || info.Size() > 2*compactAfter {
 		t.Fatalf("%v, %d bytes after %d written", err, info.Size(), 160*len(finish.Answer))
 	}
-	back := openKeeper(t, openStore(t, folder), begin)
-	if !bytes.Equal(k.state.Snapshot(), back.state.Snapshot()) {
+	reopened := openKeyOwner(t, openStore(t, folder), startTime)
+	if !bytes.Equal(k.state.Snapshot(), reopened.state.Snapshot()) {
 		t.Fatal("the State after a restart differs")
 	}
 }
--- a/internal/ledger/hingeledger/verdicts.go
+++ b/internal/ledger/hingeledger/verdicts.go
@@ -11,50 +11,50 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// place is where a key is claimed.
-type place struct {
-	gate  *gate
-	hosts []hingeids.HostID
-	code  hingeverdict.Code
-	zone  hingeids.Zone
+// target is the destination of commands about a key: the voters or a key owner.
+type target struct {
+	breaker *breaker
+	hosts   []hingeids.HostID
+	code    hingeverdict.Code
+	zone    hingeids.Zone
 }
 
-// placeOf says where a key is claimed. Rules 7 and 8.
-func (l *Ledger) placeOf(key hingeids.IdempotencyKey) (place, error) {
+// targetOf returns where a key is claimed (rules 7 and 8).
+func (l *Ledger) targetOf(key hingeids.IdempotencyKey) (target, error) {
 	issued, ok := parseIssued(key)
 	if !ok {
-		return place{
-			gate:  &l.quorum,
-			hosts: l.config.Voters,
-			code:  hingeverdict.CodeNoQuorum,
+		return target{
+			breaker: &l.quorumBreaker,
+			hosts:   l.config.Voters,
+			code:    hingeverdict.CodeNoQuorum,
 		}, nil
 	}
-	keeper, ok := l.config.Keepers[issued.zone]
+	owner, ok := l.config.Keepers[issued.zone]
 	if !ok {
-		// The zone may have had a keeper that claimed the key.
-		return place{}, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeKeyUncertain, 0,
-			eris.Errorf("the key was issued by zone %s, which keeps no keys", issued.zone))
+		// An earlier key owner of the zone may have granted a claim of the key.
+		return target{}, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeKeyUncertain, 0,
+			eris.Errorf("idempotency key was issued by zone %s, which has no key owner", issued.zone))
 	}
-	return place{
-		gate:  l.zones[issued.zone],
-		hosts: []hingeids.HostID{keeper},
-		code:  hingeverdict.CodeKeeperUnreachable,
-		zone:  issued.zone,
+	return target{
+		breaker: l.ownerBreakers[issued.zone],
+		hosts:   []hingeids.HostID{owner},
+		code:    hingeverdict.CodeKeeperUnreachable,
+		zone:    issued.zone,
 	}, nil
 }
 
-func (p place) unreachable(r hingeids.RequestID, cause error) error {
-	return hingeverdict.New(hingeverdict.NotRun, p.code, comeBack(time.Second, r), eris.Wrap(cause, "ledger"))
+func (t target) unreachable(r hingeids.RequestID, cause error) error {
+	return hingeverdict.New(hingeverdict.NotRun, t.code, retryDelay(time.Second, r), eris.Wrap(cause, "ledger unreachable"))
 }
 
-// comeBack spreads the time to come back over as much again, so that callers that
-// were refused together don't return together.
-func comeBack(least time.Duration, r hingeids.RequestID) time.Duration {
-	return least + time.Duration(xxhash.Sum64String(r.String())%uint64(least))
+// retryDelay returns a delay from minimum to twice minimum, spread by request id so
+// that callers refused together don't retry together.
+func retryDelay(minimum time.Duration, r hingeids.RequestID) time.Duration {
+	return minimum + time.Duration(xxhash.Sum64String(r.String())%uint64(minimum))
 }
 
-// verdictOf says what an outcome means for the caller; nil where there is
-// something to send or to answer.
+// verdictOf returns the error for the caller, or nil if the request is to be sent or
+// its stored answer is to be returned.
 func verdictOf(o Outcome, c Claim, now time.Time) error {
 	refuse := func(v hingeverdict.Verdict, code hingeverdict.Code, retryAfter time.Duration, text string) error {
 		return hingeverdict.New(v, code, retryAfter, eris.Errorf("%s (request %s)", text, o.By))
@@ -63,35 +63,35 @@
 	case Granted, Answered:
 		return nil
 	case InProgress:
-		// Not "not run": the caller's own earlier attempt is running.
-		left := max(time.Unix(0, o.Until).Sub(now), 0)
+		// The verdict isn't NotRun, because another attempt of the caller is in progress.
+		remaining := max(time.Unix(0, o.Until).Sub(now), 0)
 		return refuse(hingeverdict.MayHaveRun, hingeverdict.CodeKeyInProgress,
-			comeBack(min(left, time.Second)+1, c.Request), "another attempt with this key is in progress")
+			retryDelay(min(remaining, time.Second)+1, c.Request), "another attempt with this key is in progress")
 	case AnsweredUnkept:
-		return refuse(hingeverdict.Ran, hingeverdict.CodeTooLarge, 0, "it ran, and its answer was too large to keep")
+		return refuse(hingeverdict.Ran, hingeverdict.CodeTooLarge, 0, "the request ran, but its answer was too large to store")
 	case OtherBody:
-		return refuse(hingeverdict.NotRun, hingeverdict.CodeKeyOtherBody, 0, "the key was used for another request")
+		return refuse(hingeverdict.NotRun, hingeverdict.CodeKeyOtherBody, 0, "the idempotency key was used for a different request")
 	case Withdrawn:
-		return refuse(hingeverdict.NotRun, hingeverdict.CodeCancelled, time.Second, "this attempt was given up")
+		return refuse(hingeverdict.NotRun, hingeverdict.CodeCancelled, time.Second, "the claim was already released or the claiming host instance has ended")
 	case CallerFull:
 		return refuse(hingeverdict.NotRun, hingeverdict.CodeCallerShare,
-			comeBack(time.Minute, c.Request), "the caller has no room for more keys")
+			retryDelay(time.Minute, c.Request), "the caller has reached its limit of idempotency keys")
 	case Full:
 		return refuse(hingeverdict.NotRun, hingeverdict.CodeQueueFull,
-			comeBack(time.Minute, c.Request), "the ledger has no room for more keys")
+			retryDelay(time.Minute, c.Request), "the ledger has reached its limit of idempotency keys")
 	default:
 		return refuse(hingeverdict.MayHaveRun, hingeverdict.CodeKeyUncertain, 0,
-			"an earlier attempt with this key may have run, and nobody can tell")
+			"an earlier attempt with this key may have run; its result is unknown")
 	}
 }
 
 func decodeOutcome(raw []byte) (Outcome, error) {
 	var o Outcome
 	if err := cbor.Unmarshal(raw, &o); err != nil {
-		return Outcome{}, eris.Wrap(err, "ledger outcome")
+		return Outcome{}, eris.Wrap(err, "decode ledger outcome")
 	}
 	if o.Kind == Malformed {
-		return Outcome{}, eris.New("the ledger could not read the command")
+		return Outcome{}, eris.New("the ledger could not decode the command")
 	}
 	return o, nil
 }
--- a/internal/ledger/hingeledger/world_test.go
+++ b/internal/ledger/hingeledger/world_test.go
@@ -20,19 +20,20 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// TestMain makes the random schedules the same in each run, unless flags ask for others.
+// TestMain sets a fixed seed and number of checks for rapid, unless flags override them.
+// It also checks for leaked goroutines.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if folder := os.Getenv(childFolder); folder != "" {
-		fmt.Fprintln(os.Stderr, keepAsChild(folder))
+		fmt.Fprintln(os.Stderr, runKeyOwnerChild(folder))
 		os.Exit(1)
 	}
-	given := make(map[string]bool)
+	isSet := make(map[string]bool)
 	flag.Visit(func(f *flag.Flag) {
-		given[f.Name] = true
+		isSet[f.Name] = true
 	})
 	for name, value := range map[string]string{"rapid.checks": "300", "rapid.seed": "1"} {
-		if !given[name] {
+		if !isSet[name] {
 			_ = flag.Set(name, value)
 		}
 	}
@@ -48,20 +49,20 @@
 	os.Exit(code)
 }
 
-var begin = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
+var startTime = time.Date(2026, 12, 2, 20, 0, 0, 0, time.UTC)
 
 const (
-	testKeep  = 24 * time.Hour
-	claimSpan = 10 * time.Second
+	testRetention = 24 * time.Hour
+	claimDuration = 10 * time.Second
 )
 
-// memoryStore is a disk: it outlives its host's process, but not its loss.
+// memoryStore is a Store in memory that simulates a disk.
 type memoryStore struct {
 	frames [][]byte
-	// dies makes the next Append fail as a kill in the middle of a write does;
-	// keeps says whether the frame got to the disk before.
-	dies  bool
-	keeps bool
+	// failAppend makes the next Append fail like a kill during a write. persists is
+	// whether the frame reaches the disk all the same.
+	failAppend bool
+	persists   bool
 }
 
 var errKilled = eris.New("killed while writing")
@@ -71,9 +72,9 @@
 }
 
 func (m *memoryStore) Append(frame []byte) error {
-	if m.dies {
-		m.dies = false
-		if m.keeps {
+	if m.failAppend {
+		m.failAppend = false
+		if m.persists {
 			m.frames = append(m.frames, frame)
 		}
 		return errKilled
@@ -87,13 +88,13 @@
 	return nil
 }
 
-// quorum is the replicated group: one log, a State on each voter.
+// quorum simulates the replicated group: one log and a State on each voter.
 type quorum struct {
-	w   *world
+	sc  *simCluster
 	log [][]byte
 }
 
-// member is one voter's end of the group.
+// member is a voter of the group. It implements Proposer.
 type member struct {
 	q       *quorum
 	self    hingeids.HostID
@@ -101,15 +102,15 @@
 	applied int
 }
 
-// Propose commits if the voter reaches a majority both ways.
+// Propose commits the command if the voter has links in both directions to a majority.
 func (m *member) Propose(_ context.Context, data []byte) ([]byte, error) {
 	reached := 0
-	for _, v := range m.q.w.voters() {
-		if v == m.self || m.q.w.hosts[v].up && !m.q.w.cuts[pair{m.self, v}] && !m.q.w.cuts[pair{v, m.self}] {
+	for _, v := range m.q.sc.voters() {
+		if v == m.self || m.q.sc.hosts[v].up && !m.q.sc.cuts[pair{m.self, v}] && !m.q.sc.cuts[pair{v, m.self}] {
 			reached++
 		}
 	}
-	if 2*reached <= len(m.q.w.voters()) {
+	if 2*reached <= len(m.q.sc.voters()) {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoQuorum, 0, eris.New("no quorum"))
 	}
 	m.q.log = append(m.q.log, data)
@@ -128,75 +129,75 @@
 	to   hingeids.HostID
 }
 
-// host is one entry host; its disk and its replica are on voters only.
+// host is an entry host. Only voters have a disk and a member.
 type host struct {
-	id     hingeids.HostID
-	zone   hingeids.Zone
-	disk   *memoryStore
-	member *member
-	up     bool
-	life   hingeids.Incarnation
-	next   uint64
-	ledger *Ledger
-	keeper *Keeper
-	stop   func()
+	id           hingeids.HostID
+	zone         hingeids.Zone
+	disk         *memoryStore
+	member       *member
+	up           bool
+	incarnation  hingeids.Incarnation
+	nextSequence uint64
+	ledger       *Ledger
+	keyOwner     *Keeper
+	stop         func()
 }
 
-// operation is what a caller wants done once.
+// operation is a request that must run at most once, with all its resends.
 type operation struct {
 	caller hingeids.CallerID
 	key    hingeids.IdempotencyKey
 	runs   int
-	// body and answer are those of the attempt that ran.
+	// body and answer belong to the attempt that ran.
 	body   string
 	answer string
 }
 
-// attempt is one request of a caller for an operation.
+// attempt is a granted request for an operation.
 type attempt struct {
-	op    *operation
-	body  string
-	host  *host
-	life  hingeids.Incarnation
-	claim Claim
-	sent  bool
-	ran   bool
+	op          *operation
+	body        string
+	host        *host
+	incarnation hingeids.Incarnation
+	claim       Claim
+	sent        bool
+	ran         bool
 }
 
-// world is three zones of two hosts, the first of each with a disk, and the
-// callers and the backend server, which counts what it runs.
-type world struct {
-	t       rapid.TB
-	random  *rapid.T
-	now     time.Time
-	network *hingefake.Network
-	hosts   map[hingeids.HostID]*host
-	order   []*host
-	cuts    map[pair]bool
-	quorum  *quorum
-	held    []func()
-	calm    bool
-	// calls counts the calls that hosts made; the next of them lose their answers.
+// simCluster simulates three zones of two hosts, the first of each with a disk, with the
+// callers and a backend server that counts runs.
+type simCluster struct {
+	t        rapid.TB
+	random   *rapid.T
+	now      time.Time
+	network  *hingefake.Network
+	hosts    map[hingeids.HostID]*host
+	order    []*host
+	cuts     map[pair]bool
+	quorum   *quorum
+	delayed  []func()
+	reliable bool
+	// calls counts the calls of all hosts. The next dropReplies calls lose their replies.
 	calls       int
-	loseAnswers int
+	dropReplies int
 	ops         []*operation
 	attempts    []*attempt
 }
 
 var zones = []hingeids.Zone{"cancale", "roscoff", "quiberon"}
 
-// newWorld makes a world; one without a source of draws is calm.
-func newWorld(t rapid.TB, random *rapid.T) *world {
-	w := &world{
-		random:  random,
-		calm:    random == nil,
-		t:       t,
-		now:     begin,
-		network: hingefake.NewNetwork(),
-		hosts:   make(map[hingeids.HostID]*host),
-		cuts:    make(map[pair]bool),
+// newCluster starts a simulated cluster. If random is nil, its links are reliable.
+func newCluster(t rapid.TB, random *rapid.T) *simCluster {
+	sc := &simCluster{
+		random:   random,
+		reliable: random == nil,
+		t:        t,
+		now:      startTime,
+		network:  hingefake.NewNetwork(),
+		hosts:    make(map[hingeids.HostID]*host),
+		cuts:     make(map[pair]bool),
 	}
-	w.quorum = &quorum{w: w}
+	sc.quorum = &quorum{sc: sc}
 	for _, zone := range zones {
 		for i := range 2 {
 			h := &host{
@@ -205,67 +206,67 @@
 			}
 			if i == 0 {
 				h.disk = &memoryStore{}
-				h.member = &member{q: w.quorum, self: h.id, state: NewState(DefaultLimits())}
+				h.member = &member{q: sc.quorum, self: h.id, state: NewState(DefaultLimits())}
 			}
-			w.hosts[h.id] = h
-			w.order = append(w.order, h)
-			w.start(h)
+			sc.hosts[h.id] = h
+			sc.order = append(sc.order, h)
+			sc.start(h)
 		}
 	}
-	return w
+	return sc
 }
 
-func (w *world) voters() []hingeids.HostID {
+func (sc *simCluster) voters() []hingeids.HostID {
 	return []hingeids.HostID{"cancale-1", "roscoff-1", "quiberon-1"}
 }
 
-func (w *world) clock() time.Time {
-	return w.now
+func (sc *simCluster) clock() time.Time {
+	return sc.now
 }
 
-// start begins a new life of a host.
-func (w *world) start(h *host) {
-	w.now = w.now.Add(time.Millisecond)
-	h.life = hingeids.Incarnation(w.now.UnixNano())
+// start starts a new instance of a host.
+func (sc *simCluster) start(h *host) {
+	sc.now = sc.now.Add(time.Millisecond)
+	h.incarnation = hingeids.Incarnation(sc.now.UnixNano())
 	h.up = true
 	h.stop = func() {}
-	h.keeper = nil
+	h.keyOwner = nil
 	c := Config{
 		Zone:    h.zone,
-		Link:    &lossyLink{Link: w.network.Link(h.id), w: w},
-		Voters:  w.voters(),
+		Link:    &lossyLink{Link: sc.network.Link(h.id), sc: sc},
+		Voters:  sc.voters(),
 		Keepers: map[hingeids.Zone]hingeids.HostID{"cancale": "cancale-1", "roscoff": "roscoff-1", "quiberon": "quiberon-1"},
-		Keep:    func() time.Duration { return testKeep },
-		Clock:   w.clock,
+		Keep:    func() time.Duration { return testRetention },
+		Clock:   sc.clock,
 	}
 	if h.disk != nil {
-		keeper, err := OpenKeeper(KeeperConfig{Zone: h.zone, Store: h.disk, Limits: DefaultLimits(), Clock: w.clock})
+		keyOwner, err := OpenKeeper(KeeperConfig{Zone: h.zone, Store: h.disk, Limits: DefaultLimits(), Clock: sc.clock})
 		if err != nil {
-			w.t.Fatal(err)
+			sc.t.Fatal(err)
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		go func() {
-			_ = keeper.Run(ctx)
+			_ = keyOwner.Run(ctx)
 		}()
-		h.keeper = keeper
+		h.keyOwner = keyOwner
 		h.stop = func() {
 			cancel()
-			<-keeper.Done()
+			<-keyOwner.Done()
 		}
-		c.Keeper = keeper
+		c.Keeper = keyOwner
 		c.Group = h.member
-		w.rejoin(h)
+		sc.restoreFromPeer(h)
 	}
 	h.ledger = New(c)
 }
 
-// rejoin gives a restarted voter a snapshot of another's State.
-func (w *world) rejoin(h *host) {
-	for _, v := range w.order {
+// restoreFromPeer restores a restarted voter from a snapshot of another voter's State.
+func (sc *simCluster) restoreFromPeer(h *host) {
+	for _, v := range sc.order {
 		if v.member != nil && v != h && v.member.applied >= h.member.applied {
 			fresh := NewState(DefaultLimits())
 			if err := fresh.Restore(v.member.state.Snapshot()); err != nil {
-				w.t.Fatal(err)
+				sc.t.Fatal(err)
 			}
 			h.member.state = fresh
 			h.member.applied = v.member.applied
@@ -274,47 +275,47 @@
 	}
 }
 
-func (w *world) kill(h *host) {
+func (sc *simCluster) kill(h *host) {
 	h.up = false
 	h.stop()
-	w.network.Remove(h.id)
+	sc.network.Remove(h.id)
 }
 
-func (w *world) end() {
-	for _, h := range w.order {
+func (sc *simCluster) stopAll() {
+	for _, h := range sc.order {
 		if h.up {
-			w.kill(h)
+			sc.kill(h)
 		}
 	}
 }
 
-// lossyLink loses calls and answers and brings some calls late, as drawn.
+// lossyLink randomly loses calls or replies and delays calls.
 type lossyLink struct {
 	*hingefake.Link
-	w *world
+	sc *simCluster
 }
 
 func (l *lossyLink) Call(
 	ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte,
 ) ([]byte, error) {
 	lost := hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeLinkDown, 0, eris.New("lost"))
-	l.w.calls++
-	if l.w.loseAnswers > 0 {
-		l.w.loseAnswers--
+	l.sc.calls++
+	if l.sc.dropReplies > 0 {
+		l.sc.dropReplies--
 		_, _ = l.Link.Call(ctx, to, m, body)
 		return nil, lost
 	}
-	if l.w.calm {
+	if l.sc.reliable {
 		return l.Link.Call(ctx, to, m, body)
 	}
-	switch rapid.IntRange(0, 9).Draw(l.w.random, "fate") {
+	switch rapid.IntRange(0, 9).Draw(l.sc.random, "fate") {
 	case 0:
 		return nil, lost
 	case 1:
 		_, _ = l.Link.Call(ctx, to, m, body)
 		return nil, lost
 	case 2:
-		l.w.held = append(l.w.held, func() {
+		l.sc.delayed = append(l.sc.delayed, func() {
 			_, _ = l.Link.Call(context.Background(), to, m, body)
 		})
 		return nil, lost
@@ -323,13 +324,13 @@
 	}
 }
 
-func (w *world) draw(label string, n int) int {
-	return rapid.IntRange(0, n-1).Draw(w.random, label)
+func (sc *simCluster) pick(label string, n int) int {
+	return rapid.IntRange(0, n-1).Draw(sc.random, label)
 }
 
-func (w *world) upHost() *host {
+func (sc *simCluster) pickUpHost() *host {
 	var up []*host
-	for _, h := range w.order {
+	for _, h := range sc.order {
 		if h.up {
 			up = append(up, h)
 		}
@@ -337,69 +338,70 @@
 	if len(up) == 0 {
 		return nil
 	}
-	return up[w.draw("host", len(up))]
+	return up[sc.pick("host", len(up))]
 }
 
-// request sends an operation, first or again, to a host: it claims.
-func (w *world) request(op *operation, h *host, body string) error {
-	h.next++
+// request sends or resends an operation to a host, which claims its key. A granted claim
+// is added to attempts.
+func (sc *simCluster) request(op *operation, h *host, body string) error {
+	h.nextSequence++
 	a := &attempt{
-		op:   op,
-		body: body,
-		host: h,
-		life: h.life,
+		op:          op,
+		body:        body,
+		host:        h,
+		incarnation: h.incarnation,
 		claim: Claim{
 			Caller: op.caller,
 			Key:    op.key,
 			Digest: DigestOf("POST", "/", []byte(body)),
 			Request: hingeids.RequestID{
-				Life:     hingeids.Life{Host: h.id, Incarnation: h.life},
-				Sequence: h.next,
+				Life:     hingeids.Life{Host: h.id, Incarnation: h.incarnation},
+				Sequence: h.nextSequence,
 			},
-			Until: w.now.Add(claimSpan).UnixNano(),
+			Until: sc.now.Add(claimDuration).UnixNano(),
 		},
 	}
 	outcome, err := h.ledger.Claim(context.Background(), a.claim)
 	if err != nil {
-		return w.checkRefusal(op, body, err)
+		return sc.checkRefusal(op, body, err)
 	}
 	if outcome.Kind == Answered {
 		if diff := cmp.Diff([]string{op.body, op.answer}, []string{body, string(outcome.Answer)}); diff != "" {
-			w.t.Fatalf("a resend got the answer of another body or attempt\n%s", diff)
+			sc.t.Fatalf("a resend got the answer of another body or attempt\n%s", diff)
 		}
 		return nil
 	}
 	if op.runs > 0 {
-		w.t.Fatal("a key that ran was granted again")
+		sc.t.Fatal("a key that ran was granted again")
 	}
-	w.attempts = append(w.attempts, a)
+	sc.attempts = append(sc.attempts, a)
 	return nil
 }
 
-func (w *world) checkRefusal(op *operation, body string, err error) error {
+func (sc *simCluster) checkRefusal(op *operation, body string, err error) error {
 	var v *hingeverdict.Error
 	if !errors.As(err, &v) {
-		w.t.Fatalf("refused without a verdict: %v", err)
+		sc.t.Fatalf("refused without a verdict: %v", err)
 	}
 	if v.Verdict == hingeverdict.Ran && op.runs == 0 {
-		w.t.Fatalf("said to have run, and did not: %v", err)
+		sc.t.Fatalf("verdict Ran for a request that did not run: %v", err)
 	}
 	if v.Code == hingeverdict.CodeKeyOtherBody && body == op.body {
-		w.t.Fatalf("a resend of the body that ran was refused: %v", err)
+		sc.t.Fatalf("a resend of the body that ran was refused: %v", err)
 	}
 	return err
 }
 
-// step carries an attempt on: it is sent, then what came of it is told.
-func (w *world) step(a *attempt) {
-	if !a.host.up || a.host.life != a.life {
+// advance sends the request of an attempt, or reports its answer if it has run.
+func (sc *simCluster) advance(a *attempt) {
+	if !a.host.up || a.host.incarnation != a.incarnation {
 		return
 	}
 	switch {
-	case !a.sent && w.now.UnixNano() < a.claim.Until:
+	case !a.sent && sc.now.UnixNano() < a.claim.Until:
 		a.sent = true
-		if !w.calm && w.draw("server", 4) == 0 {
-			// The server refused it under its own id: proof that it was not run.
+		if !sc.reliable && sc.pick("server", 4) == 0 {
+			// The server refused the request, which proves that it was not run.
 			_ = a.host.ledger.Release(context.Background(), a.claim)
 			return
 		}
@@ -408,7 +410,7 @@
 		a.op.body = a.body
 		a.op.answer = "answer of " + a.claim.Request.String()
 		if a.op.runs > 1 {
-			w.t.Fatalf("key %s of %s ran %d times", a.op.key, a.op.caller, a.op.runs)
+			sc.t.Fatalf("key %s of %s ran %d times", a.op.key, a.op.caller, a.op.runs)
 		}
 	case a.ran:
 		_ = a.host.ledger.Finish(context.Background(), a.claim, []byte(a.op.answer))
