--- a/internal/ledger/hingeledger/bench_test.go
+++ b/internal/ledger/hingeledger/bench_test.go
@@ -65,8 +65,8 @@
 	}
 }
 
-// BenchmarkKeeper claims new keys on a real disk with concurrent callers.
-func BenchmarkKeeper(b *testing.B) {
+// BenchmarkKeyOwner claims new keys on a real disk with concurrent callers.
+func BenchmarkKeyOwner(b *testing.B) {
 	for _, callers := range []int{1, 16, 256} {
 		b.Run(strconv.Itoa(callers), func(b *testing.B) {
 			folder := b.TempDir()
--- a/internal/ledger/hingeledger/claim.go
+++ b/internal/ledger/hingeledger/claim.go
@@ -37,8 +37,8 @@
 	// Until is the time, in Unix nanoseconds, from which the claiming host no
 	// longer sends the request or waits for its answer.
 	Until int64 `cbor:"5,keyasint"`
-	// Keep is the retention of the key. Ledger sets it from the rules in force.
-	Keep time.Duration `cbor:"6,keyasint"`
+	// Retention is the retention of the key. Ledger sets it from the rules in force.
+	Retention time.Duration `cbor:"6,keyasint"`
 }
 
 // Kind is the kind of an Outcome.
@@ -54,9 +54,9 @@
 	InProgress
 	// Answered means that an attempt has run. The Outcome contains its answer.
 	Answered
-	// AnsweredUnkept means that an attempt has run, but its answer was too large
+	// AnsweredNotStored means that an attempt has run, but its answer was too large
 	// to store.
-	AnsweredUnkept
+	AnsweredNotStored
 	// Uncertain means that an attempt may have run and its result is unknown.
 	Uncertain
 	// OtherBody means that the key was used for a request with another digest.
@@ -67,16 +67,16 @@
 	// CallerFull and Full mean that the caller or the whole ledger is at its limit.
 	CallerFull
 	Full
-	// Noted acknowledges a finish, a release or the end of a host instance.
-	Noted
+	// Acknowledged acknowledges a finish, a release or the end of a host instance.
+	Acknowledged
 )
 
 // Outcome is the result of a command.
 type Outcome struct {
 	Kind Kind `cbor:"1,keyasint"`
-	// By is the request id that holds or held the claim, or the refused request
+	// Holder is the request id that holds or held the claim, or the refused request
 	// if the key has no claim.
-	By hingeids.RequestID `cbor:"2,keyasint"`
+	Holder hingeids.RequestID `cbor:"2,keyasint"`
 	// Until is the end of that request's claim, in Unix nanoseconds.
 	Until int64 `cbor:"3,keyasint,omitempty"`
 	// Answer is the stored answer, set for Answered only.
@@ -95,11 +95,11 @@
 
 // command is one input of State (rule 6).
 type command struct {
-	Verb   verb              `cbor:"1,keyasint"`
-	Time   int64             `cbor:"2,keyasint"`
-	Claim  Claim             `cbor:"3,keyasint"`
-	Answer []byte            `cbor:"4,keyasint,omitempty"`
-	Life   hingeids.Instance `cbor:"5,keyasint"`
+	Verb     verb              `cbor:"1,keyasint"`
+	Time     int64             `cbor:"2,keyasint"`
+	Claim    Claim             `cbor:"3,keyasint"`
+	Answer   []byte            `cbor:"4,keyasint,omitempty"`
+	Instance hingeids.Instance `cbor:"5,keyasint"`
 }
 
 // issuedPrefix marks issued keys. A caller's own key with this prefix is treated
--- a/internal/ledger/hingeledger/group_test.go
+++ b/internal/ledger/hingeledger/group_test.go
@@ -42,7 +42,7 @@
 type realHost struct {
 	id       hingeids.HostID
 	group    *hingegroup.Group
-	keyOwner *Keeper
+	keyOwner *KeyOwner
 	ledger   *Ledger
 	stop     context.CancelFunc
 }
@@ -86,11 +86,11 @@
 	ctx, stop := context.WithCancel(context.Background())
 	h := &realHost{id: id, stop: stop}
 	c := Config{
-		Zone:    zone,
-		Link:    link,
-		Voters:  diskHosts,
-		Keepers: map[hingeids.Zone]hingeids.HostID{"cancale": "cancale-1", "roscoff": "roscoff-1", "quiberon": "quiberon-1"},
-		Keep:    func() time.Duration { return testRetention },
+		Zone:      zone,
+		Link:      link,
+		Voters:    diskHosts,
+		KeyOwners: map[hingeids.Zone]hingeids.HostID{"cancale": "cancale-1", "roscoff": "roscoff-1", "quiberon": "quiberon-1"},
+		Retention: func() time.Duration { return testRetention },
 	}
 	if disk {
 		files, err := hingejournal.OpenDirectory(t.TempDir())
@@ -109,7 +109,7 @@
 			t.Fatal(err)
 		}
 		h.keyOwner = openKeyOwner(t, openStore(t, t.TempDir()), time.Now())
-		c.Group, c.Keeper = h.group, h.keyOwner
+		c.Group, c.KeyOwner = h.group, h.keyOwner
 		r.running.Go(func() { _ = h.group.Run(ctx) })
 		r.running.Go(func() { _ = h.keyOwner.Run(ctx) })
 	}
--- a/internal/ledger/hingeledger/keeper.go
+++ b/internal/ledger/hingeledger/keeper.go
@@ -30,12 +30,12 @@
 	Commands    [][]byte             `cbor:"3,keyasint,omitempty"`
 }
 
-// Keeper is the key owner of a zone: it processes the claims of the zone's issued
+// KeyOwner is the key owner of a zone: it processes the claims of the zone's issued
 // keys and stores them on one disk (rules 8 and 9).
 //
 // Commands that arrive during a sync are written together by the next one (group
 // commit), so the disk's sync rate doesn't bound the rate of claims.
-type Keeper struct {
+type KeyOwner struct {
 	zone          hingeids.Zone
 	incarnation   hingeids.Incarnation
 	store         Store
@@ -55,8 +55,8 @@
 	outcome chan Outcome
 }
 
-// KeeperConfig configures a Keeper.
-type KeeperConfig struct {
+// KeyOwnerConfig configures a Keeper.
+type KeyOwnerConfig struct {
 	Zone     hingeids.Zone
 	Store    Store
 	Limits   Limits
@@ -65,10 +65,10 @@
 	Clock func() time.Time
 }
 
-// OpenKeeper restores a Keeper from its store. An empty store starts a new
+// OpenKeyOwner restores a Keeper from its store. An empty store starts a new
 // incarnation. The caller must call Run.
-func OpenKeeper(c KeeperConfig) (*Keeper, error) {
-	k := &Keeper{
+func OpenKeyOwner(c KeyOwnerConfig) (*KeyOwner, error) {
+	k := &KeyOwner{
 		zone:     c.Zone,
 		store:    c.Store,
 		state:    NewState(c.Limits),
@@ -95,7 +95,7 @@
 	return k, k.replay(frames)
 }
 
-func (k *Keeper) replay(frames [][]byte) error {
+func (k *KeyOwner) replay(frames [][]byte) error {
 	for i, raw := range frames {
 		var f frame
 		if err := cbor.Unmarshal(raw, &f); err != nil {
@@ -116,7 +116,7 @@
 	return nil
 }
 
-func (k *Keeper) compact() error {
+func (k *KeyOwner) compact() error {
 	raw := encode(frame{
 		Incarnation: k.incarnation,
 		Snapshot:    k.state.Snapshot(),
@@ -128,19 +128,19 @@
 
 // Incarnation returns the incarnation stored on the disk. The outcome of commands for
 // keys of other incarnations is Uncertain.
-func (k *Keeper) Incarnation() hingeids.Incarnation {
+func (k *KeyOwner) Incarnation() hingeids.Incarnation {
 	return k.incarnation
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (k *Keeper) Done() <-chan struct{} {
+func (k *KeyOwner) Done() <-chan struct{} {
 	return k.done
 }
 
 // Run processes commands until the context ends or the disk fails. After a failed
 // sync the content of the disk is unknown, so Run returns the error and no further
 // command is answered until the store is opened again.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *KeyOwner) Run(ctx context.Context) error {
 	defer close(k.done)
 	for {
 		select {
@@ -155,7 +155,7 @@
 	}
 }
 
-func (k *Keeper) collectBatch(first *submission) []*submission {
+func (k *KeyOwner) collectBatch(first *submission) []*submission {
 	batch := []*submission{first}
 	for len(batch) < maxBatch {
 		select {
@@ -169,7 +169,7 @@
 }
 
 // commit applies a batch and syncs it before it returns the outcomes.
-func (k *Keeper) commit(batch []*submission) error {
+func (k *KeyOwner) commit(batch []*submission) error {
 	now := k.clock().UnixNano()
 	f := frame{
 		Commands: make([][]byte, 0, len(batch)),
@@ -196,7 +196,7 @@
 }
 
 // submit queues a command and waits until it is synced.
-func (k *Keeper) submit(ctx context.Context, c command) (Outcome, error) {
+func (k *KeyOwner) submit(ctx context.Context, c command) (Outcome, error) {
 	if key, ok := parseIssued(c.Claim.Key); !ok || key.zone != k.zone || key.incarnation != k.incarnation {
 		// Rule 9.
 		return Outcome{
@@ -224,11 +224,11 @@
 	}
 }
 
-func (k *Keeper) issue() (hingeids.IdempotencyKey, error) {
+func (k *KeyOwner) issue() (hingeids.IdempotencyKey, error) {
 	return newIssuedKey(k.zone, k.incarnation)
 }
 
-func (k *Keeper) record(n hingeevents.Number, count int64) {
+func (k *KeyOwner) record(n hingeevents.Number, count int64) {
 	k.recorder.Record(k.clock(), n, hingeevents.Fields{
 		Zone:  k.zone,
 		Count: count,
--- a/internal/ledger/hingeledger/kill_test.go
+++ b/internal/ledger/hingeledger/kill_test.go
@@ -24,7 +24,7 @@
 	if err != nil {
 		return err
 	}
-	k, err := OpenKeeper(KeeperConfig{Zone: "cancale", Store: store, Limits: DefaultLimits()})
+	k, err := OpenKeyOwner(KeyOwnerConfig{Zone: "cancale", Store: store, Limits: DefaultLimits()})
 	if err != nil {
 		return err
 	}
--- a/internal/ledger/hingeledger/ledger.go
+++ b/internal/ledger/hingeledger/ledger.go
@@ -40,13 +40,13 @@
 	Group Proposer
 	// Voters are the hosts with a Group, the nearest first.
 	Voters []hingeids.HostID
-	// Keepers are the key owners of the zones.
-	Keepers map[hingeids.Zone]hingeids.HostID
-	// Keeper is nil unless this host is the key owner of its zone.
-	Keeper *Keeper
-	// Keep returns the retention of keys from the rules in force.
-	Keep     func() time.Duration
-	Recorder *hingeevents.Recorder
+	// KeyOwners are the key owners of the zones.
+	KeyOwners map[hingeids.Zone]hingeids.HostID
+	// KeyOwner is nil unless this host is the key owner of its zone.
+	KeyOwner *KeyOwner
+	// Retention returns the retention of keys from the rules in force.
+	Retention func() time.Duration
+	Recorder  *hingeevents.Recorder
 	// Clock returns the current time; nil means the system clock.
 	Clock func() time.Time
 }
@@ -74,7 +74,7 @@
 	if l.clock == nil {
 		l.clock = time.Now
 	}
-	for zone := range c.Keepers {
+	for zone := range c.KeyOwners {
 		l.ownerBreakers[zone] = &breaker{}
 	}
 	c.Link.HandleCall(methodSubmit, l.serveSubmit)
@@ -102,7 +102,7 @@
 	if !target.breaker.allow(now) {
 		return Outcome{}, target.unreachable(c.Request, eris.New("call skipped after a recent failure"))
 	}
-	c.Keep = l.config.Keep()
+	c.Retention = l.config.Retention()
 	claim := command{
 		Verb:  verbClaim,
 		Claim: c,
@@ -152,21 +152,21 @@
 	})
 }
 
-// EndLife reports to the quorum and to this host's key owner that a host instance
+// EndInstance reports to the quorum and to this host's key owner that a host instance
 // has ended, so that its claims become uncertain at once and not at their Until.
-func (l *Ledger) EndLife(ctx context.Context, instance hingeids.Instance) error {
+func (l *Ledger) EndInstance(ctx context.Context, instance hingeids.Instance) error {
 	c := command{
-		Verb: verbEndInstance,
-		Life: instance,
+		Verb:     verbEndInstance,
+		Instance: instance,
 	}
-	if l.config.Keeper != nil {
-		key, err := l.config.Keeper.issue()
+	if l.config.KeyOwner != nil {
+		key, err := l.config.KeyOwner.issue()
 		if err != nil {
 			return err
 		}
 		ownerCommand := c
 		ownerCommand.Claim.Key = key
-		if _, err := l.config.Keeper.submit(ctx, ownerCommand); err != nil {
+		if _, err := l.config.KeyOwner.submit(ctx, ownerCommand); err != nil {
 			return err
 		}
 	}
@@ -181,7 +181,7 @@
 // Issue returns a new key of this host's zone. It calls the key owner each time, so
 // that no key is issued while the zone could not claim it.
 func (l *Ledger) Issue(ctx context.Context, _ hingeids.CallerID) (hingeids.IdempotencyKey, error) {
-	owner, ok := l.config.Keepers[l.config.Zone]
+	owner, ok := l.config.KeyOwners[l.config.Zone]
 	if !ok {
 		return "", hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeKeeperUnreachable, 0,
 			eris.Errorf("zone %s has no key owner", l.config.Zone))
@@ -237,10 +237,10 @@
 		return nil, eris.Errorf("host %s sent a command for request %s of another host", from, c.Claim.Request)
 	}
 	if _, issued := parseIssued(c.Claim.Key); issued {
-		if l.config.Keeper == nil {
+		if l.config.KeyOwner == nil {
 			return nil, eris.Errorf("host %s is not a key owner", l.config.Link.Self())
 		}
-		o, err := l.config.Keeper.submit(ctx, c)
+		o, err := l.config.KeyOwner.submit(ctx, c)
 		if err != nil {
 			return nil, err
 		}
@@ -254,15 +254,15 @@
 }
 
 func (l *Ledger) serveIssue(context.Context, hingeids.HostID, []byte) ([]byte, error) {
-	if l.config.Keeper == nil {
+	if l.config.KeyOwner == nil {
 		return nil, eris.Errorf("host %s is not a key owner", l.config.Link.Self())
 	}
 	select {
-	case <-l.config.Keeper.Done():
+	case <-l.config.KeyOwner.Done():
 		return nil, errKeyOwnerStopped
 	default:
 	}
-	key, err := l.config.Keeper.issue()
+	key, err := l.config.KeyOwner.issue()
 	return []byte(key), err
 }
 
--- a/internal/ledger/hingeledger/ledger_test.go
+++ b/internal/ledger/hingeledger/ledger_test.go
@@ -13,9 +13,9 @@
 
 // refusal contains the fields of a *hingeverdict.Error that tests compare.
 type refusal struct {
-	Verdict   hingeverdict.Verdict
-	Code      hingeverdict.Code
-	ComesBack bool
+	Verdict       hingeverdict.Verdict
+	Code          hingeverdict.Code
+	HasRetryAfter bool
 }
 
 func refusalOf(t *testing.T, err error) refusal {
@@ -25,9 +25,9 @@
 		t.Fatalf("error without a verdict: %v", err)
 	}
 	return refusal{
-		Verdict:   v.Verdict,
-		Code:      v.Code,
-		ComesBack: v.RetryAfter > 0,
+		Verdict:       v.Verdict,
+		Code:          v.Code,
+		HasRetryAfter: v.RetryAfter > 0,
 	}
 }
 
@@ -81,8 +81,8 @@
 	if err := sc.request(sc.issue(inside), inside, "body"); err != nil {
 		t.Fatalf("key of the own zone: %v", err)
 	}
-	noQuorum := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeNoQuorum, ComesBack: true}
-	noKeyOwner := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeKeeperUnreachable, ComesBack: true}
+	noQuorum := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeNoQuorum, HasRetryAfter: true}
+	noKeyOwner := refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeKeeperUnreachable, HasRetryAfter: true}
 	free := &operation{caller: "depot", key: "lot-7"}
 	requireRefusal(t, sc.request(free, inside, "body"), noQuorum)
 	requireRefusal(t, sc.request(foreign, inside, "body"), noKeyOwner)
@@ -115,10 +115,10 @@
 	op := &operation{caller: "depot", key: "lot-7"}
 	sc.dropReplies = 6
 	requireRefusal(t, sc.request(op, h, "body"),
-		refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeNoQuorum, ComesBack: true})
+		refusal{Verdict: hingeverdict.NotRun, Code: hingeverdict.CodeNoQuorum, HasRetryAfter: true})
 	other := sc.hosts["roscoff-2"]
 	requireRefusal(t, sc.request(op, other, "body"),
-		refusal{Verdict: hingeverdict.MayHaveRun, Code: hingeverdict.CodeKeyInProgress, ComesBack: true})
+		refusal{Verdict: hingeverdict.MayHaveRun, Code: hingeverdict.CodeKeyInProgress, HasRetryAfter: true})
 	h.ledger.retryQueued(context.Background(), sc.now)
 	if err := sc.request(op, other, "body"); err != nil {
 		t.Fatalf("after the release: %v", err)
--- a/internal/ledger/hingeledger/notes.go
+++ b/internal/ledger/hingeledger/notes.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	c.Claim.Keep = l.config.Keep()
+	c.Claim.Retention = l.config.Retention()
 	if !target.breaker.allow(l.clock()) {
 		// During a partition, finished requests must not wait for the ledger.
 		l.queueRetry(c)
--- a/internal/ledger/hingeledger/room.go
+++ b/internal/ledger/hingeledger/room.go
@@ -71,7 +71,7 @@
 		request: c.Request,
 		until:   c.Until,
 	}
-	s.extendExpiry(e, c.Keep)
+	s.extendExpiry(e, c.Retention)
 	e.checkAt = e.expires
 	e.encode()
 	s.insert(e)
--- a/internal/ledger/hingeledger/schedule_test.go
+++ b/internal/ledger/hingeledger/schedule_test.go
@@ -129,7 +129,7 @@
 		return
 	}
 	ended := sc.order[sc.pick("ended", len(sc.order))]
-	_ = h.ledger.EndLife(context.Background(), hingeids.Instance{Host: ended.id, Incarnation: ended.incarnation})
+	_ = h.ledger.EndInstance(context.Background(), hingeids.Instance{Host: ended.id, Incarnation: ended.incarnation})
 }
 
 func (sc *simCluster) checkReplicasAgree() {
--- a/internal/ledger/hingeledger/script_test.go
+++ b/internal/ledger/hingeledger/script_test.go
@@ -15,17 +15,17 @@
 )
 
 var kindNames = map[Kind]string{
-	Malformed:      "malformed",
-	Granted:        "granted",
-	InProgress:     "inProgress",
-	Answered:       "answered",
-	AnsweredUnkept: "answeredUnkept",
-	Uncertain:      "uncertain",
-	OtherBody:      "otherBody",
-	Withdrawn:      "withdrawn",
-	CallerFull:     "callerFull",
-	Full:           "full",
-	Noted:          "",
+	Malformed:         "malformed",
+	Granted:           "granted",
+	InProgress:        "inProgress",
+	Answered:          "answered",
+	AnsweredNotStored: "answeredUnkept",
+	Uncertain:         "uncertain",
+	OtherBody:         "otherBody",
+	Withdrawn:         "withdrawn",
+	CallerFull:        "callerFull",
+	Full:              "full",
+	Acknowledged:      "",
 }
 
 // script executes the steps of one file on one State:
@@ -73,7 +73,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		return s.apply(t, command{Verb: verbEndInstance, Life: hingeids.Instance{
+		return s.apply(t, command{Verb: verbEndInstance, Instance: hingeids.Instance{
 			Host: hingeids.HostID(words[1]), Incarnation: hingeids.Incarnation(incarnation),
 		}})
 	}
@@ -94,12 +94,12 @@
 		t.Fatal(err)
 	}
 	return Claim{
-		Caller:  hingeids.CallerID(words[1]),
-		Key:     hingeids.IdempotencyKey(words[2]),
-		Digest:  DigestOf("POST", "/", []byte(words[3])),
-		Request: request,
-		Until:   int64(s.now + claimDuration),
-		Keep:    time.Hour,
+		Caller:    hingeids.CallerID(words[1]),
+		Key:       hingeids.IdempotencyKey(words[2]),
+		Digest:    DigestOf("POST", "/", []byte(words[3])),
+		Request:   request,
+		Until:     int64(s.now + claimDuration),
+		Retention: time.Hour,
 	}
 }
 
@@ -114,10 +114,10 @@
 	switch o.Kind {
 	case Answered:
 		return name + " " + string(o.Answer)
-	case Granted, Noted:
+	case Granted, Acknowledged:
 		return name
 	default:
-		return name + " " + o.By.String()
+		return name + " " + o.Holder.String()
 	}
 }
 
--- a/internal/ledger/hingeledger/snapshot.go
+++ b/internal/ledger/hingeledger/snapshot.go
@@ -15,9 +15,9 @@
 
 // snapshotHeader contains the parts of a State other than its entries.
 type snapshotHeader struct {
-	Now     int64                                    `cbor:"1,keyasint"`
-	Newest  map[hingeids.HostID]hingeids.Incarnation `cbor:"2,keyasint"`
-	Entries int                                      `cbor:"3,keyasint"`
+	Now             int64                                    `cbor:"1,keyasint"`
+	MinIncarnations map[hingeids.HostID]hingeids.Incarnation `cbor:"2,keyasint"`
+	Entries         int                                      `cbor:"3,keyasint"`
 }
 
 type snapshotEntry struct {
@@ -71,9 +71,9 @@
 // return the same bytes, even if one of them was restored from a snapshot.
 func (s *State) Snapshot() []byte {
 	header := encode(snapshotHeader{
-		Now:     s.now,
-		Newest:  s.minIncarnation,
-		Entries: len(s.queue),
+		Now:             s.now,
+		MinIncarnations: s.minIncarnation,
+		Entries:         len(s.queue),
 	})
 	size := numberSize + len(header)
 	for _, e := range s.queue {
@@ -109,7 +109,7 @@
 		return eris.Wrap(err, "decode header")
 	}
 	s.now = header.Now
-	for host, i := range header.Newest {
+	for host, i := range header.MinIncarnations {
 		s.minIncarnation[host] = i
 	}
 	for i := range header.Entries {
--- a/internal/ledger/hingeledger/state.go
+++ b/internal/ledger/hingeledger/state.go
@@ -84,9 +84,9 @@
 	case verbRelease:
 		return s.release(&c.Claim)
 	case verbEndInstance:
-		s.endInstancesBefore(c.Life.Host, c.Life.Incarnation+1)
+		s.endInstancesBefore(c.Instance.Host, c.Instance.Incarnation+1)
 		return Outcome{
-			Kind: Noted,
+			Kind: Acknowledged,
 		}
 	default:
 		return Outcome{
@@ -124,7 +124,7 @@
 		o.Answer = e.answer
 		return o
 	case phaseNotStored:
-		return s.outcome(AnsweredUnkept, e.request, e.until)
+		return s.outcome(AnsweredNotStored, e.request, e.until)
 	}
 	if e.request == c.Request {
 		return s.outcome(Granted, e.request, e.until)
@@ -152,7 +152,7 @@
 	e.digest = c.Digest
 	e.request = c.Request
 	e.until = c.Until
-	s.extendExpiry(e, c.Keep)
+	s.extendExpiry(e, c.Retention)
 	e.encode()
 	return s.outcome(Granted, e.request, e.until)
 }
@@ -170,11 +170,11 @@
 			e.answer = nil
 		}
 		s.updateUsage(e, 1)
-		s.extendExpiry(e, c.Keep)
+		s.extendExpiry(e, c.Retention)
 		e.encode()
 	}
 	return Outcome{
-		Kind: Noted,
+		Kind: Acknowledged,
 	}
 }
 
@@ -189,7 +189,7 @@
 		e.encode()
 	}
 	return Outcome{
-		Kind: Noted,
+		Kind: Acknowledged,
 	}
 }
 
@@ -202,8 +202,8 @@
 
 func (s *State) outcome(k Kind, by hingeids.RequestID, until int64) Outcome {
 	return Outcome{
-		Kind:  k,
-		By:    by,
-		Until: until,
+		Kind:   k,
+		Holder: by,
+		Until:  until,
 	}
 }
--- a/internal/ledger/hingeledger/store_test.go
+++ b/internal/ledger/hingeledger/store_test.go
@@ -141,9 +141,9 @@
 	})
 }
 
-func openKeyOwner(t testing.TB, s Store, now time.Time) *Keeper {
+func openKeyOwner(t testing.TB, s Store, now time.Time) *KeyOwner {
 	t.Helper()
-	k, err := OpenKeeper(KeeperConfig{
+	k, err := OpenKeyOwner(KeyOwnerConfig{
 		Zone:   "cancale",
 		Store:  s,
 		Limits: DefaultLimits(),
@@ -155,7 +155,7 @@
 	return k
 }
 
-func runKeyOwner(t testing.TB, k *Keeper) (stop func() error) {
+func runKeyOwner(t testing.TB, k *KeyOwner) (stop func() error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	ended := make(chan error, 1)
@@ -169,7 +169,7 @@
 	}
 }
 
-func submitClaim(t testing.TB, k *Keeper, key hingeids.IdempotencyKey, sequence uint64) Kind {
+func submitClaim(t testing.TB, k *KeyOwner, key hingeids.IdempotencyKey, sequence uint64) Kind {
 	t.Helper()
 	o, err := k.submit(context.Background(), claimCommand(key, sequence))
 	if err != nil {
@@ -182,10 +182,10 @@
 	return command{
 		Verb: verbClaim,
 		Claim: Claim{
-			Caller: "depot",
-			Key:    key,
-			Until:  startTime.Add(time.Hour).UnixNano(),
-			Keep:   testRetention,
+			Caller:    "depot",
+			Key:       key,
+			Until:     startTime.Add(time.Hour).UnixNano(),
+			Retention: testRetention,
 			Request: hingeids.RequestID{
 				Instance: hingeids.Instance{Host: "cancale-1", Incarnation: 1},
 				Sequence: sequence,
--- a/internal/ledger/hingeledger/verdicts.go
+++ b/internal/ledger/hingeledger/verdicts.go
@@ -29,7 +29,7 @@
 			code:    hingeverdict.CodeNoQuorum,
 		}, nil
 	}
-	owner, ok := l.config.Keepers[issued.zone]
+	owner, ok := l.config.KeyOwners[issued.zone]
 	if !ok {
 		// An earlier key owner of the zone may have granted a claim of the key.
 		return target{}, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeKeyUncertain, 0,
@@ -57,7 +57,7 @@
 // its stored answer is to be returned.
 func verdictOf(o Outcome, c Claim, now time.Time) error {
 	refuse := func(v hingeverdict.Verdict, code hingeverdict.Code, retryAfter time.Duration, text string) error {
-		return hingeverdict.New(v, code, retryAfter, eris.Errorf("%s (request %s)", text, o.By))
+		return hingeverdict.New(v, code, retryAfter, eris.Errorf("%s (request %s)", text, o.Holder))
 	}
 	switch o.Kind {
 	case Granted, Answered:
@@ -67,7 +67,7 @@
 		remaining := max(time.Unix(0, o.Until).Sub(now), 0)
 		return refuse(hingeverdict.MayHaveRun, hingeverdict.CodeKeyInProgress,
 			retryDelay(min(remaining, time.Second)+1, c.Request), "another attempt with this key is in progress")
-	case AnsweredUnkept:
+	case AnsweredNotStored:
 		return refuse(hingeverdict.Ran, hingeverdict.CodeTooLarge, 0, "the request ran, but its answer was too large to store")
 	case OtherBody:
 		return refuse(hingeverdict.NotRun, hingeverdict.CodeKeyOtherBody, 0, "the idempotency key was used for a different request")
--- a/internal/ledger/hingeledger/world_test.go
+++ b/internal/ledger/hingeledger/world_test.go
@@ -139,7 +139,7 @@
 	incarnation  hingeids.Incarnation
 	nextSequence uint64
 	ledger       *Ledger
-	keyOwner     *Keeper
+	keyOwner     *KeyOwner
 	stop         func()
 }
 
@@ -232,15 +232,15 @@
 	h.stop = func() {}
 	h.keyOwner = nil
 	c := Config{
-		Zone:    h.zone,
-		Link:    &lossyLink{Link: sc.network.Link(h.id), sc: sc},
-		Voters:  sc.voters(),
-		Keepers: map[hingeids.Zone]hingeids.HostID{"cancale": "cancale-1", "roscoff": "roscoff-1", "quiberon": "quiberon-1"},
-		Keep:    func() time.Duration { return testRetention },
-		Clock:   sc.clock,
+		Zone:      h.zone,
+		Link:      &lossyLink{Link: sc.network.Link(h.id), sc: sc},
+		Voters:    sc.voters(),
+		KeyOwners: map[hingeids.Zone]hingeids.HostID{"cancale": "cancale-1", "roscoff": "roscoff-1", "quiberon": "quiberon-1"},
+		Retention: func() time.Duration { return testRetention },
+		Clock:     sc.clock,
 	}
 	if h.disk != nil {
-		keyOwner, err := OpenKeeper(KeeperConfig{Zone: h.zone, Store: h.disk, Limits: DefaultLimits(), Clock: sc.clock})
+		keyOwner, err := OpenKeyOwner(KeyOwnerConfig{Zone: h.zone, Store: h.disk, Limits: DefaultLimits(), Clock: sc.clock})
 		if err != nil {
 			sc.t.Fatal(err)
 		}
@@ -253,7 +253,7 @@
 			cancel()
 			<-keyOwner.Done()
 		}
-		c.Keeper = keyOwner
+		c.KeyOwner = keyOwner
 		c.Group = h.member
 		sc.restoreFromPeer(h)
 	}
--- a/internal/serve/hingeserver/lives.go
+++ b/internal/serve/hingeserver/lives.go
@@ -105,7 +105,7 @@
 		})
 		// Requests that the life had claimed are uncertain from now on, and not
 		// only when their time is over. If this fails, their time decides.
-		_ = s.shared.ledger.EndLife(ctx, life)
+		_ = s.shared.ledger.EndInstance(ctx, life)
 	}
 }
 
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -29,7 +29,7 @@
 	config      *hingegroup.Group
 	spread      *hingespread.Replicator
 	ledgerGroup *hingegroup.Group
-	keeper      *hingeledger.Keeper
+	keeper      *hingeledger.KeyOwner
 	ledger      *hingeledger.Ledger
 	keeperStore *hingeledger.FileStore
 	members     *hingemembers.Members
@@ -198,13 +198,13 @@
 		}
 	}
 	config := hingeledger.Config{
-		Zone:     c.settings.Zone,
-		Link:     s.link,
-		Voters:   votersFrom(c.settings),
-		Keepers:  keepers,
-		Keeper:   s.keeper,
-		Keep:     c.keepKeys,
-		Recorder: c.recorder,
+		Zone:      c.settings.Zone,
+		Link:      s.link,
+		Voters:    votersFrom(c.settings),
+		KeyOwners: keepers,
+		KeyOwner:  s.keeper,
+		Retention: c.keepKeys,
+		Recorder:  c.recorder,
 	}
 	if c.settings.DataFolder != "" {
 		config.Group = group
@@ -223,7 +223,7 @@
 		return err
 	}
 	s.keeperStore = store
-	s.keeper, err = hingeledger.OpenKeeper(hingeledger.KeeperConfig{
+	s.keeper, err = hingeledger.OpenKeyOwner(hingeledger.KeyOwnerConfig{
 		Zone:     c.settings.Zone,
 		Store:    store,
 		Limits:   hingeledger.DefaultLimits(),
