--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -1,14 +1,14 @@
-// Package hingeaccount tells from the log lines of all processes what became of the requests of a
-// span of time, and for which reasons callers were served late or not at all.
+// Package hingeaccount summarizes the event logs of all processes: the outcomes of requests over a period, and why
+// requests were late or unsuccessful.
 //
-//  1. A request is one attempt of a caller, by the id that the caller gave it. What ended it last is what the
-//     caller got.
-//  2. A stream that was placed and never ended was lost with its host. A plain request leaves no line before its
-//     end, so that those which are lost with their host aren't counted.
-//  3. The memory that stands beside a reason is how full the engines were that streams were placed on in the same
-//     second, by the placer's own prediction: it tells a lack of memory from anything else.
-//  4. Lines that aren't events, or that another process has put something before, are passed over or read as
-//     they are; how many were dropped by their writers is told.
+//  1. A request is one attempt of a caller, identified by the caller's own request id. The final event
+//     that is read last determines the outcome.
+//  2. A stream that was placed and has no final event was lost with its host. A plain request logs nothing before
+//     its final event, so plain requests lost with their host aren't counted.
+//  3. The memory column beside a reason is the mean predicted fill of the engines on which streams were placed in
+//     the same second. It separates a lack of memory from other reasons.
+//  4. Lines that aren't events are skipped, and text in front of an event is ignored. The report states how many
+//     lines the writers dropped.
 package hingeaccount
 
 import (
@@ -27,10 +27,10 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingelines"
 )
 
-// Outcome is what a caller got.
+// Outcome is the final result of a request, as the caller saw it.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	OnTime  Outcome = "on time"
 	Late    Outcome = "late"
@@ -41,94 +41,95 @@
 	Lost    Outcome = "lost with its host"
 )
 
-// Outcomes lists them in the order of the tables.
+// Outcomes lists the outcomes in the order of the table columns.
 var Outcomes = []Outcome{OnTime, Late, Refused, Failed, Denied, Gone, Lost}
 
-// Request is what is known of one request.
+// Request is the summary of one request. Asked is the caller's own id of it.
 type Request struct {
 	Asked string
 	Route string
-	// Customer is whose it was, empty if nobody's.
+	// Customer is empty if the request had no customer.
 	Customer hingeids.CallerID
 	Host     hingeids.HostID
-	// EndedAt is when it ended, or when it was placed last if it never did.
+	// EndedAt is the time of the final event, or of the last placement if there is none.
 	EndedAt time.Time
 	Outcome Outcome
-	// Reason is why it wasn't on time, in a few words.
+	// Reason says briefly why the request wasn't on time; empty if unknown.
 	Reason string
-	// Places is how often it was placed, Wait how long it waited for its first place.
+	// Places counts the placements; Wait is the time until the first one.
 	Places int
 	Wait   time.Duration
-	// Wasted is the tokens that were worked for nothing.
+	// Wasted counts prompt tokens whose prefill was not used.
 	Wasted int64
 
-	stream bool
-	ended  bool
+	stream   bool
+	finished bool
 }
 
-// Account is all that was read.
+// Account collects the events of all log lines read so far. It isn't safe for concurrent use.
 type Account struct {
-	// Zones gives the availability zone of each host.
+	// Zones maps each host to its availability zone.
 	Zones map[hingeids.HostID]hingeids.Zone
-	// Dropped is how many lines their writers dropped.
+	// Dropped counts the lines that the writers dropped.
 	Dropped int64
-	// Unnamed is how many requests were denied, or refused beyond a quota or because servers end under them, that have no line of
-	// their own (hingeproxy bounds these).
+	// Unnamed counts denied, over-quota and poison requests without a line of their own: hingeproxy limits the rate of
+	// these lines, and each states how many requests it stands for.
 	Unnamed int64
 
 	requests map[string]*Request
-	// fills are the predicted fills of the engines that streams were placed on, by second.
-	fills map[int64]fill
-	waste map[string]int64
-	// ends are the servers that ended under requests, by print.
-	ends map[hingeids.Print]*Ends
+	// fills has the predicted fill of the engines on which streams were placed, by Unix second.
+	fills map[int64]fillStats
+	// wastedTokens has the prompt tokens whose prefill was not used, by verdict and code.
+	wastedTokens map[string]int64
+	// crashes has the server crashes during requests, by the request's fingerprint.
+	crashes map[hingeids.Print]*Ends
 }
 
-// Ends are the servers that ended under one request, over all its attempts.
+// Ends are the server crashes during one request, over all its attempts.
 type Ends struct {
 	Print    hingeids.Print
 	Customer hingeids.CallerID
 	Route    string
-	// Servers are those that ended, First and Last when the first and the last did.
+	// Servers are the servers that crashed, the first at First and the last at Last.
 	Servers     map[hingeids.ServerID]bool
 	First, Last time.Time
-	// Attempts are the callers' ids of the attempts.
+	// Attempts has the caller's id of each attempt.
 	Attempts map[string]bool
 }
 
-// fill is the sum of predicted fills, in hundredths.
-type fill struct {
+// fillStats sums predicted fills, in percent.
+type fillStats struct {
 	sum   int64
 	count int64
 }
 
-// New makes an empty account.
+// New returns an empty account.
 func New() *Account {
 	return &Account{
-		Zones:    make(map[hingeids.HostID]hingeids.Zone),
-		requests: make(map[string]*Request),
-		fills:    make(map[int64]fill),
-		waste:    make(map[string]int64),
-		ends:     make(map[hingeids.Print]*Ends),
+		Zones:        make(map[hingeids.HostID]hingeids.Zone),
+		requests:     make(map[string]*Request),
+		fills:        make(map[int64]fillStats),
+		wastedTokens: make(map[string]int64),
+		crashes:      make(map[hingeids.Print]*Ends),
 	}
 }
 
-// longestLine bounds one log line: an event is some hundred bytes, the text of a panic some thousand.
-const longestLine = 1 << 20
+// maxLineBytes limits the length of a log line; the longest contain the text of a panic.
+const maxLineBytes = 1 << 20
 
-// Read takes the lines of one process or of several.
+// Read adds the log lines of one or more processes. It fails on a line of more than maxLineBytes.
 func (a *Account) Read(r io.Reader) error {
 	lines := bufio.NewScanner(r)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for lines.Scan() {
 		if l, ok := hingelines.Parse(bytes.TrimSpace(lines.Bytes())); ok {
-			a.take(l)
+			a.add(l)
 		}
 	}
-	return eris.Wrap(lines.Err(), "log lines")
+	return eris.Wrap(lines.Err(), "read log lines")
 }
 
-func (a *Account) take(l hingelines.Line) {
+func (a *Account) add(l hingelines.Line) {
 	a.Dropped += l.Dropped
 	if l.Event == hingeevents.ProcessStarted {
 		a.Zones[hingeids.HostID(l.By)] = l.Fields.Zone
@@ -151,50 +152,50 @@
 	if l.Fields.Caller != "" {
 		r.Customer = l.Fields.Caller
 	}
-	a.takeOf(r, l)
+	a.addRequestEvent(r, l)
 }
 
-func (a *Account) takeOf(r *Request, l hingelines.Line) {
+func (a *Account) addRequestEvent(r *Request, l hingelines.Line) {
 	switch l.Event {
 	case hingeevents.RequestPlaced:
-		a.placed(r, l)
+		a.addPlacement(r, l)
 	case hingeevents.PromptWasted:
 		r.Wasted += l.Fields.Count
-		a.waste[verdictOf(l.Fields.Detail)] += l.Fields.Count
+		a.wastedTokens[verdictAndCode(l.Fields.Detail)] += l.Fields.Count
 	case hingeevents.RequestAnswered:
 		r.stream = true
-		r.end(l.At, OnTime, "")
+		r.finish(l.At, OnTime, "")
 		if l.Fields.Late != "" {
-			r.end(l.At, Late, r.whyLate(l))
+			r.finish(l.At, Late, r.lateReason(l))
 		}
 	case hingeevents.ServiceCalled:
-		r.end(l.At, OnTime, "")
+		r.finish(l.At, OnTime, "")
 		switch {
 		case l.Fields.Count >= 500:
-			r.end(l.At, Failed, "the server's own failure")
+			r.finish(l.At, Failed, "the server's own failure")
 		case l.Fields.Late != "":
-			r.end(l.At, Late, "slow server")
+			r.finish(l.At, Late, "slow server")
 		}
 	case hingeevents.RequestGivenUp:
-		r.giveUp(l)
+		r.finishWithError(l)
 	case hingeevents.RequestOverQuota:
-		r.end(l.At, Refused, "beyond the customer's quota")
+		r.finish(l.At, Refused, "beyond the customer's quota")
 		a.Unnamed += l.Fields.Count - 1
 	case hingeevents.PoisonRefused:
-		r.end(l.At, Refused, "servers end under it")
+		r.finish(l.At, Refused, "servers end under it")
 		a.Unnamed += l.Fields.Count - 1
 	case hingeevents.RequestDenied:
-		r.end(l.At, Denied, verdictOf(l.Fields.Detail))
+		r.finish(l.At, Denied, verdictAndCode(l.Fields.Detail))
 		a.Unnamed += l.Fields.Count - 1
 	case hingeevents.ServerEnded:
-		a.ended(l)
+		a.addCrash(l)
 	case hingeevents.CallerGone:
-		r.end(l.At, Gone, "")
+		r.finish(l.At, Gone, "")
 	}
 }
 
-func (a *Account) ended(l hingelines.Line) {
-	e := a.ends[l.Fields.Print]
+func (a *Account) addCrash(l hingelines.Line) {
+	e := a.crashes[l.Fields.Print]
 	if e == nil {
 		e = &Ends{
 			Print:    l.Fields.Print,
@@ -204,7 +205,7 @@
 			First:    l.At,
 			Attempts: make(map[string]bool),
 		}
-		a.ends[l.Fields.Print] = e
+		a.crashes[l.Fields.Print] = e
 	}
 	e.Servers[l.Fields.Server] = true
 	e.Attempts[l.Fields.Asked] = true
@@ -216,13 +217,13 @@
 	}
 }
 
-func (a *Account) placed(r *Request, l hingelines.Line) {
+func (a *Account) addPlacement(r *Request, l hingelines.Line) {
 	r.stream = true
 	if r.Places == 0 {
 		r.Wait = time.Duration(l.TookMs * float64(time.Millisecond))
 	}
 	r.Places++
-	if !r.ended {
+	if !r.finished {
 		r.EndedAt = l.At
 	}
 	f := a.fills[l.At.Unix()]
@@ -231,28 +232,29 @@
 	a.fills[l.At.Unix()] = f
 }
 
-func (r *Request) end(at time.Time, o Outcome, reason string) {
-	r.ended = true
+// finish sets the outcome; a later final event replaces an earlier one (rule 1).
+// finish sets the outcome; a later final event replaces an earlier one (rule 1).
+func (r *Request) finish(at time.Time, o Outcome, reason string) {
+	r.finished = true
 	r.EndedAt = at
 	r.Outcome = o
 	r.Reason = reason
 }
 
-// giveUp takes the final answer of a request that no server answered. A verdict stands before its code in
-// brackets, and what went wrong behind a colon.
-func (r *Request) giveUp(l hingelines.Line) {
+// finishWithError handles the final error of a request. The detail has the form "verdict (code): cause".
+func (r *Request) finishWithError(l hingelines.Line) {
 	outcome := Failed
 	if strings.HasPrefix(l.Fields.Detail, "notRun") {
 		outcome = Refused
 	}
-	r.end(l.At, outcome, shortCause(l.Fields.Detail))
+	r.finish(l.At, outcome, failureSummary(l.Fields.Detail))
 }
 
-// longWait is the wait for an engine from which a late stream is put down to it.
-const longWait = 300 * time.Millisecond
+// maxPlacementWait is the longest wait for an engine that isn't given as the reason of a late stream.
+const maxPlacementWait = 300 * time.Millisecond
 
-// whyLate tells where a late stream lost its time.
-func (r *Request) whyLate(l hingelines.Line) string {
+// lateReason returns the most likely reason why a stream was late.
+func (r *Request) lateReason(l hingelines.Line) string {
 	switch {
 	case r.Places > 1:
 		return "moved to another engine"
@@ -260,36 +262,37 @@
 		return "a pause between events"
 	case r.Places == 0:
 		return "late without a place"
-	case r.Wait > longWait:
+	case r.Wait > maxPlacementWait:
 		return "waited for an engine"
 	}
 	return "slow prefill or first event"
 }
 
-// shortCause keeps the verdict, its code, and the cause as far as it doesn't name addresses.
-func shortCause(detail string) string {
-	rest := strings.TrimPrefix(detail, verdictOf(detail)+": ")
-	if short, ok := strings.CutPrefix(rest, "short of "); ok {
-		return verdictOf(detail) + " short of " + short
+// failureSummary returns the verdict, its code and, if an engine resource was short, the resource. Other causes are
+// left out, since addresses in them would give each request a reason of its own.
+func failureSummary(detail string) string {
+	rest := strings.TrimPrefix(detail, verdictAndCode(detail)+": ")
+	if resource, ok := strings.CutPrefix(rest, "short of "); ok {
+		return verdictAndCode(detail) + " short of " + resource
 	}
-	return verdictOf(detail)
+	return verdictAndCode(detail)
 }
 
-// verdictOf is the verdict and its code, without the causes that follow it.
-func verdictOf(detail string) string {
+// verdictAndCode returns the part of a detail before its first cause.
+func verdictAndCode(detail string) string {
 	verdict, _, _ := strings.Cut(detail, ": ")
 	return verdict
 }
 
-// Requests gives the requests by the time of their end.
+// Requests returns the requests ordered by EndedAt. Streams without a final event have the outcome Lost.
 func (a *Account) Requests() []*Request {
 	out := make([]*Request, 0, len(a.requests))
 	for _, r := range a.requests {
-		if !r.ended && !r.stream {
-			// Tries that failed are all that is known of it; its end was lost with its host, or is yet to come.
+		if !r.finished && !r.stream {
+			// Only failed attempts were logged: the final event was lost with the host or is still to come.
 			continue
 		}
-		if !r.ended {
+		if !r.finished {
 			r.Outcome = Lost
 		}
 		out = append(out, r)
@@ -300,8 +303,9 @@
 	return out
 }
 
-// fillAt is how full engines were in the second of a time, in hundredths; false if no stream was placed.
-func (a *Account) fillAt(at time.Time) (int64, bool) {
+// meanFill returns the mean predicted fill, in percent, of the engines chosen in the second of at, and false if no
+// stream was placed in it.
+func (a *Account) meanFill(at time.Time) (int64, bool) {
 	f := a.fills[at.Unix()]
 	if f.count == 0 {
 		return 0, false
--- a/internal/observe/hingeaccount/account_test.go
+++ b/internal/observe/hingeaccount/account_test.go
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	defer func() {
-		// It was only read.
+		// The file was only read, so nothing can be lost.
 		_ = f.Close()
 	}()
 	a := New()
@@ -30,9 +30,8 @@
 	return a
 }
 
-// An on-call engineer has nothing but the log files of a bad quarter of an hour, with lines cut short and lines
-// of other programs among them, and is asked who was refused, why, and whether engines were full.
-func TestAccountTellsWhoWasLateOrRefusedAndWhy(t *testing.T) {
+// Guards the whole report, made from logs that also contain truncated lines and lines of other programs.
+func TestReportMatchesGoldenFile(t *testing.T) {
 	var b strings.Builder
 	if err := read(t).Write(&b, 2*time.Second); err != nil {
 		t.Fatal(err)
@@ -52,7 +51,7 @@
 	}
 }
 
-// Each request has one outcome, whatever the table: the rows of each add up to the same.
+// Guards against requests that are counted twice or with several outcomes.
 func TestEachRequestIsCountedOnce(t *testing.T) {
 	list := read(t).Requests()
 	got := make(map[Outcome]int)
@@ -73,7 +72,7 @@
 	}
 }
 
-func TestPlotIsDrawn(t *testing.T) {
+func TestPlotIsWritten(t *testing.T) {
 	folder := t.TempDir()
 	if err := read(t).Plot(folder, time.Second); err != nil {
 		t.Fatal(err)
--- a/internal/observe/hingeaccount/tables.go
+++ b/internal/observe/hingeaccount/tables.go
@@ -15,7 +15,7 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingefigure"
 )
 
-// Counts is how many requests had each outcome.
+// Counts has the number of requests by outcome.
 type Counts map[Outcome]int
 
 func (c Counts) total() int {
@@ -26,7 +26,7 @@
 	return sum
 }
 
-// By counts requests by a key.
+// By counts requests by key and outcome.
 func By(list []*Request, key func(r *Request) string) map[string]Counts {
 	out := make(map[string]Counts)
 	for _, r := range list {
@@ -39,8 +39,9 @@
 	return out
 }
 
-// Write writes the tables: by route, by zone, by span of time, and the reasons.
-func (a *Account) Write(w io.Writer, every time.Duration) error {
+// Write writes the report: requests by route, customer, zone and interval, reasons, wasted prompt tokens and server
+// crashes.
+func (a *Account) Write(w io.Writer, interval time.Duration) error {
 	list := a.Requests()
 	var b strings.Builder
 	if a.Dropped > 0 {
@@ -63,76 +64,76 @@
 		return string(a.Zones[r.Host])
 	}))
 	if len(list) > 0 {
-		began := list[0].EndedAt
+		start := list[0].EndedAt
 		a.writeCounts(&b, "second", By(list, func(r *Request) string {
-			return fmt.Sprintf("%6.1f", r.EndedAt.Sub(began).Truncate(every).Seconds())
+			return fmt.Sprintf("%6.1f", r.EndedAt.Sub(start).Truncate(interval).Seconds())
 		}))
 	}
 	a.writeReasons(&b, list)
 	a.writeWaste(&b)
-	a.writeEnds(&b)
+	a.writeCrashes(&b)
 	_, err := io.WriteString(w, b.String())
-	return eris.Wrap(err, "account")
+	return eris.Wrap(err, "write account")
 }
 
-func (*Account) writeCounts(b *strings.Builder, name string, by map[string]Counts) {
+func (*Account) writeCounts(b *strings.Builder, name string, rows map[string]Counts) {
 	fmt.Fprintf(b, "%-24s %7s", name, "asked")
 	for _, o := range Outcomes {
 		fmt.Fprintf(b, " %*s", max(len(o), 7), o)
 	}
 	b.WriteString("\n")
-	for _, k := range slices.Sorted(maps.Keys(by)) {
-		fmt.Fprintf(b, "%-24s %7d", k, by[k].total())
+	for _, k := range slices.Sorted(maps.Keys(rows)) {
+		fmt.Fprintf(b, "%-24s %7d", k, rows[k].total())
 		for _, o := range Outcomes {
-			fmt.Fprintf(b, " %*d", max(len(o), 7), by[k][o])
+			fmt.Fprintf(b, " %*d", max(len(o), 7), rows[k][o])
 		}
 		b.WriteString("\n")
 	}
 	b.WriteString("\n")
 }
 
-// cause is why requests of one outcome were lost.
-type cause struct {
+// reasonRow counts the requests with one outcome and one reason.
+type reasonRow struct {
 	outcome Outcome
 	reason  string
 	count   int
-	// fill is the mean of how full engines were, over those requests for which it is known.
-	fill, known int64
-	first       *Request
+	// fillSum sums the mean fill in percent over the fillCount requests for which it is known.
+	fillSum, fillCount int64
+	first              *Request
 }
 
 func (a *Account) writeReasons(b *strings.Builder, list []*Request) {
-	causes := make(map[string]*cause)
+	rows := make(map[string]*reasonRow)
 	for _, r := range list {
 		if r.Outcome == OnTime {
 			continue
 		}
 		key := string(r.Outcome) + "/" + r.Reason
-		c := causes[key]
+		c := rows[key]
 		if c == nil {
-			c = &cause{
+			c = &reasonRow{
 				outcome: r.Outcome,
 				reason:  r.Reason,
 				first:   r,
 			}
-			causes[key] = c
+			rows[key] = c
 		}
 		c.count++
-		if f, ok := a.fillAt(r.EndedAt.Add(-r.Wait)); ok {
-			c.fill += f
-			c.known++
+		if f, ok := a.meanFill(r.EndedAt.Add(-r.Wait)); ok {
+			c.fillSum += f
+			c.fillCount++
 		}
 	}
-	sorted := slices.SortedFunc(maps.Values(causes), func(x, y *cause) int {
-		// The graver of two outcomes stands first, so that the same lines always give the same table.
+	sorted := slices.SortedFunc(maps.Values(rows), func(x, y *reasonRow) int {
+		// The tie-breakers make the order of rows deterministic; the graver outcome comes first.
 		return cmp.Or(cmp.Compare(y.count, x.count), cmp.Compare(x.reason, y.reason),
 			cmp.Compare(slices.Index(Outcomes, y.outcome), slices.Index(Outcomes, x.outcome)))
 	})
 	fmt.Fprintf(b, "%-20s %-44s %7s %8s  %s\n", "outcome", "reason", "count", "memory", "the first")
 	for _, c := range sorted {
 		fill := "-"
-		if c.known > 0 {
-			fill = fmt.Sprintf("%d", c.fill/c.known)
+		if c.fillCount > 0 {
+			fill = fmt.Sprintf("%d", c.fillSum/c.fillCount)
 		}
 		fmt.Fprintf(b, "%-20s %-44s %7d %8s  %s\n", c.outcome, c.reason, c.count, fill, c.first.Asked)
 	}
@@ -141,19 +142,19 @@
 
 func (a *Account) writeWaste(b *strings.Builder) {
 	fmt.Fprintf(b, "%-44s %12s\n", "prompts worked for nothing, by reason", "tokens")
-	for _, k := range slices.SortedFunc(maps.Keys(a.waste), func(x, y string) int {
-		return cmp.Or(cmp.Compare(a.waste[y], a.waste[x]), cmp.Compare(x, y))
+	for _, k := range slices.SortedFunc(maps.Keys(a.wastedTokens), func(x, y string) int {
+		return cmp.Or(cmp.Compare(a.wastedTokens[y], a.wastedTokens[x]), cmp.Compare(x, y))
 	}) {
-		fmt.Fprintf(b, "%-44s %12d\n", k, a.waste[k])
+		fmt.Fprintf(b, "%-44s %12d\n", k, a.wastedTokens[k])
 	}
 }
 
-// mostEnds is how many requests the table of servers that ended has: all that ran beside a cause stand in it too.
-const mostEnds = 10
+// maxCrashRows limits the crash table, since requests that merely ran beside the cause of a crash appear in it too.
+const maxCrashRows = 10
 
-// writeEnds writes the requests under which several servers ended, those with the most first.
-func (a *Account) writeEnds(b *strings.Builder) {
-	list := slices.SortedFunc(maps.Values(a.ends), func(x, y *Ends) int {
+// writeCrashes writes the requests during which several servers crashed, those with the most servers first.
+func (a *Account) writeCrashes(b *strings.Builder) {
+	list := slices.SortedFunc(maps.Values(a.crashes), func(x, y *Ends) int {
 		return cmp.Or(cmp.Compare(len(y.Servers), len(x.Servers)), x.First.Compare(y.First), cmp.Compare(x.Print, y.Print))
 	})
 	list = slices.DeleteFunc(list, func(e *Ends) bool {
@@ -163,40 +164,40 @@
 		return
 	}
 	fmt.Fprintf(b, "\n%-16s %8s %8s  %-26s %-26s %-16s %s\n", "print", "servers", "attempts", "the first ended", "the last", "customer", "route")
-	for _, e := range list[:min(len(list), mostEnds)] {
+	for _, e := range list[:min(len(list), maxCrashRows)] {
 		fmt.Fprintf(b, "%-16s %8d %8d  %-26s %-26s %-16s %s\n", e.Print, len(e.Servers), len(e.Attempts),
-			e.First.Format(endsTime), e.Last.Format(endsTime), e.Customer, e.Route)
+			e.First.Format(crashTimeLayout), e.Last.Format(crashTimeLayout), e.Customer, e.Route)
 	}
 }
 
-// endsTime is how moments stand in the table of servers that ended.
-const endsTime = "2006-01-02T15:04:05.000Z"
+// crashTimeLayout formats the times of the crash table.
+const crashTimeLayout = "2006-01-02T15:04:05.000Z"
 
-// Plot draws the outcomes over time into a folder.
-func (a *Account) Plot(folder string, every time.Duration) error {
+// Plot draws the number of requests by outcome for each interval into account.png in the folder.
+func (a *Account) Plot(folder string, interval time.Duration) error {
 	list := a.Requests()
 	f := hingefigure.Figure{
 		File:  "account.png",
 		Title: "What callers got",
 		X:     "s",
-		Y:     fmt.Sprintf("requests in %v", every),
+		Y:     fmt.Sprintf("requests in %v", interval),
 	}
 	if len(list) == 0 {
 		return f.Write(folder)
 	}
-	began := list[0].EndedAt
-	spans := int(list[len(list)-1].EndedAt.Sub(began)/every) + 1
+	start := list[0].EndedAt
+	buckets := int(list[len(list)-1].EndedAt.Sub(start)/interval) + 1
 	for _, o := range Outcomes {
-		counts := make([]int, spans)
+		counts := make([]int, buckets)
 		for _, r := range list {
 			if r.Outcome == o {
-				counts[int(r.EndedAt.Sub(began)/every)]++
+				counts[int(r.EndedAt.Sub(start)/interval)]++
 			}
 		}
-		points := make(plotter.XYs, 0, spans)
+		points := make(plotter.XYs, 0, buckets)
 		for i, n := range counts {
 			points = append(points, plotter.XY{
-				X: float64(i) * every.Seconds(),
+				X: float64(i) * interval.Seconds(),
 				Y: float64(n),
 			})
 		}
