--- a/internal/observe/hingeevents/catalogue.go
+++ b/internal/observe/hingeevents/catalogue.go
@@ -2,15 +2,15 @@
 
 import "sort"
 
-// area is a part of the catalogue, in a table of its own.
+// area is a section of the catalogue, with its own table in docs/EVENTS.md.
 type area struct {
 	title string
-	// first is the lowest number of the area; it has a hundred numbers (Rule 3).
+	// first is the lowest number of the area, which has areaSize numbers (rule 3).
 	first   Number
 	entries []Entry
 }
 
-// areaSize is how many numbers an area has.
+// areaSize is the number of event numbers reserved for an area.
 const areaSize = 100
 
 var areas = []area{
@@ -30,7 +30,7 @@
 		entries: membershipEntries,
 	},
 	{
-		title:   "Decode slots and holds",
+		title:   "Decode slots and allocations",
 		first:   400,
 		entries: slotEntries,
 	},
@@ -73,13 +73,13 @@
 	return m
 }
 
-// Lookup finds the catalogue entry of a number.
+// Lookup returns the catalogue entry of a number.
 func Lookup(n Number) (Entry, bool) {
 	e, ok := byNumber[n]
 	return e, ok
 }
 
-// Catalogue gives every entry, by number.
+// Catalogue returns all entries, ordered by number.
 func Catalogue() []Entry {
 	out := make([]Entry, 0, len(byNumber))
 	for _, e := range byNumber {
--- a/internal/observe/hingeevents/catalogue_test.go
+++ b/internal/observe/hingeevents/catalogue_test.go
@@ -12,8 +12,8 @@
 
 var update = flag.Bool("update", false, "write docs/EVENTS.md")
 
-// A number is used twice, or taken from another area: logs of two versions
-// then mean different things by it.
+// Guards against a number or name that is used twice, a number outside its area,
+// and incomplete entries.
 func TestNumbers(t *testing.T) {
 	numbers := make(map[Number]string)
 	names := make(map[string]Number)
@@ -32,7 +32,7 @@
 				t.Errorf("%d has no name or no text", e.Number)
 			}
 			if e.Severity == Failure && e.Do == "" {
-				t.Errorf("%d %s needs an operator and doesn't say what to do", e.Number, e.Name)
+				t.Errorf("%d %s is a failure and doesn't say what an operator should do", e.Number, e.Name)
 			}
 			numbers[e.Number] = e.Name
 			names[e.Name] = e.Number
@@ -40,7 +40,7 @@
 	}
 }
 
-// The page that operators look numbers up in lags behind the code.
+// Guards against a generated page that is out of date.
 func TestPage(t *testing.T) {
 	const path = "../../../docs/EVENTS.md"
 	if *update {
@@ -48,7 +48,7 @@
 			t.Fatal(err)
 		}
 	}
-	if kept := strconv.Itoa(keptEvents); !strings.Contains(pageHead, kept) {
+	if kept := strconv.Itoa(maxKeptEvents); !strings.Contains(pageHead, kept) {
 		t.Errorf("the head of the page doesn't say that %s events are kept", kept)
 	}
 	page, err := os.ReadFile(path)
--- a/internal/observe/hingeevents/events.go
+++ b/internal/observe/hingeevents/events.go
@@ -1,16 +1,16 @@
-// Package hingeevents is what swifthinge says about itself: every event has a
-// number that never changes its meaning, one table documents it, and each
-// process keeps its newest events for the time line over all processes.
+// Package hingeevents defines the events that swifthinge logs. Every event has a
+// stable number and an entry in a catalogue, and each process keeps its newest
+// events, which hingetimeline merges over all processes.
 //
-//  1. An event is an entry of the catalogue plus typed fields. There is no free
-//     text but Detail, so that the time line can be searched by request, host,
-//     server or revision.
+//  1. An event is an entry of the catalogue plus typed fields. Detail is the only
+//     free text, so that a timeline can be searched by request, host, server or
+//     revision.
 //  2. Each event is stamped with a hybrid logical clock. Every message between
-//     our processes carries the sender's stamp, so an event that another caused
-//     sorts after it even where the hosts' clocks differ.
+//     processes carries the sender's stamp, so an effect sorts after its cause
+//     even if the hosts' clocks differ.
 //  3. Numbers are grouped by area: 100 request path, 200 configuration log,
-//     300 membership, 400 slots and holds, 500 ledger, 600 orders to engines,
-//     700 decisions, 800 settings and operators, 900 the process itself.
+//     300 membership, 400 slots and allocations, 500 ledger, 600 orders to
+//     engines, 700 decisions, 800 settings and operators, 900 the process itself.
 package hingeevents
 
 import (
@@ -27,11 +27,11 @@
 // Number is the stable number of an event.
 type Number uint16
 
-// Severity says whom an event concerns.
+// Severity grades events by whether an operator must act.
 type Severity uint8
 
-// Info is the ordinary course; Warning is something the system mends by
-// itself; Failure needs an operator.
+// Info is normal operation, Warning a fault from which the system recovers by
+// itself, and Failure a fault that needs an operator.
 const (
 	Info Severity = iota
 	Warning
@@ -45,16 +45,16 @@
 	Severity Severity
 	// Text says what happened, in one sentence.
 	Text string
-	// Do says what an operator does about it; empty when nothing.
+	// Do says what an operator should do; empty if nothing.
 	Do string
 }
 
-// Fields are what an event is about. Empty ones are left out.
+// Fields are the typed fields of an event. Empty fields are omitted from logs.
 type Fields struct {
 	Request hingeids.RequestID `json:"request,omitzero"`
 	// Asked is the caller's own id of the request, where callers give one.
 	Asked string `json:"asked,omitempty"`
-	// Print is what the request has in common with all that are sent again.
+	// Print is the fingerprint that a request shares with its resends.
 	Print    hingeids.Print    `json:"print,omitzero"`
 	Host     hingeids.HostID   `json:"host,omitempty"`
 	Server   hingeids.ServerID `json:"server,omitempty"`
@@ -64,22 +64,22 @@
 	Fence    hingeids.Fence    `json:"fence,omitempty"`
 	Took     time.Duration     `json:"took,omitempty"`
 	Count    int64             `json:"count,omitempty"`
-	// World is the version of what the process knew of the configuration and of servers.
+	// World is the version of the process's cluster view: its configuration and servers.
 	World string `json:"world,omitempty"`
-	// Route names the route of a request; Late is what made its answer late, empty if it was on time.
+	// Route is the name of the request's route. Late says which latency target the answer missed, empty if none.
 	Route  string `json:"route,omitempty"`
 	Late   string `json:"late,omitempty"`
 	Detail string `json:"detail,omitempty"`
 }
 
-// Stamp is a hybrid logical clock reading: wall time in nanoseconds, then a
-// counter among events that the wall clock can't tell apart.
+// Stamp is a hybrid logical clock reading: wall time in Unix nanoseconds, and a
+// counter that orders events with the same wall time.
 type Stamp struct {
 	Wall    int64  `cbor:"1,keyasint" json:"wall"`
 	Counter uint32 `cbor:"2,keyasint" json:"counter"`
 }
 
-// Before orders stamps.
+// Before reports whether s is before o.
 func (s Stamp) Before(o Stamp) bool {
 	if s.Wall != o.Wall {
 		return s.Wall < o.Wall
@@ -87,7 +87,7 @@
 	return s.Counter < o.Counter
 }
 
-// Event is one thing that happened in one process.
+// Event is an event of one process.
 type Event struct {
 	Stamp  Stamp         `json:"stamp"`
 	Life   hingeids.Life `json:"life"`
@@ -95,28 +95,28 @@
 	Fields Fields        `json:"fields"`
 }
 
-// keptEvents bounds the events a process keeps for the time line: at 200
-// events a second it covers a minute and a half, in about 5 MB.
-const keptEvents = 16384
+// maxKeptEvents limits the events that a process keeps for the timeline: 80 seconds
+// at 200 events a second, in about 5 MB.
+const maxKeptEvents = 16384
 
 // Recorder stamps, logs and keeps the events of one process. It is safe for
-// use by many goroutines. A nil recorder records nothing.
+// concurrent use. A nil recorder records nothing.
 type Recorder struct {
 	life hingeids.Life
 	sink func(Event)
-	// today is the time of day, where those who record go by another clock.
-	today func() time.Time
+	// wallClock, if set, replaces the times that callers pass.
+	wallClock func() time.Time
 
 	mu    sync.Mutex
 	last  Stamp
 	kept  []Event
 	start int
-	// dropped says that kept has wrapped round.
+	// dropped is set once the ring buffer kept has overwritten an event.
 	dropped bool
 	counts  map[Number]uint64
 }
 
-// NewRecorder makes the recorder of one life of a process.
+// NewRecorder returns the recorder of one instance of a process, which logs through klog.
 func NewRecorder(life hingeids.Life) *Recorder {
 	return &Recorder{
 		life:   life,
@@ -125,26 +125,26 @@
 	}
 }
 
-// NewRecorderTo makes a recorder whose events go to a sink, all of them, in
-// place of the log. They are stamped with the time of day that today gives: parts that go by
-// the boot clock hand in times that lie before every other stamp, and all their
-// events would seem to happen at the moment of the one before.
-func NewRecorderTo(life hingeids.Life, sink func(Event), today func() time.Time) *Recorder {
+// NewRecorderTo returns a recorder that passes every event to sink instead of the log.
+// Events are stamped with wallClock, not with the time passed to Record: callers
+// that use the boot clock pass times before all other stamps, and their events
+// would get the wall time of the previous event.
+func NewRecorderTo(life hingeids.Life, sink func(Event), wallClock func() time.Time) *Recorder {
 	r := NewRecorder(life)
 	r.sink = sink
-	r.today = today
+	r.wallClock = wallClock
 	return r
 }
 
-// Record keeps and logs an event.
+// Record stamps an event, keeps it, and logs it or passes it to the sink.
 func (r *Recorder) Record(now time.Time, n Number, f Fields) {
 	if r == nil {
 		return
 	}
-	if r.today != nil {
-		now = r.today()
+	if r.wallClock != nil {
+		now = r.wallClock()
 	}
-	e := r.keep(now, n, f)
+	e := r.appendEvent(now, n, f)
 	if r.sink != nil {
 		r.sink(e)
 		return
@@ -152,7 +152,7 @@
 	logEvent(e)
 }
 
-// Tick moves the clock on and gives a stamp for an event or a message.
+// Tick advances the clock and returns a stamp, such as for a message to send.
 func (r *Recorder) Tick(now time.Time) Stamp {
 	if r == nil {
 		return Stamp{}
@@ -162,7 +162,7 @@
 	return r.advance(now.UnixNano())
 }
 
-// Observe moves the clock past a stamp that came with a message.
+// Observe advances the clock past the stamp of a received message.
 func (r *Recorder) Observe(now time.Time, seen Stamp) {
 	if r == nil {
 		return
@@ -186,9 +186,9 @@
 	return r.last
 }
 
-// keep stamps and keeps an event under one lock, so that events are kept in
+// appendEvent stamps and keeps an event under one lock, so that events are kept in
 // the order of their stamps.
-func (r *Recorder) keep(now time.Time, n Number, f Fields) Event {
+func (r *Recorder) appendEvent(now time.Time, n Number, f Fields) Event {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := Event{
@@ -198,17 +198,17 @@
 		Fields: f,
 	}
 	r.counts[n]++
-	if len(r.kept) < keptEvents {
+	if len(r.kept) < maxKeptEvents {
 		r.kept = append(r.kept, e)
 		return e
 	}
 	r.kept[r.start] = e
-	r.start = (r.start + 1) % keptEvents
+	r.start = (r.start + 1) % maxKeptEvents
 	r.dropped = true
 	return e
 }
 
-// Life gives the life of the process whose events these are.
+// Life returns the instance of the process that records, or a zero one for a nil recorder.
 func (r *Recorder) Life() hingeids.Life {
 	if r == nil {
 		return hingeids.Life{}
@@ -216,7 +216,7 @@
 	return r.life
 }
 
-// Dropped reports whether events have been dropped to make room for newer ones.
+// Dropped reports whether older events were discarded for newer ones.
 func (r *Recorder) Dropped() bool {
 	if r == nil {
 		return false
@@ -226,13 +226,13 @@
 	return r.dropped
 }
 
-// Count is how often an event was recorded.
+// Count is the number of times that an event was recorded.
 type Count struct {
 	Number Number
 	Count  uint64
 }
 
-// Counts gives how often each event was recorded in this life, by number.
+// Counts returns the counts since the recorder was created, ordered by event number.
 func (r *Recorder) Counts() []Count {
 	if r == nil {
 		return nil
@@ -252,7 +252,7 @@
 	return out
 }
 
-// Kept gives the events that are still kept, oldest first.
+// Kept returns a copy of the events that are still kept, oldest first.
 func (r *Recorder) Kept() []Event {
 	if r == nil {
 		return nil
@@ -267,11 +267,11 @@
 func logEvent(e Event) {
 	entry, ok := Lookup(e.Number)
 	if !ok {
-		klog.ErrorS(nil, "event without a catalogue entry", "number", e.Number)
+		klog.ErrorS(nil, "recorded an event number without a catalogue entry", "number", e.Number)
 		return
 	}
-	// Events of the ordinary course come several to a request and are seldom
-	// logged, so nothing is made of them unless they are.
+	// Each request has several Info events, which are rarely logged, so their
+	// fields are only formatted if they are.
 	if entry.Severity == Info && !klog.V(1).Enabled() {
 		return
 	}
@@ -283,11 +283,11 @@
 	klog.InfoS(entry.Name, keysAndValues...)
 }
 
-// KeysAndValues lists the fields that are not empty, as klog takes them.
+// KeysAndValues returns the non-empty fields as alternating keys and values for klog.
 func (f Fields) KeysAndValues() []any {
 	var out []any
-	add := func(there bool, key string, value any) {
-		if there {
+	add := func(present bool, key string, value any) {
+		if present {
 			out = append(out, key, value)
 		}
 	}
--- a/internal/observe/hingeevents/events_test.go
+++ b/internal/observe/hingeevents/events_test.go
@@ -7,39 +7,38 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// A process records more than it keeps. The oldest go, the order stays, and
-// it says so, or a time line would show its beginning as quiet.
+// Guards against a ring buffer that loses the order of events or doesn't report
+// that it has dropped the oldest ones.
 func TestOldestEventsAreDropped(t *testing.T) {
 	r := NewRecorder(hingeids.Life{
 		Host: "cancale-1",
 	})
 	now := time.Unix(1000, 0)
-	for i := range keptEvents {
-		r.keep(now, ProcessStarted, Fields{
+	for i := range maxKeptEvents {
+		r.appendEvent(now, ProcessStarted, Fields{
 			Count: int64(i),
 		})
 	}
 	if r.Dropped() {
-		t.Error("dropped before it was full")
+		t.Error("events were dropped before the buffer was full")
 	}
 	for i := range 10 {
-		r.keep(now, ProcessStarted, Fields{
-			Count: int64(keptEvents + i),
+		r.appendEvent(now, ProcessStarted, Fields{
+			Count: int64(maxKeptEvents + i),
 		})
 	}
-	kept := r.Kept()
-	if !r.Dropped() || len(kept) != keptEvents {
-		t.Fatalf("dropped %v, keeps %d", r.Dropped(), len(kept))
+	retained := r.Kept()
+	if !r.Dropped() || len(retained) != maxKeptEvents {
+		t.Fatalf("dropped is %v, kept %d events", r.Dropped(), len(retained))
 	}
-	for i, e := range kept {
-		if e.Fields.Count != int64(10+i) || i > 0 && !kept[i-1].Stamp.Before(e.Stamp) {
-			t.Fatalf("place %d holds event %d at %+v", i, e.Fields.Count, e.Stamp)
+	for i, e := range retained {
+		if e.Fields.Count != int64(10+i) || i > 0 && !retained[i-1].Stamp.Before(e.Stamp) {
+			t.Fatalf("position %d has event %d with stamp %+v", i, e.Fields.Count, e.Stamp)
 		}
 	}
 }
 
-// Every request records several events. Once the process keeps as many as it
-// may, recording one more must not allocate, or traffic pays for it in pauses.
+// Guards against allocations by each event of a request once the buffer is full.
 func TestRecordingAllocatesNothing(t *testing.T) {
 	r := NewRecorder(hingeids.Life{
 		Host: "cancale-1",
@@ -50,11 +49,11 @@
 			Server: "redacteur-1",
 		})
 	}
-	for range keptEvents {
+	for range maxKeptEvents {
 		record()
 	}
 	if n := testing.AllocsPerRun(1000, record); n != 0 {
-		t.Errorf("%v allocations an event", n)
+		t.Errorf("%v allocations per event, want 0", n)
 	}
 }
 
--- a/internal/observe/hingeevents/ledger.go
+++ b/internal/observe/hingeevents/ledger.go
@@ -1,7 +1,7 @@
 package hingeevents
 
-// Events of the ledger of requests that must run at most once, and from 590 on
-// of the links that our processes talk over.
+// Events of the ledger of requests that must run at most once, and, from 590, of
+// the links between processes.
 const (
 	KeyClaimed        Number = 500
 	KeyUncertain      Number = 501
@@ -25,53 +25,53 @@
 		Number:   KeyUncertain,
 		Name:     "keyUncertain",
 		Severity: Warning,
-		Text:     "A request was refused because an earlier attempt with its key may have run and nobody can tell.",
+		Text:     "A request was refused because an earlier attempt with its key may have run and its outcome is unknown.",
 	},
 	{
 		Number:   LedgerUnreachable,
 		Name:     "ledgerUnreachable",
 		Severity: Warning,
-		Text:     "The quorum or a zone's keeper could not be asked; requests that need it are refused as not run until it can.",
-		Do:       "If it lasts: look at status for the hosts with a disk that are away.",
+		Text:     "The quorum or a zone's key owner could not be reached; requests that need it are refused as not run until it can.",
+		Do:       "If it persists: check swifthinge status for disk hosts that are unreachable.",
 	},
 	{
 		Number:   LedgerFull,
 		Name:     "ledgerFull",
 		Severity: Failure,
-		Text:     "The ledger has no room for a key: for the caller named, or for all if none is. Requests with new keys are refused as not run.",
+		Text:     "The ledger has no capacity for a new key: of the caller in the event, or of any caller if there is none. Requests with new keys are refused as not run.",
 		Do:       "Shorten keepKeys in the rules, or find out why the caller uses so many keys.",
 	},
 	{
 		Number:   LedgerNoteDropped,
 		Name:     "ledgerNoteDropped",
 		Severity: Warning,
-		Text:     "An answer or a release could not be brought to the ledger in time; resends of its key are refused as uncertain.",
+		Text:     "An answer or a release of a key could not be recorded in the ledger in time; resends with the key are refused as uncertain.",
 	},
 	{
 		Number:   KeeperBegan,
 		Name:     "keeperBegan",
 		Severity: Warning,
-		Text:     "A zone's keeper began on an empty disk. Keys that the zone issued before are refused as uncertain.",
-		Do:       "None on the host's first start. Otherwise its disk was lost or its dataFolder changed.",
+		Text:     "A zone's key owner started with an empty disk. Keys that the zone issued before are refused as uncertain.",
+		Do:       "Nothing on the host's first start. Otherwise its disk was lost or its dataFolder changed.",
 	},
 	{
 		Number:   KeeperJournalTorn,
 		Name:     "keeperJournalTorn",
 		Severity: Info,
-		Text:     "The last write of a keeper's journal was incomplete and was cut off; it had not been answered.",
+		Text:     "The last write of a key owner's journal was incomplete and was truncated; it had not been acknowledged.",
 	},
 	{
 		Number:   KeeperFailed,
 		Name:     "keeperFailed",
 		Severity: Failure,
-		Text:     "A keeper's disk refused a write. The process ends, as it can't know what the disk holds; the zone's issued keys are refused as not run until it is started again.",
-		Do:       "Look at the disk, then start the process again.",
+		Text:     "A write to a key owner's disk failed. The process exits because the content of the disk is uncertain; the zone's issued keys are refused as not run until it is restarted.",
+		Do:       "Check the disk, then restart the process.",
 	},
 	{
 		Number:   LinkLost,
 		Name:     "linkLost",
 		Severity: Warning,
-		Text:     "The connection to another entry host was lost or could not be made; it is dialled again until it works.",
-		Do:       "If it lasts: check that the host runs, that UDP passes between the two, and that both certificates are in date and of one authority.",
+		Text:     "The connection to another entry host was lost or could not be established; it is retried until it succeeds.",
+		Do:       "If it persists: check that the host runs, that UDP traffic passes between the two hosts, and that both certificates are valid and of the same authority.",
 	},
 }
--- a/internal/observe/hingeevents/membership.go
+++ b/internal/observe/hingeevents/membership.go
@@ -8,7 +8,7 @@
 	HostOver     Number = 303
 	ServerUsable Number = 310
 	ServerGone   Number = 311
-	// AnnouncementRefused is recorded once a second at most.
+	// AnnouncementRefused is recorded at most once a second.
 	AnnouncementRefused Number = 312
 )
 
@@ -17,45 +17,45 @@
 		Number:   HostAlive,
 		Name:     "hostAlive",
 		Severity: Info,
-		Text:     "An entry host was heard from for the first time in this life, or again.",
+		Text:     "An entry host is alive: a message of it was received for the first time, or again after a silence.",
 	},
 	{
 		Number:   HostSuspect,
 		Name:     "hostSuspect",
 		Severity: Warning,
-		Text:     "An entry host answers neither this host nor those asked to probe it.",
-		Do:       "If it stays so, look whether the host runs and whether its zone is cut off.",
+		Text:     "An entry host answers neither this host nor the hosts that were requested to probe it.",
+		Do:       "If it persists, check that the host runs and that its zone is reachable.",
 	},
 	{
 		Number:   HostLeaving,
 		Name:     "hostLeaving",
 		Severity: Info,
-		Text:     "An entry host shuts down and takes no new work.",
+		Text:     "An entry host shuts down and accepts no new requests.",
 	},
 	{
 		Number:   HostOver,
 		Name:     "hostOver",
 		Severity: Warning,
-		Text:     "A life of an entry host is over: it ended, was replaced, or was recorded so.",
+		Text:     "An instance of an entry host is over: it stopped, was replaced by a newer one, or was recorded as over.",
 	},
 	{
 		Number:   ServerUsable,
 		Name:     "serverUsable",
 		Severity: Info,
-		Text:     "A backend server may be given work.",
+		Text:     "A backend server may be given requests.",
 	},
 	{
 		Number:   ServerGone,
 		Name:     "serverGone",
 		Severity: Warning,
-		Text:     "A backend server leaves or has been silent too long; it gets no new work.",
-		Do:       "If nobody shut it down, look at the server and its announcements.",
+		Text:     "A backend server is leaving, or its announcements have been missing too long; it gets no new requests.",
+		Do:       "If it was not shut down on purpose, check the server and its announcements.",
 	},
 	{
 		Number:   AnnouncementRefused,
 		Name:     "announcementRefused",
 		Severity: Warning,
-		Text:     "What came as an announcement names no backend server that could be used; count is how many came since the last of these lines.",
-		Do:       "Look who writes to the control hosts: detail has what is wrong with the last one.",
+		Text:     "An announcement was refused because it doesn't describe a usable backend server; count is the number refused since the last such event.",
+		Do:       "Find the sender; detail has the fault of the last announcement.",
 	},
 }
--- a/internal/observe/hingeevents/orders.go
+++ b/internal/observe/hingeevents/orders.go
@@ -19,19 +19,19 @@
 		Number:   OrderUnanswered,
 		Name:     "orderUnanswered",
 		Severity: Warning,
-		Text:     "An engine did not answer an order in time; its state is looked at before the next.",
+		Text:     "An engine did not answer an order in time; its state is queried before the next order.",
 	},
 	{
 		Number:   OrderRefused,
 		Name:     "orderRefused",
 		Severity: Failure,
 		Text:     "An engine refused an order.",
-		Do:       "Compare what the inventory wants of the engine with what it can do.",
+		Do:       "Compare the engine's configuration in the inventory with its capabilities.",
 	},
 	{
 		Number:   IssuerReplaced,
 		Name:     "issuerReplaced",
 		Severity: Warning,
-		Text:     "An engine has seen a higher fencing number: another host issues orders now.",
+		Text:     "An engine refused an order because it has received a higher fencing number: another host issues orders now.",
 	},
 }
--- a/internal/observe/hingeevents/page.go
+++ b/internal/observe/hingeevents/page.go
@@ -1,12 +1,12 @@
 package hingeevents
 
 import (
-	_ "embed" // The head of the page is a file of its own.
+	_ "embed" // for pageHead
 	"fmt"
 	"strings"
 )
 
-// String gives the severity as written in docs and JSON.
+// String returns the severity as written in docs/EVENTS.md and metrics.
 func (s Severity) String() string {
 	switch s {
 	case Warning:
@@ -21,7 +21,7 @@
 //go:embed pagehead.md
 var pageHead string
 
-// Page writes the catalogue as docs/EVENTS.md.
+// Page returns the content of docs/EVENTS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
--- a/internal/observe/hingeevents/process.go
+++ b/internal/observe/hingeevents/process.go
@@ -34,7 +34,7 @@
 		Number:   ProcessDraining,
 		Name:     "processDraining",
 		Severity: Info,
-		Text:     "The process finishes the requests it has and takes no new ones.",
+		Text:     "The process finishes its requests in progress and accepts no new ones.",
 	},
 	{
 		Number:   ProcessStopped,
@@ -46,12 +46,12 @@
 		Number:   LifeDeclaredOver,
 		Name:     "lifeDeclaredOver",
 		Severity: Warning,
-		Text:     "Others declared this host's life over; its callers got their final answers, and a new life begins.",
+		Text:     "Other hosts declared this host's instance over; its callers got their final answers, and a new instance starts.",
 	},
 	{
 		Number:   LifeRecordedOver,
 		Name:     "lifeRecordedOver",
 		Severity: Warning,
-		Text:     "The leader recorded that a host's life is over; what it held is given on.",
+		Text:     "The leader recorded that a host's instance is over; what it held is released to other hosts.",
 	},
 }
--- a/internal/observe/hingeevents/slots.go
+++ b/internal/observe/hingeevents/slots.go
@@ -1,6 +1,6 @@
 package hingeevents
 
-// Events of decode slots and holds.
+// Events of decode slots and of the allocations that engines hold for requests.
 const (
 	SlotGranted   Number = 400
 	SlotRefused   Number = 401
@@ -19,19 +19,19 @@
 		Number:   SlotRefused,
 		Name:     "slotRefused",
 		Severity: Info,
-		Text:     "A request was refused a decode slot, since too many of higher priority wait.",
+		Text:     "A request was refused a decode slot because too many requests of higher priority wait.",
 	},
 	{
 		Number:   HoldCancelled,
 		Name:     "holdCancelled",
 		Severity: Info,
-		Text:     "An engine was told to give up memory that nobody answers for.",
+		Text:     "An engine's allocation was cancelled because no host is responsible for its request.",
 	},
 	{
 		Number:   HoldStuck,
 		Name:     "holdStuck",
 		Severity: Failure,
-		Text:     "An engine still holds memory although it was told repeatedly to give it up.",
-		Do:       "Look at the engine; restart it if it doesn't answer.",
+		Text:     "An engine still has an allocation although its cancellation was sent repeatedly.",
+		Do:       "Check the engine; restart it if it doesn't answer.",
 	},
 }
