--- a/internal/observe/hingefigure/figure.go
+++ b/internal/observe/hingefigure/figure.go
@@ -1,4 +1,4 @@
-// Package hingefigure draws the lines of reports and accounts as PNG files.
+// Package hingefigure draws line plots for reports and accounts as PNG files.
 package hingefigure
 
 import (
@@ -11,15 +11,15 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Figure is a plot of lines, written as PNG.
+// Figure is a line plot. File is its name in the output folder, X and Y are the axis labels.
 type Figure struct {
 	File, Title, X, Y string
-	// LogX is for times that range over several powers of ten.
+	// LogX makes the X axis logarithmic, for distributions over several powers of ten.
 	LogX  bool
 	Lines []Line
 }
 
-// Line is one line of a figure.
+// Line is one named series of points. Its color follows from its index in Figure.Lines.
 type Line struct {
 	Name   string
 	Points plotter.XYs
@@ -31,13 +31,13 @@
 	height = 10 * vg.Centimeter
 )
 
-// Write draws the figure into a folder. One without points is left out: a logarithmic axis
-// can't be drawn without any.
+// Write draws the figure as PNG into a folder. Lines without points are skipped, and the X axis
+// stays linear unless the points have different positive X values.
 func (f Figure) Write(folder string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = f.Title, f.X, f.Y
 	p.Y.Min = 0
-	// A distribution rises from the left, so its legend stands at the lower right.
+	// A cumulative distribution rises to the upper right, so its legend is at the lower right.
 	p.Legend.Top, p.Legend.Left = !f.LogX, !f.LogX
 	p.Add(plotter.NewGrid())
 	for i, l := range f.Lines {
@@ -46,7 +46,7 @@
 		}
 		drawn, err := plotter.NewLine(l.Points)
 		if err != nil {
-			return eris.Wrapf(err, "%s: %s", f.File, l.Name)
+			return eris.Wrapf(err, "figure %s: invalid points of line %s", f.File, l.Name)
 		}
 		drawn.Color = plotutil.Color(i)
 		drawn.Dashes = plotutil.Dashes(i)
