--- a/internal/observe/hingelines/lines.go
+++ b/internal/observe/hingelines/lines.go
@@ -1,10 +1,10 @@
-// Package hingelines writes a process's events as lines of JSON, for whoever
-// has only its output to explain a failure afterwards.
+// Package hingelines writes the events of a process as JSON lines, so that a failure
+// can be analyzed afterwards from the process's output alone.
 //
-//  1. Writing never blocks what it tells of. What doesn't fit the queue is dropped,
-//     and the next line says how many were.
-//  2. Lines are gathered and written a few times a second, since each write
-//     costs a call of the system.
+//  1. Recording an event never blocks on output. Events that don't fit the queue are
+//     dropped, and the next line states how many.
+//  2. Lines are buffered and flushed a few times a second, since each write is a
+//     system call.
 package hingelines
 
 import (
@@ -20,15 +20,15 @@
 )
 
 const (
-	// queued bounds the events that wait: two seconds of a host with 500 requests a second.
-	queued = 4096
-	// flushEvery is how long a line may wait before it is written.
-	flushEvery = 200 * time.Millisecond
-	// buffer gathers lines; a full one is written at once.
-	buffer = 32 << 10
+	// queueSize is the number of events that can be queued: two seconds at 500 requests a second.
+	queueSize = 4096
+	// flushInterval is the longest time that a line stays in the buffer.
+	flushInterval = 200 * time.Millisecond
+	// bufferBytes is the size of the output buffer; a full buffer is written at once.
+	bufferBytes = 32 << 10
 )
 
-// Writer writes events.
+// Writer writes events as JSON lines in the background. Its methods are safe for concurrent use; Run is called once.
 type Writer struct {
 	out     io.Writer
 	events  chan hingeevents.Event
@@ -36,16 +36,16 @@
 	done    chan struct{}
 }
 
-// New makes a writer.
+// New returns a writer that accepts events at once and writes them when Run is called.
 func New(out io.Writer) *Writer {
 	return &Writer{
 		out:    out,
-		events: make(chan hingeevents.Event, queued),
+		events: make(chan hingeevents.Event, queueSize),
 		done:   make(chan struct{}),
 	}
 }
 
-// Take takes an event, or drops and counts it (rule 1).
+// Take queues an event, or drops and counts it if the queue is full (rule 1). It never blocks.
 func (w *Writer) Take(e hingeevents.Event) {
 	select {
 	case w.events <- e:
@@ -54,47 +54,49 @@
 	}
 }
 
-// Dropped counts the events dropped so far.
+// Dropped returns the number of events dropped so far.
 func (w *Writer) Dropped() int64 {
 	return w.dropped.Load()
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (w *Writer) Done() <-chan struct{} {
 	return w.done
 }
 
-// Run writes until the context ends, and then what still waits.
+// Run writes events until the context is done, then writes the queued ones and returns. It also returns on a write
+// error.
 func (w *Writer) Run(ctx context.Context) error {
 	defer close(w.done)
-	out := bufio.NewWriterSize(w.out, buffer)
-	told := int64(0)
-	flush := time.NewTimer(flushEvery)
+	out := bufio.NewWriterSize(w.out, bufferBytes)
+	reportedDrops := int64(0)
+	flush := time.NewTimer(flushInterval)
 	defer flush.Stop()
-	waits := false
+	flushPending := false
 	for {
 		select {
 		case e := <-w.events:
-			told = w.write(out, e, told)
-			if !waits {
-				waits = true
-				flush.Reset(flushEvery)
+			reportedDrops = w.write(out, e, reportedDrops)
+			if !flushPending {
+				flushPending = true
+				flush.Reset(flushInterval)
 			}
 		case <-flush.C:
-			waits = false
+			flushPending = false
 			if err := out.Flush(); err != nil {
 				return err
 			}
 		case <-ctx.Done():
 			for len(w.events) > 0 {
-				told = w.write(out, <-w.events, told)
+				reportedDrops = w.write(out, <-w.events, reportedDrops)
 			}
 			return out.Flush()
 		}
 	}
 }
 
-// Line is an event as it is written.
+// Line is the JSON form of an event. By is the host, TookMs is Fields.Took in milliseconds, Dropped counts the events
+// dropped since the line before.
 type Line struct {
 	At      time.Time          `json:"at"`
 	Event   hingeevents.Number `json:"event"`
@@ -105,7 +107,7 @@
 	Fields  hingeevents.Fields `json:"fields,omitzero"`
 }
 
-func (w *Writer) write(out *bufio.Writer, e hingeevents.Event, told int64) int64 {
+func (w *Writer) write(out *bufio.Writer, e hingeevents.Event, reportedDrops int64) int64 {
 	entry, _ := hingeevents.Lookup(e.Number)
 	dropped := w.dropped.Load()
 	l := Line{
@@ -113,22 +115,23 @@
 		Event:   e.Number,
 		Name:    entry.Name,
 		By:      string(e.Life.Host),
-		Dropped: dropped - told,
+		Dropped: dropped - reportedDrops,
 		TookMs:  float64(e.Fields.Took.Microseconds()) / 1000,
 		Fields:  e.Fields,
 	}
 	l.Fields.Took = 0
 	b, err := json.Marshal(l)
 	if err != nil {
-		// Only a field that can't be encoded gets here; there is none.
+		// Line has no field that json can't encode.
 		panic(err)
 	}
-	// A failed write shows at the flush.
+	// bufio.Writer keeps a write error and returns it from Flush.
 	_, _ = out.Write(append(b, '\n'))
 	return dropped
 }
 
-// Parse reads a line, whatever a collector of logs has put before it; it gives false for what isn't an event.
+// Parse decodes a line and ignores a prefix that a log collector may have added. It returns false if the line has no
+// event.
 func Parse(b []byte) (Line, bool) {
 	at := bytes.IndexByte(b, '{')
 	if at < 0 {
--- a/internal/observe/hingelines/lines_test.go
+++ b/internal/observe/hingelines/lines_test.go
@@ -13,7 +13,7 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// output is a writer that can be looked at while it is written.
+// output is a buffer that is safe for concurrent use.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
@@ -31,7 +31,8 @@
 	return strings.Split(strings.TrimSpace(o.b.String()), "\n")
 }
 
-func TestLineSaysWhoWhatAndWhen(t *testing.T) {
+// Guards against lines that lack the host, the event or its time of day.
+func TestLineHasTimeNameAndHost(t *testing.T) {
 	out := &output{}
 	w := New(out)
 	r := hingeevents.NewRecorderTo(hingeids.Life{
@@ -41,7 +42,7 @@
 	go func() {
 		_ = w.Run(ctx)
 	}()
-	// Whoever records may go by the boot clock; the line has the time of day.
+	// The recorded time may come from the boot clock; the line must have the time of day.
 	began := time.Now()
 	r.Record(time.Unix(40, 0), hingeevents.RequestGivenUp, hingeevents.Fields{
 		Asked: "request-7",
@@ -62,19 +63,18 @@
 		t.Fatal(err)
 	}
 	if got.At.Before(began.Truncate(time.Microsecond)) || got.At.After(time.Now()) {
-		t.Fatalf("the line is of %v", got.At)
+		t.Fatalf("line has the time %v, want the time of day at which it was recorded", got.At)
 	}
 	if got.Name != "requestGivenUp" || got.By != "entry-1" || got.TookMs != 1.5 || got.Fields.Asked != "request-7" {
-		t.Fatalf("%+v", got)
+		t.Fatalf("wrong line: %+v", got)
 	}
 }
 
-// Nobody reads the output of a process, or it says more than can be written. Its
-// requests must not wait for that, and whoever reads later must see that lines are missing.
-func TestFullQueueDropsAndSaysSo(t *testing.T) {
+// Guards against requests that block on slow output, and against dropped events that no line reports.
+func TestFullQueueDropsAndCountsEvents(t *testing.T) {
 	out := &output{}
 	w := New(out)
-	const sent = queued + 100
+	const sent = queueSize + 100
 	done := make(chan struct{})
 	go func() {
 		for range sent {
@@ -87,7 +87,7 @@
 	select {
 	case <-done:
 	case <-time.After(5 * time.Second):
-		t.Fatal("events wait for the writer")
+		t.Fatal("Take blocks although the queue is full")
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	stop()
@@ -96,9 +96,9 @@
 	}
 	lines := out.lines()
 	if w.Dropped() != 100 || !strings.Contains(lines[0], `"dropped":100`) {
-		t.Fatalf("dropped %d, first line %s", w.Dropped(), lines[0])
+		t.Fatalf("dropped %d events, want 100 reported in the first line: %s", w.Dropped(), lines[0])
 	}
 	if strings.Contains(lines[1], "dropped") {
-		t.Fatalf("the loss is told twice: %s", lines[1])
+		t.Fatalf("dropped events are reported twice: %s", lines[1])
 	}
 }
