--- a/internal/observe/hingetimeline/picture.go
+++ b/internal/observe/hingetimeline/picture.go
@@ -12,15 +12,15 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Sizes of the picture in pixels.
+// Layout of the SVG, in pixels.
 const (
 	laneHeight = 44
 	labelWidth = 220
 	plotWidth  = 1100
 	topMargin  = 40
 	markRadius = 5
-	// fewMarks is up to how many requests get lines, and events get numbers.
-	fewMarks = 40
+	// maxDetailed limits how many requests are drawn as lines and how many events are labelled with numbers.
+	maxDetailed = 40
 )
 
 var markColours = map[hingeevents.Severity]string{
@@ -29,9 +29,9 @@
 	hingeevents.Failure: "#b3261e",
 }
 
-// WriteSVG draws a lane for each process with a mark for each event, and joins
-// the marks of each request by a line when there are few enough to follow. A
-// mark's tooltip gives the event. Missing hosts get an empty, dashed lane.
+// WriteSVG writes an SVG with a lane for each process and a mark for each event,
+// whose tooltip has the event. If there are at most maxDetailed requests, a line
+// joins the marks of each. Missing hosts have an empty, dashed lane.
 func (t Timeline) WriteSVG(w io.Writer) error {
 	p := newPicture(t)
 	height := topMargin + laneHeight*(len(t.Lives)+len(t.Missing)) + 20
@@ -90,9 +90,9 @@
 		dropped[l] = true
 	}
 	for i, l := range p.Lives {
-		label := fmt.Sprintf("%s (life %s)", l.Host, strconv.FormatUint(uint64(l.Incarnation), 36))
+		label := fmt.Sprintf("%s (incarnation %s)", l.Host, strconv.FormatUint(uint64(l.Incarnation), 36))
 		if dropped[l] {
-			label += " oldest dropped"
+			label += ", oldest dropped"
 		}
 		p.laneLine(i, label, "")
 	}
@@ -107,7 +107,7 @@
 	fmt.Fprintf(&p.b, `<line x1="%d" y1="%d" x2="%d" y2="%d" stroke="#bbb"%s/>`+"\n", labelWidth, y, labelWidth+plotWidth, y, style)
 }
 
-// requests draws the path of each request through the lanes.
+// requests draws a line through the marks of each request.
 func (p *picture) requests() {
 	paths := make(map[hingeids.RequestID][]string)
 	var order []hingeids.RequestID
@@ -121,7 +121,7 @@
 		}
 		paths[r] = append(paths[r], fmt.Sprintf("%.1f,%d", p.x(e.Stamp), p.y(p.lane[e.Life])))
 	}
-	if len(order) > fewMarks {
+	if len(order) > maxDetailed {
 		return
 	}
 	for _, r := range order {
@@ -139,7 +139,7 @@
 	title := fmt.Sprintf("%s %s%s", wallTime(e.Stamp), name(e.Number), fieldsText(e.Fields))
 	fmt.Fprintf(&p.b, `<g><title>%s</title><circle cx="%.1f" cy="%d" r="%d" fill="%s"/></g>`+"\n",
 		html.EscapeString(title), x, y, markRadius, markColours[severity])
-	if len(p.Events) <= fewMarks {
+	if len(p.Events) <= maxDetailed {
 		fmt.Fprintf(&p.b, `<text x="%.1f" y="%d" font-size="9" text-anchor="middle">%d</text>`+"\n", x, y-8, e.Number)
 	}
 }
--- a/internal/observe/hingetimeline/text.go
+++ b/internal/observe/hingetimeline/text.go
@@ -13,8 +13,8 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// WriteText writes one line for each event: wall time, process, number, name,
-// fields. Gaps come first (Rule 2).
+// WriteText writes one line for each event: wall time, host, number, name,
+// fields. Gaps come first (rule 2).
 func (t Timeline) WriteText(w io.Writer) error {
 	var b strings.Builder
 	t.writeGaps(&b)
@@ -24,8 +24,8 @@
 	return write(w, b.String())
 }
 
-// WriteExplanation writes what became of a request as sentences, each with the
-// time since its first event.
+// WriteExplanation writes the events that explain a request as sentences, each
+// with the time since the request's first event.
 func (t Timeline) WriteExplanation(w io.Writer, r hingeids.RequestID) error {
 	explained := t.Explain(r)
 	var b strings.Builder
@@ -43,7 +43,7 @@
 	return write(w, b.String())
 }
 
-// WriteJSON writes a JSON line for the gaps and one for each event.
+// WriteJSON writes a JSON line with the processes and gaps, then one for each event.
 func (t Timeline) WriteJSON(w io.Writer) error {
 	encoder := json.NewEncoder(w)
 	if err := encoder.Encode(struct {
@@ -55,7 +55,7 @@
 		Dropped:   notNil(t.Dropped),
 		Missing:   notNil(t.Missing),
 	}); err != nil {
-		return eris.Wrap(err, "time line")
+		return eris.Wrap(err, "write timeline")
 	}
 	for _, e := range t.Events {
 		if err := encoder.Encode(struct {
@@ -67,7 +67,7 @@
 			Time:  time.Unix(0, e.Stamp.Wall).UTC(),
 			Event: e,
 		}); err != nil {
-			return eris.Wrap(err, "time line")
+			return eris.Wrap(err, "write timeline")
 		}
 	}
 	return nil
@@ -97,7 +97,7 @@
 	if e, ok := hingeevents.Lookup(n); ok {
 		return fmt.Sprintf("%s (%d)", e.Text, n)
 	}
-	return fmt.Sprintf("An event this program doesn't know (%d); it comes from a newer one.", n)
+	return fmt.Sprintf("An event that isn't in this build's catalogue (%d); it comes from a newer version.", n)
 }
 
 func withoutRequest(f hingeevents.Fields) hingeevents.Fields {
@@ -121,6 +121,7 @@
 	return b.String()
 }
 
+// notNil returns an empty slice for nil, which json would encode as null.
 func notNil[T any](s []T) []T {
 	if s == nil {
 		return []T{}
@@ -130,5 +131,5 @@
 
 func write(w io.Writer, s string) error {
 	_, err := io.WriteString(w, s)
-	return eris.Wrap(err, "time line")
+	return eris.Wrap(err, "write timeline")
 }
--- a/internal/observe/hingetimeline/timeline.go
+++ b/internal/observe/hingetimeline/timeline.go
@@ -1,16 +1,16 @@
-// Package hingetimeline merges the events that all processes keep into one time
-// line, and shows it as text, as JSON lines and as a picture.
+// Package hingetimeline merges the events of all processes into one timeline and
+// writes it as text, JSON lines or SVG.
 //
 //  1. Events are ordered by their hybrid logical clock stamps, then by process.
-//     A stamp grows within a process and along each message, so an event that
-//     another caused always comes after it. Of two events that did not
-//     cause each other the order is only as good as the hosts' clocks.
-//  2. What is not there is named. A process that did not answer, and one that
-//     has dropped its oldest events, stand in the time line as such: an
-//     empty stretch must never look like a quiet one.
-//  3. A question about one request also gets the warnings and failures, within
-//     the request's time, of the backend servers it touched; the reason for a
-//     retry is often one of these and carries no request.
+//     Stamps increase within a process and along each message, so an effect
+//     always follows its cause. The order of events that aren't causally related
+//     is only as accurate as the hosts' clocks.
+//  2. Missing events are shown as gaps. The timeline lists the hosts that did not
+//     answer and the processes that have dropped their oldest events, so that
+//     missing data isn't mistaken for inactivity.
+//  3. The explanation of a request also includes the warnings and failures,
+//     between its first and last event, of the backend servers it used: the cause
+//     of a retry is often such an event, which carries no request id.
 package hingetimeline
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Source is what one process keeps.
+// Source has the events that one process keeps.
 type Source struct {
 	Life   hingeids.Life       `json:"life"`
 	Events []hingeevents.Event `json:"events"`
@@ -32,15 +32,15 @@
 // Timeline is the merged events of all processes.
 type Timeline struct {
 	Events []hingeevents.Event
-	// Lives are the processes, hosts by name and the lives of one host in turn.
+	// Lives are the processes, ordered by host and incarnation.
 	Lives []hingeids.Life
-	// Dropped are processes without their oldest events.
+	// Dropped are the processes that have dropped their oldest events.
 	Dropped []hingeids.Life
-	// Missing are hosts that were asked and did not answer.
+	// Missing are the hosts that did not answer the query for their events.
 	Missing []hingeids.HostID
 }
 
-// Merge carries out Rules 1 and 2. A process that is given twice counts once.
+// Merge merges the events of all sources (rules 1 and 2). Of two sources for the same process the first is used.
 func Merge(sources []Source, missing []hingeids.HostID) Timeline {
 	t := Timeline{
 		Missing: slices.Sorted(slices.Values(missing)),
@@ -57,8 +57,8 @@
 		}
 	}
 	slices.SortStableFunc(t.Events, compareEvents)
-	t.Lives = lives(t.Events, sources)
-	slices.SortFunc(t.Dropped, compareLives)
+	t.Lives = instances(t.Events, sources)
+	slices.SortFunc(t.Dropped, compareInstances)
 	return t
 }
 
@@ -66,19 +66,19 @@
 	return cmp.Or(
 		cmp.Compare(a.Stamp.Wall, b.Stamp.Wall),
 		cmp.Compare(a.Stamp.Counter, b.Stamp.Counter),
-		compareLives(a.Life, b.Life),
+		compareInstances(a.Life, b.Life),
 	)
 }
 
-func compareLives(a, b hingeids.Life) int {
+func compareInstances(a, b hingeids.Life) int {
 	return cmp.Or(
 		cmp.Compare(a.Host, b.Host),
 		cmp.Compare(a.Incarnation, b.Incarnation),
 	)
 }
 
-// lives lists the processes, those without events among them.
-func lives(events []hingeevents.Event, sources []Source) []hingeids.Life {
+// instances lists the processes of the events and sources, including sources without events.
+func instances(events []hingeevents.Event, sources []Source) []hingeids.Life {
 	seen := make(map[hingeids.Life]bool)
 	for _, e := range events {
 		seen[e.Life] = true
@@ -90,11 +90,11 @@
 	for l := range seen {
 		out = append(out, l)
 	}
-	slices.SortFunc(out, compareLives)
+	slices.SortFunc(out, compareInstances)
 	return out
 }
 
-// Query narrows a time line; empty fields match all.
+// Query selects events of a timeline; empty fields match all events.
 type Query struct {
 	Request  hingeids.RequestID
 	Server   hingeids.ServerID
@@ -103,7 +103,7 @@
 	Number   hingeevents.Number
 }
 
-// Filter gives the events that match, with the same processes and gaps.
+// Filter returns a timeline of the matching events, with the same processes and gaps.
 func (t Timeline) Filter(q Query) Timeline {
 	out := t
 	out.Events = nil
@@ -124,7 +124,7 @@
 		(q.Number == 0 || q.Number == e.Number)
 }
 
-// Explain gives the events that explain what became of a request (Rule 3).
+// Explain returns a timeline of the events that explain the outcome of a request (rule 3).
 func (t Timeline) Explain(r hingeids.RequestID) Timeline {
 	own := t.Filter(Query{
 		Request: r,
@@ -143,14 +143,15 @@
 	out.Events = nil
 	for _, e := range t.Events {
 		within := compareEvents(first, e) <= 0 && compareEvents(e, last) <= 0
-		if e.Fields.Request == r || within && servers[e.Fields.Server] && e.Fields.Request.IsZero() && concerns(e) {
+		if e.Fields.Request == r || within && servers[e.Fields.Server] && e.Fields.Request.IsZero() && isNotable(e) {
 			out.Events = append(out.Events, e)
 		}
 	}
 	return out
 }
 
-func concerns(e hingeevents.Event) bool {
+// isNotable reports whether an event is a warning or a failure, or isn't in the catalogue.
+func isNotable(e hingeevents.Event) bool {
 	entry, ok := hingeevents.Lookup(e.Number)
 	return !ok || entry.Severity != hingeevents.Info
 }
--- a/internal/observe/hingetimeline/timeline_test.go
+++ b/internal/observe/hingetimeline/timeline_test.go
@@ -16,23 +16,22 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-func life(host hingeids.HostID) hingeids.Life {
+func instance(host hingeids.HostID) hingeids.Life {
 	return hingeids.Life{
 		Host:        host,
 		Incarnation: 1,
 	}
 }
 
-// Hosts' clocks are seconds apart. A request passes from host to host; sorted
-// by wall clock its answer would stand before its question, and whoever reads
-// the time line would blame the wrong host.
-func TestCauseComesFirst(t *testing.T) {
+// Guards against effects that sort before their causes when the hosts' clocks are
+// seconds apart.
+func TestCauseSortsBeforeEffect(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		hosts := []hingeids.HostID{"a", "b", "c", "d"}
 		recorders := make([]*hingeevents.Recorder, len(hosts))
 		skews := make([]time.Duration, len(hosts))
 		for i, h := range hosts {
-			recorders[i] = hingeevents.NewRecorder(life(h))
+			recorders[i] = hingeevents.NewRecorder(instance(h))
 			skews[i] = time.Duration(rapid.IntRange(-5000, 5000).Draw(t, "skew")) * time.Millisecond
 		}
 		now := time.Unix(1000, 0)
@@ -50,14 +49,14 @@
 		var sources []Source
 		for i, h := range hosts {
 			sources = append(sources, Source{
-				Life:   life(h),
+				Life:   instance(h),
 				Events: recorders[i].Kept(),
 			})
 		}
 		slices.Reverse(sources)
 		for i, e := range Merge(sources, nil).Events {
 			if e.Fields.Count != int64(i+1) {
-				t.Fatalf("step %d stands at place %d", e.Fields.Count, i+1)
+				t.Fatalf("step %d is at position %d", e.Fields.Count, i+1)
 			}
 		}
 	})
@@ -65,7 +64,7 @@
 
 func sample() (Timeline, hingeids.RequestID) {
 	request := hingeids.RequestID{
-		Life:     life("cancale-1"),
+		Life:     instance("cancale-1"),
 		Sequence: 7,
 	}
 	at := func(host hingeids.HostID, ms int64, n hingeevents.Number, f hingeevents.Fields) hingeevents.Event {
@@ -73,14 +72,14 @@
 			Stamp: hingeevents.Stamp{
 				Wall: ms * int64(time.Millisecond),
 			},
-			Life:   life(host),
+			Life:   instance(host),
 			Number: n,
 			Fields: f,
 		}
 	}
 	return Merge([]Source{
 		{
-			Life: life("cancale-1"),
+			Life: instance("cancale-1"),
 			Events: []hingeevents.Event{
 				at("cancale-1", 1, hingeevents.ProcessStarted, hingeevents.Fields{
 					Request: request,
@@ -97,7 +96,7 @@
 			Dropped: true,
 		},
 		{
-			Life: life("roscoff-1"),
+			Life: instance("roscoff-1"),
 			Events: []hingeevents.Event{
 				at("roscoff-1", 4, hingeevents.ProcessUnready, hingeevents.Fields{
 					Server: "redacteur-1",
@@ -114,8 +113,8 @@
 	}, []hingeids.HostID{"quiberon-1"}), request
 }
 
-// A zone is cut off while an operator asks why a request was refused. The
-// answer names the hosts that are missing, so that nobody takes it for whole.
+// Guards against an explanation that looks complete although hosts did not answer
+// or events were dropped.
 func TestExplanation(t *testing.T) {
 	timeline, request := sample()
 	var b strings.Builder
@@ -137,9 +136,9 @@
 	}
 }
 
-// Each form shows every event and every gap, and is well-formed even with
-// markup in an event's detail.
-func TestForms(t *testing.T) {
+// Guards against events or gaps missing from an output format, and against
+// malformed output when an event's detail contains markup.
+func TestOutputFormats(t *testing.T) {
 	timeline, _ := sample()
 	var text, lines, svg strings.Builder
 	for _, err := range []error{
