--- a/internal/observe/hingemetrics/health.go
+++ b/internal/observe/hingemetrics/health.go
@@ -9,47 +9,48 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Health tells the balancer whether a process is ready for requests, and its
-// supervisor whether it is alive. The two differ: a process that waits for its
-// configuration is alive and not ready, and restarting it would only make it
-// wait again.
+// Health tracks whether a process is ready for requests, for the load balancer,
+// and whether it is alive, for the supervisor. A process that waits for its
+// configuration is alive but not ready; a restart would only make it wait again.
+// Its methods are safe for concurrent use.
 type Health struct {
 	events *hingeevents.Recorder
-	// silence is how long the control loop may stand still.
-	silence time.Duration
+	// maxStall is the longest time between two iterations of the control loop.
+	maxStall time.Duration
 
-	mu      sync.Mutex
-	missing []string
-	ready   bool
-	beat    time.Time
+	mu       sync.Mutex
+	unmet    []string
+	ready    bool
+	lastBeat time.Time
 }
 
-// NewHealth makes a process that is not ready until every condition is met.
-// A control loop that has not beaten for as long as silence is taken for hung:
-// it should be many times the loop's longest sleep, since a wrong verdict ends
-// every stream of the process.
-func NewHealth(events *hingeevents.Recorder, silence time.Duration, now time.Time, conditions ...string) *Health {
+// NewHealth returns the health of a process that becomes ready when every
+// condition is met. The process counts as hung if the control loop hasn't called
+// Beat for more than maxStall, which should be many times the loop's longest
+// sleep, since a false positive terminates every stream of the process.
+func NewHealth(events *hingeevents.Recorder, maxStall time.Duration, now time.Time, conditions ...string) *Health {
 	return &Health{
-		events:  events,
-		silence: silence,
-		missing: slices.Clone(conditions),
-		ready:   len(conditions) == 0,
-		beat:    now,
+		events:   events,
+		maxStall: maxStall,
+		unmet:    slices.Clone(conditions),
+		ready:    len(conditions) == 0,
+		lastBeat: now,
 	}
 }
 
-// Set says whether a condition is met.
+// Set records whether a condition is met, and records an event if the process's
+// readiness changes. The condition may be one that NewHealth didn't name.
 func (h *Health) Set(now time.Time, condition string, met bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	i := slices.Index(h.missing, condition)
+	i := slices.Index(h.unmet, condition)
 	if met && i >= 0 {
-		h.missing = slices.Delete(h.missing, i, i+1)
+		h.unmet = slices.Delete(h.unmet, i, i+1)
 	}
 	if !met && i < 0 {
-		h.missing = append(h.missing, condition)
+		h.unmet = append(h.unmet, condition)
 	}
-	ready := len(h.missing) == 0
+	ready := len(h.unmet) == 0
 	if ready == h.ready {
 		return
 	}
@@ -63,23 +64,25 @@
 	})
 }
 
-// Ready reports whether the process takes requests, and what is missing.
-func (h *Health) Ready() (ready bool, missing string) {
+// Ready reports whether the process accepts requests, and lists the unmet
+// conditions, separated by commas.
+func (h *Health) Ready() (ready bool, unmet string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.ready, strings.Join(h.missing, ", ")
+	return h.ready, strings.Join(h.unmet, ", ")
 }
 
-// Beat says that the control loop has come round.
+// Beat records an iteration of the control loop.
 func (h *Health) Beat(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.beat = now
+	h.lastBeat = now
 }
 
-// Alive reports whether the control loop still comes round.
+// Alive reports whether the last iteration of the control loop is at most
+// maxStall ago.
 func (h *Health) Alive(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Sub(h.beat) <= h.silence
+	return now.Sub(h.lastBeat) <= h.maxStall
 }
--- a/internal/observe/hingemetrics/metrics.go
+++ b/internal/observe/hingemetrics/metrics.go
@@ -1,14 +1,14 @@
-// Package hingemetrics holds the metrics of one process, and whether it is
-// ready and alive.
+// Package hingemetrics holds the metrics of one process, and its readiness and
+// liveness.
 //
-//  1. Every metric is in Table, which docs/METRICS.md is made from. A metric
-//     outside the table, or with other labels, can't be made.
+//  1. Every metric is in Table, from which docs/METRICS.md is generated. Metrics
+//     with labels other than those of their definition can't be created.
 //  2. A metric has few labels with few values each: classes, codes, reasons.
-//     Never callers, requests or servers, whose numbers are unbounded.
-//  3. Whoever counts for each token keeps the handle: looking one up costs a
-//     lock and allocations.
-//  4. Events are counted by the recorder itself, so that each of them is a
-//     metric from its first day.
+//     Callers, requests and servers aren't labels, since their number is unbounded.
+//  3. Code that counts for each token keeps the counter or histogram: a lookup
+//     takes a lock and allocates.
+//  4. The event recorder counts events by number, so that every event of the
+//     catalogue is also a metric.
 package hingemetrics
 
 import (
@@ -22,13 +22,13 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Metrics are the metrics of one process.
+// Metrics are the metrics of one process. They are safe for concurrent use.
 type Metrics struct {
 	set    *metrics.Set
 	events *hingeevents.Recorder
 }
 
-// New makes the metrics of a process. The recorder may be nil.
+// New returns the metrics of a process. The recorder may be nil; then no events are counted.
 func New(events *hingeevents.Recorder) *Metrics {
 	return &Metrics{
 		set:    metrics.NewSet(),
@@ -36,32 +36,32 @@
 	}
 }
 
-// Counter gives the counter for the label values. It panics if they don't fit
-// the definition, which is a mistake of the code.
+// Counter returns the counter for the label values, and creates it at the first call. It
+// panics if the definition is of another kind or has another number of labels.
 func (m *Metrics) Counter(d Definition, values ...string) *metrics.Counter {
 	return m.set.GetOrCreateCounter(name(d, CounterKind, values))
 }
 
-// Histogram gives the histogram for the label values; it takes seconds.
+// Histogram returns the histogram for the label values, as Counter does. Its samples are in seconds.
 func (m *Metrics) Histogram(d Definition, values ...string) *metrics.Histogram {
 	return m.set.GetOrCreateHistogram(name(d, HistogramKind, values))
 }
 
-// Gauge sets the function that is called for the value of a gauge. It is
-// called from the goroutine that writes the metrics.
+// Gauge registers the function that returns the value of a gauge. Write calls it, in
+// the goroutine of its own caller. It panics as Counter does.
 func (m *Metrics) Gauge(d Definition, read func() float64, values ...string) {
 	m.set.GetOrCreateGauge(name(d, GaugeKind, values), read)
 }
 
-// Write writes all metrics in the text format of Prometheus, those of the Go
-// runtime and the process included.
+// Write writes all metrics in the Prometheus text format, including those of the
+// Go runtime and the process.
 func (m *Metrics) Write(w io.Writer) {
 	m.set.WritePrometheus(w)
 	m.writeEvents(w)
 	metrics.WriteProcessMetrics(w)
 }
 
-// writeEvents carries out Rule 4.
+// writeEvents writes the event counts of the recorder (rule 4).
 func (m *Metrics) writeEvents(w io.Writer) {
 	if m.events == nil {
 		return
--- a/internal/observe/hingemetrics/metrics_test.go
+++ b/internal/observe/hingemetrics/metrics_test.go
@@ -17,7 +17,7 @@
 
 var update = flag.Bool("update", false, "write docs/METRICS.md")
 
-// The page that alarms are written from lags behind the code.
+// Guards against a generated page that is out of date.
 func TestPage(t *testing.T) {
 	const path = "../../../docs/METRICS.md"
 	if *update {
@@ -34,13 +34,13 @@
 	}
 }
 
-// Names follow one form, so that a reader can tell kind and unit from them.
+// Guards against duplicate names, and names whose suffix doesn't match the kind and unit.
 func TestTable(t *testing.T) {
 	form := regexp.MustCompile(`^swifthinge_[a-z_]+$`)
 	seen := make(map[string]bool)
 	for _, d := range Table {
 		if seen[d.Name] || !form.MatchString(d.Name) || d.Text == "" {
-			t.Errorf("%s is there twice, of another form or without a text", d.Name)
+			t.Errorf("%s is a duplicate, has the wrong form or has no text", d.Name)
 		}
 		seen[d.Name] = true
 		if strings.HasSuffix(d.Name, "_total") != (d.Kind == CounterKind) {
@@ -52,6 +52,7 @@
 	}
 }
 
+// Guards the text format, label escaping, and the rejection of missing label values.
 func TestWrite(t *testing.T) {
 	r := hingeevents.NewRecorder(hingeids.Life{
 		Host: "cancale-1",
@@ -82,23 +83,22 @@
 	}
 	defer func() {
 		if recover() == nil {
-			t.Error("a counter with a missing label was made")
+			t.Error("Counter accepted a missing label value")
 		}
 	}()
 	m.Counter(Requests, "lot-status")
 }
 
-// A process waits for its configuration, loses its keeper for a moment, and
-// then hangs. The balancer stops sending requests in the first two cases; only
-// in the last one may a supervisor restart it.
+// Guards against a process that is reported hung, and so restarted, while it is
+// merely not ready, and against repeated readiness events.
 func TestHealth(t *testing.T) {
 	r := hingeevents.NewRecorder(hingeids.Life{})
 	now := time.Unix(1000, 0)
 	h := NewHealth(r, 10*time.Second, now, "configuration", "keys")
 	var got []string
-	look := func(at time.Time) {
-		ready, missing := h.Ready()
-		line := missing
+	record := func(at time.Time) {
+		ready, unmet := h.Ready()
+		line := unmet
 		if ready {
 			line = "ready"
 		}
@@ -107,18 +107,18 @@
 		}
 		got = append(got, line)
 	}
-	look(now)
+	record(now)
 	h.Set(now, "configuration", true)
-	look(now)
+	record(now)
 	h.Set(now, "keys", true)
 	h.Set(now, "keys", true)
-	look(now)
+	record(now)
 	h.Set(now, "keeper", false)
-	look(now)
+	record(now)
 	h.Set(now, "keeper", true)
 	h.Beat(now.Add(5 * time.Second))
-	look(now.Add(15 * time.Second))
-	look(now.Add(16 * time.Second))
+	record(now.Add(15 * time.Second))
+	record(now.Add(16 * time.Second))
 	want := []string{"configuration, keys", "keys", "ready", "keeper", "ready", "ready, hung"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("health (-want +got):\n%s", diff)
--- a/internal/observe/hingemetrics/page.go
+++ b/internal/observe/hingemetrics/page.go
@@ -1,7 +1,7 @@
 package hingemetrics
 
 import (
-	_ "embed" // The head of the page is a file of its own.
+	_ "embed" // for pageHead
 	"fmt"
 	"strings"
 )
@@ -9,7 +9,7 @@
 //go:embed pagehead.md
 var pageHead string
 
-// Page writes the table as docs/METRICS.md.
+// Page returns the content of docs/METRICS.md.
 func Page() string {
 	var b strings.Builder
 	b.WriteString(pageHead)
--- a/internal/observe/hingemetrics/table.go
+++ b/internal/observe/hingemetrics/table.go
@@ -1,16 +1,16 @@
 package hingemetrics
 
-// Kind is what a metric does.
+// Kind is the type of a metric.
 type Kind uint8
 
-// A counter only grows, a gauge is read when asked for, a histogram spreads values.
+// Kinds of metrics. The value of a gauge is read at each scrape.
 const (
 	CounterKind Kind = iota
 	GaugeKind
 	HistogramKind
 )
 
-// String gives the kind as written in docs.
+// String returns the kind as written in docs/METRICS.md.
 func (k Kind) String() string {
 	switch k {
 	case GaugeKind:
@@ -26,13 +26,13 @@
 type Definition struct {
 	Name string
 	Kind Kind
-	// Labels are the names of its labels, in the order in which values are given.
+	// Labels are the label names, in the order in which callers pass the values.
 	Labels []string
-	// Text says what it measures, with its unit where the name has none.
+	// Text says what the metric measures, with its unit if the name has none.
 	Text string
 }
 
-// The metrics, for callers of Counter, Gauge and Histogram.
+// Definitions of all metrics.
 var (
 	Requests = Definition{
 		Name:   "swifthinge_requests_total",
@@ -60,7 +60,7 @@
 	Queued = Definition{
 		Name: "swifthinge_requests_queued",
 		Kind: GaugeKind,
-		Text: "Requests that wait for a place.",
+		Text: "Requests that wait to be placed.",
 	}
 	FirstToken = Definition{
 		Name:   "swifthinge_first_token_seconds",
@@ -77,7 +77,7 @@
 	TokensRelayed = Definition{
 		Name: "swifthinge_tokens_relayed_total",
 		Kind: CounterKind,
-		Text: "Tokens passed on to callers.",
+		Text: "Tokens forwarded to callers.",
 	}
 	PrefillTokens = Definition{
 		Name: "swifthinge_prefill_tokens_total",
@@ -88,7 +88,7 @@
 		Name:   "swifthinge_prefill_wasted_tokens_total",
 		Kind:   CounterKind,
 		Labels: []string{"reason"},
-		Text:   "Prompt tokens whose prefill came to nothing: evicted, cancelled or failed before decode.",
+		Text:   "Prompt tokens whose prefill was not used: evicted, cancelled or failed before decode.",
 	}
 	Retries = Definition{
 		Name:   "swifthinge_retries_total",
@@ -99,7 +99,7 @@
 	CallersGone = Definition{
 		Name: "swifthinge_callers_gone_total",
 		Kind: CounterKind,
-		Text: "Requests whose caller left before the final answer.",
+		Text: "Requests whose caller disconnected before the final answer.",
 	}
 	SlotsHeld = Definition{
 		Name: "swifthinge_slots_held",
@@ -109,7 +109,7 @@
 	CancelsPending = Definition{
 		Name: "swifthinge_cancels_pending",
 		Kind: GaugeKind,
-		Text: "Cancels that a backend server has not answered yet. One that stays up for minutes is engine memory held for nobody.",
+		Text: "Cancels that a backend server has not answered yet. A value above 0 for minutes means that engine memory is held by cancelled requests.",
 	}
 	KeysClaimed = Definition{
 		Name:   "swifthinge_keys_claimed_total",
@@ -125,12 +125,12 @@
 	RevisionKnown = Definition{
 		Name: "swifthinge_revision_known",
 		Kind: GaugeKind,
-		Text: "Newest accepted revision that this process knows of; more than swifthinge_revision means that it lags.",
+		Text: "Newest accepted revision that this process knows of. If it is above swifthinge_revision, the process lags behind.",
 	}
 	HostsAlive = Definition{
 		Name: "swifthinge_hosts_alive",
 		Kind: GaugeKind,
-		Text: "Entry hosts that this process hears.",
+		Text: "Entry hosts that this process considers alive.",
 	}
 	ServersUsable = Definition{
 		Name: "swifthinge_servers_usable",
@@ -140,7 +140,7 @@
 	Ready = Definition{
 		Name: "swifthinge_ready",
 		Kind: GaugeKind,
-		Text: "1 when the process takes requests, else 0.",
+		Text: "1 if the process accepts requests, else 0.",
 	}
 	Events = Definition{
 		Name:   "swifthinge_events_total",
@@ -150,7 +150,7 @@
 	}
 )
 
-// Table lists every metric.
+// Table lists the definitions of all metrics, in the order of docs/METRICS.md.
 var Table = []Definition{
 	Requests,
 	Refusals,
