--- a/internal/observe/hingeevents/events.go
+++ b/internal/observe/hingeevents/events.go
@@ -102,8 +102,8 @@
 // Recorder stamps, logs and keeps the events of one process. It is safe for
 // concurrent use. A nil recorder records nothing.
 type Recorder struct {
-	life hingeids.Life
-	sink func(Event)
+	instance hingeids.Life
+	sink     func(Event)
 	// wallClock, if set, replaces the times that callers pass.
 	wallClock func() time.Time
 
@@ -117,11 +117,11 @@
 }
 
 // NewRecorder returns the recorder of one instance of a process, which logs through klog.
-func NewRecorder(life hingeids.Life) *Recorder {
+func NewRecorder(instance hingeids.Life) *Recorder {
 	return &Recorder{
-		life:   life,
-		kept:   make([]Event, 0, 256),
-		counts: make(map[Number]uint64),
+		instance: instance,
+		kept:     make([]Event, 0, 256),
+		counts:   make(map[Number]uint64),
 	}
 }
 
@@ -129,8 +129,8 @@
 // Events are stamped with wallClock, not with the time passed to Record: callers
 // that use the boot clock pass times before all other stamps, and their events
 // would get the wall time of the previous event.
-func NewRecorderTo(life hingeids.Life, sink func(Event), wallClock func() time.Time) *Recorder {
-	r := NewRecorder(life)
+func NewRecorderTo(instance hingeids.Life, sink func(Event), wallClock func() time.Time) *Recorder {
+	r := NewRecorder(instance)
 	r.sink = sink
 	r.wallClock = wallClock
 	return r
@@ -193,7 +193,7 @@
 	defer r.mu.Unlock()
 	e := Event{
 		Stamp:  r.advance(now.UnixNano()),
-		Life:   r.life,
+		Life:   r.instance,
 		Number: n,
 		Fields: f,
 	}
@@ -213,7 +213,7 @@
 	if r == nil {
 		return hingeids.Life{}
 	}
-	return r.life
+	return r.instance
 }
 
 // Dropped reports whether older events were discarded for newer ones.
