--- a/internal/capacity/hingeplacer/poison.go
+++ b/internal/capacity/hingeplacer/poison.go
@@ -150,9 +150,9 @@
 // recordPoisonEvent records an event on a poison request.
 func (p *Placer) recordPoisonEvent(n hingeevents.Number, r hingepoison.Record) {
 	p.recorder.Record(time.Now(), n, hingeevents.Fields{
-		Print:  r.Fingerprint,
-		Caller: r.Caller,
-		Count:  int64(r.Crashes),
-		Detail: r.String(),
+		Fingerprint: r.Fingerprint,
+		Caller:      r.Caller,
+		Count:       int64(r.Crashes),
+		Detail:      r.String(),
 	})
 }
--- a/internal/decide/hingegate/gate.go
+++ b/internal/decide/hingegate/gate.go
@@ -303,8 +303,8 @@
 				n = hingeevents.EngineSlow
 			}
 			g.Recorder.Record(now, n, hingeevents.Fields{
-				Server: s,
-				Took:   gap,
+				Server:  s,
+				Elapsed: gap,
 			})
 		}
 	})
@@ -315,7 +315,7 @@
 	f := hingeevents.Fields{
 		Request: a.Placement.ID,
 		Caller:  a.Caller,
-		Took:    now.Sub(a.Arrived),
+		Elapsed: now.Sub(a.Arrived),
 	}
 	if err != nil {
 		f.Detail = err.Error()
--- a/internal/decide/hingegate/gate_test.go
+++ b/internal/decide/hingegate/gate_test.go
@@ -162,7 +162,7 @@
 		}
 	}
 	var got []hingeevents.Number
-	for _, e := range g.Recorder.Kept() {
+	for _, e := range g.Recorder.Events() {
 		got = append(got, e.Number)
 	}
 	if diff := cmp.Diff([]hingeevents.Number{hingeevents.EngineSlow, hingeevents.EngineTakenBack}, got); diff != "" {
--- a/internal/link/hingelink/quic_test.go
+++ b/internal/link/hingelink/quic_test.go
@@ -261,7 +261,7 @@
 	}
 	// It dials on and is refused each time: one event in all, not one each time.
 	time.Sleep(5 * redialPause)
-	if events := len(stranger.config.Recorder.Kept()); events > 1 {
+	if events := len(stranger.config.Recorder.Events()); events > 1 {
 		t.Fatalf("%d events for one host that refuses", events)
 	}
 	if diff := cmp.Diff(int64(0), ran.Load()); diff != "" {
--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -32,22 +32,22 @@
 
 // Outcomes of a request.
 const (
-	OnTime  Outcome = "on time"
-	Late    Outcome = "late"
-	Refused Outcome = "refused"
-	Failed  Outcome = "failed"
-	Denied  Outcome = "denied"
-	Gone    Outcome = "caller gone"
-	Lost    Outcome = "lost with its host"
+	OnTime       Outcome = "on time"
+	Late         Outcome = "late"
+	Refused      Outcome = "refused"
+	Failed       Outcome = "failed"
+	Denied       Outcome = "denied"
+	Disconnected Outcome = "caller gone"
+	Lost         Outcome = "lost with its host"
 )
 
 // Outcomes lists the outcomes in the order of the table columns.
-var Outcomes = []Outcome{OnTime, Late, Refused, Failed, Denied, Gone, Lost}
+var Outcomes = []Outcome{OnTime, Late, Refused, Failed, Denied, Disconnected, Lost}
 
 // Request is the summary of one request. Asked is the caller's own id of it.
 type Request struct {
-	Asked string
-	Route string
+	CallerRequestID string
+	Route           string
 	// Customer is empty if the request had no customer.
 	Customer hingeids.CallerID
 	Host     hingeids.HostID
@@ -56,11 +56,11 @@
 	Outcome Outcome
 	// Reason says briefly why the request wasn't on time; empty if unknown.
 	Reason string
-	// Places counts the placements; Wait is the time until the first one.
-	Places int
-	Wait   time.Duration
-	// Wasted counts prompt tokens whose prefill was not used.
-	Wasted int64
+	// Placements counts the placements; Wait is the time until the first one.
+	Placements    int
+	PlacementWait time.Duration
+	// WastedTokens counts prompt tokens whose prefill was not used.
+	WastedTokens int64
 
 	stream   bool
 	finished bool
@@ -70,11 +70,11 @@
 type Account struct {
 	// Zones maps each host to its availability zone.
 	Zones map[hingeids.HostID]hingeids.Zone
-	// Dropped counts the lines that the writers dropped.
-	Dropped int64
-	// Unnamed counts denied, over-quota and poison requests without a line of their own: hingeproxy limits the rate of
+	// DroppedLines counts the lines that the writers dropped.
+	DroppedLines int64
+	// Unlisted counts denied, over-quota and poison requests without a line of their own: hingeproxy limits the rate of
 	// these lines, and each states how many requests it stands for.
-	Unnamed int64
+	Unlisted int64
 
 	requests map[string]*Request
 	// fills has the predicted fill of the engines on which streams were placed, by Unix second.
@@ -82,14 +82,14 @@
 	// wastedTokens has the prompt tokens whose prefill was not used, by verdict and code.
 	wastedTokens map[string]int64
 	// crashes has the server crashes during requests, by the request's fingerprint.
-	crashes map[hingeids.Fingerprint]*Ends
+	crashes map[hingeids.Fingerprint]*Crashes
 }
 
-// Ends are the server crashes during one request, over all its attempts.
-type Ends struct {
-	Print    hingeids.Fingerprint
-	Customer hingeids.CallerID
-	Route    string
+// Crashes are the server crashes during one request, over all its attempts.
+type Crashes struct {
+	Fingerprint hingeids.Fingerprint
+	Customer    hingeids.CallerID
+	Route       string
 	// Servers are the servers that crashed, the first at First and the last at Last.
 	Servers     map[hingeids.ServerID]bool
 	First, Last time.Time
@@ -110,7 +110,7 @@
 		requests:     make(map[string]*Request),
 		fills:        make(map[int64]fillStats),
 		wastedTokens: make(map[string]int64),
-		crashes:      make(map[hingeids.Fingerprint]*Ends),
+		crashes:      make(map[hingeids.Fingerprint]*Crashes),
 	}
 }
 
@@ -130,22 +130,22 @@
 }
 
 func (a *Account) add(l hingelines.Line) {
-	a.Dropped += l.Dropped
+	a.DroppedLines += l.Dropped
 	if l.Event == hingeevents.ProcessStarted {
-		a.Zones[hingeids.HostID(l.By)] = l.Fields.Zone
+		a.Zones[hingeids.HostID(l.Host)] = l.Fields.Zone
 		return
 	}
-	if l.Fields.Asked == "" {
+	if l.Fields.CallerRequestID == "" {
 		return
 	}
-	r := a.requests[l.Fields.Asked]
+	r := a.requests[l.Fields.CallerRequestID]
 	if r == nil {
 		r = &Request{
-			Asked: l.Fields.Asked,
+			CallerRequestID: l.Fields.CallerRequestID,
 		}
-		a.requests[l.Fields.Asked] = r
+		a.requests[l.Fields.CallerRequestID] = r
 	}
-	r.Host = hingeids.HostID(l.By)
+	r.Host = hingeids.HostID(l.Host)
 	if l.Fields.Route != "" {
 		r.Route = l.Fields.Route
 	}
@@ -160,12 +160,12 @@
 	case hingeevents.RequestPlaced:
 		a.addPlacement(r, l)
 	case hingeevents.PromptWasted:
-		r.Wasted += l.Fields.Count
+		r.WastedTokens += l.Fields.Count
 		a.wastedTokens[verdictAndCode(l.Fields.Detail)] += l.Fields.Count
 	case hingeevents.RequestAnswered:
 		r.stream = true
 		r.finish(l.At, OnTime, "")
-		if l.Fields.Late != "" {
+		if l.Fields.MissedTarget != "" {
 			r.finish(l.At, Late, r.lateReason(l))
 		}
 	case hingeevents.ServiceCalled:
@@ -173,42 +173,42 @@
 		switch {
 		case l.Fields.Count >= 500:
 			r.finish(l.At, Failed, "the server's own failure")
-		case l.Fields.Late != "":
+		case l.Fields.MissedTarget != "":
 			r.finish(l.At, Late, "slow server")
 		}
 	case hingeevents.RequestGivenUp:
 		r.finishWithError(l)
 	case hingeevents.RequestOverQuota:
 		r.finish(l.At, Refused, "beyond the customer's quota")
-		a.Unnamed += l.Fields.Count - 1
+		a.Unlisted += l.Fields.Count - 1
 	case hingeevents.PoisonRefused:
 		r.finish(l.At, Refused, "servers end under it")
-		a.Unnamed += l.Fields.Count - 1
+		a.Unlisted += l.Fields.Count - 1
 	case hingeevents.RequestDenied:
 		r.finish(l.At, Denied, verdictAndCode(l.Fields.Detail))
-		a.Unnamed += l.Fields.Count - 1
+		a.Unlisted += l.Fields.Count - 1
 	case hingeevents.ServerEnded:
 		a.addCrash(l)
 	case hingeevents.CallerGone:
-		r.finish(l.At, Gone, "")
+		r.finish(l.At, Disconnected, "")
 	}
 }
 
 func (a *Account) addCrash(l hingelines.Line) {
-	e := a.crashes[l.Fields.Print]
+	e := a.crashes[l.Fields.Fingerprint]
 	if e == nil {
-		e = &Ends{
-			Print:    l.Fields.Print,
-			Customer: l.Fields.Caller,
-			Route:    l.Fields.Route,
-			Servers:  make(map[hingeids.ServerID]bool),
-			First:    l.At,
-			Attempts: make(map[string]bool),
+		e = &Crashes{
+			Fingerprint: l.Fields.Fingerprint,
+			Customer:    l.Fields.Caller,
+			Route:       l.Fields.Route,
+			Servers:     make(map[hingeids.ServerID]bool),
+			First:       l.At,
+			Attempts:    make(map[string]bool),
 		}
-		a.crashes[l.Fields.Print] = e
+		a.crashes[l.Fields.Fingerprint] = e
 	}
 	e.Servers[l.Fields.Server] = true
-	e.Attempts[l.Fields.Asked] = true
+	e.Attempts[l.Fields.CallerRequestID] = true
 	if l.At.Before(e.First) {
 		e.First = l.At
 	}
@@ -219,10 +219,10 @@
 
 func (a *Account) addPlacement(r *Request, l hingelines.Line) {
 	r.stream = true
-	if r.Places == 0 {
-		r.Wait = time.Duration(l.TookMs * float64(time.Millisecond))
+	if r.Placements == 0 {
+		r.PlacementWait = time.Duration(l.ElapsedMs * float64(time.Millisecond))
 	}
-	r.Places++
+	r.Placements++
 	if !r.finished {
 		r.EndedAt = l.At
 	}
@@ -256,13 +256,13 @@
 // lateReason returns the most likely reason why a stream was late.
 func (r *Request) lateReason(l hingelines.Line) string {
 	switch {
-	case r.Places > 1:
+	case r.Placements > 1:
 		return "moved to another engine"
-	case l.Fields.Late == "pause":
+	case l.Fields.MissedTarget == "pause":
 		return "a pause between events"
-	case r.Places == 0:
+	case r.Placements == 0:
 		return "late without a place"
-	case r.Wait > maxPlacementWait:
+	case r.PlacementWait > maxPlacementWait:
 		return "waited for an engine"
 	}
 	return "slow prefill or first event"
@@ -298,7 +298,7 @@
 		out = append(out, r)
 	}
 	slices.SortFunc(out, func(x, y *Request) int {
-		return cmp.Or(x.EndedAt.Compare(y.EndedAt), cmp.Compare(x.Asked, y.Asked))
+		return cmp.Or(x.EndedAt.Compare(y.EndedAt), cmp.Compare(x.CallerRequestID, y.CallerRequestID))
 	})
 	return out
 }
--- a/internal/observe/hingeaccount/account_test.go
+++ b/internal/observe/hingeaccount/account_test.go
@@ -59,13 +59,13 @@
 		got[r.Outcome]++
 	}
 	want := map[Outcome]int{
-		OnTime:  3,
-		Late:    2,
-		Refused: 3,
-		Failed:  2,
-		Denied:  1,
-		Gone:    1,
-		Lost:    1,
+		OnTime:       3,
+		Late:         2,
+		Refused:      3,
+		Failed:       2,
+		Denied:       1,
+		Disconnected: 1,
+		Lost:         1,
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
--- a/internal/observe/hingeaccount/tables.go
+++ b/internal/observe/hingeaccount/tables.go
@@ -26,8 +26,8 @@
 	return sum
 }
 
-// By counts requests by key and outcome.
-func By(list []*Request, key func(r *Request) string) map[string]Counts {
+// CountBy counts requests by key and outcome.
+func CountBy(list []*Request, key func(r *Request) string) map[string]Counts {
 	out := make(map[string]Counts)
 	for _, r := range list {
 		k := key(r)
@@ -44,28 +44,28 @@
 func (a *Account) Write(w io.Writer, interval time.Duration) error {
 	list := a.Requests()
 	var b strings.Builder
-	if a.Dropped > 0 {
-		fmt.Fprintf(&b, "%d lines were dropped by their writers: what follows lacks them.\n\n", a.Dropped)
+	if a.DroppedLines > 0 {
+		fmt.Fprintf(&b, "%d lines were dropped by their writers: what follows lacks them.\n\n", a.DroppedLines)
 	}
-	if a.Unnamed > 0 {
-		fmt.Fprintf(&b, "%d requests that were denied, beyond a quota or refused because servers end under them have no line of their own, and aren't counted here.\n\n", a.Unnamed)
+	if a.Unlisted > 0 {
+		fmt.Fprintf(&b, "%d requests that were denied, beyond a quota or refused because servers end under them have no line of their own, and aren't counted here.\n\n", a.Unlisted)
 	}
-	a.writeCounts(&b, "route", By(list, func(r *Request) string {
+	a.writeCounts(&b, "route", CountBy(list, func(r *Request) string {
 		return r.Route
 	}))
 	if slices.ContainsFunc(list, func(r *Request) bool {
 		return r.Customer != ""
 	}) {
-		a.writeCounts(&b, "customer", By(list, func(r *Request) string {
+		a.writeCounts(&b, "customer", CountBy(list, func(r *Request) string {
 			return string(r.Customer)
 		}))
 	}
-	a.writeCounts(&b, "zone", By(list, func(r *Request) string {
+	a.writeCounts(&b, "zone", CountBy(list, func(r *Request) string {
 		return string(a.Zones[r.Host])
 	}))
 	if len(list) > 0 {
 		start := list[0].EndedAt
-		a.writeCounts(&b, "second", By(list, func(r *Request) string {
+		a.writeCounts(&b, "second", CountBy(list, func(r *Request) string {
 			return fmt.Sprintf("%6.1f", r.EndedAt.Sub(start).Truncate(interval).Seconds())
 		}))
 	}
@@ -119,7 +119,7 @@
 			rows[key] = c
 		}
 		c.count++
-		if f, ok := a.meanFill(r.EndedAt.Add(-r.Wait)); ok {
+		if f, ok := a.meanFill(r.EndedAt.Add(-r.PlacementWait)); ok {
 			c.fillSum += f
 			c.fillCount++
 		}
@@ -135,7 +135,7 @@
 		if c.fillCount > 0 {
 			fill = fmt.Sprintf("%d", c.fillSum/c.fillCount)
 		}
-		fmt.Fprintf(b, "%-20s %-44s %7d %8s  %s\n", c.outcome, c.reason, c.count, fill, c.first.Asked)
+		fmt.Fprintf(b, "%-20s %-44s %7d %8s  %s\n", c.outcome, c.reason, c.count, fill, c.first.CallerRequestID)
 	}
 	b.WriteString("\n")
 }
@@ -154,10 +154,10 @@
 
 // writeCrashes writes the requests during which several servers crashed, those with the most servers first.
 func (a *Account) writeCrashes(b *strings.Builder) {
-	list := slices.SortedFunc(maps.Values(a.crashes), func(x, y *Ends) int {
-		return cmp.Or(cmp.Compare(len(y.Servers), len(x.Servers)), x.First.Compare(y.First), cmp.Compare(x.Print, y.Print))
+	list := slices.SortedFunc(maps.Values(a.crashes), func(x, y *Crashes) int {
+		return cmp.Or(cmp.Compare(len(y.Servers), len(x.Servers)), x.First.Compare(y.First), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
-	list = slices.DeleteFunc(list, func(e *Ends) bool {
+	list = slices.DeleteFunc(list, func(e *Crashes) bool {
 		return len(e.Servers) < 2
 	})
 	if len(list) == 0 {
@@ -165,7 +165,7 @@
 	}
 	fmt.Fprintf(b, "\n%-16s %8s %8s  %-26s %-26s %-16s %s\n", "print", "servers", "attempts", "the first ended", "the last", "customer", "route")
 	for _, e := range list[:min(len(list), maxCrashRows)] {
-		fmt.Fprintf(b, "%-16s %8d %8d  %-26s %-26s %-16s %s\n", e.Print, len(e.Servers), len(e.Attempts),
+		fmt.Fprintf(b, "%-16s %8d %8d  %-26s %-26s %-16s %s\n", e.Fingerprint, len(e.Servers), len(e.Attempts),
 			e.First.Format(crashTimeLayout), e.Last.Format(crashTimeLayout), e.Customer, e.Route)
 	}
 }
--- a/internal/observe/hingeevents/catalogue_test.go
+++ b/internal/observe/hingeevents/catalogue_test.go
@@ -28,10 +28,10 @@
 			if e.Number < a.first || e.Number >= a.first+areaSize {
 				t.Errorf("%d %s is outside its area, %d to %d", e.Number, e.Name, a.first, a.first+areaSize-1)
 			}
-			if e.Name == "" || e.Text == "" {
+			if e.Name == "" || e.Description == "" {
 				t.Errorf("%d has no name or no text", e.Number)
 			}
-			if e.Severity == Failure && e.Do == "" {
+			if e.Severity == Failure && e.Action == "" {
 				t.Errorf("%d %s is a failure and doesn't say what an operator should do", e.Number, e.Name)
 			}
 			numbers[e.Number] = e.Name
--- a/internal/observe/hingeevents/events.go
+++ b/internal/observe/hingeevents/events.go
@@ -43,33 +43,33 @@
 	Number   Number
 	Name     string
 	Severity Severity
-	// Text says what happened, in one sentence.
-	Text string
-	// Do says what an operator should do; empty if nothing.
-	Do string
+	// Description says what happened, in one sentence.
+	Description string
+	// Action says what an operator should do; empty if nothing.
+	Action string
 }
 
 // Fields are the typed fields of an event. Empty fields are omitted from logs.
 type Fields struct {
 	Request hingeids.RequestID `json:"request,omitzero"`
-	// Asked is the caller's own id of the request, where callers give one.
-	Asked string `json:"asked,omitempty"`
-	// Print is the fingerprint that a request shares with its resends.
-	Print    hingeids.Fingerprint `json:"print,omitzero"`
-	Host     hingeids.HostID      `json:"host,omitempty"`
-	Server   hingeids.ServerID    `json:"server,omitempty"`
-	Caller   hingeids.CallerID    `json:"caller,omitempty"`
-	Zone     hingeids.Zone        `json:"zone,omitempty"`
-	Revision hingeids.Revision    `json:"revision,omitempty"`
-	Fence    hingeids.Fence       `json:"fence,omitempty"`
-	Took     time.Duration        `json:"took,omitempty"`
-	Count    int64                `json:"count,omitempty"`
-	// World is the version of the process's cluster view: its configuration and servers.
-	World string `json:"world,omitempty"`
+	// CallerRequestID is the caller's own id of the request, where callers give one.
+	CallerRequestID string `json:"asked,omitempty"`
+	// Fingerprint is the fingerprint that a request shares with its resends.
+	Fingerprint hingeids.Fingerprint `json:"print,omitzero"`
+	Host        hingeids.HostID      `json:"host,omitempty"`
+	Server      hingeids.ServerID    `json:"server,omitempty"`
+	Caller      hingeids.CallerID    `json:"caller,omitempty"`
+	Zone        hingeids.Zone        `json:"zone,omitempty"`
+	Revision    hingeids.Revision    `json:"revision,omitempty"`
+	Fence       hingeids.Fence       `json:"fence,omitempty"`
+	Elapsed     time.Duration        `json:"took,omitempty"`
+	Count       int64                `json:"count,omitempty"`
+	// ViewVersion is the version of the process's cluster view: its configuration and servers.
+	ViewVersion string `json:"world,omitempty"`
 	// Route is the name of the request's route. Late says which latency target the answer missed, empty if none.
-	Route  string `json:"route,omitempty"`
-	Late   string `json:"late,omitempty"`
-	Detail string `json:"detail,omitempty"`
+	Route        string `json:"route,omitempty"`
+	MissedTarget string `json:"late,omitempty"`
+	Detail       string `json:"detail,omitempty"`
 }
 
 // Stamp is a hybrid logical clock reading: wall time in Unix nanoseconds, and a
@@ -89,10 +89,10 @@
 
 // Event is an event of one process.
 type Event struct {
-	Stamp  Stamp             `json:"stamp"`
-	Life   hingeids.Instance `json:"life"`
-	Number Number            `json:"number"`
-	Fields Fields            `json:"fields"`
+	Stamp    Stamp             `json:"stamp"`
+	Instance hingeids.Instance `json:"life"`
+	Number   Number            `json:"number"`
+	Fields   Fields            `json:"fields"`
 }
 
 // maxKeptEvents limits the events that a process keeps for the timeline: 80 seconds
@@ -192,10 +192,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	e := Event{
-		Stamp:  r.advance(now.UnixNano()),
-		Life:   r.instance,
-		Number: n,
-		Fields: f,
+		Stamp:    r.advance(now.UnixNano()),
+		Instance: r.instance,
+		Number:   n,
+		Fields:   f,
 	}
 	r.counts[n]++
 	if len(r.kept) < maxKeptEvents {
@@ -208,8 +208,8 @@
 	return e
 }
 
-// Life returns the instance of the process that records, or a zero one for a nil recorder.
-func (r *Recorder) Life() hingeids.Instance {
+// Instance returns the instance of the process that records, or a zero one for a nil recorder.
+func (r *Recorder) Instance() hingeids.Instance {
 	if r == nil {
 		return hingeids.Instance{}
 	}
@@ -252,8 +252,8 @@
 	return out
 }
 
-// Kept returns a copy of the events that are still kept, oldest first.
-func (r *Recorder) Kept() []Event {
+// Events returns a copy of the events that are still kept, oldest first.
+func (r *Recorder) Events() []Event {
 	if r == nil {
 		return nil
 	}
@@ -292,18 +292,18 @@
 		}
 	}
 	add(!f.Request.IsZero(), "request", f.Request.String())
-	add(f.Asked != "", "asked", f.Asked)
+	add(f.CallerRequestID != "", "asked", f.CallerRequestID)
 	add(f.Host != "", "host", f.Host)
 	add(f.Server != "", "server", f.Server)
 	add(f.Caller != "", "caller", f.Caller)
 	add(f.Zone != "", "zone", f.Zone)
 	add(f.Revision != 0, "revision", f.Revision)
 	add(f.Fence != 0, "fence", f.Fence)
-	add(f.Took != 0, "took", f.Took)
+	add(f.Elapsed != 0, "took", f.Elapsed)
 	add(f.Count != 0, "count", f.Count)
-	add(f.World != "", "world", f.World)
+	add(f.ViewVersion != "", "world", f.ViewVersion)
 	add(f.Route != "", "route", f.Route)
-	add(f.Late != "", "late", f.Late)
+	add(f.MissedTarget != "", "late", f.MissedTarget)
 	add(f.Detail != "", "detail", f.Detail)
 	return out
 }
--- a/internal/observe/hingeevents/events_test.go
+++ b/internal/observe/hingeevents/events_test.go
@@ -27,7 +27,7 @@
 			Count: int64(maxKeptEvents + i),
 		})
 	}
-	retained := r.Kept()
+	retained := r.Events()
 	if !r.Dropped() || len(retained) != maxKeptEvents {
 		t.Fatalf("dropped is %v, kept %d events", r.Dropped(), len(retained))
 	}
--- a/internal/observe/hingeevents/page.go
+++ b/internal/observe/hingeevents/page.go
@@ -29,7 +29,7 @@
 		fmt.Fprintf(&b, "\n## %d: %s\n\n", a.first, a.title)
 		b.WriteString("| number | name | severity | what happened | what to do |\n|---|---|---|---|---|\n")
 		for _, e := range a.entries {
-			fmt.Fprintf(&b, "| %d | %s | %v | %s | %s |\n", e.Number, e.Name, e.Severity, cell(e.Text), cell(e.Do))
+			fmt.Fprintf(&b, "| %d | %s | %v | %s | %s |\n", e.Number, e.Name, e.Severity, cell(e.Description), cell(e.Action))
 		}
 	}
 	return b.String()
--- a/internal/observe/hingelines/lines.go
+++ b/internal/observe/hingelines/lines.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// Take queues an event, or drops and counts it if the queue is full (rule 1). It never blocks.
-func (w *Writer) Take(e hingeevents.Event) {
+// Enqueue queues an event, or drops and counts it if the queue is full (rule 1). It never blocks.
+func (w *Writer) Enqueue(e hingeevents.Event) {
 	select {
 	case w.events <- e:
 	default:
@@ -98,28 +98,28 @@
 // Line is the JSON form of an event. By is the host, TookMs is Fields.Took in milliseconds, Dropped counts the events
 // dropped since the line before.
 type Line struct {
-	At      time.Time          `json:"at"`
-	Event   hingeevents.Number `json:"event"`
-	Name    string             `json:"name"`
-	By      string             `json:"by"`
-	Dropped int64              `json:"dropped,omitempty"`
-	TookMs  float64            `json:"tookMs,omitempty"`
-	Fields  hingeevents.Fields `json:"fields,omitzero"`
+	At        time.Time          `json:"at"`
+	Event     hingeevents.Number `json:"event"`
+	Name      string             `json:"name"`
+	Host      string             `json:"by"`
+	Dropped   int64              `json:"dropped,omitempty"`
+	ElapsedMs float64            `json:"tookMs,omitempty"`
+	Fields    hingeevents.Fields `json:"fields,omitzero"`
 }
 
 func (w *Writer) write(out *bufio.Writer, e hingeevents.Event, reportedDrops int64) int64 {
 	entry, _ := hingeevents.Lookup(e.Number)
 	dropped := w.dropped.Load()
 	l := Line{
-		At:      time.Unix(0, e.Stamp.Wall).UTC(),
-		Event:   e.Number,
-		Name:    entry.Name,
-		By:      string(e.Life.Host),
-		Dropped: dropped - reportedDrops,
-		TookMs:  float64(e.Fields.Took.Microseconds()) / 1000,
-		Fields:  e.Fields,
+		At:        time.Unix(0, e.Stamp.Wall).UTC(),
+		Event:     e.Number,
+		Name:      entry.Name,
+		Host:      string(e.Instance.Host),
+		Dropped:   dropped - reportedDrops,
+		ElapsedMs: float64(e.Fields.Elapsed.Microseconds()) / 1000,
+		Fields:    e.Fields,
 	}
-	l.Fields.Took = 0
+	l.Fields.Elapsed = 0
 	b, err := json.Marshal(l)
 	if err != nil {
 		// Line has no field that json can't encode.
--- a/internal/observe/hingelines/lines_test.go
+++ b/internal/observe/hingelines/lines_test.go
@@ -37,7 +37,7 @@
 	w := New(out)
 	r := hingeevents.NewRecorderTo(hingeids.Instance{
 		Host: "entry-1",
-	}, w.Take, time.Now)
+	}, w.Enqueue, time.Now)
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		_ = w.Run(ctx)
@@ -45,8 +45,8 @@
 	// The recorded time may come from the boot clock; the line must have the time of day.
 	began := time.Now()
 	r.Record(time.Unix(40, 0), hingeevents.RequestGivenUp, hingeevents.Fields{
-		Asked: "request-7",
-		Took:  1500 * time.Microsecond,
+		CallerRequestID: "request-7",
+		Elapsed:         1500 * time.Microsecond,
 	})
 	stop()
 	<-w.Done()
@@ -78,7 +78,7 @@
 	done := make(chan struct{})
 	go func() {
 		for range sent {
-			w.Take(hingeevents.Event{
+			w.Enqueue(hingeevents.Event{
 				Number: hingeevents.RequestAnswered,
 			})
 		}
--- a/internal/observe/hingemetrics/health.go
+++ b/internal/observe/hingemetrics/health.go
@@ -38,9 +38,9 @@
 	}
 }
 
-// Set records whether a condition is met, and records an event if the process's
+// SetCondition records whether a condition is met, and records an event if the process's
 // readiness changes. The condition may be one that NewHealth didn't name.
-func (h *Health) Set(now time.Time, condition string, met bool) {
+func (h *Health) SetCondition(now time.Time, condition string, met bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	i := slices.Index(h.unmet, condition)
@@ -72,8 +72,8 @@
 	return h.ready, strings.Join(h.unmet, ", ")
 }
 
-// Beat records an iteration of the control loop.
-func (h *Health) Beat(now time.Time) {
+// RecordIteration records an iteration of the control loop.
+func (h *Health) RecordIteration(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.lastBeat = now
--- a/internal/observe/hingemetrics/metrics_test.go
+++ b/internal/observe/hingemetrics/metrics_test.go
@@ -39,7 +39,7 @@
 	form := regexp.MustCompile(`^swifthinge_[a-z_]+$`)
 	seen := make(map[string]bool)
 	for _, d := range Table {
-		if seen[d.Name] || !form.MatchString(d.Name) || d.Text == "" {
+		if seen[d.Name] || !form.MatchString(d.Name) || d.Description == "" {
 			t.Errorf("%s is a duplicate, has the wrong form or has no text", d.Name)
 		}
 		seen[d.Name] = true
@@ -108,22 +108,22 @@
 		got = append(got, line)
 	}
 	record(now)
-	h.Set(now, "configuration", true)
+	h.SetCondition(now, "configuration", true)
 	record(now)
-	h.Set(now, "keys", true)
-	h.Set(now, "keys", true)
+	h.SetCondition(now, "keys", true)
+	h.SetCondition(now, "keys", true)
 	record(now)
-	h.Set(now, "keeper", false)
+	h.SetCondition(now, "keeper", false)
 	record(now)
-	h.Set(now, "keeper", true)
-	h.Beat(now.Add(5 * time.Second))
+	h.SetCondition(now, "keeper", true)
+	h.RecordIteration(now.Add(5 * time.Second))
 	record(now.Add(15 * time.Second))
 	record(now.Add(16 * time.Second))
 	want := []string{"configuration, keys", "keys", "ready", "keeper", "ready", "ready, hung"}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Errorf("health (-want +got):\n%s", diff)
 	}
-	if n := len(r.Kept()); n != 3 {
+	if n := len(r.Events()); n != 3 {
 		t.Errorf("%d events, want one for each of 3 changes", n)
 	}
 }
--- a/internal/observe/hingemetrics/page.go
+++ b/internal/observe/hingemetrics/page.go
@@ -19,7 +19,7 @@
 		if labels == "" {
 			labels = "-"
 		}
-		fmt.Fprintf(&b, "| %s | %v | %s | %s |\n", d.Name, d.Kind, labels, d.Text)
+		fmt.Fprintf(&b, "| %s | %v | %s | %s |\n", d.Name, d.Kind, labels, d.Description)
 	}
 	return b.String()
 }
--- a/internal/observe/hingemetrics/table.go
+++ b/internal/observe/hingemetrics/table.go
@@ -28,125 +28,125 @@
 	Kind Kind
 	// Labels are the label names, in the order in which callers pass the values.
 	Labels []string
-	// Text says what the metric measures, with its unit if the name has none.
-	Text string
+	// Description says what the metric measures, with its unit if the name has none.
+	Description string
 }
 
 // Definitions of all metrics.
 var (
 	Requests = Definition{
-		Name:   "swifthinge_requests_total",
-		Kind:   CounterKind,
-		Labels: []string{"class", "outcome"},
-		Text:   "Requests that got their final answer. The outcome is answered, refused, failed or cancelled.",
+		Name:        "swifthinge_requests_total",
+		Kind:        CounterKind,
+		Labels:      []string{"class", "outcome"},
+		Description: "Requests that got their final answer. The outcome is answered, refused, failed or cancelled.",
 	}
 	Refusals = Definition{
-		Name:   "swifthinge_refusals_total",
-		Kind:   CounterKind,
-		Labels: []string{"code", "verdict"},
-		Text:   "Answers other than a success, by verdict code.",
+		Name:        "swifthinge_refusals_total",
+		Kind:        CounterKind,
+		Labels:      []string{"code", "verdict"},
+		Description: "Answers other than a success, by verdict code.",
 	}
 	WithinTargets = Definition{
-		Name:   "swifthinge_within_targets_total",
-		Kind:   CounterKind,
-		Labels: []string{"class"},
-		Text:   "Requests that met both latency targets; its rate is the goodput.",
+		Name:        "swifthinge_within_targets_total",
+		Kind:        CounterKind,
+		Labels:      []string{"class"},
+		Description: "Requests that met both latency targets; its rate is the goodput.",
 	}
 	InProgress = Definition{
-		Name: "swifthinge_requests_in_progress",
-		Kind: GaugeKind,
-		Text: "Requests without their final answer.",
+		Name:        "swifthinge_requests_in_progress",
+		Kind:        GaugeKind,
+		Description: "Requests without their final answer.",
 	}
 	Queued = Definition{
-		Name: "swifthinge_requests_queued",
-		Kind: GaugeKind,
-		Text: "Requests that wait to be placed.",
+		Name:        "swifthinge_requests_queued",
+		Kind:        GaugeKind,
+		Description: "Requests that wait to be placed.",
 	}
 	FirstToken = Definition{
-		Name:   "swifthinge_first_token_seconds",
-		Kind:   HistogramKind,
-		Labels: []string{"class"},
-		Text:   "Time from the arrival of a request to its first token, or to the answer of a plain service.",
+		Name:        "swifthinge_first_token_seconds",
+		Kind:        HistogramKind,
+		Labels:      []string{"class"},
+		Description: "Time from the arrival of a request to its first token, or to the answer of a plain service.",
 	}
 	TokenGap = Definition{
-		Name:   "swifthinge_token_gap_seconds",
-		Kind:   HistogramKind,
-		Labels: []string{"class"},
-		Text:   "Mean time between the tokens of a request.",
+		Name:        "swifthinge_token_gap_seconds",
+		Kind:        HistogramKind,
+		Labels:      []string{"class"},
+		Description: "Mean time between the tokens of a request.",
 	}
 	TokensRelayed = Definition{
-		Name: "swifthinge_tokens_relayed_total",
-		Kind: CounterKind,
-		Text: "Tokens forwarded to callers.",
+		Name:        "swifthinge_tokens_relayed_total",
+		Kind:        CounterKind,
+		Description: "Tokens forwarded to callers.",
 	}
 	PrefillTokens = Definition{
-		Name: "swifthinge_prefill_tokens_total",
-		Kind: CounterKind,
-		Text: "Prompt tokens sent to prefill.",
+		Name:        "swifthinge_prefill_tokens_total",
+		Kind:        CounterKind,
+		Description: "Prompt tokens sent to prefill.",
 	}
 	WastedPrefillTokens = Definition{
-		Name:   "swifthinge_prefill_wasted_tokens_total",
-		Kind:   CounterKind,
-		Labels: []string{"reason"},
-		Text:   "Prompt tokens whose prefill was not used: evicted, cancelled or failed before decode.",
+		Name:        "swifthinge_prefill_wasted_tokens_total",
+		Kind:        CounterKind,
+		Labels:      []string{"reason"},
+		Description: "Prompt tokens whose prefill was not used: evicted, cancelled or failed before decode.",
 	}
 	Retries = Definition{
-		Name:   "swifthinge_retries_total",
-		Kind:   CounterKind,
-		Labels: []string{"reason"},
-		Text:   "Attempts after the first of a request.",
+		Name:        "swifthinge_retries_total",
+		Kind:        CounterKind,
+		Labels:      []string{"reason"},
+		Description: "Attempts after the first of a request.",
 	}
-	CallersGone = Definition{
-		Name: "swifthinge_callers_gone_total",
-		Kind: CounterKind,
-		Text: "Requests whose caller disconnected before the final answer.",
+	CallerDisconnects = Definition{
+		Name:        "swifthinge_callers_gone_total",
+		Kind:        CounterKind,
+		Description: "Requests whose caller disconnected before the final answer.",
 	}
 	SlotsHeld = Definition{
-		Name: "swifthinge_slots_held",
-		Kind: GaugeKind,
-		Text: "Decode slots that requests of this process hold.",
+		Name:        "swifthinge_slots_held",
+		Kind:        GaugeKind,
+		Description: "Decode slots that requests of this process hold.",
 	}
 	CancelsPending = Definition{
-		Name: "swifthinge_cancels_pending",
-		Kind: GaugeKind,
-		Text: "Cancels that a backend server has not answered yet. A value above 0 for minutes means that engine memory is held by cancelled requests.",
+		Name:        "swifthinge_cancels_pending",
+		Kind:        GaugeKind,
+		Description: "Cancels that a backend server has not answered yet. A value above 0 for minutes means that engine memory is held by cancelled requests.",
 	}
 	KeysClaimed = Definition{
-		Name:   "swifthinge_keys_claimed_total",
-		Kind:   CounterKind,
-		Labels: []string{"kind", "outcome"},
-		Text:   "Claims of idempotency keys, free or issued: claimed, replayed or refused.",
+		Name:        "swifthinge_keys_claimed_total",
+		Kind:        CounterKind,
+		Labels:      []string{"kind", "outcome"},
+		Description: "Claims of idempotency keys, free or issued: claimed, replayed or refused.",
 	}
 	Revision = Definition{
-		Name: "swifthinge_revision",
-		Kind: GaugeKind,
-		Text: "Revision of the configuration in force in this process.",
+		Name:        "swifthinge_revision",
+		Kind:        GaugeKind,
+		Description: "Revision of the configuration in force in this process.",
 	}
 	RevisionKnown = Definition{
-		Name: "swifthinge_revision_known",
-		Kind: GaugeKind,
-		Text: "Newest accepted revision that this process knows of. If it is above swifthinge_revision, the process lags behind.",
+		Name:        "swifthinge_revision_known",
+		Kind:        GaugeKind,
+		Description: "Newest accepted revision that this process knows of. If it is above swifthinge_revision, the process lags behind.",
 	}
 	HostsAlive = Definition{
-		Name: "swifthinge_hosts_alive",
-		Kind: GaugeKind,
-		Text: "Entry hosts that this process considers alive.",
+		Name:        "swifthinge_hosts_alive",
+		Kind:        GaugeKind,
+		Description: "Entry hosts that this process considers alive.",
 	}
 	ServersUsable = Definition{
-		Name: "swifthinge_servers_usable",
-		Kind: GaugeKind,
-		Text: "Backend servers that are alive, in the inventory and not leaving.",
+		Name:        "swifthinge_servers_usable",
+		Kind:        GaugeKind,
+		Description: "Backend servers that are alive, in the inventory and not leaving.",
 	}
 	Ready = Definition{
-		Name: "swifthinge_ready",
-		Kind: GaugeKind,
-		Text: "1 if the process accepts requests, else 0.",
+		Name:        "swifthinge_ready",
+		Kind:        GaugeKind,
+		Description: "1 if the process accepts requests, else 0.",
 	}
 	Events = Definition{
-		Name:   "swifthinge_events_total",
-		Kind:   CounterKind,
-		Labels: []string{"number", "name", "severity"},
-		Text:   "Events recorded, by number; docs/EVENTS.md lists them.",
+		Name:        "swifthinge_events_total",
+		Kind:        CounterKind,
+		Labels:      []string{"number", "name", "severity"},
+		Description: "Events recorded, by number; docs/EVENTS.md lists them.",
 	}
 )
 
@@ -163,7 +163,7 @@
 	PrefillTokens,
 	WastedPrefillTokens,
 	Retries,
-	CallersGone,
+	CallerDisconnects,
 	SlotsHeld,
 	CancelsPending,
 	KeysClaimed,
--- a/internal/observe/hingetimeline/picture.go
+++ b/internal/observe/hingetimeline/picture.go
@@ -34,7 +34,7 @@
 // joins the marks of each. Missing hosts have an empty, dashed lane.
 func (t Timeline) WriteSVG(w io.Writer) error {
 	p := newPicture(t)
-	height := topMargin + laneHeight*(len(t.Lives)+len(t.Missing)) + 20
+	height := topMargin + laneHeight*(len(t.Instances)+len(t.Missing)) + 20
 	fmt.Fprintf(&p.b, `<svg xmlns="http://www.w3.org/2000/svg" width="%d" height="%d" font-family="sans-serif" font-size="12">`+"\n",
 		labelWidth+plotWidth+20, height)
 	p.b.WriteString(`<rect width="100%" height="100%" fill="white"/>` + "\n")
@@ -60,7 +60,7 @@
 		Timeline: t,
 		lane:     make(map[hingeids.Instance]int),
 	}
-	for i, l := range t.Lives {
+	for i, l := range t.Instances {
 		p.lane[l] = i
 	}
 	if len(t.Events) > 0 {
@@ -89,7 +89,7 @@
 	for _, l := range p.Dropped {
 		dropped[l] = true
 	}
-	for i, l := range p.Lives {
+	for i, l := range p.Instances {
 		label := fmt.Sprintf("%s (incarnation %s)", l.Host, strconv.FormatUint(uint64(l.Incarnation), 36))
 		if dropped[l] {
 			label += ", oldest dropped"
@@ -97,7 +97,7 @@
 		p.laneLine(i, label, "")
 	}
 	for i, h := range p.Missing {
-		p.laneLine(len(p.Lives)+i, fmt.Sprintf("%s: no answer", h), ` stroke-dasharray="2 6"`)
+		p.laneLine(len(p.Instances)+i, fmt.Sprintf("%s: no answer", h), ` stroke-dasharray="2 6"`)
 	}
 }
 
@@ -119,7 +119,7 @@
 		if paths[r] == nil {
 			order = append(order, r)
 		}
-		paths[r] = append(paths[r], fmt.Sprintf("%.1f,%d", p.x(e.Stamp), p.y(p.lane[e.Life])))
+		paths[r] = append(paths[r], fmt.Sprintf("%.1f,%d", p.x(e.Stamp), p.y(p.lane[e.Instance])))
 	}
 	if len(order) > maxDetailed {
 		return
@@ -135,7 +135,7 @@
 	if entry, ok := hingeevents.Lookup(e.Number); ok {
 		severity = entry.Severity
 	}
-	x, y := p.x(e.Stamp), p.y(p.lane[e.Life])
+	x, y := p.x(e.Stamp), p.y(p.lane[e.Instance])
 	title := fmt.Sprintf("%s %s%s", wallTime(e.Stamp), name(e.Number), fieldsText(e.Fields))
 	fmt.Fprintf(&p.b, `<g><title>%s</title><circle cx="%.1f" cy="%d" r="%d" fill="%s"/></g>`+"\n",
 		html.EscapeString(title), x, y, markRadius, markColours[severity])
--- a/internal/observe/hingetimeline/text.go
+++ b/internal/observe/hingetimeline/text.go
@@ -19,7 +19,7 @@
 	var b strings.Builder
 	t.writeGaps(&b)
 	for _, e := range t.Events {
-		fmt.Fprintf(&b, "%s %s %d %s%s\n", wallTime(e.Stamp), e.Life.Host, e.Number, name(e.Number), fieldsText(e.Fields))
+		fmt.Fprintf(&b, "%s %s %d %s%s\n", wallTime(e.Stamp), e.Instance.Host, e.Number, name(e.Number), fieldsText(e.Fields))
 	}
 	return write(w, b.String())
 }
@@ -38,7 +38,7 @@
 	start := explained.Events[0].Stamp.Wall
 	for _, e := range explained.Events {
 		since := time.Duration(e.Stamp.Wall - start).Round(10 * time.Microsecond)
-		fmt.Fprintf(&b, "%+10v %s: %s%s\n", since, e.Life.Host, sentence(e.Number), fieldsText(withoutRequest(e.Fields)))
+		fmt.Fprintf(&b, "%+10v %s: %s%s\n", since, e.Instance.Host, sentence(e.Number), fieldsText(withoutRequest(e.Fields)))
 	}
 	return write(w, b.String())
 }
@@ -51,7 +51,7 @@
 		Dropped   []hingeids.Instance `json:"dropped"`
 		Missing   []hingeids.HostID   `json:"missing"`
 	}{
-		Processes: notNil(t.Lives),
+		Processes: notNil(t.Instances),
 		Dropped:   notNil(t.Dropped),
 		Missing:   notNil(t.Missing),
 	}); err != nil {
@@ -95,7 +95,7 @@
 
 func sentence(n hingeevents.Number) string {
 	if e, ok := hingeevents.Lookup(n); ok {
-		return fmt.Sprintf("%s (%d)", e.Text, n)
+		return fmt.Sprintf("%s (%d)", e.Description, n)
 	}
 	return fmt.Sprintf("An event that isn't in this build's catalogue (%d); it comes from a newer version.", n)
 }
--- a/internal/observe/hingetimeline/timeline.go
+++ b/internal/observe/hingetimeline/timeline.go
@@ -23,8 +23,8 @@
 
 // Source has the events that one process keeps.
 type Source struct {
-	Life   hingeids.Instance   `json:"life"`
-	Events []hingeevents.Event `json:"events"`
+	Instance hingeids.Instance   `json:"life"`
+	Events   []hingeevents.Event `json:"events"`
 	// Dropped says that the process has dropped its oldest events.
 	Dropped bool `json:"dropped,omitempty"`
 }
@@ -32,8 +32,8 @@
 // Timeline is the merged events of all processes.
 type Timeline struct {
 	Events []hingeevents.Event
-	// Lives are the processes, ordered by host and incarnation.
-	Lives []hingeids.Instance
+	// Instances are the processes, ordered by host and incarnation.
+	Instances []hingeids.Instance
 	// Dropped are the processes that have dropped their oldest events.
 	Dropped []hingeids.Instance
 	// Missing are the hosts that did not answer the query for their events.
@@ -47,17 +47,17 @@
 	}
 	seen := make(map[hingeids.Instance]bool)
 	for _, s := range sources {
-		if seen[s.Life] {
+		if seen[s.Instance] {
 			continue
 		}
-		seen[s.Life] = true
+		seen[s.Instance] = true
 		t.Events = append(t.Events, s.Events...)
 		if s.Dropped {
-			t.Dropped = append(t.Dropped, s.Life)
+			t.Dropped = append(t.Dropped, s.Instance)
 		}
 	}
 	slices.SortStableFunc(t.Events, compareEvents)
-	t.Lives = instances(t.Events, sources)
+	t.Instances = instances(t.Events, sources)
 	slices.SortFunc(t.Dropped, compareInstances)
 	return t
 }
@@ -66,7 +66,7 @@
 	return cmp.Or(
 		cmp.Compare(a.Stamp.Wall, b.Stamp.Wall),
 		cmp.Compare(a.Stamp.Counter, b.Stamp.Counter),
-		compareInstances(a.Life, b.Life),
+		compareInstances(a.Instance, b.Instance),
 	)
 }
 
@@ -81,10 +81,10 @@
 func instances(events []hingeevents.Event, sources []Source) []hingeids.Instance {
 	seen := make(map[hingeids.Instance]bool)
 	for _, e := range events {
-		seen[e.Life] = true
+		seen[e.Instance] = true
 	}
 	for _, s := range sources {
-		seen[s.Life] = true
+		seen[s.Instance] = true
 	}
 	out := make([]hingeids.Instance, 0, len(seen))
 	for l := range seen {
--- a/internal/observe/hingetimeline/timeline_test.go
+++ b/internal/observe/hingetimeline/timeline_test.go
@@ -49,8 +49,8 @@
 		var sources []Source
 		for i, h := range hosts {
 			sources = append(sources, Source{
-				Life:   instance(h),
-				Events: recorders[i].Kept(),
+				Instance: instance(h),
+				Events:   recorders[i].Events(),
 			})
 		}
 		slices.Reverse(sources)
@@ -72,14 +72,14 @@
 			Stamp: hingeevents.Stamp{
 				Wall: ms * int64(time.Millisecond),
 			},
-			Life:   instance(host),
-			Number: n,
-			Fields: f,
+			Instance: instance(host),
+			Number:   n,
+			Fields:   f,
 		}
 	}
 	return Merge([]Source{
 		{
-			Life: instance("cancale-1"),
+			Instance: instance("cancale-1"),
 			Events: []hingeevents.Event{
 				at("cancale-1", 1, hingeevents.ProcessStarted, hingeevents.Fields{
 					Request: request,
@@ -96,7 +96,7 @@
 			Dropped: true,
 		},
 		{
-			Life: instance("roscoff-1"),
+			Instance: instance("roscoff-1"),
 			Events: []hingeevents.Event{
 				at("roscoff-1", 4, hingeevents.ProcessUnready, hingeevents.Fields{
 					Server: "redacteur-1",
--- a/internal/operate/hingeadmin/events.go
+++ b/internal/operate/hingeadmin/events.go
@@ -35,10 +35,10 @@
 }
 
 func (h *Handler) source(since int64) hingetimeline.Source {
-	kept := h.Events.Kept()
+	kept := h.Events.Events()
 	s := hingetimeline.Source{
-		Life:   h.Events.Life(),
-		Events: make([]hingeevents.Event, 0, len(kept)),
+		Instance: h.Events.Instance(),
+		Events:   make([]hingeevents.Event, 0, len(kept)),
 		// If an event older than since is retained, no event since then was dropped.
 		Dropped: h.Events.Dropped() && (len(kept) == 0 || kept[0].Stamp.Wall >= since),
 	}
--- a/internal/operate/hingecommand/command_test.go
+++ b/internal/operate/hingecommand/command_test.go
@@ -116,7 +116,7 @@
 func recordRequest(c *cluster, n int) {
 	f := hingeevents.Fields{
 		Request: hingeids.RequestID{
-			Instance: c.hosts[0].events.Life(),
+			Instance: c.hosts[0].events.Instance(),
 			Sequence: uint64(n),
 		},
 	}
--- a/internal/operate/hingecommand/observe.go
+++ b/internal/operate/hingecommand/observe.go
@@ -176,7 +176,7 @@
 	sources := p.fetchSources(addresses, path)
 	answered := make(map[hingeids.HostID]bool)
 	for _, x := range sources {
-		answered[x.Life.Host] = true
+		answered[x.Instance.Host] = true
 	}
 	var missing []hingeids.HostID
 	for _, h := range s.Hosts {
--- a/internal/path/hingecaller/badinput_test.go
+++ b/internal/path/hingecaller/badinput_test.go
@@ -232,7 +232,7 @@
 	if err != nil || !strings.HasPrefix(string(text), "event: error\n") || strings.Contains(string(text), "[DONE]") {
 		t.Errorf("%q, %v", text, err)
 	}
-	events := server.config.Recorder.Kept()
+	events := server.config.Recorder.Events()
 	if len(events) != 1 || events[0].Number != hingeevents.HandlerPanicked {
 		t.Errorf("events %+v", events)
 	}
--- a/internal/path/hingedispatch/answer.go
+++ b/internal/path/hingedispatch/answer.go
@@ -232,9 +232,9 @@
 		d.OwnedRequests.Disown(a.exchange)
 		a.leave(a.next)
 		a.record(hingeevents.RequestAnswered, hingeevents.Fields{
-			Server: a.decodeEngine.Server,
-			Took:   elapsed,
-			Count:  int64(a.next),
+			Server:  a.decodeEngine.Server,
+			Elapsed: elapsed,
+			Count:   int64(a.next),
 		})
 		return
 	}
@@ -244,9 +244,9 @@
 	a.dropCache()
 	a.leave(0)
 	a.record(hingeevents.RequestGivenUp, hingeevents.Fields{
-		Took:   elapsed,
-		Count:  int64(a.next),
-		Detail: err.Error(),
+		Elapsed: elapsed,
+		Count:   int64(a.next),
+		Detail:  err.Error(),
 	})
 }
 
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -197,9 +197,9 @@
 	a.prefilled = true
 	d.Meter.AddPrefilledTokens(cache.PromptTokens - cache.CachedTokens)
 	a.record(hingeevents.RequestPrefilled, hingeevents.Fields{
-		Server: t.Server,
-		Took:   a.cachedAt.Sub(began),
-		Count:  int64(cache.PromptTokens - cache.CachedTokens),
+		Server:  t.Server,
+		Elapsed: a.cachedAt.Sub(began),
+		Count:   int64(cache.PromptTokens - cache.CachedTokens),
 	})
 	return nil
 }
@@ -238,9 +238,9 @@
 		a.firstTokenAt = a.gapStart
 	}
 	a.record(hingeevents.RequestFirstToken, hingeevents.Fields{
-		Server: t.Server,
-		Took:   d.Now().Sub(a.request.Arrived),
-		Count:  int64(a.next),
+		Server:  t.Server,
+		Elapsed: d.Now().Sub(a.request.Arrived),
+		Count:   int64(a.next),
 	})
 	return nil
 }
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -94,7 +94,7 @@
 	d.Recorder.Record(now, number, hingeevents.Fields{
 		Request: c.Request,
 		Caller:  c.Caller,
-		Took:    elapsed,
+		Elapsed: elapsed,
 		Detail:  detail,
 	})
 	return err
--- a/internal/path/hingeproxy/admit.go
+++ b/internal/path/hingeproxy/admit.go
@@ -76,10 +76,10 @@
 	p.writeError(w, id, err)
 	if count, ok := p.denials.allow(p.settings.Clock()); ok {
 		p.settings.Recorder.Record(p.settings.Clock(), hingeevents.RequestDenied, hingeevents.Fields{
-			Asked:  string(id),
-			Count:  count,
-			World:  p.view.Version(),
-			Detail: err.Error(),
+			CallerRequestID: string(id),
+			Count:           count,
+			ViewVersion:     p.view.Version(),
+			Detail:          err.Error(),
 		})
 	}
 }
--- a/internal/path/hingeproxy/answer.go
+++ b/internal/path/hingeproxy/answer.go
@@ -80,12 +80,12 @@
 	}
 	now := p.settings.Clock()
 	p.settings.Recorder.Record(now, hingeevents.RequestGivenUp, hingeevents.Fields{
-		Asked:  string(j.info.ID),
-		Caller: j.caller(),
-		Took:   now.Sub(j.Arrived),
-		Count:  int64(j.attempts),
-		Route:  j.route.Name,
-		World:  p.view.Version(),
-		Detail: e.Error(),
+		CallerRequestID: string(j.info.ID),
+		Caller:          j.caller(),
+		Elapsed:         now.Sub(j.Arrived),
+		Count:           int64(j.attempts),
+		Route:           j.route.Name,
+		ViewVersion:     p.view.Version(),
+		Detail:          e.Error(),
 	})
 }
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -92,10 +92,10 @@
 		}
 		if events == 1 {
 			p.settings.Recorder.Record(now, hingeevents.RequestFirstToken, hingeevents.Fields{
-				Asked:  string(r.info.ID),
-				Server: placed.Decode,
-				Took:   now.Sub(r.Arrived),
-				Detail: fmt.Sprintf("prefill took %d ms", r.prefillDuration.Milliseconds()),
+				CallerRequestID: string(r.info.ID),
+				Server:          placed.Decode,
+				Elapsed:         now.Sub(r.Arrived),
+				Detail:          fmt.Sprintf("prefill took %d ms", r.prefillDuration.Milliseconds()),
 			})
 		}
 		placed.stream.SetGenerated(hingeids.Tokens(events-priorEvents) * r.engine.EventTokens)
--- a/internal/path/hingeproxy/ended.go
+++ b/internal/path/hingeproxy/ended.go
@@ -18,12 +18,12 @@
 		return
 	}
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.ServerEnded, hingeevents.Fields{
-		Asked:  string(j.info.ID),
-		Print:  j.fingerprint,
-		Caller: j.caller(),
-		Server: id,
-		Took:   held,
-		Route:  j.route.Name,
+		CallerRequestID: string(j.info.ID),
+		Fingerprint:     j.fingerprint,
+		Caller:          j.caller(),
+		Server:          id,
+		Elapsed:         held,
+		Route:           j.route.Name,
 	})
 	p.meter.crashes.Inc()
 	e := hingepoison.Crash{
@@ -43,14 +43,14 @@
 	now := p.settings.Clock()
 	if count, ok := p.poisonRefusals.allow(now); ok {
 		p.settings.Recorder.Record(now, hingeevents.PoisonRefused, hingeevents.Fields{
-			Asked:  string(j.info.ID),
-			Print:  j.fingerprint,
-			Caller: j.caller(),
-			Took:   err.RetryAfter,
-			Count:  count,
-			Route:  j.route.Name,
-			World:  p.view.Version(),
-			Detail: err.Error(),
+			CallerRequestID: string(j.info.ID),
+			Fingerprint:     j.fingerprint,
+			Caller:          j.caller(),
+			Elapsed:         err.RetryAfter,
+			Count:           count,
+			Route:           j.route.Name,
+			ViewVersion:     p.view.Version(),
+			Detail:          err.Error(),
 		})
 	}
 }
--- a/internal/path/hingeproxy/plain.go
+++ b/internal/path/hingeproxy/plain.go
@@ -95,10 +95,10 @@
 	p.meter.countRequest(j.caller(), outcomeCallerGone)
 	now := p.settings.Clock()
 	p.settings.Recorder.Record(now, hingeevents.CallerGone, hingeevents.Fields{
-		Asked:  string(j.info.ID),
-		Caller: j.caller(),
-		Took:   now.Sub(j.Arrived),
-		Route:  j.route.Name,
+		CallerRequestID: string(j.info.ID),
+		Caller:          j.caller(),
+		Elapsed:         now.Sub(j.Arrived),
+		Route:           j.route.Name,
 	})
 }
 
@@ -159,11 +159,11 @@
 	if err != nil {
 		j.recordVerdict(verdictOf(err).Verdict)
 		p.settings.Recorder.Record(p.settings.Clock(), hingeevents.ServerFailedRequest, hingeevents.Fields{
-			Asked:  string(j.info.ID),
-			Print:  j.fingerprint,
-			Server: c.Server,
-			Took:   elapsed,
-			Detail: err.Error(),
+			CallerRequestID: string(j.info.ID),
+			Fingerprint:     j.fingerprint,
+			Server:          c.Server,
+			Elapsed:         elapsed,
+			Detail:          err.Error(),
 		})
 		p.reportCrash(ctx, j, c.Server, c.Address, elapsed, err)
 		return nil, outcome, err
@@ -282,14 +282,14 @@
 	p.meter.countAnswer(a.response.StatusCode, now.Sub(j.Arrived))
 	p.meter.countRequest(j.caller(), outcomeAnswered)
 	p.settings.Recorder.Record(now, hingeevents.ServiceCalled, hingeevents.Fields{
-		Asked:  string(j.info.ID),
-		Caller: j.caller(),
-		Server: a.server,
-		Took:   now.Sub(j.Arrived),
-		Count:  int64(a.response.StatusCode),
-		Route:  j.route.Name,
-		World:  p.view.Version(),
-		Late:   j.lateReason(now),
+		CallerRequestID: string(j.info.ID),
+		Caller:          j.caller(),
+		Server:          a.server,
+		Elapsed:         now.Sub(j.Arrived),
+		Count:           int64(a.response.StatusCode),
+		Route:           j.route.Name,
+		ViewVersion:     p.view.Version(),
+		MissedTarget:    j.lateReason(now),
 	})
 	j.writer.WriteResponse(a.response.StatusCode, a.response.Header, a.body)
 }
--- a/internal/path/hingeproxy/proxy.go
+++ b/internal/path/hingeproxy/proxy.go
@@ -267,8 +267,8 @@
 		return
 	}
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.HandlerPanicked, hingeevents.Fields{
-		Asked:  string(p.dialect.RequestInfo(r.Header).ID),
-		Detail: fmt.Sprintf("%v\n%s", failure, debug.Stack()),
+		CallerRequestID: string(p.dialect.RequestInfo(r.Header).ID),
+		Detail:          fmt.Sprintf("%v\n%s", failure, debug.Stack()),
 	})
 }
 
--- a/internal/path/hingeproxy/quota.go
+++ b/internal/path/hingeproxy/quota.go
@@ -58,11 +58,11 @@
 	now := p.settings.Clock()
 	if count, ok := p.quotaRefusals.allow(now); ok {
 		p.settings.Recorder.Record(now, hingeevents.RequestOverQuota, hingeevents.Fields{
-			Asked:  string(j.info.ID),
-			Caller: j.caller(),
-			Count:  count,
-			Took:   err.RetryAfter,
-			Route:  j.route.Name,
+			CallerRequestID: string(j.info.ID),
+			Caller:          j.caller(),
+			Count:           count,
+			Elapsed:         err.RetryAfter,
+			Route:           j.route.Name,
 		})
 	}
 }
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -89,13 +89,13 @@
 	p.meter.countRequest(r.caller(), outcomeAnswered)
 	p.meter.countStream(now.Sub(r.Arrived), r.relay.firstAt.Sub(r.Arrived))
 	p.settings.Recorder.Record(now, hingeevents.RequestAnswered, hingeevents.Fields{
-		Asked:  string(r.info.ID),
-		Caller: r.caller(),
-		Took:   now.Sub(r.Arrived),
-		Count:  int64(r.relay.events),
-		Route:  r.route.Name,
-		Late:   r.lateReason(),
-		Detail: fmt.Sprintf("longest pause %d ms", r.relay.maxPause.Milliseconds()),
+		CallerRequestID: string(r.info.ID),
+		Caller:          r.caller(),
+		Elapsed:         now.Sub(r.Arrived),
+		Count:           int64(r.relay.events),
+		Route:           r.route.Name,
+		MissedTarget:    r.lateReason(),
+		Detail:          fmt.Sprintf("longest pause %d ms", r.relay.maxPause.Milliseconds()),
 	})
 }
 
@@ -113,11 +113,11 @@
 // recordWaste records that a prompt was prefilled without a complete answer.
 func (p *Proxy) recordWaste(r *streamJob, placed placement, tokens hingeids.Tokens, cause error) {
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.PromptWasted, hingeevents.Fields{
-		Asked:  string(r.info.ID),
-		Server: placed.Decode,
-		Count:  int64(tokens),
-		Route:  r.route.Name,
-		Detail: cause.Error(),
+		CallerRequestID: string(r.info.ID),
+		Server:          placed.Decode,
+		Count:           int64(tokens),
+		Route:           r.route.Name,
+		Detail:          cause.Error(),
 	})
 }
 
@@ -272,14 +272,14 @@
 	r.charged = true
 	r.suspect = placed.Suspect
 	p.settings.Recorder.Record(p.settings.Clock(), hingeevents.RequestPlaced, hingeevents.Fields{
-		Asked:  string(r.info.ID),
-		Print:  r.fingerprint,
-		Server: placed.Decode,
-		Took:   placed.Waited,
-		Count:  int64(placed.Peak),
-		Route:  r.route.Name,
-		World:  p.view.Version(),
-		Detail: fmt.Sprintf("prefill %s, alone %v, prompt %d, expected %d", placed.Prefill, placed.Local, w.PromptTokens, w.ExpectedTokens),
+		CallerRequestID: string(r.info.ID),
+		Fingerprint:     r.fingerprint,
+		Server:          placed.Decode,
+		Elapsed:         placed.Waited,
+		Count:           int64(placed.Peak),
+		Route:           r.route.Name,
+		ViewVersion:     p.view.Version(),
+		Detail:          fmt.Sprintf("prefill %s, alone %v, prompt %d, expected %d", placed.Prefill, placed.Local, w.PromptTokens, w.ExpectedTokens),
 	})
 	return placement{
 		Placement: placed,
@@ -302,11 +302,11 @@
 	now := p.settings.Clock()
 	p.reportCrash(ctx, r.job, id, placed.address(id), now.Sub(r.sentAt), err)
 	p.settings.Recorder.Record(now, hingeevents.ServerFailedRequest, hingeevents.Fields{
-		Asked:  string(r.info.ID),
-		Print:  r.fingerprint,
-		Server: id,
-		Took:   now.Sub(r.Arrived),
-		Detail: err.Error(),
+		CallerRequestID: string(r.info.ID),
+		Fingerprint:     r.fingerprint,
+		Server:          id,
+		Elapsed:         now.Sub(r.Arrived),
+		Detail:          err.Error(),
 	})
 	if err.Code == hingeverdict.CodeDeadline {
 		return
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -274,8 +274,8 @@
 
 func (c *Control) tellServer(n hingeevents.Number, id hingeids.ServerID, w *hingeworld.ClusterView) {
 	c.options.Recorder.Record(time.Now(), n, hingeevents.Fields{
-		Server: id,
-		World:  w.Version(),
+		Server:      id,
+		ViewVersion: w.Version(),
 	})
 }
 
--- a/internal/serve/hingecontrol/poison.go
+++ b/internal/serve/hingecontrol/poison.go
@@ -65,8 +65,8 @@
 // tried stays due, and is tried again.
 func (c *Control) notAgreed(r hingepoison.Record, err error) {
 	c.options.Recorder.Record(time.Now(), hingeevents.PoisonNotAgreed, hingeevents.Fields{
-		Print:  r.Fingerprint,
-		Detail: err.Error(),
+		Fingerprint: r.Fingerprint,
+		Detail:      err.Error(),
 	})
 }
 
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -163,11 +163,11 @@
 	}
 	now := time.Now()
 	p.recorder.Record(now, hingeevents.ServerEnded, hingeevents.Fields{
-		Request: b.Request,
-		Print:   b.Fingerprint,
-		Caller:  b.Caller,
-		Server:  b.Target.Server,
-		Took:    b.Held,
+		Request:     b.Request,
+		Fingerprint: b.Fingerprint,
+		Caller:      b.Caller,
+		Server:      b.Target.Server,
+		Elapsed:     b.Held,
 	})
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -220,10 +220,10 @@
 
 func (p *poisons) record(n hingeevents.Number, r hingepoison.Record) {
 	p.recorder.Record(time.Now(), n, hingeevents.Fields{
-		Print:  r.Fingerprint,
-		Caller: r.Caller,
-		Count:  int64(r.Crashes),
-		Detail: r.String(),
+		Fingerprint: r.Fingerprint,
+		Caller:      r.Caller,
+		Count:       int64(r.Crashes),
+		Detail:      r.String(),
 	})
 }
 
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -283,7 +283,7 @@
 		},
 		Keys:         ledger,
 		Ready:        s.Ready,
-		OnDisconnect: s.metrics.Counter(hingemetrics.CallersGone).Inc,
+		OnDisconnect: s.metrics.Counter(hingemetrics.CallerDisconnects).Inc,
 		Recorder:     s.recorder,
 		Now:          time.Now,
 	})
