--- a/internal/serve/hingeserver/announce.go
+++ b/internal/serve/hingeserver/announce.go
@@ -8,8 +8,8 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// handleServers takes the announcements of backend servers.
-func (s *Server) handleServers(ctx *fasthttp.RequestCtx) {
+// handleAnnouncements serves the address to which backend servers send their announcements.
+func (s *Server) handleAnnouncements(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != "/v1/announce" || !ctx.IsPost() {
 		ctx.Error(`{"error":{"message":"POST /v1/announce is what this address takes"}}`, fasthttp.StatusNotFound)
 		return
--- a/internal/serve/hingeserver/catalogue.go
+++ b/internal/serve/hingeserver/catalogue.go
@@ -7,13 +7,13 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Configuration is a revision of the configuration, read and checked.
+// Configuration is a parsed and validated revision of the configuration. It is immutable.
 type Configuration struct {
 	Revision  hingeids.Revision
 	Inventory hingeinventory.Inventory
 	Rules     hingeinventory.Rules
 	models    map[hingeids.Model]hingeinventory.Model
-	owned     map[hingeids.ServerID]bool
+	listed    map[hingeids.ServerID]bool
 	customers *hingecustomers.Set
 }
 
@@ -23,40 +23,40 @@
 		Inventory: inv,
 		Rules:     rules,
 		models:    make(map[hingeids.Model]hingeinventory.Model, len(inv.Models)),
-		owned:     make(map[hingeids.ServerID]bool, len(inv.Servers)),
+		listed:    make(map[hingeids.ServerID]bool, len(inv.Servers)),
 		customers: rules.CustomerSet(),
 	}
 	for _, m := range inv.Models {
 		c.models[m.Name] = m
 	}
 	for _, s := range inv.Servers {
-		c.owned[s.Name] = true
+		c.listed[s.Name] = true
 	}
 	return c
 }
 
-// catalogue answers for callers from the configuration in force.
+// catalogue implements hingecaller.Catalogue with the configuration in force.
 type catalogue struct {
 	configuration *hingeboard.Cell[Configuration]
 }
 
-// HasModel tells whether the inventory has the model.
+// HasModel reports whether the inventory has the model.
 func (c catalogue) HasModel(m hingeids.Model) bool {
 	_, ok := c.configuration.Load().models[m]
 	return ok
 }
 
-// ServiceFor finds the plain service that a path is routed to.
+// ServiceFor returns the plain service that a path is routed to.
 func (c catalogue) ServiceFor(path string) (hingeids.Service, bool) {
 	return c.configuration.Load().Inventory.ServiceOf(path)
 }
 
-// Customers are those whose keys are asked for, nil if nobody needs one.
+// Customers returns the customers whose API keys are checked, or nil if callers need no key.
 func (c catalogue) Customers() *hingecustomers.Set {
 	return c.configuration.Load().customers
 }
 
-// Classify gives the class of a request.
+// Classify returns the class of a request under the rules in force.
 func (c catalogue) Classify(
 	m hingeids.Model, s hingeids.Service, path, method string,
 ) hingeinventory.Class {
--- a/internal/serve/hingeserver/fleet_test.go
+++ b/internal/serve/hingeserver/fleet_test.go
@@ -32,13 +32,14 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// hostRole makes the test program an entry host instead: tests kill, freeze and
-// restart real processes, and the program needs no other one built first.
-const hostRole = "SWIFTHINGE_TEST_HOST"
+// hostSettingsEnv names the settings file of an entry host. If it is set, the test binary
+// runs that host instead of the tests, so that tests can kill, freeze and restart real
+// processes.
+const hostSettingsEnv = "SWIFTHINGE_TEST_HOST"
 
 func TestMain(m *testing.M) {
-	if file := os.Getenv(hostRole); file != "" {
-		if err := playHost(file); err != nil {
+	if file := os.Getenv(hostSettingsEnv); file != "" {
+		if err := runHost(file); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
@@ -47,8 +48,9 @@
 	os.Exit(m.Run())
 }
 
-// playHost is an entry host that takes cuts of its links on standard input.
-func playHost(file string) error {
+// runHost runs an entry host. It reads commands that cut and restore its links from standard
+// input.
+func runHost(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return err
@@ -75,13 +77,14 @@
 				_ = server.shared.link.Cut(hingeids.HostID(f[1]), d, f[0] == "cut")
 			}
 		}
-		// Nobody is there any more who would stop this process.
+		// Standard input closes when the test process has exited.
 		os.Exit(2)
 	}()
 	return server.Run(ctx)
 }
 
-// fleet is the entry hosts of a deployment as processes, and stand-ins.
+// fleet is a deployment: a process for each entry host, and stand-ins for the backend
+// servers.
 type fleet struct {
 	t         *testing.T
 	ctx       context.Context
@@ -94,7 +97,6 @@
 	changes   int
 }
 
-// host is one entry host's process.
 type host struct {
 	settings hingesettings.Settings
 	file     string
@@ -105,20 +107,20 @@
 	log      bytes.Buffer
 }
 
-// fleetsAtOnce bounds the processes of tests that run side by side, so that none
-// is slowed until it looks dead to its peers.
-var fleetsAtOnce = make(chan struct{}, 3)
+// fleetSlots limits the number of fleets that run at the same time, so that no process is
+// slowed down until its peers consider it dead.
+var fleetSlots = make(chan struct{}, 3)
 
-// fleets counts the fleets that were started.
-var fleets atomic.Int64
+// fleetCount numbers the fleets, each of which has a network of its own.
+var fleetCount atomic.Int64
 
-// newFleet starts the hosts of the shellfish franchise: seven in three zones,
-// of which the first in each has a disk.
+// newFleet starts the hosts of the example deployment: seven in three zones. The first host
+// of each zone has a disk.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
-	fleetsAtOnce <- struct{}{}
+	fleetSlots <- struct{}{}
 	t.Cleanup(func() {
-		<-fleetsAtOnce
+		<-fleetSlots
 	})
 	inventory, rules, err := hingeinventory.Load(
 		"../../../examples/viviers/inventory.toml", "../../../examples/viviers/rules.toml")
@@ -146,7 +148,7 @@
 		}
 		f.dumpLogs()
 	})
-	f.await("an empty configuration to be agreed on", 10*time.Second, func() error {
+	f.await("a leader of the configuration log", 10*time.Second, func() error {
 		status, err := f.status(f.order[0])
 		if err != nil || status.Leader == "" {
 			return fmt.Errorf("no leader (%v)", err)
@@ -170,13 +172,13 @@
 
 func (f *fleet) writeSettings() {
 	var peers []hingesettings.Peer
-	// Fleets that run side by side have addresses of their own: a port that one
-	// has found free may be another's by the time it is used.
-	network := 16 + fleets.Add(1)%200
+	// Fleets that run at the same time have different networks: otherwise one could bind a port
+	// that another has found free but doesn't use yet.
+	network := 16 + fleetCount.Add(1)%200
 	free := &addresses{
 		t: f.t,
 	}
-	defer free.giveBack()
+	defer free.release()
 	for z, zone := range f.inventory.Zones {
 		for n, id := range zone.Hosts {
 			ip := fmt.Sprintf("127.%d.%d.%d", network, z+1, n+1)
@@ -226,8 +228,8 @@
 	}
 }
 
-// addresses finds free addresses, and keeps them until all are found: one that
-// is given back at once may be found again.
+// addresses finds free addresses and keeps them open until all are found: the system may
+// return a closed one again.
 type addresses struct {
 	t    *testing.T
 	open []io.Closer
@@ -251,7 +253,7 @@
 	return l.Addr().String()
 }
 
-func (a *addresses) giveBack() {
+func (a *addresses) release() {
 	for _, c := range a.open {
 		_ = c.Close()
 	}
@@ -263,12 +265,12 @@
 	return h.log.Write(p)
 }
 
-// start starts a host's process, again after a kill.
+// start starts a host's process, for the first time or after a kill.
 func (f *fleet) start(id hingeids.HostID) {
 	f.t.Helper()
 	h := f.hosts[id]
 	h.command = exec.Command(os.Args[0])
-	h.command.Env = append(os.Environ(), hostRole+"="+h.file)
+	h.command.Env = append(os.Environ(), hostSettingsEnv+"="+h.file)
 	h.command.Stderr = h
 	control, err := h.command.StdinPipe()
 	if err != nil {
@@ -290,21 +292,20 @@
 	_ = f.hosts[id].command.Process.Signal(s)
 }
 
-// kill is kill -9.
+// kill ends a host's process with SIGKILL.
 func (f *fleet) kill(id hingeids.HostID) {
 	f.signal(id, syscall.SIGKILL)
 	<-f.hosts[id].exited
 }
 
-// loseDisk removes what a killed host had on its disk.
+// loseDisk removes the data folder of a killed host.
 func (f *fleet) loseDisk(id hingeids.HostID) {
 	if err := os.RemoveAll(f.hosts[id].settings.DataFolder); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// cutZone refuses all traffic between the hosts of a zone and all others, or
-// lets it pass again.
+// cutZone cuts the links between a zone's hosts and all other hosts, or restores them.
 func (f *fleet) cutZone(zone hingeids.Zone, cut bool) {
 	word := "heal"
 	if cut {
@@ -319,7 +320,8 @@
 	}
 }
 
-// await waits until a check passes.
+// await waits until a check passes, and returns the elapsed time. It fails the test at the
+// limit.
 func (f *fleet) await(what string, limit time.Duration, check func() error) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -336,7 +338,7 @@
 			h.mu.Lock()
 			log := h.log.String()
 			h.mu.Unlock()
-			f.t.Logf("%s has ended: %s", id, log[max(0, len(log)-1000):])
+			f.t.Logf("%s has exited: %s", id, log[max(0, len(log)-1000):])
 		default:
 		}
 	}
@@ -344,7 +346,8 @@
 	return 0
 }
 
-// standin starts a stand-in in the test's own process, announced to a zone's hosts.
+// standin starts a stand-in in the test process. It announces itself to the hosts of its
+// zone.
 func (f *fleet) standin(o hingestandin.Options) *hingestandin.Server {
 	f.t.Helper()
 	if o.Kind == hingeannounce.Service {
@@ -369,17 +372,17 @@
 	return s
 }
 
-// apply puts the whole inventory and rules, or a changed part, as one change.
+// apply sends a change to a host's operator API, and returns the HTTP status.
 func (f *fleet) apply(at hingeids.HostID, change hingeadmin.Change) (hingeadmin.Accepted, int, error) {
 	var accepted hingeadmin.Accepted
 	status, err := f.post(f.hosts[at].settings.Listen.Operators, "/v1/changes", change, &accepted)
 	return accepted, status, err
 }
 
-// keepKeysPath is the item that the tests' changes change.
+// keepKeysPath is the configuration item that the tests change.
 const keepKeysPath = "rules/keepKeys"
 
-// change makes a change of one rule on top of what a host applies.
+// change returns a change of one rule on top of an expected revision.
 func (f *fleet) change(expected hingeids.Revision, keepKeys time.Duration) hingeadmin.Change {
 	f.changes++
 	return hingeadmin.Change{
@@ -394,8 +397,8 @@
 	}
 }
 
-// whole is the change that brings the example's configuration.
-func (f *fleet) whole() hingeadmin.Change {
+// fullChange returns the change that sets the example's whole configuration.
+func (f *fleet) fullChange() hingeadmin.Change {
 	c := f.change(0, 24*time.Hour)
 	for path, document := range hingeinventory.Split(&f.inventory, &f.rules) {
 		c.Puts[path] = string(document)
@@ -403,14 +406,14 @@
 	return c
 }
 
-// configure applies the example's configuration and waits until all are ready.
+// configure applies the example's configuration and waits until all hosts are ready.
 func (f *fleet) configure() hingeids.Revision {
 	f.t.Helper()
 	var accepted hingeadmin.Accepted
-	whole := f.whole()
+	fullChange := f.fullChange()
 	f.await("the first change to be accepted", 10*time.Second, func() error {
 		status, err := 0, error(nil)
-		accepted, status, err = f.apply(f.order[0], whole)
+		accepted, status, err = f.apply(f.order[0], fullChange)
 		if status != http.StatusOK {
 			return fmt.Errorf("status %d, %v", status, err)
 		}
@@ -420,7 +423,7 @@
 	return accepted.Revision
 }
 
-// awaitRevision waits until hosts have a revision in force.
+// awaitRevision waits until the hosts are ready with at least this revision in force.
 func (f *fleet) awaitRevision(r hingeids.Revision, hosts ...hingeids.HostID) time.Duration {
 	f.t.Helper()
 	return f.await(fmt.Sprintf("revision %d in force", r), 10*time.Second, func() error {
@@ -430,7 +433,7 @@
 				return err
 			}
 			if status.Committed < r || !status.Ready {
-				return fmt.Errorf("%s applies %d, ready %v (%s)", id, status.Committed, status.Ready, status.Reason)
+				return fmt.Errorf("%s has revision %d, ready %v (%s)", id, status.Committed, status.Ready, status.Reason)
 			}
 		}
 		return nil
@@ -482,7 +485,7 @@
 	return resp.StatusCode, json.Unmarshal(text, into)
 }
 
-// leader names the host that leads the configuration log, as a host sees it.
+// leader returns the leader of the configuration log as one host reports it, or an empty id.
 func (f *fleet) leader(seenBy hingeids.HostID) hingeids.HostID {
 	status, err := f.status(seenBy)
 	if err != nil {
@@ -491,8 +494,8 @@
 	return status.Leader
 }
 
-// called is what a caller got for a call of the plain service.
-type called struct {
+// callResult is the response to a call of the plain service.
+type callResult struct {
 	status  int
 	verdict string
 	body    string
@@ -500,10 +503,10 @@
 	err     error
 }
 
-func (f *fleet) call(id hingeids.HostID, method, path, key string) called {
+func (f *fleet) call(id hingeids.HostID, method, path, key string) callResult {
 	req, err := http.NewRequestWithContext(f.ctx, method, "http://"+f.hosts[id].settings.Listen.Callers+path, nil)
 	if err != nil {
-		return called{
+		return callResult{
 			err: err,
 		}
 	}
@@ -515,7 +518,7 @@
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return called{
+		return callResult{
 			err: err,
 		}
 	}
@@ -523,7 +526,7 @@
 		_ = resp.Body.Close()
 	}()
 	b, err := io.ReadAll(resp.Body)
-	return called{
+	return callResult{
 		status:  resp.StatusCode,
 		verdict: resp.Header.Get("X-Verdict"),
 		retry:   resp.Header.Get("Retry-After"),
@@ -532,21 +535,21 @@
 	}
 }
 
-// repaired tells whether a host that lost its disk counts towards a quorum
-// again: only then may the next host be lost.
+// repaired returns nil once a host that lost its disk counts towards the quorums again: only
+// then may the next host be lost.
 func (f *fleet) repaired(id hingeids.HostID) error {
 	status, err := f.status(id)
 	if err != nil {
 		return err
 	}
 	if !status.Voting {
-		return errors.New("it has no vote yet")
+		return errors.New("the host has no vote yet")
 	}
 	return nil
 }
 
-// awaitGranting waits until hosts are ready and may use all servers.
-func (f *fleet) awaitGranting(hosts ...hingeids.HostID) {
+// awaitUsableServers waits until the hosts are ready and may use all servers.
+func (f *fleet) awaitUsableServers(hosts ...hingeids.HostID) {
 	f.t.Helper()
 	f.await("all servers to be usable", 15*time.Second, func() error {
 		for _, id := range hosts {
@@ -554,7 +557,7 @@
 			if err != nil {
 				return err
 			}
-			if n := granting(status); !status.Ready || n < len(f.standins) {
+			if n := usableServers(status); !status.Ready || n < len(f.standins) {
 				return fmt.Errorf("%s: ready %v, may use %d of %d", id, status.Ready, n, len(f.standins))
 			}
 		}
@@ -562,8 +565,8 @@
 	})
 }
 
-// granting counts the servers that a host may place requests at.
-func granting(s hingeadmin.Status) int {
+// usableServers counts the servers at which a host may place requests.
+func usableServers(s hingeadmin.Status) int {
 	n := 0
 	for _, x := range s.Servers {
 		if x.Granting {
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -21,22 +21,24 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// gates holds a gate for each model, and feeds it what is known of the engines.
+// gates has an admission gate for each model, and keeps the gates' view of the engines up to
+// date. It is safe for concurrent use.
 type gates struct {
 	server *Server
 	group  errgroup.Group
 	ctx    context.Context
-	// forEngines counts the requests that wait for an engine to be there.
-	forEngines atomic.Int64
+	// waitingForEngines counts the requests that wait until any engine can take them.
+	waitingForEngines atomic.Int64
 
 	mu      sync.Mutex
 	byModel map[hingeids.Model]*modelGate
 }
 
-// modelGate is a gate with the engines it was told of.
+// modelGate is a model's gate, with the latest announcement of each engine that the gate
+// knows.
 type modelGate struct {
 	*hingegate.Gate
-	told map[hingeids.ServerID]hingeannounce.Announcement
+	announced map[hingeids.ServerID]hingeannounce.Announcement
 }
 
 func newGates(ctx context.Context, s *Server) *gates {
@@ -49,27 +51,27 @@
 
 var _ hingedispatch.Gate = (*gates)(nil)
 
-// of gives the gate of a model, made at its first request.
-func (g *gates) of(m hingeids.Model) *modelGate {
+// forModel returns the gate of a model. It creates the gate at the model's first request.
+func (g *gates) forModel(m hingeids.Model) *modelGate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if gate, ok := g.byModel[m]; ok {
 		return gate
 	}
 	gate := &modelGate{
-		Gate: hingegate.New(time.Now, hingeadmit.Defaults(), g.config(m)),
-		told: make(map[hingeids.ServerID]hingeannounce.Announcement),
+		Gate:      hingegate.New(time.Now, hingeadmit.Defaults(), g.config(m)),
+		announced: make(map[hingeids.ServerID]hingeannounce.Announcement),
 	}
 	gate.Recorder = g.server.recorder
 	g.byModel[m] = gate
 	g.group.Go(func() error {
 		return gate.Run(g.ctx)
 	})
-	g.feedOne(time.Now(), m, gate)
+	g.updateGate(time.Now(), m, gate)
 	return gate
 }
 
-// weights are those of the rules in force.
+// weights returns the placement weights of the rules in force.
 func (g *gates) weights() hingeplace.Weights {
 	w := g.server.configuration.Load().Rules.Weights
 	return hingeplace.Weights{
@@ -78,29 +80,30 @@
 	}
 }
 
-// cacheBytes is the KV cache of one prompt token by the inventory in force.
-func (g *gates) cacheBytes(m hingeids.Model) hingeids.Bytes {
+// cacheBytesPerToken returns the KV cache size per prompt token from the inventory in force.
+func (g *gates) cacheBytesPerToken(m hingeids.Model) hingeids.Bytes {
 	if bytes := g.server.configuration.Load().models[m].CacheBytesPerToken; bytes > 0 {
 		return bytes
 	}
 	return hingeplace.Defaults().CacheBytes
 }
 
-// reconfigure puts a revision's weights and sizes in force. It runs in the
-// control loop.
+// reconfigure applies the weights and cache sizes of a new revision to all gates. The
+// control loop calls it.
 func (g *gates) reconfigure() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for m, gate := range g.byModel {
-		gate.Configure(g.weights(), g.cacheBytes(m))
+		gate.Configure(g.weights(), g.cacheBytesPerToken(m))
 	}
 }
 
-// config draws what placing starts from out of the inventory and the rules.
+// config returns the placement configuration of a model from the inventory and rules in
+// force.
 func (g *gates) config(m hingeids.Model) hingeplace.Config {
 	c := hingeplace.Defaults()
 	c.Weights = g.weights()
-	c.CacheBytes = g.cacheBytes(m)
+	c.CacheBytes = g.cacheBytesPerToken(m)
 	fallback := c.LinkRate
 	c.LinkRate = func(from, to hingeids.Zone) hingeids.BytesPerSecond {
 		for _, l := range g.server.configuration.Load().Inventory.Links {
@@ -113,17 +116,16 @@
 	return c
 }
 
-// feed tells the gates what the view shows of the engines. It runs in the
-// control loop.
-func (g *gates) feed(now time.Time) {
+// update passes the announced engines to the gates. The control loop calls it.
+func (g *gates) update(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for m, gate := range g.byModel {
-		g.feedOne(now, m, gate)
+		g.updateGate(now, m, gate)
 	}
 }
 
-func (g *gates) feedOne(now time.Time, m hingeids.Model, gate *modelGate) {
+func (g *gates) updateGate(now time.Time, m hingeids.Model, gate *modelGate) {
 	seen := make(map[hingeids.ServerID]bool)
 	for _, s := range g.engines(m) {
 		seen[s.Server] = true
@@ -131,43 +133,43 @@
 			delete(seen, s.Server)
 			continue
 		}
-		if before := gate.told[s.Server]; before.Incarnation == s.Incarnation && before.Sequence == s.Sequence {
+		if previous := gate.announced[s.Server]; previous.Incarnation == s.Incarnation && previous.Sequence == s.Sequence {
 			continue
 		}
-		gate.told[s.Server] = s.Announcement
+		gate.announced[s.Server] = s.Announcement
 		gate.Announce(s.Announcement, s.ReportAge(now))
 	}
-	for id := range gate.told {
+	for id := range gate.announced {
 		if !seen[id] {
-			delete(gate.told, id)
+			delete(gate.announced, id)
 			gate.Gone(id)
 		}
 	}
 }
 
-// engines are those that this host places on: its own zone's, or all if its
-// zone has none that decode. Another zone's engines have slots to grant for
-// their own hosts, and links to them are longer.
+// engines returns the engines at which this host places requests of a model: those of its
+// own zone, or all if its zone has no decode engine. Engines of another zone grant their
+// slots to the hosts of that zone, and transfers to them are slower.
 func (g *gates) engines(m hingeids.Model) []hingeannounce.Server {
 	var own, all []hingeannounce.Server
-	decodes := false
-	for _, s := range g.server.listed(g.server.servers.Load().Servers) {
+	canDecode := false
+	for _, s := range g.server.listedServers(g.server.servers.Load().Servers) {
 		if s.Model != m || s.Kind == hingeannounce.Service {
 			continue
 		}
 		all = append(all, s)
 		if s.Zone == g.server.settings.Zone {
 			own = append(own, s)
-			decodes = decodes || s.Does(hingeannounce.Decode)
+			canDecode = canDecode || s.Does(hingeannounce.Decode)
 		}
 	}
-	if decodes {
+	if canDecode {
 		return own
 	}
 	return all
 }
 
-// waiting counts the requests in all queues.
+// waiting counts the requests in the queues of all gates.
 func (g *gates) waiting() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -178,46 +180,46 @@
 	return int64(n)
 }
 
-// wait ends when all gates have.
+// wait waits until all gates have stopped.
 func (g *gates) wait() error {
 	return g.group.Wait()
 }
 
-// Blocks of a prompt, as placing compares prefixes.
+// Division of a prompt into blocks, by which placement compares prefixes.
 const (
 	promptBytesPerToken = 4
 	blockTokens         = 64
-	longestChain        = 512
+	maxPrefixBlocks     = 512
 )
 
 // Enter waits until the request is placed or refused.
 func (g *gates) Enter(ctx context.Context, e hingedispatch.Entry) (hingedispatch.Placement, error) {
-	w := e.Work
-	// With no engine at all, only work that can wait waits for one: for the rest
-	// the caller is better told now than when its target has passed.
-	if !e.Again && !w.Class.CanWait && len(g.engines(w.Model)) == 0 {
-		return hingedispatch.Placement{}, noServer("model " + string(w.Model))
+	r := e.Work
+	// Without any engine, only requests that can wait are queued. The others are refused at once
+	// instead of after their latency target.
+	if !e.Again && !r.Class.CanWait && len(g.engines(r.Model)) == 0 {
+		return hingedispatch.Placement{}, noServerError("model " + string(r.Model))
 	}
-	gate := g.of(w.Model)
-	ask := hingegate.Ask{
+	gate := g.forModel(r.Model)
+	request := hingegate.Ask{
 		Place: hingeplace.Request{
 			ID:       e.ID,
-			Class:    w.Class.Name,
-			Priority: w.Class.Priority,
-			CanWait:  w.Class.CanWait,
-			Prompt:   w.PromptTokens,
-			Prefix:   hingeplace.Chain([]byte(w.Prompt), promptBytesPerToken, blockTokens, longestChain),
-			TokenGap: w.Class.TokenGap,
-			Avoid:    g.avoid(w.Model, e.Avoid),
+			Class:    r.Class.Name,
+			Priority: r.Class.Priority,
+			CanWait:  r.Class.CanWait,
+			Prompt:   r.PromptTokens,
+			Prefix:   hingeplace.Chain([]byte(r.Prompt), promptBytesPerToken, blockTokens, maxPrefixBlocks),
+			TokenGap: r.Class.TokenGap,
+			Avoid:    g.serversToAvoid(r.Model, e.Avoid),
 		},
-		Caller:     w.Caller,
-		Arrived:    w.Arrived,
-		FirstToken: w.Class.FirstToken,
-		Deadline:   w.Deadline,
+		Caller:     r.Caller,
+		Arrived:    r.Arrived,
+		FirstToken: r.Class.FirstToken,
+		Deadline:   r.Deadline,
 		Again:      e.Again,
 	}
 	for {
-		d, err := g.enter(ctx, gate, ask)
+		d, err := g.enterOrWait(ctx, gate, request)
 		if err != nil {
 			return hingedispatch.Placement{}, err
 		}
@@ -233,36 +235,37 @@
 			}, nil
 		}
 		gate.Leave(e.ID, 0)
-		ask.Again = true
+		request.Again = true
 	}
 }
 
-// Work that can wait also waits for engines, when there is none that it could be
-// placed at, such as just after they have announced themselves: late is better
-// than refused. The number that do is bounded like the gate's own queue.
+// A request that can wait is also queued while no engine can take it, such as shortly after
+// the engines' first announcements. The number of such requests is limited like the gate's
+// own queue.
 const (
-	enginesEvery   = 100 * time.Millisecond
-	mostForEngines = 2000
+	engineRetryInterval  = 100 * time.Millisecond
+	maxWaitingForEngines = 2000
 )
 
-// enter enters the gate, by the rule above.
-func (g *gates) enter(ctx context.Context, gate *modelGate, ask hingegate.Ask) (hingeplace.Decision, error) {
-	d, err := gate.Enter(ctx, ask)
-	if !ask.Place.CanWait || !isNoServer(err) {
+// enterOrWait enters the gate. If no engine can take a request that can wait, it retries
+// until one can.
+func (g *gates) enterOrWait(ctx context.Context, gate *modelGate, request hingegate.Ask) (hingeplace.Decision, error) {
+	d, err := gate.Enter(ctx, request)
+	if !request.Place.CanWait || !isNoServer(err) {
 		return d, err
 	}
-	if g.forEngines.Add(1) > mostForEngines {
-		g.forEngines.Add(-1)
+	if g.waitingForEngines.Add(1) > maxWaitingForEngines {
+		g.waitingForEngines.Add(-1)
 		return d, err
 	}
-	defer g.forEngines.Add(-1)
+	defer g.waitingForEngines.Add(-1)
 	for isNoServer(err) {
 		select {
 		case <-ctx.Done():
 			return d, err
-		case <-time.After(enginesEvery):
+		case <-time.After(engineRetryInterval):
 		}
-		d, err = gate.Enter(ctx, ask)
+		d, err = gate.Enter(ctx, request)
 	}
 	return d, err
 }
@@ -272,10 +275,10 @@
 	return errors.As(err, &v) && v.Code == hingeverdict.CodeNoServer
 }
 
-// avoid leaves out the servers that failed the request, unless no other does
-// their work: what failed once, such as a connection that went silent, may well
-// work the next time, and waiting for a server that isn't there surely won't.
-func (g *gates) avoid(m hingeids.Model, failed map[hingeids.ServerID]bool) map[hingeids.ServerID]bool {
+// serversToAvoid returns the servers that failed the request, without those of a kind for
+// which no other server exists: a failure such as a stalled connection may be temporary, so
+// retrying the same server is better than waiting for one that doesn't exist.
+func (g *gates) serversToAvoid(m hingeids.Model, failed map[hingeids.ServerID]bool) map[hingeids.ServerID]bool {
 	if len(failed) == 0 {
 		return nil
 	}
@@ -297,9 +300,9 @@
 	return out
 }
 
-// target finds the life of a server that is there now. The gate is fed a moment
-// after the view changes, so it may choose one that has just left: it is told,
-// and has to choose again.
+// target returns the current incarnation of a server. The gate is updated shortly after the
+// view changes, so it may choose a server that was just removed. In that case target removes
+// the server from the gate, and the gate has to choose again.
 func (g *gates) target(gate *modelGate, id hingeids.ServerID) (hingeengine.Target, bool) {
 	if s, ok := g.server.servers.Load().Find(id); ok {
 		return targetOf(s), true
@@ -308,25 +311,25 @@
 	return hingeengine.Target{}, false
 }
 
-// Ready waits for the decode engine of a KV cache that is ready.
+// Ready reports that the KV cache is ready, and waits for a decode engine.
 func (g *gates) Ready(
 	ctx context.Context, e hingedispatch.Entry, cached hingeids.Tokens,
 ) (hingeengine.Target, error) {
-	gate := g.of(e.Work.Model)
+	gate := g.forModel(e.Work.Model)
 	id, err := gate.Ready(ctx, e.ID, cached)
-	return g.bound(ctx, gate, e, id, err)
+	return g.resolveTarget(ctx, gate, e, id, err)
 }
 
-// Full asks for another decode engine.
+// Full waits for a decode engine other than the one that refused the request.
 func (g *gates) Full(
 	ctx context.Context, e hingedispatch.Entry, refused hingeengine.Target,
 ) (hingeengine.Target, error) {
-	gate := g.of(e.Work.Model)
+	gate := g.forModel(e.Work.Model)
 	id, err := gate.Full(ctx, e.ID, refused.Server)
-	return g.bound(ctx, gate, e, id, err)
+	return g.resolveTarget(ctx, gate, e, id, err)
 }
 
-func (g *gates) bound(
+func (g *gates) resolveTarget(
 	ctx context.Context, gate *modelGate, e hingedispatch.Entry, id hingeids.ServerID, err error,
 ) (hingeengine.Target, error) {
 	for err == nil {
@@ -338,9 +341,9 @@
 	return hingeengine.Target{}, err
 }
 
-// Other names a second decode engine.
+// Other returns a second decode engine for the request's slot, if there is one.
 func (g *gates) Other(e hingedispatch.Entry) (hingeengine.Target, bool) {
-	id, ok := g.of(e.Work.Model).Other(e.ID)
+	id, ok := g.forModel(e.Work.Model).Other(e.ID)
 	if !ok {
 		return hingeengine.Target{}, false
 	}
@@ -348,37 +351,37 @@
 	return targetOf(s), ok
 }
 
-// Rebind says that the slot was granted at another engine.
+// Rebind records that another engine granted the request's slot.
 func (g *gates) Rebind(e hingedispatch.Entry, t hingeengine.Target) {
-	g.of(e.Work.Model).Rebind(e.ID, t.Server)
+	g.forModel(e.Work.Model).Rebind(e.ID, t.Server)
 }
 
-// Leave says that the entry is over.
+// Leave removes a finished request from its gate. tokens is the length of its answer.
 func (g *gates) Leave(e hingedispatch.Entry, tokens int) {
-	g.of(e.Work.Model).Leave(e.ID, hingeids.Tokens(tokens))
+	g.forModel(e.Work.Model).Leave(e.ID, hingeids.Tokens(tokens))
 }
 
-// Failed takes an engine that can't be reached out of the gate until it
-// announces itself again, at most half a second later: else every request that
-// waits would be placed there, as one that answers nobody looks idle.
+// Failed removes an unreachable engine from the gate. The next update adds it again if it is
+// still announced. Otherwise the gate would place all waiting requests there, because an
+// engine that completes nothing looks idle.
 func (g *gates) Failed(e hingedispatch.Entry, t hingeengine.Target, err error) {
 	if !isNoServer(err) {
 		return
 	}
-	gate := g.of(e.Work.Model)
+	gate := g.forModel(e.Work.Model)
 	g.mu.Lock()
-	delete(gate.told, t.Server)
+	delete(gate.announced, t.Server)
 	g.mu.Unlock()
 	gate.Gone(t.Server)
 }
 
-// TokenGap tells of an engine's speed.
-func (g *gates) TokenGap(e hingedispatch.Entry, t hingeengine.Target, gap time.Duration) {
-	g.of(e.Work.Model).TokenGap(t.Server, gap)
+// TokenGap reports an engine's mean token gap to the gate.
+func (g *gates) TokenGap(e hingedispatch.Entry, t hingeengine.Target, tokenGap time.Duration) {
+	g.forModel(e.Work.Model).TokenGap(t.Server, tokenGap)
 }
 
-// Lives tells whether a life of a server is the one that is there now.
+// Lives reports whether the target's incarnation is the current one of its server.
 func (g *gates) Lives(t hingeengine.Target) bool {
-	now, ok := g.server.servers.Load().Find(t.Server)
-	return ok && now.Incarnation == t.Incarnation
+	current, ok := g.server.servers.Load().Find(t.Server)
+	return ok && current.Incarnation == t.Incarnation
 }
--- a/internal/serve/hingeserver/holds.go
+++ b/internal/serve/hingeserver/holds.go
@@ -15,146 +15,147 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// holds has engines drop what nobody answers for: what this host's requests
-// leave behind, and what hosts that are gone have left.
-type holds struct {
-	server *Server
-	client *hingeengine.Client
-	driver *hingeholds.Holds
-	told   []hingeholds.Engine
+// collector releases allocations of engines that no request needs any more: those of this
+// host's finished requests, and those of entry hosts that have ended.
+type collector struct {
+	server      *Server
+	client      *hingeengine.Client
+	driver      *hingeholds.Holds
+	lastEngines []hingeholds.Engine
 
-	mu    sync.Mutex
-	owned map[hingeids.RequestID]struct{}
-	after map[held][]func()
+	mu         sync.Mutex
+	owned      map[hingeids.RequestID]struct{}
+	onReleased map[allocationKey][]func()
 }
 
-// held is what an engine may hold for one exchange.
-type held struct {
+// allocationKey identifies what an engine may hold for one exchange.
+type allocationKey struct {
 	engine hingeids.ServerID
 	id     hingeids.RequestID
 }
 
 var (
-	_ hingedispatch.Cancels = (*holds)(nil)
-	_ hingedispatch.Owned   = (*holds)(nil)
-	_ hingeholds.Engines    = cancelling{}
-	_ hingeholds.Owner      = (*holds)(nil)
+	_ hingedispatch.Cancels = (*collector)(nil)
+	_ hingedispatch.Owned   = (*collector)(nil)
+	_ hingeholds.Engines    = collectorEngines{}
+	_ hingeholds.Owner      = (*collector)(nil)
 )
 
-// cancelling is the engines' side of holds.
-type cancelling struct {
-	*holds
+// collectorEngines implements hingeholds.Engines. It is a type of its own because the
+// collector's method Cancel has another signature.
+type collectorEngines struct {
+	*collector
 }
 
-func newHolds(s *Server) *holds {
-	h := &holds{
-		server: s,
-		client: hingeengine.NewClient(),
-		owned:  make(map[hingeids.RequestID]struct{}),
-		after:  make(map[held][]func()),
+func newCollector(s *Server) *collector {
+	c := &collector{
+		server:     s,
+		client:     hingeengine.NewClient(),
+		owned:      make(map[hingeids.RequestID]struct{}),
+		onReleased: make(map[allocationKey][]func()),
 	}
-	h.driver = hingeholds.New(hingeholds.Config{
+	c.driver = hingeholds.New(hingeholds.Config{
 		Link: s.shared.link,
-		Engines: cancelling{
-			holds: h,
+		Engines: collectorEngines{
+			collector: c,
 		},
-		Owner:  h,
+		Owner:  c,
 		Events: s.recorder,
-		OnGone: h.gone,
+		OnGone: c.handleReleased,
 	})
-	return h
+	return c
 }
 
-// Own notes an id before anything is sent under it.
-func (h *holds) Own(id hingeids.RequestID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	h.owned[id] = struct{}{}
+// Own records a request id. It is called before anything is sent under the id.
+func (c *collector) Own(id hingeids.RequestID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.owned[id] = struct{}{}
 }
 
-// Disown forgets an id for good.
-func (h *holds) Disown(id hingeids.RequestID) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	delete(h.owned, id)
+// Disown removes a request id. The id is never used again.
+func (c *collector) Disown(id hingeids.RequestID) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	delete(c.owned, id)
 }
 
-// Knows tells whether this host still answers for an id.
-func (h *holds) Knows(id hingeids.RequestID) bool {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	_, ok := h.owned[id]
+// Knows reports whether this host still owns a request id.
+func (c *collector) Knows(id hingeids.RequestID) bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	_, ok := c.owned[id]
 	return ok
 }
 
-// Life is the life that this host leads now.
-func (h *holds) Life() hingeids.Life {
-	return h.server.shared.members.Hosts().Load().Self
+// Life returns this host's current instance.
+func (c *collector) Life() hingeids.Life {
+	return c.server.shared.members.Hosts().Load().Self
 }
 
-// Cancel has an engine drop what it holds for an exchange, and calls after when
-// it has said so or is known to have restarted.
-func (h *holds) Cancel(t hingeengine.Target, id hingeids.RequestID, after func()) {
-	key := held{
+// Cancel cancels an exchange at an engine, and repeats that until the engine has confirmed
+// it or has restarted. Then it calls onReleased, if not nil. Cancel itself returns at once.
+func (c *collector) Cancel(t hingeengine.Target, id hingeids.RequestID, onReleased func()) {
+	key := allocationKey{
 		engine: t.Server,
 		id:     id,
 	}
-	if after == nil {
-		after = func() {}
+	if onReleased == nil {
+		onReleased = func() {}
 	}
-	h.mu.Lock()
-	h.after[key] = append(h.after[key], after)
-	h.mu.Unlock()
-	h.driver.Abandon(t.Server, id)
+	c.mu.Lock()
+	c.onReleased[key] = append(c.onReleased[key], onReleased)
+	c.mu.Unlock()
+	c.driver.Abandon(t.Server, id)
 }
 
-func (h *holds) gone(engine hingeids.ServerID, id hingeids.RequestID) {
-	key := held{
+func (c *collector) handleReleased(engine hingeids.ServerID, id hingeids.RequestID) {
+	key := allocationKey{
 		engine: engine,
 		id:     id,
 	}
-	h.mu.Lock()
-	calls := h.after[key]
-	delete(h.after, key)
-	h.mu.Unlock()
-	for _, after := range calls {
-		after()
+	c.mu.Lock()
+	callbacks := c.onReleased[key]
+	delete(c.onReleased, key)
+	c.mu.Unlock()
+	for _, onReleased := range callbacks {
+		onReleased()
 	}
 }
 
-// pending counts cancels that are not yet answered.
-func (h *holds) pending() int64 {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	return int64(len(h.after))
+// pendingCancels counts the cancels that are not confirmed yet.
+func (c *collector) pendingCancels() int64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return int64(len(c.onReleased))
 }
 
-// lookEvery is how often wait looks.
-const lookEvery = 20 * time.Millisecond
+// cancelPollInterval is how often waitForCancels checks for pending cancels.
+const cancelPollInterval = 20 * time.Millisecond
 
-// wait waits until every cancel is answered, at most as long as the limit. An
-// engine that is gone never answers, and would hold up a shutdown for good; the
-// survivors cancel what a life that is over has left behind.
-func (h *holds) wait(limit time.Duration) {
-	for end := time.Now().Add(limit); h.pending() > 0 && time.Now().Before(end); {
-		time.Sleep(lookEvery)
+// waitForCancels waits until every cancel is confirmed, at most for the limit. The limit
+// keeps an engine that is gone from blocking the shutdown: the other hosts cancel what an
+// ended instance leaves behind.
+func (c *collector) waitForCancels(limit time.Duration) {
+	for deadline := time.Now().Add(limit); c.pendingCancels() > 0 && time.Now().Before(deadline); {
+		time.Sleep(cancelPollInterval)
 	}
 }
 
-// kindsOfHold translates what engines call what they hold.
-var kindsOfHold = map[string]hingeholds.Kind{
+// allocationKinds maps the engines' names of allocation kinds.
+var allocationKinds = map[string]hingeholds.Kind{
 	hingeengine.KindGeneration: hingeholds.Running,
 	hingeengine.KindExport:     hingeholds.ExportedCache,
 	hingeengine.KindImport:     hingeholds.Import,
 }
 
-// Held asks an engine what it holds.
-func (h *holds) Held(ctx context.Context, id hingeids.ServerID) ([]hingeholds.Hold, error) {
-	t, err := h.server.target(id)
+// Held returns an engine's allocations.
+func (c *collector) Held(ctx context.Context, id hingeids.ServerID) ([]hingeholds.Hold, error) {
+	t, err := c.server.target(id)
 	if err != nil {
 		return nil, err
 	}
-	items, _, err := h.client.Held(ctx, t)
+	items, _, err := c.client.Held(ctx, t)
 	if err != nil {
 		return nil, err
 	}
@@ -162,15 +163,15 @@
 	for _, item := range items {
 		out = append(out, hingeholds.Hold{
 			ID:   item.Request,
-			Kind: kindsOfHold[item.Kind],
+			Kind: allocationKinds[item.Kind],
 			Age:  item.Age,
 		})
 	}
 	return out, nil
 }
 
-// Cancel sends an engine one cancel.
-func (e cancelling) Cancel(ctx context.Context, id hingeids.ServerID, request hingeids.RequestID) error {
+// Cancel sends one cancel to an engine.
+func (e collectorEngines) Cancel(ctx context.Context, id hingeids.ServerID, request hingeids.RequestID) error {
 	t, err := e.server.target(id)
 	if err != nil {
 		return err
@@ -179,18 +180,19 @@
 	return err
 }
 
-// feed tells what the view and the record show. It runs in the control loop.
-func (h *holds) feed() {
-	members := h.server.shared.members.Hosts().Load()
-	h.driver.SetRecord(members.Record)
-	if engines := h.engines(members); !slices.Equal(engines, h.told) {
-		h.told = engines
-		h.driver.SetEngines(engines)
+// update passes the instance registry and the announced engines to the driver. The control
+// loop calls it.
+func (c *collector) update() {
+	members := c.server.shared.members.Hosts().Load()
+	c.driver.SetRecord(members.Record)
+	if engines := c.engines(members); !slices.Equal(engines, c.lastEngines) {
+		c.lastEngines = engines
+		c.driver.SetEngines(engines)
 	}
 }
 
-// engines are all engines, and which of them this host watches over.
-func (h *holds) engines(members *hingemembers.View) []hingeholds.Engine {
+// engines returns all engines, and for each whether this host is responsible for polling it.
+func (c *collector) engines(members *hingemembers.View) []hingeholds.Engine {
 	alive := make(map[hingeids.Zone][]hingeids.HostID)
 	for _, host := range members.Hosts {
 		if host.State == hingemembers.Alive {
@@ -198,7 +200,7 @@
 		}
 	}
 	var out []hingeholds.Engine
-	for _, x := range h.server.servers.Load().Servers {
+	for _, x := range c.server.servers.Load().Servers {
 		if x.Kind == hingeannounce.Service {
 			continue
 		}
--- a/internal/serve/hingeserver/inprocess.go
+++ b/internal/serve/hingeserver/inprocess.go
@@ -8,24 +8,24 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Host names this entry host.
+// Host returns the id of this entry host.
 func (s *Server) Host() hingeids.HostID {
 	return s.settings.Host
 }
 
-// Ready tells whether this host should get requests.
+// Ready reports whether this host should receive requests.
 func (s *Server) Ready() bool {
 	ready, _ := s.ready(time.Now())
 	return ready
 }
 
-// Servers counts the backend servers that can be used.
+// Servers counts the backend servers that are announced and usable.
 func (s *Server) Servers() int {
 	return len(s.servers.Load().Servers)
 }
 
-// Propose asks the configuration log for a change. The error is nil only if it
-// was accepted.
+// Propose proposes a change to the configuration log. It returns nil only if the change was
+// accepted.
 func (s *Server) Propose(ctx context.Context, c hingeconfig.Change) error {
 	raw, err := s.shared.config.Propose(ctx, c.Encode())
 	if err != nil {
--- a/internal/serve/hingeserver/ledger.go
+++ b/internal/serve/hingeserver/ledger.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// ledgerAdapter gives the request path the ledger as it asks for it.
+// ledgerAdapter implements hingedispatch.Ledger with the shared ledger, and counts claims.
 type ledgerAdapter struct {
 	ledger *hingeledger.Ledger
 	meter  meter
@@ -19,7 +19,7 @@
 
 var _ hingedispatch.Ledger = ledgerAdapter{}
 
-// storedAnswer is how an answer stands in the ledger.
+// storedAnswer is the encoding of an answer in the ledger.
 type storedAnswer struct {
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
@@ -37,16 +37,17 @@
 	}
 }
 
-// Claim gives nil when the request is to be sent, or the answer that is kept.
+// Claim claims an idempotency key. It returns nil if the request has to be sent, or the
+// stored answer of an earlier run.
 func (a ledgerAdapter) Claim(ctx context.Context, c hingedispatch.Claim) (*hingedispatch.Stored, error) {
 	outcome, err := a.ledger.Claim(ctx, claimOf(c))
-	a.meter.claimed(c.Key, outcome.Kind == hingeledger.Answered, err)
+	a.meter.countClaim(c.Key, outcome.Kind == hingeledger.Answered, err)
 	if err != nil || outcome.Kind == hingeledger.Granted {
 		return nil, err
 	}
 	var s storedAnswer
 	if err := cbor.Unmarshal(outcome.Answer, &s); err != nil {
-		return nil, eris.Wrap(err, "kept answer")
+		return nil, eris.Wrap(err, "decode the stored answer")
 	}
 	return &hingedispatch.Stored{
 		Status:      s.Status,
@@ -56,7 +57,7 @@
 	}, nil
 }
 
-// Finish keeps the answer.
+// Finish stores the answer for resends.
 func (a ledgerAdapter) Finish(ctx context.Context, c hingedispatch.Claim, s hingedispatch.Stored) error {
 	b, err := cbor.Marshal(storedAnswer{
 		Status:      s.Status,
@@ -65,17 +66,17 @@
 		Whole:       s.Whole,
 	})
 	if err != nil {
-		return eris.Wrap(err, "answer to keep")
+		return eris.Wrap(err, "encode the answer to store")
 	}
 	return a.ledger.Finish(ctx, claimOf(c), b)
 }
 
-// Release gives the key back.
+// Release releases the claim of a request that has not run.
 func (a ledgerAdapter) Release(ctx context.Context, c hingedispatch.Claim) error {
 	return a.ledger.Release(ctx, claimOf(c))
 }
 
-// Issue gives a new key of this host's zone.
+// Issue returns a new idempotency key of this host's zone.
 func (a ledgerAdapter) Issue(ctx context.Context, caller hingeids.CallerID) (hingeids.IdempotencyKey, error) {
 	return a.ledger.Issue(ctx, caller)
 }
--- a/internal/serve/hingeserver/listeners.go
+++ b/internal/serve/hingeserver/listeners.go
@@ -8,7 +8,7 @@
 	"github.com/swifthinge/swifthinge/internal/config/hingesettings"
 )
 
-// listeners are the process's open addresses.
+// listeners are the TCP listeners of the process.
 type listeners struct {
 	callers   net.Listener
 	servers   net.Listener
@@ -16,7 +16,7 @@
 }
 
 func (l *listeners) open(s hingesettings.Listen) error {
-	for _, one := range []struct {
+	for _, endpoint := range []struct {
 		name     string
 		address  string
 		listener *net.Listener
@@ -37,20 +37,20 @@
 			listener: &l.operators,
 		},
 	} {
-		opened, err := net.Listen("tcp", one.address)
+		opened, err := net.Listen("tcp", endpoint.address)
 		if err != nil {
 			l.close()
-			return eris.Wrapf(err, "address for %s", one.name)
+			return eris.Wrapf(err, "open the listener for %s", endpoint.name)
 		}
-		*one.listener = opened
+		*endpoint.listener = opened
 	}
 	return nil
 }
 
 func (l *listeners) close() {
-	for _, one := range []net.Listener{l.callers, l.servers, l.operators} {
-		if one != nil {
-			_ = one.Close()
+	for _, listener := range []net.Listener{l.callers, l.servers, l.operators} {
+		if listener != nil {
+			_ = listener.Close()
 		}
 	}
 }
--- a/internal/serve/hingeserver/lives.go
+++ b/internal/serve/hingeserver/lives.go
@@ -13,106 +13,109 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// The configuration log keeps two facts of each entry host's lives: the newest
-// that began, and up to which they are over. Both only ever grow.
+// The configuration log keeps two facts about each entry host's instances: the newest one
+// that was started, and the incarnation up to which all have ended. Both values only
+// increase.
 const (
-	livesPrefix = "lives/"
-	beganSuffix = "/began"
+	instancesPrefix = "lives/"
+	startedSuffix   = "/began"
 )
 
 func isFact(p hingeconfig.Path) bool {
-	return strings.HasPrefix(string(p), livesPrefix)
+	return strings.HasPrefix(string(p), instancesPrefix)
 }
 
-func beganPath(h hingeids.HostID) hingeconfig.Path {
-	return livesPrefix + hingeconfig.Path(h) + beganSuffix
+func startedPath(h hingeids.HostID) hingeconfig.Path {
+	return instancesPrefix + hingeconfig.Path(h) + startedSuffix
 }
 
-// began is the fact that a life began.
-func began(l hingeids.Life, now time.Time) hingeconfig.Change {
+// instanceStarted returns the change that records the start of an instance.
+func instanceStarted(instance hingeids.Life, now time.Time) hingeconfig.Change {
 	return hingeconfig.Change{
 		ID: hingeconfig.ChangeID("lifeBegan." + hingeids.RequestID{
-			Life: l,
+			Life: instance,
 		}.String()),
 		Puts: map[hingeconfig.Path][]byte{
-			beganPath(l.Host): binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation)),
+			startedPath(instance.Host): binary.BigEndian.AppendUint64(nil, uint64(instance.Incarnation)),
 		},
-		Operator: string(l.Host),
+		Operator: string(instance.Host),
 		SentAt:   now.UnixNano(),
 		Fact:     true,
 	}
 }
 
-// recordOf reads the lives out of a configuration.
-func recordOf(v *hingeconfig.View) hingemembers.Record {
-	record := make(hingemembers.Record)
+// registryOf extracts the instance registry from a configuration view.
+func registryOf(v *hingeconfig.View) hingemembers.Record {
+	registry := make(hingemembers.Record)
 	for path, document := range v.Documents {
-		name, there := strings.CutPrefix(string(path), livesPrefix)
-		host, isBegan := strings.CutSuffix(name, beganSuffix)
-		if !there || !isBegan || len(document) != 8 {
+		name, hasPrefix := strings.CutPrefix(string(path), instancesPrefix)
+		host, hasSuffix := strings.CutSuffix(name, startedSuffix)
+		if !hasPrefix || !hasSuffix || len(document) != 8 {
 			continue
 		}
 		id := hingeids.HostID(host)
 		incarnation := hingeids.Incarnation(binary.BigEndian.Uint64(document))
-		over := v.OverUpTo(id)
-		record[id] = hingemembers.Recorded{
-			Incarnation: max(incarnation, over),
-			Over:        over >= incarnation,
+		endedUpTo := v.OverUpTo(id)
+		registry[id] = hingemembers.Recorded{
+			Incarnation: max(incarnation, endedUpTo),
+			Over:        endedUpTo >= incarnation,
 		}
 	}
-	return record
+	return registry
 }
 
-// livesEvery is how often the record is compared with what is seen: well under
-// the second within which a survivor should get a dead host's shares.
-const livesEvery = 200 * time.Millisecond
+// registryInterval is how often the registry is compared with the members' view. It is well
+// below the second within which the surviving hosts should get the share of slots of a dead
+// host.
+const registryInterval = 200 * time.Millisecond
 
-// keepLives records this host's life in the log, hands the record to the
-// members, and, on the leader, records lives that are over.
-func (s *Server) keepLives(ctx context.Context) error {
-	ticker := time.NewTicker(livesEvery)
+// runInstanceRegistry records this host's instance in the log and passes the registry to the
+// members. On the leader it also records instances that have ended.
+func (s *Server) runInstanceRegistry(ctx context.Context) error {
+	ticker := time.NewTicker(registryInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
 		case now := <-ticker.C:
-			s.compareLives(ctx, now)
+			s.updateInstanceRegistry(ctx, now)
 		}
 	}
 }
 
-func (s *Server) compareLives(ctx context.Context, now time.Time) {
-	record := recordOf(s.shared.spread.Applied().Load().View)
-	s.shared.members.SetRecord(record)
+func (s *Server) updateInstanceRegistry(ctx context.Context, now time.Time) {
+	registry := registryOf(s.shared.spread.Applied().Load().View)
+	s.shared.members.SetRecord(registry)
 	view := s.shared.members.Hosts().Load()
 	s.callers.BeginLife(view.Self)
-	if self := view.Self; !record.Has(self) && !record.IsOver(self) && !s.callers.Draining() {
-		s.recordFact(ctx, began(self, now))
+	if self := view.Self; !registry.Has(self) && !registry.IsOver(self) && !s.callers.Draining() {
+		s.proposeFact(ctx, instanceStarted(self, now))
 	}
 	if _, leads := s.shared.config.Leading(now); !leads {
 		return
 	}
-	for _, life := range livesToEnd(view) {
-		if record.IsOver(life) {
+	for _, instance := range endedInstances(view) {
+		if registry.IsOver(instance) {
 			continue
 		}
-		if !s.recordFact(ctx, hingeconfig.LifeOver(life, s.settings.Host, now)) {
+		if !s.proposeFact(ctx, hingeconfig.LifeOver(instance, s.settings.Host, now)) {
 			continue
 		}
 		s.recorder.Record(now, hingeevents.LifeRecordedOver, hingeevents.Fields{
-			Host: life.Host,
+			Host: instance.Host,
 		})
-		// Requests that the life had claimed are uncertain from now on, and not
-		// only when their time is over. If this fails, their time decides.
-		_ = s.shared.ledger.EndLife(ctx, life)
+		// This marks the requests that the instance had claimed as uncertain right away. If it
+		// fails, they become uncertain when their claims expire.
+		_ = s.shared.ledger.EndLife(ctx, instance)
 	}
 }
 
-// livesToEnd are the lives that the record may show as over: those that nobody
-// hears any more, and those that said so themselves when they left. Without the
-// second, what a host could not hand on at its end would be held for good.
-func livesToEnd(v *hingemembers.View) []hingeids.Life {
+// endedInstances returns the instances that may be recorded as ended: those from which no
+// host receives messages any more, and those that announced their own end at shutdown.
+// Without the latter, allocations that a host could not cancel before its end would never be
+// released.
+func endedInstances(v *hingemembers.View) []hingeids.Life {
 	out := slices.Clone(v.Overdue)
 	for _, h := range v.Hosts {
 		if h.State == hingemembers.Over {
@@ -122,19 +125,21 @@
 	return out
 }
 
-// factLimit bounds one try to record a fact; it is tried again.
-const factLimit = time.Second
+// factTimeout is the timeout of one attempt to record a fact. The next comparison retries
+// it.
+const factTimeout = time.Second
 
-func (s *Server) recordFact(ctx context.Context, c hingeconfig.Change) bool {
-	ctx, cancel := context.WithTimeout(ctx, factLimit)
+func (s *Server) proposeFact(ctx context.Context, c hingeconfig.Change) bool {
+	ctx, cancel := context.WithTimeout(ctx, factTimeout)
 	defer cancel()
 	_, err := s.shared.config.Propose(ctx, c.Encode())
 	return err == nil
 }
 
-// endLife answers every caller finally when others have declared this host's
-// life over: they may cancel what it holds from then on. A new life begins after.
-func (s *Server) endLife(ended hingeids.Life) {
+// endInstance ends all requests with a final response. It is called when other hosts have
+// declared this host's instance ended: from then on they may cancel its allocations. The
+// next instance starts when it returns.
+func (s *Server) endInstance(ended hingeids.Life) {
 	s.recorder.Record(time.Now(), hingeevents.LifeDeclaredOver, hingeevents.Fields{
 		Host: ended.Host,
 	})
--- a/internal/serve/hingeserver/meter.go
+++ b/internal/serve/hingeserver/meter.go
@@ -13,43 +13,43 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// meter counts for /metrics what the request path tells it.
+// meter updates the metrics of the request path.
 type meter struct {
 	metrics *hingemetrics.Metrics
 }
 
 var _ hingedispatch.Meter = meter{}
 
-// Finished counts a completion.
-func (m meter) Finished(f hingedispatch.Finished) {
-	class := f.Work.Class.Name
-	m.ended(class, f.Err)
-	m.metrics.Counter(hingemetrics.TokensRelayed).Add(f.Tokens)
-	if f.InTarget() {
+// Finished counts a finished completion request.
+func (m meter) Finished(r hingedispatch.Finished) {
+	class := r.Work.Class.Name
+	m.countOutcome(class, r.Err)
+	m.metrics.Counter(hingemetrics.TokensRelayed).Add(r.Tokens)
+	if r.InTarget() {
 		m.metrics.Counter(hingemetrics.WithinTargets, class).Inc()
 	}
-	if f.FirstToken > 0 {
-		m.metrics.Histogram(hingemetrics.FirstToken, class).Update(f.FirstToken.Seconds())
+	if r.FirstToken > 0 {
+		m.metrics.Histogram(hingemetrics.FirstToken, class).Update(r.FirstToken.Seconds())
 	}
-	if f.Gap > 0 {
-		m.metrics.Histogram(hingemetrics.TokenGap, class).Update(f.Gap.Seconds())
+	if r.Gap > 0 {
+		m.metrics.Histogram(hingemetrics.TokenGap, class).Update(r.Gap.Seconds())
 	}
 }
 
-// Called counts a call of a plain service.
-func (m meter) Called(c *hingedispatch.Call, took time.Duration, err error) {
-	m.ended(c.Class.Name, err)
+// Called counts a finished call of a plain service.
+func (m meter) Called(c *hingedispatch.Call, elapsed time.Duration, err error) {
+	m.countOutcome(c.Class.Name, err)
 	if err != nil {
 		return
 	}
-	m.metrics.Histogram(hingemetrics.FirstToken, c.Class.Name).Update(took.Seconds())
-	if c.Class.FirstToken <= 0 || took <= c.Class.FirstToken {
+	m.metrics.Histogram(hingemetrics.FirstToken, c.Class.Name).Update(elapsed.Seconds())
+	if c.Class.FirstToken <= 0 || elapsed <= c.Class.FirstToken {
 		m.metrics.Counter(hingemetrics.WithinTargets, c.Class.Name).Inc()
 	}
 }
 
-// ended counts a final answer.
-func (m meter) ended(class string, err error) {
+// countOutcome counts the final response to a request, and its verdict if it failed.
+func (m meter) countOutcome(class string, err error) {
 	m.metrics.Counter(hingemetrics.Requests, class, outcomeOf(err)).Inc()
 	var v *hingeverdict.Error
 	if errors.As(err, &v) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// claimed counts the claim of an idempotency key.
-func (m meter) claimed(key hingeids.IdempotencyKey, replayed bool, err error) {
+// countClaim counts the claim of an idempotency key.
+func (m meter) countClaim(key hingeids.IdempotencyKey, replayed bool, err error) {
 	kind := "free"
 	if hingeledger.IsIssued(key) {
 		kind = "issued"
@@ -88,23 +88,23 @@
 	}
 }
 
-// Prefilled counts prompt tokens that were worked.
+// Prefilled counts prompt tokens that an engine has processed.
 func (m meter) Prefilled(n hingeids.Tokens) {
 	m.metrics.Counter(hingemetrics.PrefillTokens).Add(int(n))
 }
 
-// Wasted counts prompt tokens whose KV cache was dropped before decode.
+// Wasted counts processed prompt tokens whose KV cache was dropped before decode.
 func (m meter) Wasted(n hingeids.Tokens) {
 	m.metrics.Counter(hingemetrics.WastedPrefillTokens, "dropped").Add(int(n))
 }
 
-// Retried counts an attempt after the first.
+// Retried counts an attempt after the first, by its reason.
 func (m meter) Retried(reason string) {
 	m.metrics.Counter(hingemetrics.Retries, reason).Inc()
 }
 
-// openGauges shows what is read when /metrics is asked for.
-func (s *Server) openGauges() {
+// registerGauges registers the gauges, which are evaluated at each request of /metrics.
+func (s *Server) registerGauges() {
 	for _, g := range []struct {
 		definition hingemetrics.Definition
 		read       func() int64
@@ -119,11 +119,11 @@
 		},
 		{
 			definition: hingemetrics.CancelsPending,
-			read:       s.holds.pending,
+			read:       s.collector.pendingCancels,
 		},
 		{
 			definition: hingemetrics.SlotsHeld,
-			read:       s.slots.holding,
+			read:       s.slots.heldCount,
 		},
 		{
 			definition: hingemetrics.Revision,
@@ -150,7 +150,7 @@
 				if s.configuration.Load() == nil {
 					return 0
 				}
-				return int64(len(s.listed(s.servers.Load().Servers)))
+				return int64(len(s.listedServers(s.servers.Load().Servers)))
 			},
 		},
 		{
--- a/internal/serve/hingeserver/once_test.go
+++ b/internal/serve/hingeserver/once_test.go
@@ -16,7 +16,7 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// newServices is a fleet with a replica of the plain service in each zone.
+// newServices starts a fleet with a replica of the plain service in each zone.
 func newServices(t *testing.T) *fleet {
 	f := newFleet(t)
 	for n, zone := range f.inventory.Zones {
@@ -28,11 +28,11 @@
 		})
 	}
 	f.configure()
-	f.awaitGranting(f.order...)
+	f.awaitUsableServers(f.order...)
 	return f
 }
 
-// runs counts the runs of a key over all replicas.
+// runs counts how often the calls with a key have run on all replicas.
 func (f *fleet) runs(key string) int {
 	n := 0
 	for _, s := range f.standins {
@@ -41,9 +41,8 @@
 	return n
 }
 
-// A haulier's answer is lost on its way, or its call reaches a replica that
-// dies, and it asks again through the balancer, which chooses another host in
-// another zone, many times and at once. The lot must not ship twice.
+// Guards against a second run when callers resend a call with the same key to all hosts,
+// concurrently and after failures of replicas.
 func TestAKeyRunsAtMostOnceOverResendsToAllHosts(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
@@ -67,8 +66,8 @@
 	}
 }
 
-// A caller loses its answer and asks again at another host: it gets the answer
-// of the run that there was, word for word.
+// Guards against a second run, or a different answer, when a caller resends a call with the
+// same key to another host.
 func TestAResendGetsTheFirstAnswer(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
@@ -83,13 +82,13 @@
 	}
 	other := f.call(f.order[1], http.MethodGet, "/viviers/lots/18", "k")
 	if other.status != http.StatusUnprocessableEntity || other.verdict != "notRun" {
-		t.Errorf("the same key for another lot: %+v", other)
+		t.Errorf("the same key for another path: %+v", other)
 	}
 }
 
-// The host that has sent a call is killed before its answer came. The haulier
-// asks again elsewhere. Nobody can tell whether the reply went out, so it must
-// not go out again, and the haulier must be told so.
+// A host is killed while its call is running, and the caller resends the call to another
+// host. Guards against a second run: the outcome of the first is unknown, and the caller
+// must be told so.
 func TestAKilledHostsCallIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
@@ -109,13 +108,13 @@
 	})
 	f.kill(f.order[1])
 	<-lost
-	f.await("the key to be told uncertain", 10*time.Second, func() error {
+	f.await("the key to be reported as uncertain", 10*time.Second, func() error {
 		got := f.call(f.order[4], http.MethodGet, "/viviers/lots/17", "k")
 		if got.status != http.StatusConflict || got.verdict != "mayHaveRun" {
 			return fmt.Errorf("%+v", got)
 		}
 		if !strings.Contains(got.body, "1009") {
-			return fmt.Errorf("still in progress: %s", got.body)
+			return fmt.Errorf("not reported as uncertain yet: %s", got.body)
 		}
 		return nil
 	})
@@ -124,9 +123,8 @@
 	}
 }
 
-// A zone is cut off. What it can prove it serves: keys that it issued itself.
-// All other keys it refuses at once, as not run, with when to come back; it must
-// not guess, since the caller may have been served in another zone just before.
+// A zone that is cut off serves only calls with keys that it issued itself. Guards against
+// running a call with another key, which may already have run in another zone.
 func TestACutOffZoneServesItsOwnKeysAndRefusesOthers(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
@@ -150,8 +148,8 @@
 	if free.status != http.StatusServiceUnavailable || free.verdict != "notRun" || free.retry == "" {
 		t.Errorf("a free key: %+v", free)
 	}
-	if took := time.Since(began); took > time.Second {
-		t.Errorf("the refusal took %v", took)
+	if elapsed := time.Since(began); elapsed > time.Second {
+		t.Errorf("the refusal took %v", elapsed)
 	}
 	elsewhere := f.call(f.order[0], http.MethodGet, "/viviers/lots/17", issued.Key)
 	if elsewhere.status != http.StatusServiceUnavailable || elsewhere.verdict != "notRun" {
@@ -159,11 +157,11 @@
 	}
 	plain := f.call(quiberon, http.MethodPut, "/viviers/tanks/3", "")
 	if plain.status != http.StatusOK {
-		t.Errorf("a call that may be repeated: %+v", plain)
+		t.Errorf("a call without a key: %+v", plain)
 	}
 
 	f.cutZone("quiberon", false)
-	f.await("the cut to heal", 10*time.Second, func() error {
+	f.await("the zone to serve all keys again", 10*time.Second, func() error {
 		if got := f.call(quiberon, http.MethodGet, "/viviers/lots/17", "free"); got.status != http.StatusOK {
 			return fmt.Errorf("%+v", got)
 		}
@@ -174,9 +172,9 @@
 	}
 }
 
-// A zone's keeper loses its disk, and with it what it knew of the keys it
-// issued. A resend with such a key must not run again.
-func TestAKeepersLostDiskMakesItsKeysUncertain(t *testing.T) {
+// Guards against a second run of a call whose key was issued by a host that has lost its
+// disk.
+func TestKeyOwnerThatLostItsDiskMakesItsKeysUncertain(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
 	cancale := f.order[0]
@@ -193,7 +191,7 @@
 	f.kill(cancale)
 	f.loseDisk(cancale)
 	f.start(cancale)
-	f.await("the keeper to answer again", 10*time.Second, func() error {
+	f.await("the key owner to respond again", 10*time.Second, func() error {
 		got := f.call(f.order[1], http.MethodGet, "/viviers/lots/17", issued.Key)
 		if got.status != http.StatusConflict || got.verdict != "mayHaveRun" {
 			return fmt.Errorf("%+v", got)
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -19,20 +19,21 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// operatorsSide answers the operators' commands from the shared parts.
-type operatorsSide struct {
+// operatorAPI implements the interfaces of hingeadmin for this host.
+type operatorAPI struct {
 	server *Server
 }
 
 var (
-	_ hingeadmin.Configuration = operatorsSide{}
-	_ hingeadmin.StatusReader  = operatorsSide{}
-	_ hingeadmin.Drainer       = operatorsSide{}
-	_ hingeadmin.VoterChanger  = operatorsSide{}
+	_ hingeadmin.Configuration = operatorAPI{}
+	_ hingeadmin.StatusReader  = operatorAPI{}
+	_ hingeadmin.Drainer       = operatorAPI{}
+	_ hingeadmin.VoterChanger  = operatorAPI{}
 )
 
-// Propose asks the configuration log for a change.
-func (o operatorsSide) Propose(
+// Propose proposes a change to the configuration log. The error is a ConflictError if
+// another change was accepted first.
+func (o operatorAPI) Propose(
 	ctx context.Context, c hingeadmin.Change, now time.Time,
 ) (hingeadmin.Accepted, error) {
 	change := hingeconfig.Change{
@@ -56,10 +57,10 @@
 	if err != nil {
 		return hingeadmin.Accepted{}, err
 	}
-	return o.accepted(c, answer, now)
+	return o.acceptedChange(c, answer, now)
 }
 
-func (o operatorsSide) accepted(
+func (o operatorAPI) acceptedChange(
 	c hingeadmin.Change, a hingeconfig.Answer, now time.Time,
 ) (hingeadmin.Accepted, error) {
 	if err := a.Err(); err != nil {
@@ -94,9 +95,10 @@
 	return out
 }
 
-// At gives the items at a revision, or at the one in force here for zero. A
-// revision that only facts came after has the items of today.
-func (o operatorsSide) At(r hingeids.Revision) (hingeadmin.Snapshot, error) {
+// At returns the configuration items at a revision, or at the one in force for zero. Of
+// older revisions it knows only those after which nothing but facts changed: their items are
+// those of today.
+func (o operatorAPI) At(r hingeids.Revision) (hingeadmin.Snapshot, error) {
 	view := o.server.shared.spread.Applied().Load().View
 	if r == 0 {
 		r = view.Revision
@@ -119,20 +121,19 @@
 	}, nil
 }
 
-// methodHistory asks a disk host for the accepted changes that it keeps.
+// methodHistory requests the accepted changes that a host with a disk keeps.
 const methodHistory hingelink.Method = "operators.history"
 
-// historyLimit bounds the asking of one disk host.
-const historyLimit = time.Second
+// historyTimeout is the timeout of the request to one host.
+const historyTimeout = time.Second
 
-// History gives the accepted changes that are kept, newest first. A host without
-// a disk has none itself and asks those that have one; it gives none if it
-// reaches none of them.
-func (o operatorsSide) History() []hingeadmin.Accepted {
+// History returns the accepted changes that are kept, newest first. A host without a disk
+// requests them from the hosts that have one, and returns nil if none responds.
+func (o operatorAPI) History() []hingeadmin.Accepted {
 	if o.server.settings.DataFolder != "" {
 		return o.ownHistory()
 	}
-	for _, host := range votersFrom(o.server.settings) {
+	for _, host := range votersNearestFirst(o.server.settings) {
 		if list, err := o.historyOf(host); err == nil {
 			return list
 		}
@@ -140,8 +141,8 @@
 	return nil
 }
 
-func (o operatorsSide) historyOf(host hingeids.HostID) ([]hingeadmin.Accepted, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), historyLimit)
+func (o operatorAPI) historyOf(host hingeids.HostID) ([]hingeadmin.Accepted, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), historyTimeout)
 	defer cancel()
 	raw, err := o.server.shared.link.Call(ctx, host, methodHistory, nil)
 	if err != nil {
@@ -149,14 +150,14 @@
 	}
 	var out []hingeadmin.Accepted
 	err = json.Unmarshal(raw, &out)
-	return out, eris.Wrapf(err, "history of %s", host)
+	return out, eris.Wrapf(err, "decode the change history of host %s", host)
 }
 
-func (o operatorsSide) serveHistory(context.Context, hingeids.HostID, []byte) ([]byte, error) {
+func (o operatorAPI) serveHistory(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 	return json.Marshal(o.ownHistory())
 }
 
-func (o operatorsSide) ownHistory() []hingeadmin.Accepted {
+func (o operatorAPI) ownHistory() []hingeadmin.Accepted {
 	view := o.server.shared.machine.Views().Load()
 	var out []hingeadmin.Accepted
 	for _, h := range slices.Backward(view.History) {
@@ -186,25 +187,25 @@
 	return out
 }
 
-// Drain refuses new requests, and lets those in progress end.
-func (o operatorsSide) Drain(time.Time) int {
+// Drain refuses new requests and returns the number of those in progress, which continue.
+func (o operatorAPI) Drain(time.Time) int {
 	o.server.Drain()
 	return int(o.server.callers.Active())
 }
 
-// votes tells whether this host counts towards the quorums of both groups.
-func (s *Server) votes() bool {
+// isVoter reports whether this host counts towards the quorums of both groups.
+func (s *Server) isVoter() bool {
 	for _, group := range []*hingegroup.Group{s.shared.config, s.shared.ledgerGroup} {
-		standing := group.Standing()
-		if s.settings.DataFolder == "" || !standing.Members.HasVoter(standing.Self) {
+		state := group.Standing()
+		if s.settings.DataFolder == "" || !state.Members.HasVoter(state.Self) {
 			return false
 		}
 	}
 	return true
 }
 
-// ChangeVoters lets a host into both groups, or takes it out of them.
-func (o operatorsSide) ChangeVoters(ctx context.Context, v hingeadmin.Voters) error {
+// ChangeVoters adds a host to the voters of both groups, or removes it from them.
+func (o operatorAPI) ChangeVoters(ctx context.Context, v hingeadmin.Voters) error {
 	for _, group := range []*hingegroup.Group{o.server.shared.config, o.server.shared.ledgerGroup} {
 		var err error
 		if v.Admit != "" {
@@ -219,28 +220,28 @@
 	return nil
 }
 
-// Status tells what this host knows.
-func (o operatorsSide) Status(now time.Time) hingeadmin.Status {
+// Status returns the state of the cluster as this host knows it.
+func (o operatorAPI) Status(now time.Time) hingeadmin.Status {
 	s := o.server
 	applied := s.shared.spread.Applied().Load()
 	ready, reason := s.ready(now)
 	return hingeadmin.Status{
 		Host:        s.settings.Host,
 		Zone:        s.settings.Zone,
-		Incarnation: s.life.Incarnation,
+		Incarnation: s.instance.Incarnation,
 		Ready:       ready,
 		Reason:      reason,
 		Draining:    s.callers.Draining(),
 		InProgress:  int(s.callers.Active()),
 		Leader:      s.shared.config.Leader(),
-		Voting:      s.votes(),
+		Voting:      s.isVoter(),
 		Committed:   applied.View.Revision,
 		Hosts:       o.hosts(),
 		Servers:     o.servers(now),
 	}
 }
 
-func (o operatorsSide) servers(now time.Time) []hingeadmin.ServerStatus {
+func (o operatorAPI) servers(now time.Time) []hingeadmin.ServerStatus {
 	s := o.server
 	configuration := s.configuration.Load()
 	var out []hingeadmin.ServerStatus
@@ -253,7 +254,7 @@
 			Service:  server.Service,
 			Running:  server.Load.Running,
 			Slots:    server.Slots,
-			Listed:   configuration != nil && configuration.owned[server.Server],
+			Listed:   configuration != nil && configuration.listed[server.Server],
 			Leaving:  server.Leaving,
 			Granting: s.slots.canGrant(now, server),
 		})
@@ -261,25 +262,25 @@
 	return out
 }
 
-// lagsLimit bounds the asking of the disk hosts for who applies what: a status
-// has to come from a zone that is cut off too.
-const lagsLimit = 500 * time.Millisecond
+// lagsTimeout limits the requests to the hosts with a disk, so that a zone that is cut off
+// still returns a status.
+const lagsTimeout = 500 * time.Millisecond
 
-// hosts tells how each entry host looks from here. What another host applies
-// is known where it follows.
-func (o operatorsSide) hosts() []hingeadmin.HostStatus {
+// hosts returns the state of each entry host as this host sees it. Only the host that
+// another one follows knows which revision that one has applied.
+func (o operatorAPI) hosts() []hingeadmin.HostStatus {
 	s := o.server
-	seen := s.shared.members.Hosts().Load()
+	members := s.shared.members.Hosts().Load()
 	newest := s.shared.spread.Applied().Load().View.Revision
 	lags := make(map[hingeids.HostID]hingespread.Lag)
-	ctx, cancel := context.WithTimeout(context.Background(), lagsLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), lagsTimeout)
 	defer cancel()
 	for _, l := range s.shared.spread.Lag(ctx) {
 		lags[l.Host] = l
 	}
 	var out []hingeadmin.HostStatus
 	for _, p := range s.settings.Peers {
-		host, _ := seen.Find(p.Host)
+		host, _ := members.Find(p.Host)
 		status := hingeadmin.HostStatus{
 			Host:        p.Host,
 			Zone:        p.Zone,
--- a/internal/serve/hingeserver/orders.go
+++ b/internal/serve/hingeserver/orders.go
@@ -13,14 +13,14 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// orders has engines become what the inventory says. Every entry host plans;
-// only the one that leads the configuration log issues.
+// orders makes engines match the inventory. Every entry host computes the orders; only the
+// leader of the configuration log issues them.
 type orders struct {
 	server  *Server
 	client  *hingeengine.Client
 	driver  *hingeorders.Orders
 	engines []hingeorders.Engine
-	// configuration is what the driver was told of.
+	// configuration is the one that was last passed to the driver.
 	configuration *Configuration
 }
 
@@ -29,9 +29,9 @@
 	_ hingeorders.Issuer  = (*orders)(nil)
 )
 
-// orderTime bounds an order: an engine answers at once and loads afterwards. It
-// has to be well under the leader's lease, or no order could ever be sent.
-const orderTime = 150 * time.Millisecond
+// orderTimeout is the timeout of an order: an engine responds before it starts loading. The
+// timeout has to be well below the leader's lease, or no order could be sent.
+const orderTimeout = 150 * time.Millisecond
 
 func newOrders(s *Server) *orders {
 	o := &orders{
@@ -40,7 +40,7 @@
 	}
 	o.driver = hingeorders.New(hingeorders.Config{
 		Settings: hingeorders.Settings{
-			OrderTime: orderTime,
+			OrderTime: orderTimeout,
 		},
 		Engines: o,
 		Lease:   o,
@@ -49,13 +49,14 @@
 	return o
 }
 
-// Holder gives the leader's term and the end of its lease.
+// Holder returns the leader's fencing number and the end of its lease. ok is false if this
+// host doesn't lead.
 func (o *orders) Holder(now time.Time) (fence hingeids.Fence, until time.Time, ok bool) {
 	fence, ok = o.server.shared.config.Leading(now)
 	return fence, o.server.shared.config.Standing().LeadsUntil, ok
 }
 
-// State asks an engine what it is.
+// State requests the current state of an engine.
 func (o *orders) State(ctx context.Context, id hingeids.ServerID) (hingeorders.Actual, error) {
 	t, err := o.server.target(id)
 	if err != nil {
@@ -72,7 +73,8 @@
 	}, err
 }
 
-// Send gives an engine an order.
+// Send sends an order to an engine. The errors are hingeorders.ErrStaleFence,
+// hingeorders.ErrRefused or those of the connection.
 func (o *orders) Send(
 	ctx context.Context, id hingeids.ServerID, fence hingeids.Fence, order hingeorders.Order,
 ) error {
@@ -101,9 +103,9 @@
 	}
 }
 
-// feed tells what the inventory wants and which engines are there. It runs in
-// the control loop.
-func (o *orders) feed() {
+// update passes the desired states and the announced engines to the driver. The control loop
+// calls it.
+func (o *orders) update() {
 	configuration := o.server.configuration.Load()
 	if configuration == nil {
 		return
@@ -111,10 +113,10 @@
 	if configuration != o.configuration {
 		o.configuration = configuration
 		o.driver.SetStoreRate(configuration.Inventory.WeightStore)
-		o.driver.SetWants(wantsOf(configuration))
+		o.driver.SetWants(desiredStates(configuration))
 	}
 	var engines []hingeorders.Engine
-	for _, x := range o.server.listed(o.server.servers.Load().Servers) {
+	for _, x := range o.server.listedServers(o.server.servers.Load().Servers) {
 		if x.Kind != hingeannounce.Service {
 			engines = append(engines, hingeorders.Engine{
 				ID:          x.Server,
@@ -129,14 +131,14 @@
 	}
 }
 
-// wantsOf are the engines that the inventory orders to be something.
-func wantsOf(c *Configuration) []hingeorders.Want {
+// desiredStates returns the desired state of each engine for which the inventory sets one.
+func desiredStates(c *Configuration) []hingeorders.Want {
 	var out []hingeorders.Want
 	for _, s := range c.Inventory.Servers {
 		if s.Version == "" && s.Role == "" && len(s.Adapters) == 0 {
 			continue
 		}
-		want := hingeorders.Want{
+		desired := hingeorders.Want{
 			Engine:     s.Name,
 			Version:    s.Version,
 			Adapters:   s.Adapters,
@@ -144,9 +146,9 @@
 			ModelBytes: c.models[s.Model].WeightBytes,
 		}
 		if s.Version != "" {
-			want.Model = s.Model
+			desired.Model = s.Model
 		}
-		out = append(out, want)
+		out = append(out, desired)
 	}
 	return out
 }
--- a/internal/serve/hingeserver/orders_test.go
+++ b/internal/serve/hingeserver/orders_test.go
@@ -12,7 +12,7 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// roleChange makes a change that has an engine take a role.
+// roleChange returns a change of an engine's role and model version.
 func (f *fleet) roleChange(expected hingeids.Revision, engine hingeids.ServerID, role string) hingeadmin.Change {
 	f.changes++
 	inventory := f.inventory
@@ -34,16 +34,16 @@
 	}
 }
 
-// Operators have an engine change its role and its model's version, again and
-// again, while the host that issues the orders is killed and frozen. An order of
-// the old issuer that took effect late would leave the engine as nobody wants it.
-func TestOrdersThroughChangesOfTheIssuer(t *testing.T) {
+// Operators change an engine's role several times while the host that issues the orders is
+// frozen and killed. Guards against a delayed order of an earlier issuer that takes effect
+// after newer ones.
+func TestOrdersAcrossIssuerChanges(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 2*time.Millisecond)
 	engine := hingeids.ServerID("redacteur-3")
 	standin := f.standins[engine]
 	at := f.order[1]
-	wanted := func(role string) {
+	awaitRole := func(role string) {
 		t.Helper()
 		f.await("the engine to be "+role, 15*time.Second, func() error {
 			status, err := f.status(at)
@@ -60,7 +60,7 @@
 	}
 	change := func(role string) {
 		t.Helper()
-		f.await("the change", 10*time.Second, func() error {
+		f.await("the change of the role to be accepted", 10*time.Second, func() error {
 			status, err := f.status(at)
 			if err != nil {
 				return err
@@ -73,22 +73,22 @@
 		})
 	}
 	change(string(hingeannounce.Both))
-	wanted(string(hingeannounce.Both))
+	awaitRole(string(hingeannounce.Both))
 
 	leader := f.leader(at)
 	f.signal(leader, 19)
 	change(string(hingeannounce.Prefill))
-	wanted(string(hingeannounce.Prefill))
+	awaitRole(string(hingeannounce.Prefill))
 	f.signal(leader, 18)
 	change(string(hingeannounce.Decode))
-	wanted(string(hingeannounce.Decode))
+	awaitRole(string(hingeannounce.Decode))
 
 	f.kill(f.leader(at))
 	change(string(hingeannounce.Both))
-	wanted(string(hingeannounce.Both))
+	awaitRole(string(hingeannounce.Both))
 	time.Sleep(2 * time.Second)
-	wanted(string(hingeannounce.Both))
+	awaitRole(string(hingeannounce.Both))
 	if c := standin.Counts(); c.OldOrders > 0 || c.Orders == 0 {
-		t.Errorf("%d orders, of which %d were of an issuer that had been replaced", c.Orders, c.OldOrders)
+		t.Errorf("the engine received %d orders, %d of them from a replaced issuer", c.Orders, c.OldOrders)
 	}
 }
--- a/internal/serve/hingeserver/pipelining_test.go
+++ b/internal/serve/hingeserver/pipelining_test.go
@@ -12,10 +12,10 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// A caller sends its next requests on a connection while the first still streams.
-// The watch for a caller that leaves reads into them; none of their bytes may be
-// lost or taken for the caller's end, and the answers come whole and in order.
-func TestRequestsSentAheadAreAnsweredInOrder(t *testing.T) {
+// A caller sends further requests on a connection while the first response is streaming.
+// Guards against the disconnect detection losing bytes of these requests or taking them for
+// a disconnect.
+func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	s := newScript(t)
 	for _, engine := range []string{"p prefill", "d decode gap=2ms"} {
 		if err := s.engine(strings.Fields(engine)); err != nil {
@@ -46,11 +46,11 @@
 			send(1)
 			send(2)
 		}
-		r := &reading{
+		r := &callerRequest{
 			started: make(chan struct{}),
 		}
 		r.readStream(resp.Body)
-		if want := hingestandin.Answer(fmt.Sprintf("p%d", n), 30); r.text != want || !r.whole {
+		if want := hingestandin.Answer(fmt.Sprintf("p%d", n), 30); r.text != want || !r.complete {
 			t.Errorf("answer %d: got %q (%v), want %q", n, r.text, r.err, want)
 		}
 		_, _ = io.Copy(io.Discard, resp.Body)
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -19,80 +19,86 @@
 )
 
 const (
-	// methodPoison tells other hosts of ends, whole answers and requests that are refused; methodPoisons asks for all that are refused.
-	methodPoison  hingelink.Method = "poison.tell"
-	methodPoisons hingelink.Method = "poison.ask"
-	// poisonGather is how long facts are gathered into one message: a server that ends had dozens of requests.
-	poisonGather = 10 * time.Millisecond
-	// factsPerMessage keeps a message below the largest datagram: a fact takes some 100 bytes, a record 300.
-	factsPerMessage = 7
-	recordsPerTell  = 2
-	// askPause is the time between questions of a host that has just started, of which it asks mostAsked.
-	askPause  = 500 * time.Millisecond
-	mostAsked = 20
+	// methodPoisonReport sends crashes, completions and list records to other hosts;
+	// methodPoisonList requests a host's block list.
+	methodPoisonReport hingelink.Method = "poison.tell"
+	methodPoisonList   hingelink.Method = "poison.ask"
+	// poisonReportDelay is how long facts are collected for one message: a server that crashes
+	// had dozens of requests.
+	poisonReportDelay = 10 * time.Millisecond
+	// factsPerMessage and recordsPerMessage keep a message below the largest datagram: a fact
+	// takes some 100 bytes, a record 300.
+	factsPerMessage   = 7
+	recordsPerMessage = 2
+	// listQueryInterval is the time between a starting host's queries for the block list,
+	// maxListQueries their number.
+	listQueryInterval = 500 * time.Millisecond
+	maxListQueries    = 20
 )
 
-// poisons knows the requests that end servers. Each host judges for itself; all tell each other what they see, so that they judge
-// alike. The list lives in memory: it is lost with the last host that has it.
-type poisons struct {
+// poisonDetector detects poison requests. Each host decides for itself; all hosts exchange
+// their observations, so that their decisions agree. The block list is kept in memory only:
+// it is lost with the last host that has it. It is safe for concurrent use.
+type poisonDetector struct {
 	link     hingelink.Link
 	peers    []hingeids.HostID
 	recorder *hingeevents.Recorder
-	// servers counts the servers of a model or a service; gone reports whether a life of one was about to end.
-	servers func(s hingeids.Service) int
-	gone    func(id hingeids.ServerID) bool
-	dirty   chan struct{}
-	done    chan struct{}
+	// countServers counts the servers of a model or a service. isRemoved reports whether a
+	// server is no longer announced, so that the end of its process is no crash.
+	countServers func(s hingeids.Service) int
+	isRemoved    func(id hingeids.ServerID) bool
+	dirty        chan struct{}
+	done         chan struct{}
 
-	mu   sync.Mutex
-	book *hingepoison.Book
-	list *hingepoison.List
-	news poisonNews
+	mu        sync.Mutex
+	detector  *hingepoison.Book
+	blockList *hingepoison.List
+	report    poisonReport
 }
 
-// poisonNews is what one host tells others.
-type poisonNews struct {
-	Ends    []hingepoison.End    `cbor:"1,keyasint,omitempty"`
-	Passes  []hingepoison.Pass   `cbor:"2,keyasint,omitempty"`
-	Records []hingepoison.Record `cbor:"3,keyasint,omitempty"`
+// poisonReport is what one host sends to others.
+type poisonReport struct {
+	Crashes     []hingepoison.End    `cbor:"1,keyasint,omitempty"`
+	Completions []hingepoison.Pass   `cbor:"2,keyasint,omitempty"`
+	Records     []hingepoison.Record `cbor:"3,keyasint,omitempty"`
 }
 
-func newPoisons(
+func newPoisonDetector(
 	link hingelink.Link, peers []hingeids.HostID, r *hingeevents.Recorder,
-	servers func(s hingeids.Service) int, gone func(id hingeids.ServerID) bool,
-) *poisons {
-	p := &poisons{
-		link:     link,
-		peers:    peers,
-		recorder: r,
-		servers:  servers,
-		gone:     gone,
-		dirty:    make(chan struct{}, 1),
-		done:     make(chan struct{}),
-		book:     hingepoison.NewBook(),
-		list:     &hingepoison.List{},
+	countServers func(s hingeids.Service) int, isRemoved func(id hingeids.ServerID) bool,
+) *poisonDetector {
+	d := &poisonDetector{
+		link:         link,
+		peers:        peers,
+		recorder:     r,
+		countServers: countServers,
+		isRemoved:    isRemoved,
+		dirty:        make(chan struct{}, 1),
+		done:         make(chan struct{}),
+		detector:     hingepoison.NewBook(),
+		blockList:    &hingepoison.List{},
 	}
-	link.HandleDatagram(methodPoison, p.heard)
-	link.HandleCall(methodPoisons, func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		b, err := cbor.Marshal(poisonNews{
-			Records: p.list.Records,
+	link.HandleDatagram(methodPoisonReport, d.receive)
+	link.HandleCall(methodPoisonList, func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
+		d.mu.Lock()
+		defer d.mu.Unlock()
+		b, err := cbor.Marshal(poisonReport{
+			Records: d.blockList.Records,
 		})
-		return b, eris.Wrap(err, "list of requests that end servers")
+		return b, eris.Wrap(err, "encode the block list of poison requests")
 	})
-	return p
+	return d
 }
 
-// newPoisons makes the host's part in finding requests that end servers.
-func (s *Server) newPoisons() *poisons {
+// newPoisonDetector creates the detector with this host's peers and view of the servers.
+func (s *Server) newPoisonDetector() *poisonDetector {
 	var peers []hingeids.HostID
 	for _, p := range s.settings.Peers {
 		if p.Host != s.settings.Host {
 			peers = append(peers, p.Host)
 		}
 	}
-	return newPoisons(s.shared.link, peers, s.recorder, func(service hingeids.Service) int {
+	return newPoisonDetector(s.shared.link, peers, s.recorder, func(service hingeids.Service) int {
 		n := 0
 		for _, x := range s.servers.Load().Servers {
 			if x.Service == service || x.Model == hingeids.Model(service) {
@@ -101,60 +107,63 @@
 		}
 		return n
 	}, func(id hingeids.ServerID) bool {
-		_, there := s.servers.Load().Find(id)
-		return !there
+		_, found := s.servers.Load().Find(id)
+		return !found
 	})
 }
 
-// Judge gives why a request mustn't run, nil if it may.
-func (p *poisons) Judge(
-	ctx context.Context, print hingeids.Print, s hingeids.Service,
+// Judge returns the reason why a request must not run, or nil if it may run. suspect tells
+// that Passed has to be called when it completes.
+func (d *poisonDetector) Judge(
+	ctx context.Context, fingerprint hingeids.Print, s hingeids.Service,
 ) (suspect bool, refused *hingeverdict.Error) {
-	j := p.judge(time.Now(), print, s)
-	if j.Settles {
+	decision := d.evaluate(time.Now(), fingerprint, s)
+	if decision.Settles {
 		hingeclock.Pause(ctx, hingepoison.SettleTime)
-		j = p.judge(time.Now(), print, s)
+		decision = d.evaluate(time.Now(), fingerprint, s)
 	}
-	if !j.Refused {
-		return j.Suspect, nil
+	if !decision.Refused {
+		return decision.Suspect, nil
 	}
-	return false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodePoison, j.RetryAfter,
-		eris.Errorf("print %v", print))
+	return false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodePoison, decision.RetryAfter,
+		eris.Errorf("poison request with fingerprint %v is blocked", fingerprint))
 }
 
-func (p *poisons) judge(now time.Time, print hingeids.Print, s hingeids.Service) hingepoison.Judgement {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	l := p.list.At(now, print)
-	j := p.book.Judge(now, print, l, func() int {
-		return p.servers(s)
+func (d *poisonDetector) evaluate(now time.Time, fingerprint hingeids.Print, s hingeids.Service) hingepoison.Judgement {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	listed := d.blockList.At(now, fingerprint)
+	decision := d.detector.Judge(now, fingerprint, listed, func() int {
+		return d.countServers(s)
 	})
-	if j.Tried {
-		p.record(hingeevents.PoisonTried, l.Record)
+	if decision.Tried {
+		d.recordEvent(hingeevents.PoisonTried, listed.Record)
 	}
-	if j.Found {
-		r := p.book.Found(now, now, print)
-		p.record(hingeevents.PoisonFound, r)
-		p.put(r)
+	if decision.Found {
+		r := d.detector.Found(now, now, fingerprint)
+		d.recordEvent(hingeevents.PoisonFound, r)
+		d.addRecord(r)
 	}
-	return j
+	return decision
 }
 
-// put puts a record on the list and tells the others. The caller holds the lock.
-func (p *poisons) put(r hingepoison.Record) {
-	p.list = p.list.With(r)
-	p.news.Records = append(p.news.Records, r)
-	p.changed()
+// addRecord adds a record to the block list and reports it to the other hosts. The caller
+// holds the lock.
+func (d *poisonDetector) addRecord(r hingepoison.Record) {
+	d.blockList = d.blockList.With(r)
+	d.report.Records = append(d.report.Records, r)
+	d.notify()
 }
 
-// Broke tells of a server that failed a request, after which it may have ended.
-func (p *poisons) Broke(ctx context.Context, b hingedispatch.Broken) {
-	verdict := verdictOf(b.Err)
-	if verdict != hingeverdict.CodeServerFailed && verdict != hingeverdict.CodeAnswerCut || p.gone(b.Target.Server) ||
+// Broke handles a server's failure to answer a request. It records a crash if the server
+// doesn't accept connections any more.
+func (d *poisonDetector) Broke(ctx context.Context, b hingedispatch.Broken) {
+	code := codeOf(b.Err)
+	if code != hingeverdict.CodeServerFailed && code != hingeverdict.CodeAnswerCut || d.isRemoved(b.Target.Server) ||
 		!hingewire.Ended(ctx, b.Target.Address) {
 		return
 	}
-	e := hingepoison.End{
+	crash := hingepoison.End{
 		Print:   b.Print,
 		Server:  b.Target.Server.InLife(b.Target.Incarnation),
 		Service: b.Service,
@@ -162,21 +171,21 @@
 		Had:     b.Had,
 	}
 	now := time.Now()
-	p.recorder.Record(now, hingeevents.ServerEnded, hingeevents.Fields{
+	d.recorder.Record(now, hingeevents.ServerEnded, hingeevents.Fields{
 		Request: b.Request,
 		Print:   b.Print,
 		Caller:  b.Caller,
 		Server:  b.Target.Server,
 		Took:    b.Had,
 	})
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.tell(now, e)
-	p.news.Ends = append(p.news.Ends, e)
-	p.changed()
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.addCrash(now, crash)
+	d.report.Crashes = append(d.report.Crashes, crash)
+	d.notify()
 }
 
-func verdictOf(err error) hingeverdict.Code {
+func codeOf(err error) hingeverdict.Code {
 	var v *hingeverdict.Error
 	if eris.As(err, &v) {
 		return v.Code
@@ -184,42 +193,43 @@
 	return 0
 }
 
-// tell takes an end. One under a trial is another reason to refuse the request. The caller holds the lock.
-func (p *poisons) tell(now time.Time, e hingepoison.End) {
-	if !p.book.Tell(now, e) {
+// addCrash records a crash. A crash during a probe extends the block of the request. The
+// caller holds the lock.
+func (d *poisonDetector) addCrash(now time.Time, crash hingepoison.End) {
+	if !d.detector.Tell(now, crash) {
 		return
 	}
-	if r, inVain := p.book.InVain(now, now, e, p.list.At(now, e.Print)); inVain {
-		p.put(r)
+	if r, failed := d.detector.InVain(now, now, crash, d.blockList.At(now, crash.Print)); failed {
+		d.addRecord(r)
 	}
 }
 
-// Passed tells of a suspected request that was answered whole.
-func (p *poisons) Passed(print hingeids.Print) {
+// Passed handles the complete answer to a suspected request.
+func (d *poisonDetector) Passed(fingerprint hingeids.Print) {
 	now := time.Now()
-	x := hingepoison.Pass{
-		Print: print,
+	completion := hingepoison.Pass{
+		Print: fingerprint,
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.book.Pass(now, x)
-	p.news.Passes = append(p.news.Passes, x)
-	if l := p.list.At(now, print); l.There {
-		p.record(hingeevents.PoisonAcquitted, l.Record)
-		p.put(hingepoison.Lift(now, print))
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.detector.Pass(now, completion)
+	d.report.Completions = append(d.report.Completions, completion)
+	if listed := d.blockList.At(now, fingerprint); listed.There {
+		d.recordEvent(hingeevents.PoisonAcquitted, listed.Record)
+		d.addRecord(hingepoison.Lift(now, fingerprint))
 	}
-	p.changed()
+	d.notify()
 }
 
-func (p *poisons) changed() {
+func (d *poisonDetector) notify() {
 	select {
-	case p.dirty <- struct{}{}:
+	case d.dirty <- struct{}{}:
 	default:
 	}
 }
 
-func (p *poisons) record(n hingeevents.Number, r hingepoison.Record) {
-	p.recorder.Record(time.Now(), n, hingeevents.Fields{
+func (d *poisonDetector) recordEvent(n hingeevents.Number, r hingepoison.Record) {
+	d.recorder.Record(time.Now(), n, hingeevents.Fields{
 		Print:  r.Print,
 		Caller: r.Caller,
 		Count:  int64(r.Ended),
@@ -227,102 +237,105 @@
 	})
 }
 
-// heard takes what another host tells.
-func (p *poisons) heard(from hingeids.HostID, body []byte) {
-	var news poisonNews
-	if err := cbor.Unmarshal(body, &news); err != nil {
-		p.recorder.Record(time.Now(), hingeevents.MessageUnread, hingeevents.Fields{
+// receive handles a report of another host.
+func (d *poisonDetector) receive(from hingeids.HostID, body []byte) {
+	var report poisonReport
+	if err := cbor.Unmarshal(body, &report); err != nil {
+		d.recorder.Record(time.Now(), hingeevents.MessageUnread, hingeevents.Fields{
 			Host:   from,
 			Detail: err.Error(),
 		})
 		return
 	}
-	p.take(time.Now(), news)
+	d.merge(time.Now(), report)
 }
 
-func (p *poisons) take(now time.Time, news poisonNews) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	for _, e := range news.Ends {
-		p.tell(now, e)
+func (d *poisonDetector) merge(now time.Time, report poisonReport) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for _, crash := range report.Crashes {
+		d.addCrash(now, crash)
 	}
-	for _, x := range news.Passes {
-		p.book.Pass(now, x)
+	for _, completion := range report.Completions {
+		d.detector.Pass(now, completion)
 	}
-	for _, r := range news.Records {
-		if held, listed := p.list.Find(r.Print); !listed || held.Since < r.Since {
-			p.list = p.list.With(r)
+	for _, r := range report.Records {
+		if known, listed := d.blockList.Find(r.Print); !listed || known.Since < r.Since {
+			d.blockList = d.blockList.With(r)
 		}
 	}
 }
 
-// run tells the others what this host sees, and asks them at first what they refuse.
-func (p *poisons) run(ctx context.Context) error {
-	defer close(p.done)
-	asked := make(chan struct{})
+// run sends this host's observations to the other hosts. At first it fetches their block
+// list.
+func (d *poisonDetector) run(ctx context.Context) error {
+	defer close(d.done)
+	fetched := make(chan struct{})
 	go func() {
-		defer close(asked)
-		p.ask(ctx)
+		defer close(fetched)
+		d.fetchBlockList(ctx)
 	}()
 	defer func() {
-		<-asked
+		<-fetched
 	}()
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case <-p.dirty:
+		case <-d.dirty:
 		}
-		hingeclock.Pause(ctx, poisonGather)
-		p.mu.Lock()
-		news := p.news
-		p.news = poisonNews{}
-		p.book.Step(time.Now())
-		p.mu.Unlock()
-		for _, b := range news.messages() {
-			for _, h := range p.peers {
-				// A message that is lost leaves a host with one fact less. It judges later, and hears of what others found.
-				p.link.Send(h, methodPoison, b)
+		hingeclock.Pause(ctx, poisonReportDelay)
+		d.mu.Lock()
+		report := d.report
+		d.report = poisonReport{}
+		d.detector.Step(time.Now())
+		d.mu.Unlock()
+		for _, b := range report.messages() {
+			for _, h := range d.peers {
+				// A host that misses a message detects the request later, or receives the record of a host
+				// that detected it.
+				d.link.Send(h, methodPoisonReport, b)
 			}
 		}
 	}
 }
 
-// ask asks the other hosts what they refuse, until one answers.
-func (p *poisons) ask(ctx context.Context) {
-	if len(p.peers) == 0 {
+// fetchBlockList queries the other hosts one after the other for their block list, until one
+// responds.
+func (d *poisonDetector) fetchBlockList(ctx context.Context) {
+	if len(d.peers) == 0 {
 		return
 	}
-	for i := range mostAsked {
-		one, stop := context.WithTimeout(ctx, askPause)
-		b, err := p.link.Call(one, p.peers[i%len(p.peers)], methodPoisons, nil)
-		stop()
-		var news poisonNews
-		if err == nil && cbor.Unmarshal(b, &news) == nil {
-			p.take(time.Now(), news)
+	for i := range maxListQueries {
+		callCtx, cancel := context.WithTimeout(ctx, listQueryInterval)
+		b, err := d.link.Call(callCtx, d.peers[i%len(d.peers)], methodPoisonList, nil)
+		cancel()
+		var report poisonReport
+		if err == nil && cbor.Unmarshal(b, &report) == nil {
+			d.merge(time.Now(), report)
 			return
 		}
-		hingeclock.Pause(ctx, askPause)
+		hingeclock.Pause(ctx, listQueryInterval)
 	}
 }
 
-// messages gives the news in parts that fit a datagram.
-func (n poisonNews) messages() [][]byte {
+// messages splits the report into messages that fit into a datagram.
+func (r poisonReport) messages() [][]byte {
 	var out [][]byte
-	add := func(part poisonNews) {
+	add := func(part poisonReport) {
 		b, err := cbor.Marshal(part)
 		if err != nil {
-			// Only our own types stand in it, and all can be encoded.
+			// All types in a report can be encoded.
 			panic(err)
 		}
 		out = append(out, b)
 	}
-	for len(n.Ends)+len(n.Passes)+len(n.Records) > 0 {
-		var part poisonNews
-		part.Ends, n.Ends = split(n.Ends, factsPerMessage)
-		if len(part.Ends) == 0 {
-			part.Records, n.Records = split(n.Records, recordsPerTell)
-			part.Passes, n.Passes = split(n.Passes, factsPerMessage)
+	for len(r.Crashes)+len(r.Completions)+len(r.Records) > 0 {
+		var part poisonReport
+		part.Crashes, r.Crashes = split(r.Crashes, factsPerMessage)
+		if len(part.Crashes) == 0 {
+			part.Records, r.Records = split(r.Records, recordsPerMessage)
+			part.Completions, r.Completions = split(r.Completions, factsPerMessage)
 		}
 		add(part)
 	}
--- a/internal/serve/hingeserver/poisons_test.go
+++ b/internal/serve/hingeserver/poisons_test.go
@@ -13,8 +13,8 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingefake"
 )
 
-// endedEngines counts the stand-ins that a request has ended.
-func (s *script) endedEngines() int {
+// crashedEngines counts the stand-ins that a request has crashed.
+func (s *script) crashedEngines() int {
 	n := 0
 	for _, e := range s.engines {
 		select {
@@ -26,9 +26,10 @@
 	return n
 }
 
-// A prompt ends each engine that begins to answer it, and a call each replica. Their callers send them again and again, as new
-// requests; without a count over requests every engine and replica would end.
-func TestRequestThatEndsServersIsStopped(t *testing.T) {
+// Callers resend a prompt that crashes engines and a call that crashes replicas, as new
+// requests. Guards against the loss of all servers when crashes aren't counted over
+// requests.
+func TestPoisonRequestIsBlocked(t *testing.T) {
 	s := newScript(t)
 	for i := range 6 {
 		if err := s.engine([]string{fmt.Sprint("engine-", i), "both", "poison=poison"}); err != nil {
@@ -38,20 +39,20 @@
 			t.Fatal(err)
 		}
 	}
-	var last *reading
+	var last *callerRequest
 	for i := range 8 {
 		name := fmt.Sprint("poison-", i)
-		if err := s.ask([]string{name, "prompt=poison"}); err != nil {
+		if err := s.startRequest([]string{name, "prompt=poison"}); err != nil {
 			t.Fatal(err)
 		}
-		last = s.answers[name]
+		last = s.requests[name]
 		<-last.done
 	}
-	if n := s.endedEngines(); n != 3 {
-		t.Errorf("%d engines ended", n)
+	if n := s.crashedEngines(); n != 3 {
+		t.Errorf("%d engines crashed, want 3", n)
 	}
 	if last.status != 503 || last.verdict != "notRun" {
-		t.Errorf("its caller gets status %d, %s", last.status, last.verdict)
+		t.Errorf("the last caller got status %d and verdict %s, want 503 and notRun", last.status, last.verdict)
 	}
 	for i := range 8 {
 		want := "status=502"
@@ -62,15 +63,15 @@
 			t.Errorf("call %d: %v", i, err)
 		}
 	}
-	if n := s.endedEngines(); n != 6 {
-		t.Errorf("%d servers ended in all", n)
+	if n := s.crashedEngines(); n != 6 {
+		t.Errorf("%d servers crashed, want 6", n)
 	}
-	// Servers that ended are noticed by their silence.
+	// Crashed servers are removed when their heartbeats stop.
 	if err := eventually(func() error {
-		if err := s.ask([]string{"other"}); err != nil {
+		if err := s.startRequest([]string{"other"}); err != nil {
 			return err
 		}
-		if err := s.answered([]string{"other", "whole"}); err != nil {
+		if err := s.checkResponse([]string{"other", "whole"}); err != nil {
 			return err
 		}
 		return s.call([]string{"POST", "/app/other", "status=200"})
@@ -79,22 +80,22 @@
 	}
 }
 
-// hosts are the parts of some entry hosts that find requests that end servers.
-func hosts(t *testing.T, n int) []*poisons {
+// startPoisonDetectors starts the detectors of n entry hosts.
+func startPoisonDetectors(t *testing.T, n int) []*poisonDetector {
 	t.Helper()
 	network := hingefake.NewNetwork()
 	var names []hingeids.HostID
 	for i := range n {
 		names = append(names, hingeids.HostID("entry-"+strconv.Itoa(i)))
 	}
-	var out []*poisons
+	var out []*poisonDetector
 	for _, name := range names {
-		out = append(out, startPoisons(t, network, name, names))
+		out = append(out, startPoisonDetector(t, network, name, names))
 	}
 	return out
 }
 
-func startPoisons(t *testing.T, network *hingefake.Network, self hingeids.HostID, all []hingeids.HostID) *poisons {
+func startPoisonDetector(t *testing.T, network *hingefake.Network, self hingeids.HostID, all []hingeids.HostID) *poisonDetector {
 	t.Helper()
 	var peers []hingeids.HostID
 	for _, h := range all {
@@ -102,79 +103,82 @@
 			peers = append(peers, h)
 		}
 	}
-	p := newPoisons(network.Link(self), peers, nil, func(hingeids.Service) int {
+	d := newPoisonDetector(network.Link(self), peers, nil, func(hingeids.Service) int {
 		return 9
 	}, func(hingeids.ServerID) bool {
 		return false
 	})
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
-		_ = p.run(ctx)
+		_ = d.run(ctx)
 	}()
 	t.Cleanup(func() {
 		stop()
-		<-p.done
+		<-d.done
 	})
-	return p
+	return d
 }
 
-// Each attempt comes at another host. Every host sees one engine end, and none would know on its own.
-func TestHostsTellEachOtherOfServersThatEnded(t *testing.T) {
-	all := hosts(t, 4)
+// Each attempt of a poison request reaches another host, so that every host observes only
+// one crash. Guards against hosts that don't exchange their observations.
+func TestHostsExchangeCrashReports(t *testing.T) {
+	all := startPoisonDetectors(t, 4)
 	for i := range 3 {
 		now := time.Now()
 		all[i].mu.Lock()
-		e := hingepoison.End{
+		crash := hingepoison.End{
 			Print:   7,
 			Server:  hingeids.ServerID(fmt.Sprint("engine-", i)),
 			Service: "m",
 			Had:     100 * time.Millisecond,
 		}
-		all[i].tell(now, e)
-		all[i].news.Ends = append(all[i].news.Ends, e)
-		all[i].changed()
+		all[i].addCrash(now, crash)
+		all[i].report.Crashes = append(all[i].report.Crashes, crash)
+		all[i].notify()
 		all[i].mu.Unlock()
 	}
-	time.Sleep(5 * poisonGather)
-	for i, p := range all {
-		if _, refused := p.Judge(t.Context(), 7, "m"); refused == nil || refused.Code != hingeverdict.CodePoison || refused.RetryAfter <= 0 {
-			t.Errorf("host %d: %v", i, refused)
+	time.Sleep(5 * poisonReportDelay)
+	for i, d := range all {
+		if _, refused := d.Judge(t.Context(), 7, "m"); refused == nil || refused.Code != hingeverdict.CodePoison || refused.RetryAfter <= 0 {
+			t.Errorf("host %d does not block the request: %v", i, refused)
 		}
 	}
-	time.Sleep(5 * poisonGather)
+	time.Sleep(5 * poisonReportDelay)
 	all[3].Passed(7)
-	time.Sleep(5 * poisonGather)
-	for i, p := range all {
-		if _, refused := p.Judge(t.Context(), 7, "m"); refused != nil {
-			t.Errorf("host %d after a whole answer: %v", i, refused)
+	time.Sleep(5 * poisonReportDelay)
+	for i, d := range all {
+		if _, refused := d.Judge(t.Context(), 7, "m"); refused != nil {
+			t.Errorf("host %d blocks the request after a completion: %v", i, refused)
 		}
 	}
 }
 
-// A host starts again after a request was found. It asks what others refuse, or three more engines would end at its hands.
-func TestHostThatStartsAsksWhatOthersRefuse(t *testing.T) {
+// Guards against a host that restarts without the block list and lets a known poison request
+// crash more servers.
+func TestStartingHostFetchesBlockList(t *testing.T) {
 	network := hingefake.NewNetwork()
 	names := []hingeids.HostID{"entry-0", "entry-1"}
-	first := startPoisons(t, network, names[0], names)
+	first := startPoisonDetector(t, network, names[0], names)
 	first.mu.Lock()
-	first.put(hingepoison.Record{
+	first.addRecord(hingepoison.Record{
 		Print: 7,
 		Since: time.Now().UnixMilli(),
 	})
 	first.mu.Unlock()
-	second := startPoisons(t, network, names[1], names)
-	time.Sleep(5 * poisonGather)
+	second := startPoisonDetector(t, network, names[1], names)
+	time.Sleep(5 * poisonReportDelay)
 	if _, refused := second.Judge(t.Context(), 7, "m"); refused == nil {
-		t.Error("it lets the request through")
+		t.Error("the restarted host does not block the request")
 	}
 }
 
-// A rack ends with thousands of requests. What doesn't fit a datagram would be lost without a word.
-func TestNewsFitDatagrams(t *testing.T) {
-	var n poisonNews
+// Many servers with many requests crash at the same time. Guards against reports that don't
+// fit into a datagram and are lost.
+func TestPoisonReportsFitDatagrams(t *testing.T) {
+	var r poisonReport
 	for i := range 100 {
 		id := hingeids.ServerID(fmt.Sprintf("engine-with-a-long-name-of-a-zone-%d", i)).InLife(1_700_000_000_000_000_000)
-		n.Ends = append(n.Ends, hingepoison.End{
+		r.Crashes = append(r.Crashes, hingepoison.End{
 			Print:   hingeids.Print(1<<63 + uint64(i)),
 			Server:  id,
 			Service: "a-model-with-a-long-name",
@@ -182,7 +186,7 @@
 			Ago:     time.Hour,
 			Had:     time.Hour,
 		})
-		n.Records = append(n.Records, hingepoison.Record{
+		r.Records = append(r.Records, hingepoison.Record{
 			Print:   hingeids.Print(1<<63 + uint64(i)),
 			Service: "a-model-with-a-long-name",
 			Caller:  "a-customer-with-a-long-name",
@@ -192,9 +196,9 @@
 			Since:   time.Now().UnixMilli(),
 		})
 	}
-	for _, b := range n.messages() {
+	for _, b := range r.messages() {
 		if len(b) > 1100 {
-			t.Errorf("a message of %d bytes", len(b))
+			t.Errorf("a message has %d bytes, want at most 1100", len(b))
 		}
 	}
 }
--- a/internal/serve/hingeserver/proofs_test.go
+++ b/internal/serve/hingeserver/proofs_test.go
@@ -11,15 +11,14 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// An operator applies a change while the host that leads is killed. A change
-// that some hosts have in force and others not would have lots treated by
-// different rules at different quays.
+// A change is applied while the leader is killed. Guards against hosts that stay at
+// different revisions, and against a change that takes too long without the leader.
 func TestChangeIsInForceEverywhereThroughALeadersKill(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	revision := f.configure()
-	took := f.awaitChange(f.order[1], revision, 23*time.Hour)
-	t.Logf("in force on 7 hosts after %v", took)
+	elapsed := f.awaitChange(f.order[1], revision, 23*time.Hour)
+	t.Logf("the change was in force on 7 hosts after %v", elapsed)
 
 	leader := f.leader(f.order[1])
 	f.kill(leader)
@@ -36,24 +35,25 @@
 	}
 	c := f.change(status.Committed, 22*time.Hour)
 	var accepted hingeids.Revision
-	f.await("a change through another leader", 10*time.Second, func() error {
+	f.await("a change to be accepted by another leader", 10*time.Second, func() error {
 		got, code, err := f.apply(rest[0], c)
 		if code != http.StatusOK {
-			// A host's lives are facts in the log, so the revision may have moved on;
-			// an operator's change is only refused over another operator's.
+			// Facts about instances also advance the revision. An operator's change conflicts only with
+			// another operator's.
 			return err
 		}
 		accepted = got.Revision
 		return nil
 	})
 	f.awaitRevision(accepted, rest...)
-	t.Logf("in force on 6 hosts %v after the leader was killed", time.Since(began))
-	if took := time.Since(began); took > 5*time.Second {
-		t.Errorf("the change took %v", took)
+	t.Logf("the change was in force on 6 hosts %v after the leader was killed", time.Since(began))
+	if elapsed := time.Since(began); elapsed > 5*time.Second {
+		t.Errorf("the change took %v, want at most 5 s", elapsed)
 	}
 }
 
-// awaitChange applies a change at a host and gives the time until all have it.
+// awaitChange applies a change at a host, and returns the time until all hosts have it in
+// force.
 func (f *fleet) awaitChange(at hingeids.HostID, expected hingeids.Revision, keep time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -65,9 +65,9 @@
 	return time.Since(began)
 }
 
-// Two operators send different changes against the same revision at the same
-// time. Were both accepted, one would undo the other without anyone noticing.
-func TestRacingOperators(t *testing.T) {
+// Two operators concurrently send different changes of the same revision. Guards against
+// accepting both, since one would silently revert the other.
+func TestConcurrentOperatorChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	revision := f.configure()
@@ -114,7 +114,7 @@
 	if diff := cmp.Diff(map[int]int{http.StatusOK: 1, http.StatusConflict: 1}, codes); diff != "" {
 		t.Fatal(diff)
 	}
-	// A resend of either, at any host, gets the first answer again.
+	// A resend of either change to any host gets the same result again.
 	for _, c := range []int{0, 1} {
 		change := first
 		if c == 1 {
@@ -131,11 +131,10 @@
 	}
 }
 
-// An operator looks at the history after a host's restart, at a host without a
-// disk, and sends a wrong change made from the last revision that an operator
-// saw. Facts of hosts' lives have moved the revision on since; neither may the
-// history be empty for it, nor the check be passed over.
-func TestHistoryAndCheckAfterFacts(t *testing.T) {
+// Facts about instances advance the revision after an operator's last change. Guards against
+// a history that is then empty at a host without a disk, and against a change at the
+// operator's revision that skips validation.
+func TestHistoryAndValidationAfterFacts(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	revision := f.configure()
@@ -159,8 +158,8 @@
 	}
 }
 
-// A host loses its disk, is repaired, and right after that a second host is
-// lost. An accepted change must still be there, and new ones be accepted.
+// A host loses its disk and is repaired, and right after that a second host is lost. Guards
+// against the loss of accepted changes and of the quorum.
 func TestSecondHostLostRightAfterARepair(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -178,7 +177,7 @@
 	f.loseDisk(roscoff)
 	var accepted hingeids.Revision
 	c := f.change(revision, 19*time.Hour)
-	f.await("a change with the repaired host and one other", 10*time.Second, func() error {
+	f.await("a change to be accepted by the repaired host and one other", 10*time.Second, func() error {
 		got, code, err := f.apply(f.order[6], c)
 		if code != http.StatusOK {
 			return err
@@ -189,9 +188,8 @@
 	f.awaitRevision(accepted, cancale, f.order[1], f.order[2], f.order[4], f.order[5], f.order[6])
 }
 
-// A host with a disk is lost for good, and the operator puts another in its
-// place. Were the lost one still counted, the next loss would leave no quorum,
-// and no change, order or key could be accepted any more.
+// An operator replaces a voter that is lost for good. Guards against a quorum that still
+// counts the lost voter, so that the next loss blocks all changes, orders and keys.
 func TestOperatorReplacesAVoterThatIsLost(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -205,7 +203,7 @@
 	f.awaitRevision(revision, next)
 	voters := func(v hingeadmin.Voters) {
 		t.Helper()
-		f.await("a change of voters", 10*time.Second, func() error {
+		f.await("a change of voters to be accepted", 10*time.Second, func() error {
 			var answer hingeadmin.Voters
 			_, err := f.post(f.hosts[other].settings.Listen.Operators, "/v1/voters", v, &answer)
 			return err
@@ -222,7 +220,7 @@
 	})
 	f.kill(other)
 	c := f.change(revision, 16*time.Hour)
-	f.await("a change without the lost host and another one", 10*time.Second, func() error {
+	f.await("a change to be accepted without the lost host and another one", 10*time.Second, func() error {
 		_, code, err := f.apply(f.order[6], c)
 		if code != http.StatusOK {
 			return err
@@ -231,8 +229,8 @@
 	})
 }
 
-// The host that leads is frozen, as by a fault of its hardware, while changes
-// go on without it. When it thaws it must not bring back what it knew.
+// The leader is frozen while changes are accepted without it. Guards against hosts that
+// return to an older revision when it resumes.
 func TestFrozenLeaderDoesNotRevert(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -242,7 +240,7 @@
 	other := f.order[1]
 	var accepted hingeids.Revision
 	c := f.change(revision, 18*time.Hour)
-	f.await("a change without the frozen leader", 10*time.Second, func() error {
+	f.await("a change to be accepted without the frozen leader", 10*time.Second, func() error {
 		got, code, err := f.apply(other, c)
 		if code != http.StatusOK {
 			return err
--- a/internal/serve/hingeserver/replicas.go
+++ b/internal/serve/hingeserver/replicas.go
@@ -13,8 +13,8 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// inFlight counts what this host has at each server, which the servers' own
-// lagging reports don't show yet.
+// inFlight counts the requests that this host has at each server. The servers' own reports
+// show them only after a delay.
 type inFlight struct {
 	mu    sync.Mutex
 	count map[hingeids.ServerID]int
@@ -35,15 +35,15 @@
 	}
 }
 
-// least chooses the server with the least load, and counts one more there. A
-// server that is to be avoided is better than none: what failed once, such as a
-// connection that went silent, may well work the next time.
-func (f *inFlight) least(servers []hingeannounce.Server, avoid map[hingeids.ServerID]bool) (hingeengine.Target, bool) {
+// leastLoaded chooses the server with the least load, and counts one more request there. It
+// prefers servers that aren't to be avoided, but chooses one of those if there is no other:
+// a failure such as a stalled connection may be temporary.
+func (f *inFlight) leastLoaded(servers []hingeannounce.Server, avoid map[hingeids.ServerID]bool) (hingeengine.Target, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	best := f.leastBut(servers, avoid)
+	best := f.leastLoadedExcept(servers, avoid)
 	if best < 0 {
-		best = f.leastBut(servers, nil)
+		best = f.leastLoadedExcept(servers, nil)
 	}
 	if best < 0 {
 		return hingeengine.Target{}, false
@@ -53,7 +53,7 @@
 	return targetOf(s), true
 }
 
-func (f *inFlight) leastBut(servers []hingeannounce.Server, avoid map[hingeids.ServerID]bool) int {
+func (f *inFlight) leastLoadedExcept(servers []hingeannounce.Server, avoid map[hingeids.ServerID]bool) int {
 	best := -1
 	for i, s := range servers {
 		if avoid[s.Server] {
@@ -70,8 +70,8 @@
 	return max(f.count[s.Server], s.Load.Running+s.Load.Queued)
 }
 
-// noServerRetry is when a caller comes back if no server is there: about as
-// long as an announcement takes to reach every host.
+// noServerRetry is the retry time for callers if no server is available: about as long as an
+// announcement takes to reach every host.
 const noServerRetry = 2 * time.Second
 
 func targetOf(s hingeannounce.Server) hingeengine.Target {
@@ -82,7 +82,7 @@
 	}
 }
 
-// target finds the life of a server that is announced now.
+// target returns the current incarnation of an announced server.
 func (s *Server) target(id hingeids.ServerID) (hingeengine.Target, error) {
 	server, ok := s.servers.Load().Find(id)
 	if !ok {
@@ -91,41 +91,41 @@
 	return targetOf(server), nil
 }
 
-func noServer(what string) error {
+func noServerError(what string) error {
 	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, noServerRetry,
 		eris.Errorf("no backend server for %s", what))
 }
 
-// replicas chooses among the replicas of plain services, by least load and from
-// the own zone if it has any.
-type replicas struct {
+// replicaPool chooses replicas of plain services by least load. It prefers those of its own
+// zone.
+type replicaPool struct {
 	server *Server
 	load   *inFlight
 }
 
-// listed leaves out servers that stand in no inventory: one that announces
-// itself under a name that nobody knows gets no caller's request.
-func (s *Server) listed(servers []hingeannounce.Server) []hingeannounce.Server {
-	owned := s.configuration.Load().owned
+// listedServers returns the servers that the inventory lists: others may announce
+// themselves, but get no requests.
+func (s *Server) listedServers(servers []hingeannounce.Server) []hingeannounce.Server {
+	listed := s.configuration.Load().listed
 	return slices.DeleteFunc(slices.Clone(servers), func(x hingeannounce.Server) bool {
-		return !owned[x.Server]
+		return !listed[x.Server]
 	})
 }
 
-// Replica chooses a replica of a plain service.
-func (p *replicas) Replica(
+// Replica chooses a replica of a plain service. The error is NotRun if there is none.
+func (p *replicaPool) Replica(
 	service hingeids.Service, avoid map[hingeids.ServerID]bool,
 ) (hingeengine.Target, error) {
 	for _, zone := range []hingeids.Zone{p.server.settings.Zone, ""} {
-		listed := p.server.listed(p.server.servers.Load().Replicas(zone, service))
-		if t, ok := p.load.least(listed, avoid); ok {
+		listedServers := p.server.listedServers(p.server.servers.Load().Replicas(zone, service))
+		if t, ok := p.load.leastLoaded(listedServers, avoid); ok {
 			return t, nil
 		}
 	}
-	return hingeengine.Target{}, noServer("service " + string(service))
+	return hingeengine.Target{}, noServerError("service " + string(service))
 }
 
-// Left counts the replica free again.
-func (p *replicas) Left(t hingeengine.Target, _ error) {
+// Left records that a call at the replica has finished.
+func (p *replicaPool) Left(t hingeengine.Target, _ error) {
 	p.load.add(t.Server, -1)
 }
--- a/internal/serve/hingeserver/restart_test.go
+++ b/internal/serve/hingeserver/restart_test.go
@@ -16,7 +16,7 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// changeMany applies n changes one after the other and gives the last revision.
+// changeMany applies n changes one after the other, and returns the last revision.
 func (f *fleet) changeMany(at hingeids.HostID, n int) hingeids.Revision {
 	f.t.Helper()
 	status, err := f.status(at)
@@ -26,7 +26,7 @@
 	last := status.Committed
 	for i := range n {
 		c := f.change(last, 24*time.Hour+time.Duration(i+1)*time.Second)
-		f.await("a change", 5*time.Second, func() error {
+		f.await("a change to be accepted", 5*time.Second, func() error {
 			accepted, code, err := f.apply(at, c)
 			if code != http.StatusOK {
 				return err
@@ -38,8 +38,8 @@
 	return last
 }
 
-// A host, one with a disk and one without, is away while hundreds of changes
-// pass it by. It must come up with the newest and serve at once.
+// Guards against hosts, with and without a disk, that don't catch up after hundreds of
+// changes during their downtime.
 func TestRestartAfterHundredsOfChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -50,12 +50,13 @@
 	newest := f.changeMany(f.order[0], 300)
 	f.start(withDisk)
 	f.start(without)
-	took := f.awaitRevision(newest, withDisk, without)
-	t.Logf("both applied revision %d %v after their start", newest, took)
+	elapsed := f.awaitRevision(newest, withDisk, without)
+	t.Logf("both applied revision %d %v after their start", newest, elapsed)
 }
 
-// A host without a disk restarts in a zone that is cut off. It must not come up
-// with an older configuration than it had: its zone's peers remember.
+// A host without a disk restarts in a zone that is cut off. Guards against a host that
+// becomes ready with an older configuration than it had before; its zone's peers have the
+// newest.
 func TestDisklessHostRestartsCutOff(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -68,8 +69,8 @@
 	restarted := cancale[1]
 	f.kill(restarted)
 	f.start(restarted)
-	// The new process has no cuts of its own; those of its peers still hold, but
-	// it could reach the other zones, so it is cut again at once.
+	// The new process starts without cuts, so that it could reach the other zones over its own
+	// connections.
 	for _, id := range f.order[3:] {
 		_, _ = fmt.Fprintln(f.hosts[restarted].control, "cut", id)
 	}
@@ -79,7 +80,7 @@
 			return err
 		}
 		if status.Ready && status.Committed < newest {
-			t.Fatalf("ready with revision %d, %d was in force before", status.Committed, newest)
+			t.Fatalf("the host is ready with revision %d, but %d was in force before", status.Committed, newest)
 		}
 		if !status.Ready {
 			return errors.New(status.Reason)
@@ -88,7 +89,7 @@
 	})
 }
 
-// newEngines is a fleet with a prefill and two decode engines in each zone.
+// newEngines starts a fleet with one prefill and two decode engines in each zone.
 func newEngines(t *testing.T, gap time.Duration) *fleet {
 	return newEnginesOf(t, gap, 20)
 }
@@ -110,11 +111,11 @@
 		}
 	}
 	f.configure()
-	f.awaitGranting(f.order...)
+	f.awaitUsableServers(f.order...)
 	return f
 }
 
-// held counts what all engines hold.
+// held counts the allocations of all engines.
 func (f *fleet) held() int {
 	n := 0
 	for _, s := range f.standins {
@@ -123,9 +124,8 @@
 	return n
 }
 
-// Every entry host is restarted, one after the other, while callers stream and
-// ask. A caller whose stream is cut off has lost its declaration. New requests
-// go to the next host when one refuses, as the balancer sends them.
+// Every entry host is restarted in turn while callers stream. Guards against streams that
+// are cut off, and against allocations that stay behind.
 func TestRollingRestartCutsNothingOff(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 10*time.Millisecond)
@@ -135,7 +135,7 @@
 	for n := range 14 {
 		callers.Go(func() {
 			for i := 0; ctx.Err() == nil; i++ {
-				if !f.streamThrough(n+i, fmt.Sprintf("dossier %d of caller %d", i, n)) {
+				if !f.streamWithFailover(n+i, fmt.Sprintf("dossier %d of caller %d", i, n)) {
 					cut.Add(1)
 				}
 				sent.Add(1)
@@ -147,10 +147,10 @@
 		select {
 		case <-f.hosts[id].exited:
 		case <-time.After(20 * time.Second):
-			t.Fatalf("%s did not end", id)
+			t.Fatalf("%s did not exit", id)
 		}
 		f.start(id)
-		f.awaitGranting(id)
+		f.awaitUsableServers(id)
 	}
 	stop()
 	callers.Wait()
@@ -158,38 +158,38 @@
 	if cut.Load() > 0 || sent.Load() == 0 {
 		t.Errorf("%d of %d streams were cut off", cut.Load(), sent.Load())
 	}
-	f.await("nothing to be held", 5*time.Second, func() error {
+	f.await("all allocations to be released", 5*time.Second, func() error {
 		if n := f.held(); n > 0 {
-			return fmt.Errorf("%d held", n)
+			return fmt.Errorf("%d allocations held", n)
 		}
 		return nil
 	})
 }
 
-// streamThrough asks hosts in turn, as the balancer does, until one takes the
-// request, and tells whether the stream came whole.
-func (f *fleet) streamThrough(n int, prompt string) bool {
+// streamWithFailover sends a request to the hosts in turn, as a balancer does, until one
+// accepts it. It reports whether the stream was complete.
+func (f *fleet) streamWithFailover(n int, prompt string) bool {
 	for i := range 100 {
 		id := f.order[(n+i)%len(f.order)]
-		r := &reading{
+		r := &callerRequest{
 			prompt:  prompt,
 			tokens:  40,
 			model:   "redacteur",
 			done:    make(chan struct{}),
 			started: make(chan struct{}),
 		}
-		r.read(f.ctx, f.hosts[id].settings.Listen.Callers, true)
-		if r.text == "" && !r.whole {
-			// Refused, or not there: the balancer's next try.
+		r.send(f.ctx, f.hosts[id].settings.Listen.Callers, true)
+		if r.text == "" && !r.complete {
+			// The host refused the request or is down.
 			time.Sleep(20 * time.Millisecond)
 			continue
 		}
-		if want := hingestandin.Answer(prompt, r.tokens); r.text != want || !r.whole {
-			f.t.Logf("at %s: %d of %d bytes, %v", id, len(r.text), len(want), r.err)
+		if want := hingestandin.Answer(prompt, r.tokens); r.text != want || !r.complete {
+			f.t.Logf("incomplete stream of host %s: %d of %d bytes, %v", id, len(r.text), len(want), r.err)
 			return false
 		}
 		return true
 	}
-	f.t.Logf("no host took %q", prompt)
+	f.t.Logf("no host accepted the request %q", prompt)
 	return false
 }
--- a/internal/serve/hingeserver/run.go
+++ b/internal/serve/hingeserver/run.go
@@ -14,12 +14,13 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// lastCancels bounds how long a shutdown waits for cancels to be answered. An
-// engine that lives answers within its time limit of a second; three allow for
-// two lost tries.
-const lastCancels = 3 * time.Second
+// shutdownCancelTimeout is how long a shutdown waits until engines have confirmed its
+// cancels. An engine responds within its timeout of one second, so this allows for two lost
+// attempts.
+const shutdownCancelTimeout = 3 * time.Second
 
-// Run serves until the context ends, then finishes what is in progress.
+// Run serves until the context ends, then drains and waits for the requests in progress. It
+// returns an error if a part of the host failed.
 func (s *Server) Run(ctx context.Context) error {
 	defer close(s.done)
 	defer s.stop()
@@ -35,19 +36,19 @@
 		return s.loop.Run(control)
 	})
 	g.Go(func() error {
-		return s.keepLives(control)
+		return s.runInstanceRegistry(control)
 	})
 	g.Go(func() error {
 		return s.slots.driver.Run(control)
 	})
 	g.Go(func() error {
-		return s.holds.driver.Run(control)
+		return s.collector.driver.Run(control)
 	})
 	g.Go(func() error {
 		return s.orders.driver.Run(control)
 	})
 	g.Go(func() error {
-		return s.poisons.run(control)
+		return s.poisonDetector.run(control)
 	})
 	s.serveControl(control, g)
 	g.Go(func() error {
@@ -60,14 +61,14 @@
 	return s.gates.wait()
 }
 
-// serveCallers serves until the context ends, then hands on what this host
-// answers for, in the order that leaves nothing behind: callers, then cancels,
-// then the news that this life is over.
+// serveCallers serves until the context ends. It then shuts down in the order that leaves no
+// allocations behind: first the callers' requests, then the cancels at engines, then the
+// announcement that this instance has ended.
 func (s *Server) serveCallers(ctx, control context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// A part that failed ends the process: half an entry host would take
-	// requests that it can't answer.
+	// The failure of any part stops the whole host: the remaining parts would accept requests
+	// that they can't answer.
 	stop := context.AfterFunc(control, cancel)
 	defer stop()
 	go func() {
@@ -77,43 +78,43 @@
 	if err := s.callers.Run(ctx, s.listeners.callers); err != nil {
 		return err
 	}
-	s.holds.wait(lastCancels)
+	s.collector.waitForCancels(shutdownCancelTimeout)
 	if control.Err() == nil {
 		s.shared.members.End()
 	}
 	return nil
 }
 
-// controlReadLimit bounds the reading of an announcement or an operator's command.
-const controlReadLimit = 10 * time.Second
+// controlReadTimeout limits how long reading an announcement or an operator's command takes.
+const controlReadTimeout = 10 * time.Second
 
-// serveControl serves backend servers and operators.
+// serveControl starts the HTTP servers for backend servers and operators.
 func (s *Server) serveControl(control context.Context, g *errgroup.Group) {
 	admin := hingeadmin.NewHandler(hingeadmin.Config{
-		Configuration: operatorsSide{
+		Configuration: operatorAPI{
 			server: s,
 		},
-		Status: operatorsSide{
+		Status: operatorAPI{
 			server: s,
 		},
-		Drainer: operatorsSide{
+		Drainer: operatorAPI{
 			server: s,
 		},
-		Voters: operatorsSide{
+		Voters: operatorAPI{
 			server: s,
 		},
 		Events:  s.recorder,
 		Metrics: s.metrics.Write,
 		Clock:   time.Now,
 	})
-	for _, side := range []struct {
+	for _, endpoint := range []struct {
 		listener net.Listener
 		handler  fasthttp.RequestHandler
 		limit    int
 	}{
 		{
 			listener: s.listeners.servers,
-			handler:  s.handleServers,
+			handler:  s.handleAnnouncements,
 			limit:    2 * hingeannounce.MaxBody,
 		},
 		{
@@ -123,17 +124,17 @@
 		},
 	} {
 		web := &fasthttp.Server{
-			Handler:               side.handler,
-			MaxRequestBodySize:    side.limit,
-			ReadTimeout:           controlReadLimit,
+			Handler:               endpoint.handler,
+			MaxRequestBodySize:    endpoint.limit,
+			ReadTimeout:           controlReadTimeout,
 			NoDefaultServerHeader: true,
 		}
 		g.Go(func() error {
-			return eris.Wrap(web.Serve(side.listener), "control address")
+			return eris.Wrap(web.Serve(endpoint.listener), "serve the control listener")
 		})
 		g.Go(func() error {
 			<-control.Done()
-			return eris.Wrap(web.Shutdown(), "control address")
+			return eris.Wrap(web.Shutdown(), "shut down the control listener")
 		})
 	}
 }
--- a/internal/serve/hingeserver/script_test.go
+++ b/internal/serve/hingeserver/script_test.go
@@ -23,12 +23,12 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// Each file in testdata/*.script opens with plain sentences that tell how a
-// failure comes about and what a user notices, then has one step a line.
+// Each file in testdata/*.script starts with comments that describe a failure and its effect
+// on callers. One step a line follows.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.script")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatal("no scripts found", err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".script"), func(t *testing.T) {
@@ -44,12 +44,12 @@
 
 // script runs the steps of one file against one entry host and its stand-ins.
 type script struct {
-	t       *testing.T
-	ctx     context.Context
-	host    *Server
-	engines map[string]*hingestandin.Server
-	kill    map[string]context.CancelFunc
-	answers map[string]*reading
+	t        *testing.T
+	ctx      context.Context
+	host     *Server
+	engines  map[string]*hingestandin.Server
+	kill     map[string]context.CancelFunc
+	requests map[string]*callerRequest
 }
 
 func newScript(t *testing.T) *script {
@@ -93,35 +93,35 @@
 		cancel()
 		<-host.Done()
 	})
-	// A host grants slots once its life is recorded.
+	// A host grants no slots until its instance is recorded.
 	if err := eventually(func() error {
 		if !host.shared.members.Hosts().Load().StandsUntil.After(time.Now()) {
-			return errors.New("the host does not stand yet")
+			return errors.New("the host holds no valid lease yet")
 		}
 		return nil
 	}); err != nil {
 		t.Fatal(err)
 	}
 	return &script{
-		t:       t,
-		ctx:     ctx,
-		host:    host,
-		engines: make(map[string]*hingestandin.Server),
-		kill:    make(map[string]context.CancelFunc),
-		answers: make(map[string]*reading),
+		t:        t,
+		ctx:      ctx,
+		host:     host,
+		engines:  make(map[string]*hingestandin.Server),
+		kill:     make(map[string]context.CancelFunc),
+		requests: make(map[string]*callerRequest),
 	}
 }
 
-// steps are the commands of a script.
+// steps maps the commands of a script.
 var steps = map[string]func(s *script, args []string) error{
 	"engine":   (*script).engine,
 	"fault":    (*script).fault,
 	"kill":     (*script).killEngine,
 	"leave":    (*script).leave,
-	"ask":      (*script).ask,
+	"ask":      (*script).startRequest,
 	"abandon":  (*script).abandon,
-	"answered": (*script).answered,
-	"same":     (*script).same,
+	"answered": (*script).checkResponse,
+	"same":     (*script).checkSameResponse,
 	"call":     (*script).call,
 	"held":     (*script).held,
 	"count":    (*script).count,
@@ -139,7 +139,7 @@
 		fields := strings.Fields(line)
 		step, ok := steps[fields[0]]
 		if !ok {
-			s.t.Fatalf("%s:%d: no step %q", name, i+1, fields[0])
+			s.t.Fatalf("%s:%d: unknown step %q", name, i+1, fields[0])
 		}
 		if err := step(s, fields[1:]); err != nil {
 			s.t.Fatalf("%s:%d: %s: %v", name, i+1, line, err)
@@ -147,7 +147,8 @@
 	}
 }
 
-// engine NAME KIND [slots=N] [model=M] [gap=D] [prefill=D] starts a stand-in and waits until it is known.
+// engine runs the step "engine NAME KIND [slots=N] [model=M] [gap=D] [prefill=D] [poison=P]":
+// it starts a stand-in and waits until the host can use it.
 func (s *script) engine(args []string) error {
 	o := hingestandin.Options{
 		Server:    hingeids.ServerID(args[0]),
@@ -194,13 +195,13 @@
 	return eventually(func() error {
 		known, ok := s.host.servers.Load().Find(o.Server)
 		if !ok || !s.host.slots.canGrant(time.Now(), known) {
-			return errors.New("not known yet, or no slots to grant")
+			return errors.New("the host does not know the server yet, or has no slots to grant")
 		}
 		return nil
 	})
 }
 
-// fault NAME FAULT [COUNT]
+// fault runs the step "fault NAME FAULT [COUNT]": it sets a fault of a stand-in.
 func (s *script) fault(args []string) error {
 	count := 1
 	if len(args) > 2 {
@@ -210,19 +211,20 @@
 	return nil
 }
 
-// kill NAME
+// killEngine runs the step "kill NAME": it stops a stand-in without a shutdown.
 func (s *script) killEngine(args []string) error {
 	s.kill[args[0]]()
 	<-s.engines[args[0]].Done()
 	return nil
 }
 
-// leave NAME
+// leave runs the step "leave NAME": it waits until the host doesn't use the stand-in any
+// more.
 func (s *script) leave(args []string) error {
 	s.engines[args[0]].Leave()
 	return eventually(func() error {
 		if _, ok := s.host.servers.Load().Find(hingeids.ServerID(args[0])); ok {
-			return errors.New("still used")
+			return errors.New("the host still uses the server")
 		}
 		return nil
 	})
@@ -239,8 +241,8 @@
 	return err
 }
 
-// reading is an answer as its caller reads it.
-type reading struct {
+// callerRequest is a caller's completion request and its response.
+type callerRequest struct {
 	cancel  context.CancelFunc
 	model   string
 	prompt  string
@@ -251,16 +253,17 @@
 	status  int
 	verdict string
 	text    string
-	// body is that of a whole answer, as it came.
-	body  []byte
-	whole bool
-	err   error
+	// body is the raw body of a response that isn't streamed.
+	body     []byte
+	complete bool
+	err      error
 }
 
-// ask NAME [tokens=N] [model=M] [key=K] [prompt=P] [whole] [background]: asks for a completion in the background,
-// and waits until its header or first token is there.
-func (s *script) ask(args []string) error {
-	r := &reading{
+// startRequest runs the step "ask NAME [tokens=N] [model=M] [key=K] [prompt=P] [whole]
+// [long] [background]": it sends a completion request, and unless in the background waits
+// for the first token or the end of the response.
+func (s *script) startRequest(args []string) error {
+	r := &callerRequest{
 		model:   "m",
 		prompt:  "prompt of " + args[0],
 		tokens:  8,
@@ -288,10 +291,10 @@
 			background = true
 		}
 	}
-	s.answers[args[0]] = r
+	s.requests[args[0]] = r
 	ctx, cancel := context.WithCancel(s.ctx)
 	r.cancel = cancel
-	go r.read(ctx, s.host.Addresses().Callers, stream)
+	go r.send(ctx, s.host.Addresses().Callers, stream)
 	if background {
 		return nil
 	}
@@ -302,7 +305,7 @@
 	return nil
 }
 
-func (r *reading) read(ctx context.Context, address string, stream bool) {
+func (r *callerRequest) send(ctx context.Context, address string, stream bool) {
 	defer close(r.done)
 	body, _ := json.Marshal(struct {
 		Model     string `json:"model"`
@@ -338,7 +341,7 @@
 		r.readStream(resp.Body)
 		return
 	}
-	r.readWhole(resp.Body)
+	r.readBody(resp.Body)
 }
 
 type choices struct {
@@ -347,7 +350,7 @@
 	} `json:"choices"`
 }
 
-func (r *reading) readWhole(body io.Reader) {
+func (r *callerRequest) readBody(body io.Reader) {
 	var c choices
 	if r.body, r.err = io.ReadAll(body); r.err != nil {
 		return
@@ -355,11 +358,11 @@
 	r.err = json.Unmarshal(r.body, &c)
 	if len(c.Choices) > 0 {
 		r.text = c.Choices[0].Text
-		r.whole = true
+		r.complete = true
 	}
 }
 
-func (r *reading) readStream(body io.Reader) {
+func (r *callerRequest) readStream(body io.Reader) {
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
@@ -367,12 +370,12 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.whole = true
+			r.complete = true
 			return
 		}
 		var c choices
 		if err := json.Unmarshal([]byte(data), &c); err != nil || len(c.Choices) == 0 {
-			r.err = fmt.Errorf("event %s", data)
+			r.err = fmt.Errorf("invalid event: %s", data)
 			return
 		}
 		if r.text == "" {
@@ -383,28 +386,28 @@
 	r.err = lines.Err()
 }
 
-// abandon NAME: the caller closes its connection.
+// abandon runs the step "abandon NAME": the caller closes its connection.
 func (s *script) abandon(args []string) error {
-	r := s.answers[args[0]]
+	r := s.requests[args[0]]
 	r.cancel()
 	<-r.done
 	return nil
 }
 
-// answered NAME whole | status=N [verdict=V] | cut: judges the answer by the
-// text that the stand-in gives to the prompt.
-func (s *script) answered(args []string) error {
-	r := s.answers[args[0]]
+// checkResponse runs the step "answered NAME whole | status=N [verdict=V] | cut": it
+// compares the response with the text that the stand-in generates for the prompt.
+func (s *script) checkResponse(args []string) error {
+	r := s.requests[args[0]]
 	<-r.done
 	if args[1] == "whole" {
-		if want := hingestandin.Answer(r.prompt, r.tokens); r.text != want || !r.whole {
-			return fmt.Errorf("got %q (whole %v, %v), want %q", r.text, r.whole, r.err, want)
+		if want := hingestandin.Answer(r.prompt, r.tokens); r.text != want || !r.complete {
+			return fmt.Errorf("got %q (complete %v, %v), want %q", r.text, r.complete, r.err, want)
 		}
 		return nil
 	}
 	if args[1] == "cut" {
-		if r.whole || r.err == nil {
-			return fmt.Errorf("got %q as whole", r.text)
+		if r.complete || r.err == nil {
+			return fmt.Errorf("got a complete response %q, want a cut one", r.text)
 		}
 		return nil
 	}
@@ -414,18 +417,20 @@
 	})
 }
 
-// same NAME OTHER: both got a whole answer, the same byte for byte.
-func (s *script) same(args []string) error {
-	a, b := s.answers[args[0]], s.answers[args[1]]
+// checkSameResponse runs the step "same NAME OTHER": both responses must be complete and
+// have the same bytes.
+func (s *script) checkSameResponse(args []string) error {
+	a, b := s.requests[args[0]], s.requests[args[1]]
 	<-a.done
 	<-b.done
-	if !a.whole || !b.whole || string(a.body) != string(b.body) {
-		return fmt.Errorf("got %q and %q", a.body, b.body)
+	if !a.complete || !b.complete || string(a.body) != string(b.body) {
+		return fmt.Errorf("want two complete and equal responses, got %q and %q", a.body, b.body)
 	}
 	return nil
 }
 
-// call METHOD PATH [key=K] status=N [verdict=V]
+// call runs the step "call METHOD PATH [key=K] status=N [verdict=V] [retry=R]": it checks
+// the response of the plain service.
 func (s *script) call(args []string) error {
 	req, _ := http.NewRequestWithContext(s.ctx, args[0], "http://"+s.host.Addresses().Callers+args[1], nil)
 	want := args[2:]
@@ -457,18 +462,19 @@
 	return nil
 }
 
-// held NAME N: what the stand-in holds comes down to N.
+// held runs the step "held NAME N": it waits until the stand-in has N allocations.
 func (s *script) held(args []string) error {
 	want, _ := strconv.Atoi(args[1])
 	return eventually(func() error {
 		if got := s.engines[args[0]].Counts().Held; got != want {
-			return fmt.Errorf("holds %d", got)
+			return fmt.Errorf("the stand-in holds %d allocations", got)
 		}
 		return nil
 	})
 }
 
-// count NAME FIELD N: a count of the stand-in, by its JSON name.
+// count runs the step "count NAME FIELD N": it checks a count of the stand-in, by its JSON
+// name.
 func (s *script) count(args []string) error {
 	b, err := json.Marshal(s.engines[args[0]].Counts())
 	if err != nil {
@@ -483,33 +489,34 @@
 	})
 }
 
-// metric NAME VALUE: a metric, with its labels, has a value.
+// metric runs the step "metric NAME VALUE": it waits until a metric, with its labels, has
+// the value.
 func (s *script) metric(args []string) error {
 	return eventually(func() error {
 		var b strings.Builder
 		s.host.metrics.Write(&b)
 		if want := args[0] + " " + args[1] + "\n"; !strings.Contains(b.String(), want) {
-			return fmt.Errorf("no %q", want)
+			return fmt.Errorf("metrics do not contain %q", want)
 		}
 		return nil
 	})
 }
 
-// owned N: the host answers for N exchanges with engines.
+// owned runs the step "owned N": it waits until the host owns N exchanges with engines.
 func (s *script) owned(args []string) error {
 	want, _ := strconv.Atoi(args[0])
 	return eventually(func() error {
-		s.host.holds.mu.Lock()
-		defer s.host.holds.mu.Unlock()
-		if got := len(s.host.holds.owned); got != want {
-			return fmt.Errorf("answers for %d", got)
+		s.host.collector.mu.Lock()
+		defer s.host.collector.mu.Unlock()
+		if got := len(s.host.collector.owned); got != want {
+			return fmt.Errorf("the host owns %d exchanges", got)
 		}
 		return nil
 	})
 }
 
-// eventually gives what is under way five seconds, the time within which the
-// promises must hold again.
+// eventually retries a check for five seconds, within which the host has to recover from any
+// failure.
 func eventually(f func() error) error {
 	var err error
 	for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -520,9 +527,8 @@
 	return err
 }
 
-// A caller that sends a request and reads nothing must not hold an engine for
-// ever: what a user notices is that others wait although nobody reads.
-func TestSlowReaderIsGivenUp(t *testing.T) {
+// Guards against an engine that stays occupied by a caller which doesn't read its response.
+func TestSlowReaderIsDisconnected(t *testing.T) {
 	s := newScript(t)
 	s.host.callers.SetSlowReader(200 * time.Millisecond)
 	if err := s.engine([]string{"d", "decode", "gap=1us"}); err != nil {
@@ -544,7 +550,7 @@
 	}
 	if err := eventually(func() error {
 		if s.engines["d"].Counts().Cancelled == 0 {
-			return errors.New("still held")
+			return errors.New("the engine has not cancelled the request")
 		}
 		return nil
 	}); err != nil {
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -1,6 +1,5 @@
-// Package hingeserver joins the parts of an entry host to one process: its
-// listeners, its control loop, what it shares with other entry hosts, and the
-// request path.
+// Package hingeserver runs an entry host: it connects its listeners, the control loop, the
+// state that the entry hosts share, and the request path.
 package hingeserver
 
 import (
@@ -20,62 +19,62 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// Options are what an entry host is made of.
+// Options configure an entry host.
 type Options struct {
 	Settings hingesettings.Settings
-	// Inventory and Rules are in force until the configuration log has a
-	// revision, if Given says so. A deployment applies its configuration instead.
+	// Inventory and Rules are in force until the configuration log has a revision, if Given is
+	// set. Deployments leave them empty and apply their configuration through the log.
 	Inventory hingeinventory.Inventory
 	Rules     hingeinventory.Rules
 	Given     bool
-	// Settle is how long a host that starts waits for slots to grant before it
-	// takes requests; zero is defaultSettle, less than zero not to wait.
+	// Settle is how long a starting host waits for slots to grant before it accepts requests.
+	// Zero means the default, a negative value means no wait.
 	Settle time.Duration
-	// AllowCut lets the links be cut on command; only tests set it.
+	// AllowCut permits cutting links for tests.
 	AllowCut bool
 }
 
-// Server is one entry host.
+// Server is one entry host. Its methods are safe for concurrent use, except Step.
 type Server struct {
-	settings      hingesettings.Settings
-	life          hingeids.Life
-	recorder      *hingeevents.Recorder
-	metrics       *hingemetrics.Metrics
-	configuration hingeboard.Cell[Configuration]
-	shared        *shared
-	settled       time.Time
-	wasReady      bool
-	servers       *hingeboard.Cell[hingeannounce.View]
-	poisons       *poisons
-	loop          *hingeboard.Loop
-	callers       *hingecaller.Server
-	gates         *gates
-	slots         *slots
-	holds         *holds
-	orders        *orders
-	listeners     listeners
-	control       context.Context
-	stop          context.CancelFunc
-	done          chan struct{}
+	settings       hingesettings.Settings
+	instance       hingeids.Life
+	recorder       *hingeevents.Recorder
+	metrics        *hingemetrics.Metrics
+	configuration  hingeboard.Cell[Configuration]
+	shared         *shared
+	settleDeadline time.Time
+	wasReady       bool
+	servers        *hingeboard.Cell[hingeannounce.View]
+	poisonDetector *poisonDetector
+	loop           *hingeboard.Loop
+	callers        *hingecaller.Server
+	gates          *gates
+	slots          *slots
+	collector      *collector
+	orders         *orders
+	listeners      listeners
+	control        context.Context
+	stop           context.CancelFunc
+	done           chan struct{}
 }
 
-// New makes an entry host that starts its life now, and opens its addresses
-// and its durable state.
+// New creates an entry host with a new instance, and opens its listeners and its durable
+// state. Run has to be called to serve.
 func New(o Options, now time.Time) (*Server, error) {
-	life := hingeids.Life{
+	instance := hingeids.Life{
 		Host:        o.Settings.Host,
 		Incarnation: hingeids.Incarnation(now.UnixNano()),
 	}
 	s := &Server{
 		settings: o.Settings,
-		life:     life,
-		recorder: hingeevents.NewRecorder(life),
+		instance: instance,
+		recorder: hingeevents.NewRecorder(instance),
 		done:     make(chan struct{}),
 	}
 	s.metrics = hingemetrics.New(s.recorder)
-	s.settled = now.Add(cmp.Or(o.Settle, defaultSettle))
-	// What still has to be cancelled outlives the callers' side, so it doesn't
-	// end with the context of Run.
+	s.settleDeadline = now.Add(cmp.Or(o.Settle, defaultSettleTimeout))
+	// Cancels have to be sent after the callers' requests have ended, so this context is
+	// independent of Run's.
 	s.control, s.stop = context.WithCancel(context.Background())
 	if o.Given {
 		s.configuration.Store(newConfiguration(0, o.Inventory, o.Rules))
@@ -84,12 +83,12 @@
 		return nil, err
 	}
 	shared, err := openShared(sharedConfig{
-		settings: o.Settings,
-		life:     life,
-		recorder: s.recorder,
-		keepKeys: s.keepKeys,
-		onOver:   s.endLife,
-		allowCut: o.AllowCut,
+		settings:        o.Settings,
+		instance:        instance,
+		recorder:        s.recorder,
+		keyRetention:    s.keyRetention,
+		onDeclaredEnded: s.endInstance,
+		allowCut:        o.AllowCut,
 	})
 	if err != nil {
 		s.listeners.close()
@@ -97,22 +96,22 @@
 	}
 	s.shared = shared
 	s.servers = shared.members.Servers()
-	s.poisons = s.newPoisons()
-	s.holds = newHolds(s)
+	s.poisonDetector = s.newPoisonDetector()
+	s.collector = newCollector(s)
 	s.orders = newOrders(s)
 	s.slots = newSlots(s)
 	s.gates = newGates(s.control, s)
-	s.callers = s.newCallers()
+	s.callers = s.newCallerServer()
 	s.loop = hingeboard.NewLoop(time.Now, s)
-	s.openGauges()
-	shared.link.HandleCall(methodHistory, operatorsSide{
+	s.registerGauges()
+	shared.link.HandleCall(methodHistory, operatorAPI{
 		server: s,
 	}.serveHistory)
 	return s, nil
 }
 
-// Addresses are where the process really listens, also if its settings left
-// the port to the system.
+// Addresses returns the addresses on which the process listens, with the actual ports where
+// the settings have port 0.
 func (s *Server) Addresses() hingesettings.Listen {
 	return hingesettings.Listen{
 		Callers:   s.listeners.callers.Addr().String(),
@@ -122,43 +121,43 @@
 	}
 }
 
-// Done closes when the entry host has ended.
+// Done returns a channel that is closed when Run has returned.
 func (s *Server) Done() <-chan struct{} {
 	return s.done
 }
 
-// Drain starts a graceful shutdown: new requests are refused, those in progress
-// go on.
+// Drain starts a graceful shutdown: it refuses new requests, and those in progress continue.
 func (s *Server) Drain() {
 	s.callers.Drain()
 	s.shared.members.Leave()
 }
 
-// Abort ends the entry host at once, as a kill of its process would: nobody is
-// told, and what engines hold for it is left behind. It is for the demo and for
-// tests, where an entry host has no process of its own.
+// Abort stops the entry host immediately, like a kill of its process: it notifies no other
+// host, and engines keep their allocations. The demo and tests use it for entry hosts that
+// have no process of their own.
 func (s *Server) Abort() {
 	s.listeners.close()
 	s.stop()
 	s.callers.Abort()
 }
 
-// stepEvery bounds how old what the gates know of the engines may be.
-const stepEvery = 50 * time.Millisecond
+// stepInterval limits the age of the gates' view of the engines.
+const stepInterval = 50 * time.Millisecond
 
-// Step brings the configuration and the engines to the request path.
+// Step passes the newest configuration and the announced engines to the request path. The
+// control loop calls it.
 func (s *Server) Step(now time.Time) time.Time {
 	s.applyConfiguration(now)
-	s.noteReady(now)
-	s.gates.feed(now)
-	s.slots.feed()
-	s.holds.feed()
-	s.orders.feed()
-	return now.Add(stepEvery)
+	s.recordReadiness(now)
+	s.gates.update(now)
+	s.slots.update()
+	s.collector.update()
+	s.orders.update()
+	return now.Add(stepInterval)
 }
 
-// noteReady tells when the host begins or ceases to take requests.
-func (s *Server) noteReady(now time.Time) {
+// recordReadiness records an event when the host becomes ready or unready.
+func (s *Server) recordReadiness(now time.Time) {
 	ready, reason := s.ready(now)
 	if ready == s.wasReady {
 		return
@@ -174,8 +173,8 @@
 	})
 }
 
-// applyConfiguration puts the newest revision in force, and never an older one
-// after a newer one.
+// applyConfiguration puts the newest revision in force. It never replaces a revision by an
+// older one.
 func (s *Server) applyConfiguration(now time.Time) {
 	view := s.shared.spread.Applied().Load().View
 	before := s.configuration.Load()
@@ -193,8 +192,8 @@
 	}
 	inventory, rules, err := hingeinventory.FromItems(items)
 	if err != nil {
-		// A change is checked before it is proposed, so this is a revision that a
-		// newer version of the program made. The one in force stays.
+		// Changes are validated before they are proposed, so a newer version of the program made
+		// this revision. The one in force stays.
 		s.recorder.Record(now, hingeevents.RevisionUnread, hingeevents.Fields{
 			Revision: view.Revision,
 			Detail:   err.Error(),
@@ -208,38 +207,38 @@
 	})
 }
 
-// ready tells whether this host should get requests, and if not, why.
+// ready reports whether this host should receive requests, and the reason if not.
 func (s *Server) ready(now time.Time) (ready bool, reason string) {
 	configuration := s.configuration.Load()
 	switch {
 	case configuration == nil:
 		return false, "no configuration has been applied yet"
 	case configuration.Revision > 0 && !s.shared.spread.Applied().Load().Ready:
-		return false, "it is not known yet that the configuration is not older than before"
-	case now.Before(s.settled) && !s.slots.granting():
+		return false, "the configuration is not yet confirmed to be at least as new as before the restart"
+	case now.Before(s.settleDeadline) && !s.slots.canGrantAny():
 		return false, "no decode slot can be granted yet"
 	default:
 		return true, ""
 	}
 }
 
-// defaultSettle bounds how long a host that starts waits for slots: its pools
-// open after some 2.5 s. Taking requests before would refuse them while other
-// hosts have slots. A host whose zone has no engines, or that is cut off, goes on
-// without, since it can still serve plain services.
-const defaultSettle = 5 * time.Second
+// defaultSettleTimeout is longer than the start of the slot pools, about 2.5 s: without the
+// wait, a starting host would refuse requests for which other hosts have slots. After it, a
+// host without engines in its zone, or that is cut off, becomes ready anyway, since it can
+// still serve plain services.
+const defaultSettleTimeout = 5 * time.Second
 
-// defaultKeepKeys is for the time before there is a configuration.
-const defaultKeepKeys = 24 * time.Hour
+// defaultKeyRetention applies until there is a configuration.
+const defaultKeyRetention = 24 * time.Hour
 
-func (s *Server) keepKeys() time.Duration {
+func (s *Server) keyRetention() time.Duration {
 	if c := s.configuration.Load(); c != nil && c.Rules.KeepKeys > 0 {
 		return c.Rules.KeepKeys
 	}
-	return defaultKeepKeys
+	return defaultKeyRetention
 }
 
-func (s *Server) newCallers() *hingecaller.Server {
+func (s *Server) newCallerServer() *hingecaller.Server {
 	client := hingeengine.NewClient()
 	counts := meter{
 		metrics: s.metrics,
@@ -249,7 +248,7 @@
 		meter:  counts,
 	}
 	return hingecaller.New(hingecaller.Config{
-		Life:    s.life,
+		Life:    s.instance,
 		Limits:  s.settings.Limits,
 		Gateway: s.settings.Callers.Gateway,
 		Catalogue: catalogue{
@@ -259,23 +258,23 @@
 			Engines:  client,
 			Gate:     s.gates,
 			Slots:    s.slots,
-			Owned:    s.holds,
+			Owned:    s.collector,
 			Meter:    counts,
-			Cancels:  s.holds,
+			Cancels:  s.collector,
 			Ledger:   ledger,
-			Poisons:  s.poisons,
+			Poisons:  s.poisonDetector,
 			Recorder: s.recorder,
 			Limits:   hingedispatch.DefaultLimits(),
 			Now:      time.Now,
 		},
 		Services: &hingedispatch.ServiceDispatcher{
 			Client: client,
-			Replicas: &replicas{
+			Replicas: &replicaPool{
 				server: s,
 				load:   newInFlight(),
 			},
 			Ledger:   ledger,
-			Poisons:  s.poisons,
+			Poisons:  s.poisonDetector,
 			Meter:    counts,
 			Recorder: s.recorder,
 			Limits:   hingedispatch.DefaultLimits(),
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -21,28 +21,27 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingekeys"
 )
 
-// shared is this host's part in what the entry hosts share: the links between
-// them, the configuration log, its spreading, and the ledger.
+// shared is this host's part of the replicated state: the links between the entry hosts, the
+// configuration log and its distribution, the ledger, and the membership.
 type shared struct {
-	link        *hingelink.QUIC
-	machine     *hingeconfig.Machine
-	config      *hingegroup.Group
-	spread      *hingespread.Spread
-	ledgerGroup *hingegroup.Group
-	keeper      *hingeledger.Keeper
-	ledger      *hingeledger.Ledger
-	keeperStore *hingeledger.FileStore
-	members     *hingemembers.Members
+	link          *hingelink.QUIC
+	machine       *hingeconfig.Machine
+	config        *hingegroup.Group
+	spread        *hingespread.Spread
+	ledgerGroup   *hingegroup.Group
+	keyOwner      *hingeledger.Keeper
+	ledger        *hingeledger.Ledger
+	keyOwnerStore *hingeledger.FileStore
+	members       *hingemembers.Members
 }
 
-// sharedConfig is what the shared parts are made of.
 type sharedConfig struct {
-	settings hingesettings.Settings
-	life     hingeids.Life
-	recorder *hingeevents.Recorder
-	keepKeys func() time.Duration
-	onOver   func(ended hingeids.Life)
-	allowCut bool
+	settings        hingesettings.Settings
+	instance        hingeids.Life
+	recorder        *hingeevents.Recorder
+	keyRetention    func() time.Duration
+	onDeclaredEnded func(ended hingeids.Life)
+	allowCut        bool
 }
 
 // openShared opens the links and the durable state.
@@ -67,13 +66,13 @@
 func (s *shared) openMembers(c sharedConfig) {
 	config := hingemembers.Config{
 		StateConfig: hingemembers.StateConfig{
-			Life: c.life,
+			Life: c.instance,
 			Zone: c.settings.Zone,
-			Seed: uint64(c.life.Incarnation),
+			Seed: uint64(c.instance.Incarnation),
 		},
 		Link:   s.link,
 		Events: c.recorder,
-		OnOver: c.onOver,
+		OnOver: c.onDeclaredEnded,
 	}
 	for _, p := range c.settings.Peers {
 		if p.Host == c.settings.Host {
@@ -97,8 +96,8 @@
 		}
 	}
 	config := hingelink.Config{
-		Self:        c.life.Host,
-		Incarnation: c.life.Incarnation,
+		Self:        c.instance.Host,
+		Incarnation: c.instance.Incarnation,
 		Listen:      c.settings.Listen.Link,
 		Peers:       peers,
 		Insecure:    c.settings.Keys == hingesettings.Keys{},
@@ -119,7 +118,7 @@
 	return hingelink.NewQUIC(config)
 }
 
-// diskHosts are the hosts that vote, from the settings.
+// diskHosts returns the hosts that are voters by the settings.
 func diskHosts(s hingesettings.Settings) []hingeids.HostID {
 	var out []hingeids.HostID
 	for _, p := range s.Peers {
@@ -130,17 +129,17 @@
 	return out
 }
 
-// openGroup opens this host's part in a group. A host without a disk, or that
-// isn't among the voters of the settings, has neither files nor machine.
+// openGroup opens this host's member of a replicated group. A host without a data folder
+// gets neither a journal nor a state machine.
 func (s *shared) openGroup(
 	c sharedConfig, name string, m hingegroup.StateMachine,
 ) (*hingegroup.Group, error) {
 	settings := hingegroup.Settings{
 		Name:     name,
-		Self:     c.life.Host,
+		Self:     c.instance.Host,
 		Hosts:    diskHosts(c.settings),
 		Clock:    time.Now,
-		Seed:     uint64(c.life.Incarnation),
+		Seed:     uint64(c.instance.Incarnation),
 		Recorder: c.recorder,
 	}
 	if c.settings.DataFolder == "" {
@@ -157,7 +156,7 @@
 	s.machine = hingeconfig.New()
 	group, err := s.openGroup(c, "config", s.machine)
 	if err != nil {
-		return eris.Wrap(err, "configuration log")
+		return eris.Wrap(err, "open the configuration log")
 	}
 	s.config = group
 	var origin hingespread.Origin
@@ -176,7 +175,7 @@
 		})
 	}
 	s.spread = hingespread.New(hingespread.Settings{
-		Self:     c.life,
+		Self:     c.instance,
 		Zone:     c.settings.Zone,
 		Peers:    peers,
 		Clock:    time.Now,
@@ -188,22 +187,22 @@
 func (s *shared) openLedger(c sharedConfig) error {
 	group, err := s.openGroup(c, "ledger", hingeledger.NewState(hingeledger.DefaultLimits()))
 	if err != nil {
-		return eris.Wrap(err, "quorum ledger")
+		return eris.Wrap(err, "open the quorum ledger")
 	}
 	s.ledgerGroup = group
-	keepers := keepersOf(c.settings)
-	if keepers[c.settings.Zone] == c.settings.Host {
-		if err := s.openKeeper(c); err != nil {
+	keyOwners := keyOwnersByZone(c.settings)
+	if keyOwners[c.settings.Zone] == c.settings.Host {
+		if err := s.openKeyOwner(c); err != nil {
 			return err
 		}
 	}
 	config := hingeledger.Config{
 		Zone:     c.settings.Zone,
 		Link:     s.link,
-		Voters:   votersFrom(c.settings),
-		Keepers:  keepers,
-		Keeper:   s.keeper,
-		Keep:     c.keepKeys,
+		Voters:   votersNearestFirst(c.settings),
+		Keepers:  keyOwners,
+		Keeper:   s.keyOwner,
+		Keep:     c.keyRetention,
 		Recorder: c.recorder,
 	}
 	if c.settings.DataFolder != "" {
@@ -213,7 +212,7 @@
 	return nil
 }
 
-func (s *shared) openKeeper(c sharedConfig) error {
+func (s *shared) openKeyOwner(c sharedConfig) error {
 	folder := filepath.Join(c.settings.DataFolder, "keeper")
 	if _, err := hingejournal.Folder(folder); err != nil {
 		return err
@@ -222,8 +221,8 @@
 	if err != nil {
 		return err
 	}
-	s.keeperStore = store
-	s.keeper, err = hingeledger.OpenKeeper(hingeledger.KeeperConfig{
+	s.keyOwnerStore = store
+	s.keyOwner, err = hingeledger.OpenKeeper(hingeledger.KeeperConfig{
 		Zone:     c.settings.Zone,
 		Store:    store,
 		Limits:   hingeledger.DefaultLimits(),
@@ -232,20 +231,20 @@
 	return err
 }
 
-// keepersOf names the host that keeps each zone's issued keys: its first one
-// with a disk.
-func keepersOf(s hingesettings.Settings) map[hingeids.Zone]hingeids.HostID {
+// keyOwnersByZone returns the host that owns the issued keys of each zone: the zone's first
+// one with a disk.
+func keyOwnersByZone(s hingesettings.Settings) map[hingeids.Zone]hingeids.HostID {
 	out := make(map[hingeids.Zone]hingeids.HostID)
 	for _, p := range s.Peers {
-		if _, taken := out[p.Zone]; p.Disk && !taken {
+		if _, found := out[p.Zone]; p.Disk && !found {
 			out[p.Zone] = p.Host
 		}
 	}
 	return out
 }
 
-// votersFrom gives the disk hosts, those of the own zone first.
-func votersFrom(s hingesettings.Settings) []hingeids.HostID {
+// votersNearestFirst returns the hosts with a disk, those of the own zone first.
+func votersNearestFirst(s hingesettings.Settings) []hingeids.HostID {
 	var near, far []hingeids.HostID
 	for _, p := range s.Peers {
 		switch {
@@ -259,7 +258,7 @@
 	return append(near, far...)
 }
 
-// run runs the parts until the context ends.
+// run runs all parts until the context ends or one of them fails.
 func (s *shared) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	parts := []func(context.Context) error{
@@ -270,8 +269,8 @@
 		s.ledger.Run,
 		s.members.Run,
 	}
-	if s.keeper != nil {
-		parts = append(parts, s.keeper.Run)
+	if s.keyOwner != nil {
+		parts = append(parts, s.keyOwner.Run)
 	}
 	for _, run := range parts {
 		g.Go(func() error {
@@ -279,8 +278,8 @@
 		})
 	}
 	err := g.Wait()
-	if s.keeperStore != nil {
-		_ = s.keeperStore.Close()
+	if s.keyOwnerStore != nil {
+		_ = s.keyOwnerStore.Close()
 	}
 	return err
 }
--- a/internal/serve/hingeserver/slots.go
+++ b/internal/serve/hingeserver/slots.go
@@ -18,17 +18,17 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// slots gives the request path the decode slots of this host's zone.
+// slots grants decode slots of this host's zone to the request path.
 type slots struct {
-	server *Server
-	client *hingeengine.Client
-	driver *hingeslots.Slots
-	told   []hingeslots.Engine
-	life   hingeids.Life
-	// held are the slots that this host's requests hold.
-	mu   sync.Mutex
+	server      *Server
+	client      *hingeengine.Client
+	driver      *hingeslots.Slots
+	lastEngines []hingeslots.Engine
+	instance    hingeids.Life
+	mu          sync.Mutex
+	// held has the requests of this host that hold a slot. Guarded by mu.
 	held map[hingeids.RequestID]struct{}
-	// lastGrant is when a slot was last granted, in Unix nanoseconds.
+	// lastGrant is the time of the last grant, in Unix nanoseconds.
 	lastGrant atomic.Int64
 }
 
@@ -36,13 +36,13 @@
 
 func newSlots(s *Server) *slots {
 	out := &slots{
-		server: s,
-		client: hingeengine.NewClient(),
-		life:   s.life,
-		held:   make(map[hingeids.RequestID]struct{}),
+		server:   s,
+		client:   hingeengine.NewClient(),
+		instance: s.instance,
+		held:     make(map[hingeids.RequestID]struct{}),
 	}
 	out.driver = hingeslots.New(hingeslots.Config{
-		Life:    s.life,
+		Life:    s.instance,
 		Hosts:   zoneHosts(s.settings),
 		Link:    s.shared.link,
 		Engines: out,
@@ -61,7 +61,7 @@
 	return out
 }
 
-// Held asks an engine which requests take up its slots.
+// Held returns the requests that occupy an engine's slots.
 func (s *slots) Held(ctx context.Context, id hingeids.ServerID) ([]hingeids.RequestID, error) {
 	t, err := s.server.target(id)
 	if err != nil {
@@ -80,27 +80,28 @@
 	return out, nil
 }
 
-// feed tells what the members and the view show. It runs in the control loop.
-func (s *slots) feed() {
+// update passes the membership view and the zone's engines to the driver. The control loop
+// calls it.
+func (s *slots) update() {
 	members := s.server.shared.members.Hosts().Load()
-	if members.Self != s.life {
-		s.life = members.Self
-		s.driver.SetLife(s.life)
+	if members.Self != s.instance {
+		s.instance = members.Self
+		s.driver.SetLife(s.instance)
 	}
 	s.driver.SetView(hingeslots.ViewOf(members, s.server.settings.Zone))
-	if engines := s.engines(); !slices.Equal(engines, s.told) {
-		s.told = engines
+	if engines := s.engines(); !slices.Equal(engines, s.lastEngines) {
+		s.lastEngines = engines
 		s.driver.SetEngines(engines)
 	}
 }
 
-// engines are the decode engines of the own zone.
+// engines returns the decode engines of the own zone.
 func (s *slots) engines() []hingeslots.Engine {
 	if s.server.configuration.Load() == nil {
 		return nil
 	}
 	var out []hingeslots.Engine
-	for _, x := range s.server.listed(s.server.servers.Load().Servers) {
+	for _, x := range s.server.listedServers(s.server.servers.Load().Servers) {
 		if x.Zone == s.server.settings.Zone && x.Does(hingeannounce.Decode) {
 			out = append(out, slotEngine(x))
 		}
@@ -116,61 +117,61 @@
 	}
 }
 
-// canGrant tells whether there is any prospect of a slot on an engine. It is
-// true for what needs no grant. Where there is none, as in a zone whose hosts
-// are too few to stand, a request would be prefilled again and again for a slot
-// that nobody may grant.
+// canGrant reports whether a slot on an engine can be expected. It is true for servers that
+// need no grant. Without this check, as in a zone with too few hosts for a valid lease, a
+// request would be prefilled repeatedly for a slot that no host may grant.
 func (s *slots) canGrant(now time.Time, x hingeannounce.Server) bool {
 	if x.Zone != s.server.settings.Zone || !x.Does(hingeannounce.Decode) {
 		return true
 	}
-	return s.driver.HasOpened(slotEngine(x)) && s.prospect(now)
+	return s.driver.HasOpened(slotEngine(x)) && s.canObtainGrant(now)
 }
 
-// grantFresh is how long a grant says that others in the zone still grant.
-const grantFresh = 2 * time.Second
+// recentGrantPeriod is how long after a grant the other hosts of the zone are expected to
+// grant again.
+const recentGrantPeriod = 2 * time.Second
 
-// prospect tells whether this host stands, or another one has granted it a slot
-// just now.
-func (s *slots) prospect(now time.Time) bool {
+// canObtainGrant reports whether this host holds a valid lease, or has recently received a
+// grant of another host.
+func (s *slots) canObtainGrant(now time.Time) bool {
 	if s.server.shared.members.Hosts().Load().StandsUntil.After(now) {
 		return true
 	}
-	return now.Sub(time.Unix(0, s.lastGrant.Load())) < grantFresh
+	return now.Sub(time.Unix(0, s.lastGrant.Load())) < recentGrantPeriod
 }
 
-// granting tells whether this host has a decode engine to grant slots of.
-func (s *slots) granting() bool {
+// canGrantAny reports whether the slot pool of any decode engine has opened at this host.
+func (s *slots) canGrantAny() bool {
 	return slices.ContainsFunc(s.engines(), s.driver.HasOpened)
 }
 
-// slotWait bounds the wait for a slot that the gate took to be free. A waiting
-// KV cache is evicted within a second, and another engine may have a slot.
-const slotWait = 300 * time.Millisecond
+// slotTimeout limits the wait for a slot that the gate considers free. A waiting KV cache is
+// evicted within a second, and another engine may have a free slot.
+const slotTimeout = 300 * time.Millisecond
 
-// Acquire waits for a slot at any one of the engines. An engine of another zone
-// grants none to this host; it is used only where the own zone has no engine, and
-// refuses by itself what it can't hold.
+// Acquire waits for a slot on any of the engines. Engines of another zone grant no slots to
+// this host; they are used only if the own zone has no decode engine, and refuse excess
+// requests themselves.
 func (s *slots) Acquire(
-	ctx context.Context, w *hingedispatch.Work, id hingeids.RequestID, at ...hingeengine.Target,
+	ctx context.Context, r *hingedispatch.Work, id hingeids.RequestID, at ...hingeengine.Target,
 ) (hingeengine.Target, error) {
 	engines := make([]hingeids.ServerID, 0, len(at))
 	for _, t := range at {
-		if !s.own(t) {
+		if !s.inOwnZone(t) {
 			return t, nil
 		}
 		engines = append(engines, t.Server)
 	}
-	ctx, cancel := context.WithTimeout(ctx, slotWait)
+	ctx, cancel := context.WithTimeout(ctx, slotTimeout)
 	defer cancel()
-	grant, err := s.driver.Acquire(ctx, engines, id, w.Class.Priority)
+	grant, err := s.driver.Acquire(ctx, engines, id, r.Class.Priority)
 	if err == nil && !grant.Startable(time.Now()) {
 		s.driver.Release(id)
-		err = eris.New("the grant came too late")
+		err = eris.New("the slot grant arrived too late to start the request")
 	}
 	if err != nil {
 		return hingeengine.Target{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeServerRefused,
-			noServerRetry, eris.Wrapf(err, "slot on %v", engines))
+			noServerRetry, eris.Wrapf(err, "acquire a decode slot on %v", engines))
 	}
 	s.lastGrant.Store(time.Now().UnixNano())
 	s.mu.Lock()
@@ -179,12 +180,12 @@
 	return at[slices.Index(engines, grant.Engine)], nil
 }
 
-func (s *slots) own(t hingeengine.Target) bool {
+func (s *slots) inOwnZone(t hingeengine.Target) bool {
 	server, ok := s.server.servers.Load().Find(t.Server)
 	return ok && server.Zone == s.server.settings.Zone
 }
 
-// Release gives a slot back. One that was never granted is no harm.
+// Release releases the slot of a request. It does nothing if the request has none.
 func (s *slots) Release(id hingeids.RequestID, _ hingeengine.Target) {
 	s.mu.Lock()
 	delete(s.held, id)
@@ -192,8 +193,8 @@
 	s.driver.Release(id)
 }
 
-// holding counts the slots that this host's requests hold.
-func (s *slots) holding() int64 {
+// heldCount counts the slots that this host's requests hold.
+func (s *slots) heldCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return int64(len(s.held))
