--- a/internal/serve/hingecontrol/announce.go
+++ b/internal/serve/hingecontrol/announce.go
@@ -11,25 +11,28 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Announce takes what a backend server says of itself. A server of a service that no configuration names
-// is refused, so that whoever writes under the id of another changes nothing of what is held.
+// Announce handles the announcement of a backend server. It rejects a server of a service that isn't
+// in the configuration, so that an unrelated sender can't replace the record of a known server that
+// has the same id.
 func (c *Control) Announce(now time.Time, a hingeannounce.Announcement) error {
-	if !c.world.Load().Table().Names(a.Service) {
+	if !c.view.Load().Table().Names(a.Service) {
 		return eris.Errorf("service %q isn't in the configuration", a.Service)
 	}
 	c.source.Hear(now, a)
 	return nil
 }
 
-// Leave takes a backend server's word that it leaves, in an incarnation that is zero if it doesn't say it.
+// Leave handles the message of a backend server that it leaves. The incarnation is zero if the message
+// doesn't contain it.
 func (c *Control) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	c.source.Leave(now, id, i)
 }
 
-// Refuse records an announcement that wasn't taken, bounded: another writer may send any number.
+// Refuse records a rejected announcement. It writes at most one event per refusalInterval, as an
+// unrelated sender may send any number.
 func (c *Control) Refuse(now time.Time, id hingeids.ServerID, cause error) {
-	count, due := c.refusals.add(now)
-	if !due {
+	count, ok := c.refusals.add(now)
+	if !ok {
 		return
 	}
 	c.options.Recorder.Record(time.Now(), hingeevents.AnnouncementRefused, hingeevents.Fields{
@@ -39,27 +42,28 @@
 	})
 }
 
-// refusedEvery bounds the lines on refused announcements: an operator sees that it goes on, and
-// a writer that sends thousands a second doesn't fill the log.
-const refusedEvery = time.Second
+// refusalInterval is the minimum time between two events on rejected announcements, so that a sender
+// of thousands per second doesn't fill the log.
+const refusalInterval = time.Second
 
-// refusals counts refused announcements between two lines.
+// refusals counts the announcements that were rejected since the last event.
 type refusals struct {
-	mu    sync.Mutex
-	count int64
-	told  time.Time
+	mu           sync.Mutex
+	count        int64
+	lastRecorded time.Time
 }
 
-// add counts one, and gives how many there were since the last line if another is due.
+// add counts a rejected announcement. If an event is to be recorded now, it returns the number since
+// the last event, and true.
 func (r *refusals) add(now time.Time) (int64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.count++
-	if !r.told.IsZero() && now.Sub(r.told) < refusedEvery {
+	if !r.lastRecorded.IsZero() && now.Sub(r.lastRecorded) < refusalInterval {
 		return 0, false
 	}
 	count := r.count
 	r.count = 0
-	r.told = now
+	r.lastRecorded = now
 	return count, true
 }
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -1,11 +1,11 @@
-// Package hingecontrol joins the parts of a control host: it agrees with the
-// others on the configuration, hears the backend servers, tells everyone else, and
-// places streams while it leads.
+// Package hingecontrol assembles a control host: it replicates the configuration together with the
+// other control hosts, receives the announcements of backend servers, serves both to followers, and
+// places streams while it is the leader.
 //
-//  1. A change is accepted once a quorum of control hosts holds it on disk.
-//  2. A read gives nothing older than what was accepted before it, or fails.
-//  3. The first start of all founds the group with the seeds; later a host joins
-//     the group it finds through its seeds, with whatever its disk holds.
+//  1. A change is accepted once a quorum of control hosts has it on disk.
+//  2. A read returns nothing older than what was accepted before it, or fails.
+//  3. The first start of the whole system bootstraps the group with the seeds; later a host joins the
+//     group that it finds through its seeds, with whatever its disk contains.
 package hingecontrol
 
 import (
@@ -39,43 +39,44 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Options of a control host.
+// Options configures a control host.
 type Options struct {
 	Life      hingeids.Life
 	Zone      hingeids.Zone
 	Link      string
 	AddressOf func(hingeids.HostID) (string, error)
 	Seeds     []hingeids.HostID
-	// Founds says that the whole system starts for the first time.
+	// Founds is set when the whole system starts for the first time; the host then bootstraps the
+	// group.
 	Founds bool
-	// Voters is how many control hosts are to vote.
+	// Voters is the target number of voting control hosts.
 	Voters int
-	// Data is the folder of the host's disk.
+	// Data is the folder for the host's persistent state.
 	Data  string
 	Parse func(body []byte) (*hingeroutes.Table, error)
-	// Engines reaches engines for orders, at the addresses that it is given.
+	// Engines returns the client that sends orders to engines, at the addresses that the given
+	// function returns.
 	Engines func(address func(hingeids.ServerID) (string, bool)) hingeorders.Engines
-	// ChecksFence says that engines refuse orders with an old fencing number. IssuerPause is how long
-	// after one issuer's last order they may hear another's.
+	// ChecksFence says that engines reject orders with an old fencing number. IssuerPause is the
+	// minimum time between the last order of one issuer and the first of another at an engine.
 	ChecksFence bool
 	IssuerPause time.Duration
-	// Quotas are what customers' quotas are judged by.
+	// Quotas are the parameters by which customers' quotas are enforced.
 	Quotas   hingequota.Terms
 	Recorder *hingeevents.Recorder
 }
 
 const (
-	// election is how long a leader may be silent, and how long after its start a host may not vote: nothing is served in the
-	// meantime after all hosts have lost power, so each tenth of a second of it loses a tenth of a second's
-	// callers. A disk that takes 30 times its 5 ms for a sync keeps a host silent for two or three tenths. Four
-	// heartbeats in a row must be lost.
-	election  = 500 * time.Millisecond
-	heartbeat = 125 * time.Millisecond
-	// stepEvery is how often silent backend servers are looked for.
-	stepEvery = 250 * time.Millisecond
-	// openTries and openPause bound how long a disk that refuses writes is waited for at the start.
-	openTries = 100
-	openPause = 300 * time.Millisecond
+	// electionTimeout is how long a leader may send no heartbeat, and how long after its start a host
+	// may not vote. It delays the first requests after a power failure of all hosts, so it is short,
+	// but longer than a slow sync of the disk (0.3 s). Four heartbeats in a row must be lost.
+	electionTimeout   = 500 * time.Millisecond
+	heartbeatInterval = 125 * time.Millisecond
+	// cleanupInterval is how often expired records of backend servers are removed.
+	cleanupInterval = 250 * time.Millisecond
+	// maxOpenAttempts and openRetryDelay limit how long New waits for a disk that rejects writes.
+	maxOpenAttempts = 100
+	openRetryDelay  = 300 * time.Millisecond
 )
 
 // Control is a control host.
@@ -88,30 +89,30 @@
 	follower *hingefollow.Follower
 	placer   *hingeplacer.Placer
 	roles    *roles
-	// away are the engines that change their role; settled is the term in which
-	// this host has led for long enough to give orders.
-	away    hingeboard.Cell[map[hingeids.ServerID]bool]
-	settled hingeboard.Cell[hingeids.Fence]
-	world   hingeboard.Cell[hingeworld.World]
-	// entries is how many entry hosts there were when they were last counted: the placer asks for it with each report, and must not wait for
-	// the lock of whoever answers hundreds of followers.
-	entries atomic.Int64
-	// changes are those of the list of requests that end servers which wait to be agreed on.
-	changes chan hingepoison.Record
-	// refusals are the announcements that weren't taken.
-	refusals refusals
-	done     chan struct{}
+	// unavailable are the engines that change their role; settled is the term in which this host has
+	// been the leader for long enough to issue orders.
+	unavailable hingeboard.Cell[map[hingeids.ServerID]bool]
+	settled     hingeboard.Cell[hingeids.Fence]
+	view        hingeboard.Cell[hingeworld.World]
+	// entryHosts is the last counted number of entry hosts. The placer reads it with each report and
+	// must not wait for the lock of source, which serves hundreds of followers.
+	entryHosts atomic.Int64
+	// pendingRecords are changes of the list of poison requests that wait to be proposed.
+	pendingRecords chan hingepoison.Record
+	refusals       refusals
+	done           chan struct{}
 }
 
-// New makes a control host.
+// New creates a control host. It waits while the journal can't be opened, up to maxOpenAttempts times
+// openRetryDelay.
 func New(ctx context.Context, o Options) (*Control, error) {
 	c := &Control{
-		options: o,
-		machine: hingeshared.New(),
-		changes: make(chan hingepoison.Record, listQueue),
-		done:    make(chan struct{}),
+		options:        o,
+		machine:        hingeshared.New(),
+		pendingRecords: make(chan hingepoison.Record, recordQueueSize),
+		done:           make(chan struct{}),
 	}
-	c.world.Store(hingeworld.Build(nil, nil))
+	c.view.Store(hingeworld.Build(nil, nil))
 	var err error
 	if c.link, err = hingelink.NewInsecure(o.Life, o.Link, o.AddressOf, o.Recorder); err != nil {
 		return nil, err
@@ -128,16 +129,17 @@
 			c.source.Merge(now, records)
 		},
 	}, c.link, o.Seeds)
-	c.placer = hingeplacer.New(c, c, c.places, hingeclock.Boot, o.Quotas)
+	c.placer = hingeplacer.New(c, c, c.isPlacer, hingeclock.Boot, o.Quotas)
 	c.placer.Handle(c.link, c.options.Recorder)
 	c.roles = newRoles(c, o.Engines(c.Address))
 	return c, nil
 }
 
-// openGroup opens the journal; a disk that is full when the process starts is waited for.
+// openGroup opens the journal and creates the group. It retries, as the disk may be full when the
+// process starts.
 func (c *Control) openGroup(ctx context.Context) (*hingegroup.Group, error) {
 	var last error
-	for range openTries {
+	for range maxOpenAttempts {
 		files, err := hingejournal.Folder(filepath.Join(c.options.Data, "config"))
 		if err == nil {
 			var g *hingegroup.Group
@@ -152,7 +154,7 @@
 		select {
 		case <-ctx.Done():
 			return nil, ctx.Err()
-		case <-time.After(openPause):
+		case <-time.After(openRetryDelay):
 		}
 	}
 	return nil, eris.Wrap(last, "open the configuration's journal")
@@ -167,8 +169,8 @@
 		Open:      true,
 		Joins:     !o.Founds,
 		Voters:    o.Voters,
-		Election:  election,
-		Heartbeat: heartbeat,
+		Election:  electionTimeout,
+		Heartbeat: heartbeatInterval,
 		Clock:     hingeclock.Boot,
 		Today:     time.Now,
 		Seed:      uint64(o.Life.Incarnation),
@@ -176,17 +178,17 @@
 	}, c.link, files, c.machine)
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (c *Control) Done() <-chan struct{} {
 	return c.done
 }
 
-// Run serves until the context ends.
+// Run serves until the context is canceled or a part fails.
 func (c *Control) Run(ctx context.Context) error {
 	defer close(c.done)
 	group, ctx := errgroup.WithContext(ctx)
 	for _, part := range []func(context.Context) error{
-		c.link.Run, c.group.Run, c.follower.Run, c.placer.Run, c.step, c.watchLeader, c.watchWorld, c.proposeList,
+		c.link.Run, c.group.Run, c.follower.Run, c.placer.Run, c.step, c.watchLeader, c.watchView, c.proposeRecords,
 		c.roles.run, c.roles.orders.Run,
 	} {
 		group.Go(func() error {
@@ -196,9 +198,9 @@
 	return group.Wait()
 }
 
-// step looks for backend servers that have gone silent.
+// step removes the records of backend servers without heartbeats, and counts the entry hosts.
 func (c *Control) step(ctx context.Context) error {
-	ticker := time.NewTicker(stepEvery)
+	ticker := time.NewTicker(cleanupInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -206,12 +208,12 @@
 			return nil
 		case <-ticker.C:
 			c.source.Step(hingeclock.Boot())
-			c.entries.Store(int64(c.source.Entries()))
+			c.entryHosts.Store(int64(c.source.Entries()))
 		}
 	}
 }
 
-// watchLeader tells followers when another host leads: they place streams there.
+// watchLeader wakes the followers when the leader changes, as they request placements from it.
 func (c *Control) watchLeader(ctx context.Context) error {
 	known := hingeids.HostID("")
 	for {
@@ -228,8 +230,9 @@
 	}
 }
 
-// watchWorld keeps the world that streams are placed in.
-func (c *Control) watchWorld(ctx context.Context) error {
+// watchView rebuilds the cluster view, by which streams are placed, after each change of the
+// configuration or of a backend server.
+func (c *Control) watchView(ctx context.Context) error {
 	var table *hingeroutes.Table
 	for {
 		documents := c.machine.Views().Changed()
@@ -248,9 +251,9 @@
 				})
 			}
 		}
-		earlier := c.world.Load()
-		c.world.Store(hingeworld.Build(table, c.source.Records()))
-		c.tellChanges(earlier, c.world.Load())
+		earlier := c.view.Load()
+		c.view.Store(hingeworld.Build(table, c.source.Records()))
+		c.recordChanges(earlier, c.view.Load())
 		select {
 		case <-documents:
 		case <-servers:
@@ -260,39 +263,40 @@
 	}
 }
 
-// tellChanges records which servers may be used now and which no longer, with the version of the world that lines on
-// requests name. Entry hosts write no lines of their own on it: hundreds would say the same.
-func (c *Control) tellChanges(earlier, now *hingeworld.World) {
-	usable, gone := now.Since(earlier)
+// recordChanges records which servers became usable and which were removed, with the version of the
+// cluster view that events on requests contain. Only control hosts record it: hundreds of entry hosts
+// would write the same.
+func (c *Control) recordChanges(earlier, now *hingeworld.World) {
+	usable, removed := now.Since(earlier)
 	for _, id := range usable {
-		c.tellServer(hingeevents.ServerUsable, id, now)
+		c.recordServer(hingeevents.ServerUsable, id, now)
 	}
-	for _, id := range gone {
-		c.tellServer(hingeevents.ServerGone, id, now)
+	for _, id := range removed {
+		c.recordServer(hingeevents.ServerGone, id, now)
 	}
 }
 
-func (c *Control) tellServer(n hingeevents.Number, id hingeids.ServerID, w *hingeworld.World) {
+func (c *Control) recordServer(n hingeevents.Number, id hingeids.ServerID, w *hingeworld.World) {
 	c.options.Recorder.Record(time.Now(), n, hingeevents.Fields{
 		Server: id,
 		World:  w.Version(),
 	})
 }
 
-// Engines gives the engines that streams may be placed on: all of them for the leader, those
-// of the own zone for a host that hears no leader (hingeplacer rule 1), and
-// none that changes its role.
+// Engines returns the engines on which streams may be placed: all of them on the leader, those of the
+// host's own zone on a host that knows no leader (hingeplacer rule 1), and none that is changing its
+// role.
 func (c *Control) Engines() map[hingeids.Service][]hingefleet.Engine {
-	all := c.world.Load().Engines()
+	all := c.view.Load().Engines()
 	leads := c.Leads()
-	away := map[hingeids.ServerID]bool{}
-	if a := c.away.Load(); a != nil {
-		away = *a
+	unavailable := map[hingeids.ServerID]bool{}
+	if a := c.unavailable.Load(); a != nil {
+		unavailable = *a
 	}
 	out := make(map[hingeids.Service][]hingefleet.Engine, len(all))
 	for s, list := range all {
 		for _, e := range list {
-			if !away[e.Server] && (leads || e.Zone == c.options.Zone) {
+			if !unavailable[e.Server] && (leads || e.Zone == c.options.Zone) {
 				out[s] = append(out[s], e)
 			}
 		}
@@ -300,15 +304,15 @@
 	return out
 }
 
-// Address gives the address of a server, if it is known.
+// Address returns the address of a server, and false if the server is unknown.
 func (c *Control) Address(id hingeids.ServerID) (string, bool) {
-	return c.world.Load().Address(id)
+	return c.view.Load().Address(id)
 }
 
-// Replicas gives the replicas that requests may be sent to: all of them for the leader, those of the own zone for a
-// host that hears no leader.
+// Replicas returns the replicas to which requests may be sent: all of them on the leader, those of the
+// host's own zone on a host that knows no leader.
 func (c *Control) Replicas() map[hingeids.Service][]hingebalance.Replica {
-	all := c.world.Load().Replicas()
+	all := c.view.Load().Replicas()
 	if c.Leads() {
 		return all
 	}
@@ -323,28 +327,28 @@
 	return out
 }
 
-// Quota gives a customer's quota.
+// Quota returns the quota of a customer, which is unlimited for an unknown one.
 func (c *Control) Quota(id hingeids.CallerID) hingecustomers.Quota {
-	return c.world.Load().Table().Quota(id)
+	return c.view.Load().Table().Quota(id)
 }
 
-// Entries is how many entry hosts there are.
+// Entries returns the number of entry hosts, as counted in the last cleanupInterval.
 func (c *Control) Entries() int {
-	return int(c.entries.Load())
+	return int(c.entryHosts.Load())
 }
 
-// Leads reports whether this host was elected, whether or not its lease holds at the
-// moment: placing is advice, and a lease that lapses for a heartbeat is no reason to forget the fleet.
+// Leads reports whether this host is the elected leader, even while its lease has expired: placements
+// are only advice, so a lapse for one heartbeat is no reason to discard the state of the placer.
 func (c *Control) Leads() bool {
 	return c.group.Standing().Leads
 }
 
-// places reports whether streams are placed here.
-func (c *Control) places() bool {
+// isPlacer reports whether this host places streams: it is the leader or knows none.
+func (c *Control) isPlacer() bool {
 	return c.Leads() || c.group.Leader() == ""
 }
 
-// Documents is where each accepted configuration is published.
+// Documents returns the cell with the newest accepted configuration.
 func (c *Control) Documents() *hingeboard.Cell[hingeversion.Document] {
 	return c.machine.Views()
 }
@@ -355,7 +359,7 @@
 	return err
 }
 
-// Standing is what this host knows of the group.
+// Standing returns this host's view of the group.
 func (c *Control) Standing() hingefollow.Standing {
 	s := c.group.Standing()
 	out := hingefollow.Standing{
@@ -370,7 +374,8 @@
 	return out
 }
 
-// ZoneOf gives the zone of a control host that this one follows, or its own.
+// ZoneOf returns the zone of this host or of another control host, and an empty zone if the host is
+// unknown.
 func (c *Control) ZoneOf(h hingeids.HostID) hingeids.Zone {
 	if h == c.options.Life.Host {
 		return c.options.Zone
@@ -383,23 +388,24 @@
 	return ""
 }
 
-// peerSilence is how long a control host that isn't heard any more still counts
-// among those that are asked.
-const peerSilence = 5 * time.Second
+// peerTimeout is how long after its last response a control host still counts among those that have
+// followers.
+const peerTimeout = 5 * time.Second
 
-// Askers gives the entry hosts that ask each of the other control hosts.
+// Askers returns for each of the other control hosts the set of entry hosts that follow it.
 func (c *Control) Askers() []hingefollow.Askers {
 	var out []hingefollow.Askers
 	now := hingeclock.Boot()
 	for _, x := range c.follower.State().Load().Control {
-		if now.Sub(x.HeardAt) < peerSilence {
+		if now.Sub(x.HeardAt) < peerTimeout {
 			out = append(out, x.Askers)
 		}
 	}
 	return out
 }
 
-// Change has a configuration accepted (rule 1). The error carries the verdict.
+// Change proposes a configuration and waits until it is accepted (rule 1). The error contains the
+// verdict.
 func (c *Control) Change(ctx context.Context, d hingeversion.Document) error {
 	body, err := d.Encode()
 	if err != nil {
@@ -409,7 +415,7 @@
 	return err
 }
 
-// Reseed takes other seeds.
+// Reseed replaces the seeds.
 func (c *Control) Reseed(seeds []hingeids.HostID) {
 	c.follower.Reseed(seeds)
 	c.group.Meet(seeds)
--- a/internal/serve/hingecontrol/operators.go
+++ b/internal/serve/hingecontrol/operators.go
@@ -12,24 +12,25 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// poisonPath is where operators read and change the list of the requests that end servers.
+// poisonPath is the route by which operators read and change the list of poison requests.
 const poisonPath = "/poison"
 
-// Operators answers operators of a control host: GET of the list, PUT and DELETE of one request by its print. A change is
-// answered once it is agreed on.
+// Operators serves the operators of a control host: GET returns the list of poison requests, PUT and
+// DELETE add and lift one by its fingerprint. The response to a change is sent once a quorum has
+// accepted it.
 type Operators struct {
 	Control *Control
 }
 
 var _ hingewire.Handler = Operators{}
 
-// Serve answers one question.
+// Serve handles one request of an operator.
 func (o Operators) Serve(ctx context.Context, r *hingewire.Request, w *hingewire.Writer) {
-	name, one := strings.CutPrefix(r.Target, poisonPath+"/")
+	name, hasName := strings.CutPrefix(r.Target, poisonPath+"/")
 	switch {
 	case r.Target == poisonPath && r.Method == http.MethodGet:
 		o.list(w)
-	case one && r.Method == http.MethodPut:
+	case hasName && r.Method == http.MethodPut:
 		o.change(ctx, w, name, func(p hingeids.Print) hingepoison.Record {
 			return hingepoison.Record{
 				Print: p,
@@ -37,16 +38,16 @@
 				Since: time.Now().UnixMilli(),
 			}
 		})
-	case one && r.Method == http.MethodDelete:
+	case hasName && r.Method == http.MethodDelete:
 		o.change(ctx, w, name, func(p hingeids.Print) hingepoison.Record {
 			return hingepoison.Lift(time.Now(), p)
 		})
 	default:
-		tellOperator(w, http.StatusNotFound, "no such route")
+		writeJSON(w, http.StatusNotFound, "no such route")
 	}
 }
 
-// record is a request on the list, as operators read it.
+// record is the JSON form of a poison request on the list.
 type record struct {
 	Print   hingeids.Print      `json:"print"`
 	Service hingeids.Service    `json:"service,omitempty"`
@@ -55,7 +56,7 @@
 	Servers []hingeids.ServerID `json:"servers,omitempty"`
 	First   time.Time           `json:"first"`
 	Since   time.Time           `json:"since"`
-	// TriedInMs is when it is tried again; zero or less if it is due.
+	// TriedInMs is the time until the next probe; zero or negative if the probe is overdue.
 	TriedInMs int64 `json:"triedInMs"`
 	Trials    int   `json:"trials,omitempty"`
 	Doubtful  bool  `json:"doubtful,omitempty"`
@@ -79,7 +80,7 @@
 			Doubtful:  r.Doubtful,
 		})
 	}
-	tellOperator(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Revision uint64   `json:"revision"`
 		Records  []record `json:"records"`
 	}{
@@ -88,23 +89,23 @@
 	})
 }
 
-func (o Operators) change(ctx context.Context, w *hingewire.Writer, name string, of func(hingeids.Print) hingepoison.Record) {
+func (o Operators) change(ctx context.Context, w *hingewire.Writer, name string, newRecord func(hingeids.Print) hingepoison.Record) {
 	var p hingeids.Print
 	if err := p.UnmarshalText([]byte(name)); err != nil || p == 0 {
-		tellOperator(w, http.StatusBadRequest, "a print is sixteen hexadecimal digits")
+		writeJSON(w, http.StatusBadRequest, "the fingerprint must be 16 hexadecimal digits and not zero")
 		return
 	}
-	if err := o.Control.proposeRecord(ctx, of(p)); err != nil {
-		tellOperator(w, http.StatusServiceUnavailable, err.Error())
+	if err := o.Control.proposeRecord(ctx, newRecord(p)); err != nil {
+		writeJSON(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
-	tellOperator(w, http.StatusOK, "agreed on")
+	writeJSON(w, http.StatusOK, "agreed on")
 }
 
-func tellOperator(w *hingewire.Writer, status int, body any) {
+func writeJSON(w *hingewire.Writer, status int, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
-		// Only our own types stand in it, and all can be encoded.
+		// All callers pass types of this package, which can be encoded.
 		panic(err)
 	}
 	w.Whole(status, http.Header{
--- a/internal/serve/hingecontrol/poison.go
+++ b/internal/serve/hingecontrol/poison.go
@@ -16,54 +16,56 @@
 )
 
 const (
-	// listQueue is how many changes of the list may wait; those beyond are found again.
-	listQueue = 64
-	// listTime bounds one change, which takes a sync at two disks and a round trip.
-	listTime = 2 * time.Second
+	// recordQueueSize limits how many changes of the list wait. Those beyond are dropped: the placer
+	// detects the request again.
+	recordQueueSize = 64
+	// proposeTimeout limits the time of one proposal, which normally takes a sync on two disks and a
+	// round trip.
+	proposeTimeout = 2 * time.Second
 )
 
-// Poisons is where the list of the requests that end servers is published.
+// Poisons returns the cell with the list of poison requests.
 func (c *Control) Poisons() *hingeboard.Cell[hingepoison.List] {
 	return c.machine.Poisons()
 }
 
-// Poison gives what the list says of a request.
+// Poison returns the list's entry for a fingerprint.
 func (c *Control) Poison(p hingeids.Print) hingepoison.Listed {
 	return c.Poisons().Load().At(time.Now(), p)
 }
 
-// Agree hands a record to whoever proposes it, who waits for disks. The placer mustn't.
+// Agree queues a record to be proposed. It doesn't block, as the placer must not wait for disks.
 func (c *Control) Agree(r hingepoison.Record) {
 	select {
-	case c.changes <- r:
+	case c.pendingRecords <- r:
 	default:
-		c.notAgreed(r, eris.New("too many changes wait"))
+		c.recordProposalFailure(r, eris.New("the queue of changes to the list is full"))
 	}
 }
 
-// WriteMetrics writes the control host's metrics as text.
+// WriteMetrics writes the control host's metrics in the Prometheus text format.
 func (c *Control) WriteMetrics(w io.Writer) {
-	// A reader that left needs no answer.
+	// A failed write means that the client has disconnected.
 	_, _ = fmt.Fprintf(w, "swifthinge_poison_requests %d\n", len(c.Poisons().Load().Refused()))
 }
 
-// proposeList has changes of the list agreed on.
-func (c *Control) proposeList(ctx context.Context) error {
+// proposeRecords proposes the queued changes of the list.
+func (c *Control) proposeRecords(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return nil
-		case r := <-c.changes:
+		case r := <-c.pendingRecords:
 			if err := c.proposeRecord(ctx, r); err != nil {
-				c.notAgreed(r, err)
+				c.recordProposalFailure(r, err)
 			}
 		}
 	}
 }
 
-// notAgreed records a change that came to nothing. The placer, or the next leader's, asks for a request that was found again; one that was
-// tried stays due, and is tried again.
-func (c *Control) notAgreed(r hingepoison.Record, err error) {
+// recordProposalFailure records a change that wasn't accepted. A newly detected request is proposed
+// again by this placer or the next leader's; after a failed probe the next probe remains due.
+func (c *Control) recordProposalFailure(r hingepoison.Record, err error) {
 	c.options.Recorder.Record(time.Now(), hingeevents.PoisonNotAgreed, hingeevents.Fields{
 		Print:  r.Print,
 		Detail: err.Error(),
@@ -77,8 +79,8 @@
 	if err != nil {
 		return err
 	}
-	one, stop := context.WithTimeout(ctx, listTime)
+	proposeCtx, stop := context.WithTimeout(ctx, proposeTimeout)
 	defer stop()
-	_, err = c.group.Propose(one, body)
+	_, err = c.group.Propose(proposeCtx, body)
 	return err
 }
--- a/internal/serve/hingecontrol/roles.go
+++ b/internal/serve/hingecontrol/roles.go
@@ -15,49 +15,48 @@
 )
 
 const (
-	// leastDemand is the share of all engines that must be asked for before roles are
-	// planned: below it the mix of a few requests says little.
-	leastDemand = 0.2
-	// prefillSlack is how much more prefill is planned than is asked for. Prompts come
-	// in clumps and a first token waits for all those before it: at nine tenths of
-	// its rate an engine keeps them waiting for many prefills, at three quarters for one or two.
-	prefillSlack = 1.3
-	// readCost is how many engines that decode it takes to read what one that prefills does: they read at
-	// half its pace, and make next to nothing meanwhile.
-	readCost = 2
-	// rolesEvery is how often roles are thought of.
-	rolesEvery = 500 * time.Millisecond
-	// holdFor is how long the same change must be worth it: three looks in a row, at a demand that is an
-	// average over seconds already. Rest is the pause between two changes:
-	// longer than one takes, so that its effect is seen before the next.
-	holdFor = time.Second
-	rest    = 9 * time.Second
-	// shiftAtOnce is how many engines there are, beyond smallPool, to each that changes at the
-	// same moment: at most a quarter of a pool is away for a change, and only engines that the
-	// plan can spare. A small pool moves one at a time: the demand of its first seconds
-	// is a few dozen streams, and two wrong engines of nine are a fifth of it.
-	shiftAtOnce = 4
-	smallPool   = 5
-	// mostLast bounds how long a demand is taken to last.
-	mostLast = time.Minute
-	// orderTime bounds an order's way to an engine; it is well within the leader's lease.
-	orderTime = 300 * time.Millisecond
-	// changeWait is how long an engine that was ordered to change is left out of
-	// placing at most, until it announces its new role.
-	changeWait = 15 * time.Second
+	// minDemandShare is the minimum demand, as a share of all engines, at which roles are planned:
+	// below it the mix of a few requests isn't representative.
+	minDemandShare = 0.2
+	// prefillReserve is the factor by which the demand on prefill is raised in the plan. Prompts
+	// arrive in bursts and a first token waits for all prompts before it, so the queue of an engine
+	// grows steeply when it is used at more than three quarters of its rate.
+	prefillReserve = 1.3
+	// decodePrefillCost is the number of decode engines that replace one prefill engine: they prefill
+	// at half its rate, and generate almost nothing meanwhile.
+	decodePrefillCost = 2
+	// planInterval is the interval at which roles are planned.
+	planInterval = 500 * time.Millisecond
+	// holdFor is how long the same change must be worthwhile before it is made. The demand is already
+	// an average over seconds. cooldown is the minimum time between two changes: longer than a change
+	// takes, so that its effect is visible before the next.
+	holdFor  = time.Second
+	cooldown = 9 * time.Second
+	// enginesPerChange limits the concurrent role changes to one for each enginesPerChange engines
+	// beyond smallPool, unless the plan can spare the engine. Pools up to that size change one engine
+	// at a time, as a wrong decision there affects a large part of the pool.
+	enginesPerChange = 4
+	smallPool        = 5
+	// maxDemandDuration limits the expected duration of a demand.
+	maxDemandDuration = time.Minute
+	// orderTimeout limits the delivery time of an order; it is well below the leader's lease.
+	orderTimeout = 300 * time.Millisecond
+	// roleChangeTimeout is how long an engine that was ordered to change its role is excluded from
+	// placements at most, until it announces the new role.
+	roleChangeTimeout = 15 * time.Second
 )
 
-// roles has engines change between prefill and decode as the demand asks.
+// roles changes engines between prefill and decode according to the demand.
 type roles struct {
 	control  *Control
 	orders   *hingeorders.Orders
-	shifters map[hingeids.Service]*hingeshift.Shifter
-	// changing are the engines under orders.
+	planners map[hingeids.Service]*hingeshift.Shifter
+	// changing are the engines whose role change is not yet announced.
 	changing map[hingeids.ServerID]change
 	tenure   tenure
 }
 
-// change is an engine on its way to another role.
+// change is a role change in progress.
 type change struct {
 	role  hingefleet.Role
 	since time.Time
@@ -66,12 +65,12 @@
 func newRoles(c *Control, e hingeorders.Engines) *roles {
 	r := &roles{
 		control:  c,
-		shifters: make(map[hingeids.Service]*hingeshift.Shifter),
+		planners: make(map[hingeids.Service]*hingeshift.Shifter),
 		changing: make(map[hingeids.ServerID]change),
 	}
 	r.orders = hingeorders.New(hingeorders.Config{
 		Settings: hingeorders.Settings{
-			OrderTime: orderTime,
+			OrderTime: orderTimeout,
 		},
 		Engines: e,
 		Lease:   issuer{group: c},
@@ -81,12 +80,13 @@
 	return r
 }
 
-// issuer lets a leader give orders once it has led for a while.
+// issuer implements hingeorders.Issuer: a leader may issue orders once it is settled.
 type issuer struct {
 	group *Control
 }
 
-// Holder gives the leader's term as the fencing number.
+// Holder returns the leader's term as the fencing number, the end of its lease, and whether this host
+// may issue orders now.
 func (i issuer) Holder(now time.Time) (hingeids.Fence, time.Time, bool) {
 	s := i.group.group.Standing()
 	settled := i.group.settled.Load()
@@ -96,9 +96,9 @@
 	return hingeids.Fence(s.Term), s.LeadsUntil, now.Before(s.LeadsUntil)
 }
 
-// run decides until the context ends.
+// run plans roles until the context is canceled.
 func (r *roles) run(ctx context.Context) error {
-	ticker := time.NewTicker(rolesEvery)
+	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -121,32 +121,33 @@
 	if settled {
 		r.control.settled.Store(&term)
 	}
-	world := r.control.world.Load()
-	r.forget(now, world.Engines())
-	table := world.Table()
+	view := r.control.view.Load()
+	r.removeFinished(now, view.Engines())
+	table := view.Table()
 	if table == nil {
 		return
 	}
 	for s, demand := range r.control.placer.Demands() {
 		if e := table.Services[s].Engine; e != nil {
-			r.shift(now, s, e, world.Engines()[s], demand, settled)
+			r.changeRoles(now, s, e, view.Engines()[s], demand, settled)
 		}
 	}
-	r.publish(world.Engines())
+	r.publish(view.Engines())
 }
 
 func (r *roles) stepDown() {
 	r.tenure = tenure{}
-	if len(r.changing) == 0 && len(r.shifters) == 0 {
+	if len(r.changing) == 0 && len(r.planners) == 0 {
 		return
 	}
 	clear(r.changing)
-	clear(r.shifters)
+	clear(r.planners)
 	r.publish(nil)
 }
 
-// forget drops the changes that were made, or that nobody makes any more.
-func (r *roles) forget(now time.Time, engines map[hingeids.Service][]hingefleet.Engine) {
+// removeFinished removes role changes that are finished, have timed out, or whose engine is no longer
+// known.
+func (r *roles) removeFinished(now time.Time, engines map[hingeids.Service][]hingefleet.Engine) {
 	present := make(map[hingeids.ServerID]hingefleet.Role)
 	for _, list := range engines {
 		for _, e := range list {
@@ -154,8 +155,8 @@
 		}
 	}
 	for id, c := range r.changing {
-		role, there := present[id]
-		if !there || role == c.role || now.Sub(c.since) > changeWait {
+		role, found := present[id]
+		if !found || role == c.role || now.Sub(c.since) > roleChangeTimeout {
 			delete(r.changing, id)
 		}
 	}
@@ -166,18 +167,17 @@
 	hingefleet.Decode:  hingeannounce.Decode,
 }
 
-// plan scales the demand up to where it would just fill all engines. Roles are
-// planned for that burst: at the demand of the moment both roles may look well, and the next
-// burst would find the wrong one short, sooner than a role can change. Only
-// the proportion of the demands counts, so that a burst under way doesn't look like one to
-// come on top of it.
+// plan scales the demand to the load that would just fill all engines. At the present demand both
+// roles may have enough engines, while the next burst exceeds one of them sooner than a role can be
+// changed. Only the proportion of the demands matters, so a burst in progress isn't counted twice. It
+// returns false if the demand is below minDemandShare.
 func plan(engines int, d hingefleet.Demand) (hingeshift.Demand, bool) {
-	d.Prefill *= prefillSlack
-	asked := d.Prefill + d.Decode
-	if asked < leastDemand*float64(engines) {
+	d.Prefill *= prefillReserve
+	requested := d.Prefill + d.Decode
+	if requested < minDemandShare*float64(engines) {
 		return hingeshift.Demand{}, false
 	}
-	scale := float64(engines) / asked
+	scale := float64(engines) / requested
 	planned := hingeshift.Demand{
 		Prefill: scale * d.Prefill,
 		Decode:  scale * d.Decode,
@@ -187,66 +187,67 @@
 		},
 	}
 	if d.Reads {
-		planned.ReadCost = readCost / prefillSlack
+		planned.ReadCost = decodePrefillCost / prefillReserve
 	}
 	return planned, true
 }
 
-// shift decides for one service. A leader that may not give orders yet only watches the demand.
-func (r *roles) shift(
+// changeRoles decides on the role changes of one service. A leader that may not issue orders yet only
+// observes the demand.
+func (r *roles) changeRoles(
 	now time.Time, s hingeids.Service, e *hingeroutes.Engine, list []hingefleet.Engine, d hingefleet.Demand, settled bool,
 ) {
-	shifter := r.shifters[s]
-	if shifter == nil {
-		shifter = hingeshift.New(hingeshift.Config{
+	planner := r.planners[s]
+	if planner == nil {
+		planner = hingeshift.New(hingeshift.Config{
 			Change:   e.RoleTime,
 			HoldFor:  holdFor,
-			Rest:     rest,
-			MostLast: mostLast,
+			Rest:     cooldown,
+			MostLast: maxDemandDuration,
 		})
-		r.shifters[s] = shifter
+		r.planners[s] = planner
 	}
-	engines := r.standing(list)
+	engines := r.expectedEngines(list)
 	planned, enough := plan(len(engines), d)
 	if !enough {
 		return
 	}
 	if !settled {
-		shifter.Watch(now, engines, planned)
+		planner.Watch(now, engines, planned)
 		return
 	}
-	atOnce := max((len(list)-smallPool)/shiftAtOnce, 1)
-	shift, ok := shifter.Decide(now, engines, planned)
-	for n := 0; ok && (n < atOnce || hingeshift.Spares(engines, shift.To, planned)); n++ {
-		r.change(now, shift)
-		engines = r.standing(list)
-		shift, ok = shifter.More(engines, planned)
+	maxConcurrent := max((len(list)-smallPool)/enginesPerChange, 1)
+	roleChange, ok := planner.Decide(now, engines, planned)
+	for n := 0; ok && (n < maxConcurrent || hingeshift.Spares(engines, roleChange.To, planned)); n++ {
+		r.change(now, roleChange)
+		engines = r.expectedEngines(list)
+		roleChange, ok = planner.More(engines, planned)
 	}
 }
 
-// change puts an engine under orders.
-func (r *roles) change(now time.Time, shift hingeshift.Shift) {
+// change starts the role change of an engine.
+func (r *roles) change(now time.Time, roleChange hingeshift.Shift) {
 	role := hingefleet.Prefill
-	if shift.To == hingeannounce.Decode {
+	if roleChange.To == hingeannounce.Decode {
 		role = hingefleet.Decode
 	}
-	r.changing[shift.Server] = change{
+	r.changing[roleChange.Server] = change{
 		role:  role,
 		since: now,
 	}
 	r.control.options.Recorder.Record(time.Now(), hingeevents.RoleShiftDecided, hingeevents.Fields{
-		Server: shift.Server,
+		Server: roleChange.Server,
 		Fence:  r.tenure.term,
-		Detail: string(shift.To),
+		Detail: string(roleChange.To),
 	})
 }
 
-// standing gives the engines as they will be once the changes under way are made.
-func (r *roles) standing(list []hingefleet.Engine) []hingeshift.Engine {
+// expectedEngines returns the engines with the roles that they have after the changes in progress.
+func (r *roles) expectedEngines(list []hingefleet.Engine) []hingeshift.Engine {
 	var engines []hingeshift.Engine
 	for _, e := range list {
 		role := e.Role
-		if c, there := r.changing[e.Server]; there {
+		if c, found := r.changing[e.Server]; found {
 			role = c.role
 		}
 		engines = append(engines, hingeshift.Engine{
@@ -258,19 +259,20 @@
 	return engines
 }
 
-// publish hands the changes to whoever gives the orders, and to the placing.
+// publish passes the role changes in progress to the issuer of orders, and excludes the engines from
+// placements.
 func (r *roles) publish(engines map[hingeids.Service][]hingefleet.Engine) {
-	var wants []hingeorders.Want
+	var desired []hingeorders.Want
 	var ordered []hingeorders.Engine
-	away := make(map[hingeids.ServerID]bool, len(r.changing))
+	unavailable := make(map[hingeids.ServerID]bool, len(r.changing))
 	for _, list := range engines {
 		for _, e := range list {
-			c, there := r.changing[e.Server]
-			if !there {
+			c, found := r.changing[e.Server]
+			if !found {
 				continue
 			}
-			away[e.Server] = true
-			wants = append(wants, hingeorders.Want{
+			unavailable[e.Server] = true
+			desired = append(desired, hingeorders.Want{
 				Engine: e.Server,
 				Role:   hingeorders.Role(kindOf[c.role]),
 			})
@@ -281,7 +283,7 @@
 			})
 		}
 	}
-	r.control.away.Store(&away)
+	r.control.unavailable.Store(&unavailable)
 	r.orders.SetEngines(ordered)
-	r.orders.SetWants(wants)
+	r.orders.SetWants(desired)
 }
--- a/internal/serve/hingecontrol/tenure_test.go
+++ b/internal/serve/hingecontrol/tenure_test.go
@@ -11,60 +11,62 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingefleet"
 )
 
-// A leader is cut off, and another is elected once its lease has ended; for a while both believe that they lead, and they
-// want different roles of the same engine, which doesn't check fencing numbers. If the engine heard both within
-// the pause, it would change its role to and fro, and be away from work for most of a minute.
+// Guards against two leaders that order different roles of an engine that doesn't check fencing
+// numbers. One is cut off, and the other is elected after its lease has expired; the engine must not
+// receive orders of both within the pause.
 func TestTwoLeadersKeepThePauseBetweenTheirOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		began := time.Unix(1_700_000_000, 0)
+		start := time.Unix(1_700_000_000, 0)
 		pause := time.Duration(rapid.IntRange(500, 6000).Draw(t, "pauseMs")) * time.Millisecond
-		leaseEnds := began.Add(20 * time.Second)
-		elected := leaseEnds.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "electedAfterMs")) * time.Millisecond)
+		leaseEnd := start.Add(20 * time.Second)
+		elected := leaseEnd.Add(time.Duration(rapid.IntRange(0, 2000).Draw(t, "electedAfterMs")) * time.Millisecond)
 		leaders := []*leaderUnderTest{
-			newLeader(began, 7, hingefleet.Prefill, leaseEnds),
+			newLeader(start, 7, hingefleet.Prefill, leaseEnd),
 			newLeader(elected, 8, hingefleet.Decode, elected.Add(time.Hour)),
 		}
-		// Arrivals are when orders may have reached the engine, at the latest and at the earliest.
-		var last, first time.Time
-		for now := began; now.Before(elected.Add(30 * time.Second)); now = now.Add(50 * time.Millisecond) {
+		// The latest time at which the engine may have received an order of the first leader, and the
+		// earliest for the second.
+		var lastArrival, firstArrival time.Time
+		for now := start; now.Before(elected.Add(30 * time.Second)); now = now.Add(50 * time.Millisecond) {
 			for i, l := range leaders {
 				sent := l.step(now, pause)
 				if sent && i == 0 {
-					last = now.Add(orderTime)
+					lastArrival = now.Add(orderTimeout)
 				}
-				if sent && i == 1 && first.IsZero() {
-					first = now
+				if sent && i == 1 && firstArrival.IsZero() {
+					firstArrival = now
 				}
 			}
 		}
-		if first.IsZero() || last.IsZero() {
-			t.Fatal("a leader gave no order")
+		if firstArrival.IsZero() || lastArrival.IsZero() {
+			t.Fatal("a leader issued no order")
 		}
-		if first.Sub(last) < pause {
-			t.Fatalf("the engine heard two issuers within %v, the pause is %v", first.Sub(last), pause)
+		if firstArrival.Sub(lastArrival) < pause {
+			t.Fatalf("the engine received orders of two issuers within %v; the pause is %v", firstArrival.Sub(lastArrival), pause)
 		}
 	})
 }
 
-// leaderUnderTest wants one role of an engine that never takes it, so that it orders whenever it may.
+// leaderUnderTest orders one role of an engine whose reported role never changes, so it sends an order
+// whenever it may.
 type leaderUnderTest struct {
-	tenure tenure
-	state  *hingeorders.State
-	term   hingeids.Fence
-	since  time.Time
-	until  time.Time
-	role   hingefleet.Role
+	tenure     tenure
+	state      *hingeorders.State
+	term       hingeids.Fence
+	since      time.Time
+	leaseUntil time.Time
+	role       hingefleet.Role
 }
 
-func newLeader(since time.Time, term hingeids.Fence, role hingefleet.Role, until time.Time) *leaderUnderTest {
+func newLeader(since time.Time, term hingeids.Fence, role hingefleet.Role, leaseUntil time.Time) *leaderUnderTest {
 	l := &leaderUnderTest{
 		state: hingeorders.NewState(hingeorders.Settings{
-			OrderTime: orderTime,
+			OrderTime: orderTimeout,
 		}),
-		term:  term,
-		since: since,
-		until: until,
-		role:  role,
+		term:       term,
+		since:      since,
+		leaseUntil: leaseUntil,
+		role:       role,
 	}
 	l.state.SetWants([]hingeorders.Want{
 		{
@@ -86,9 +88,9 @@
 		return false
 	}
 	out := l.state.Step(now, hingeorders.Lease{
-		Held:  now.Before(l.until),
+		Held:  now.Before(l.leaseUntil),
 		Fence: l.term,
-		Until: l.until,
+		Until: l.leaseUntil,
 	})
 	for _, e := range out.Look {
 		l.state.TakeActual(now, now, e, hingeorders.Actual{
