--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -1,13 +1,14 @@
-// Package hingefront joins the parts of an entry host in a fleet whose
-// configuration and membership are kept by control hosts (hingecontrol).
+// Package hingefront assembles an entry host in a fleet whose configuration and membership are managed
+// by control hosts (hingecontrol).
 //
-//  1. It keeps nothing on disk and knows nobody but its seeds at its start.
-//  2. It tells the balancer that it is ready once it has a configuration that is
-//     proven not to be older than one it may have had (hingefollow rule 4).
-//  3. It writes no line on what control hosts told it, which they log themselves: lines on requests name the version of what
-//     the host knew.
-//  4. Told to end, it leaves the balancer first, goes on answering, closes idle
-//     connections once the balancer has noticed, and ends when nothing is left to do.
+//  1. It stores nothing on disk and at its start knows no host but its seeds.
+//  2. It reports to the balancer that it is ready once it has a configuration that is confirmed not
+//     to be older than one that it may have had before (hingefollow rule 4).
+//  3. It records no events on what it receives from control hosts, which record these themselves:
+//     events on requests contain the version of the cluster view that the host had.
+//  4. When it is asked to stop, it first reports to the balancer that it isn't ready, continues to
+//     serve requests, closes idle connections once the balancer has noticed, and stops when no
+//     connection is left.
 package hingefront
 
 import (
@@ -34,40 +35,41 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// Options of an entry host.
+// Options configures an entry host.
 type Options struct {
 	Life hingeids.Life
 	Zone hingeids.Zone
-	// Listen is the address for callers.
+	// Listen is the address on which callers connect.
 	Listen string
-	// Link is the address for our own processes, AddressOf that of another host.
+	// Link is the address for connections of other hosts of the router; AddressOf returns that of
+	// another host.
 	Link      string
 	AddressOf func(hingeids.HostID) (string, error)
 	Seeds     []hingeids.HostID
 	Dialect   hingeproxy.Dialect
-	// Parse reads the body of a configuration.
+	// Parse decodes the body of a configuration.
 	Parse  func(body []byte) (*hingeroutes.Table, error)
 	Budget hingeproxy.Budget
-	// Quotas are what customers' quotas are judged by.
+	// Quotas are the parameters by which customers' quotas are enforced.
 	Quotas hingequota.Terms
-	// Grace is how long the process may take to end.
+	// Grace is the maximum time between a request to stop and the end of the process.
 	Grace    time.Duration
 	Recorder *hingeevents.Recorder
 }
 
 const (
-	// leaveTime is how long the balancer takes to notice that a host isn't
-	// ready: two checks, a second apart, and some.
-	leaveTime = 2500 * time.Millisecond
-	// lastMoment is what is kept of the grace for the end itself. A host with a fifth of a core
-	// takes some tenths of a second to close a hundred connections.
-	lastMoment = 600 * time.Millisecond
-	// drainLook is how often a process that ends looks whether it may.
-	drainLook = 50 * time.Millisecond
+	// balancerDelay is the time until the balancer notices that a host isn't ready: two checks, a
+	// second apart, with a margin.
+	balancerDelay = 2500 * time.Millisecond
+	// closeReserve is the part of the grace period that is reserved for closing connections, which
+	// takes tenths of a second on a host with little CPU.
+	closeReserve = 600 * time.Millisecond
+	// drainInterval is how often a draining process checks whether it may stop.
+	drainInterval = 50 * time.Millisecond
 )
 
-// startLimits hold until a configuration says others.
-var startLimits = hingewire.Limits{
+// defaultLimits apply until a configuration sets others.
+var defaultLimits = hingewire.Limits{
 	HeaderBytes: 16 << 10,
 	BodyBytes:   4 << 20,
 	HeaderTime:  3 * time.Second,
@@ -82,7 +84,7 @@
 	owner    *hingeplacer.Owner
 	proxy    *hingeproxy.Proxy
 	server   *hingewire.Server
-	world    hingeboard.Cell[hingeworld.World]
+	view     hingeboard.Cell[hingeworld.World]
 	done     chan struct{}
 
 	mu        sync.Mutex
@@ -91,14 +93,14 @@
 	draining  bool
 }
 
-// New makes an entry host.
+// New creates an entry host. Run starts it.
 func New(o Options) (*Front, error) {
 	f := &Front{
 		options:   o,
 		directory: hingeannounce.NewDirectory(o.Life.Host),
 		done:      make(chan struct{}),
 	}
-	f.world.Store(hingeworld.Build(nil, nil))
+	f.view.Store(hingeworld.Build(nil, nil))
 	var err error
 	if f.link, err = hingelink.NewInsecure(o.Life, o.Link, o.AddressOf, o.Recorder); err != nil {
 		return nil, err
@@ -108,7 +110,7 @@
 		Zone:  o.Zone,
 		Entry: true,
 		Clock: hingeclock.Boot,
-		Took:  f.took,
+		Took:  f.mergeRecords,
 	}, f.link, o.Seeds)
 	f.owner = hingeplacer.NewOwner(o.Life.Host, f.link, f, hingeclock.Boot, o.Recorder, o.Quotas)
 	f.proxy = hingeproxy.New(hingeproxy.Settings{
@@ -123,12 +125,12 @@
 	return f, nil
 }
 
-// Done closes when Run has ended.
+// Done returns a channel that is closed when Run has returned.
 func (f *Front) Done() <-chan struct{} {
 	return f.done
 }
 
-// Run serves until the context ends, or until Drain has let all requests end.
+// Run serves until the context is canceled, or until all connections are closed after Drain.
 func (f *Front) Run(ctx context.Context) error {
 	defer close(f.done)
 	l, err := net.Listen("tcp4", f.options.Listen)
@@ -148,24 +150,24 @@
 		return f.owner.Run(inner)
 	})
 	group.Go(func() error {
-		return f.watch(inner)
+		return f.watchConfiguration(inner)
 	})
 	group.Go(func() error {
 		defer stop()
 		return f.server.Run(inner, l)
 	})
 	group.Go(func() error {
-		f.awaitDrained(inner, l)
+		f.closeWhenDrained(inner, l)
 		return nil
 	})
 	return group.Wait()
 }
 
-// watch puts each newer configuration in force.
-func (f *Front) watch(ctx context.Context) error {
+// watchConfiguration applies each newer configuration.
+func (f *Front) watchConfiguration(ctx context.Context) error {
 	for {
 		changed := f.follower.State().Changed()
-		f.putInForce()
+		f.applyConfiguration()
 		select {
 		case <-changed:
 		case <-ctx.Done():
@@ -174,7 +176,7 @@
 	}
 }
 
-func (f *Front) putInForce() {
+func (f *Front) applyConfiguration() {
 	d := f.follower.State().Load().Document
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -183,7 +185,8 @@
 	}
 	t, err := f.options.Parse(d.Body)
 	if err != nil {
-		// It was checked before it was accepted, by a build that may be newer than this one.
+		// The control hosts checked it before it was accepted, but their build may be newer than this
+		// one.
 		f.record(hingeevents.RevisionUnread, hingeevents.Fields{
 			Revision: hingeids.Revision(d.Version),
 			Detail:   err.Error(),
@@ -191,11 +194,11 @@
 		return
 	}
 	f.table = t
-	f.build()
+	f.publishView()
 }
 
-// took takes records of backend servers from a control host.
-func (f *Front) took(now time.Time, records []hingeannounce.Record) {
+// mergeRecords merges records of backend servers that a control host sent.
+func (f *Front) mergeRecords(now time.Time, records []hingeannounce.Record) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	changed := false
@@ -203,7 +206,7 @@
 		changed = f.directory.Merge(now, r) || changed
 	}
 	if changed {
-		f.build()
+		f.publishView()
 	}
 }
 
@@ -211,15 +214,15 @@
 	f.options.Recorder.Record(time.Now(), n, fields)
 }
 
-// build publishes the world anew. The caller holds the lock.
-func (f *Front) build() {
-	f.world.Store(hingeworld.Build(f.table, f.directory.Since(0)))
+// publishView publishes a new cluster view. The caller holds the lock.
+func (f *Front) publishView() {
+	f.view.Store(hingeworld.Build(f.table, f.directory.Since(0)))
 }
 
 func (f *Front) limits() hingewire.Limits {
 	t := f.Table()
 	if t == nil || t.Limits.HeaderBytes == 0 {
-		return startLimits
+		return defaultLimits
 	}
 	return hingewire.Limits{
 		HeaderBytes: t.Limits.HeaderBytes,
@@ -229,14 +232,14 @@
 	}
 }
 
-// Ready reports whether the balancer may send callers here (rules 2 and 4).
+// Ready reports whether the balancer may send callers to this host (rules 2 and 4).
 func (f *Front) Ready() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return !f.draining && f.table != nil && f.follower.State().Load().Ready
 }
 
-// Drain begins the end (rule 4).
+// Drain starts an orderly stop (rule 4). Further calls have no effect.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -255,22 +258,23 @@
 	return f.draining
 }
 
-// awaitDrained closes the listener once a process that was told to end may.
-func (f *Front) awaitDrained(ctx context.Context, l net.Listener) {
-	var since time.Time
-	ticker := time.NewTicker(drainLook)
+// closeWhenDrained closes the listener once a draining process has no connections left, or closes all
+// connections shortly before the end of the grace period.
+func (f *Front) closeWhenDrained(ctx context.Context, l net.Listener) {
+	var drainStart time.Time
+	ticker := time.NewTicker(drainInterval)
 	defer ticker.Stop()
 	for {
 		now := hingeclock.Boot()
 		switch {
 		case !f.isDraining():
-		case since.IsZero():
-			since = now
-		case now.Sub(since) > f.options.Grace-lastMoment:
+		case drainStart.IsZero():
+			drainStart = now
+		case now.Sub(drainStart) > f.options.Grace-closeReserve:
 			_ = l.Close()
 			f.server.Cut()
 			return
-		case now.Sub(since) > leaveTime:
+		case now.Sub(drainStart) > balancerDelay:
 			f.server.CloseIdle()
 			if f.server.Open() == 0 {
 				_ = l.Close()
@@ -285,12 +289,12 @@
 	}
 }
 
-// Reseed takes other seeds.
+// Reseed replaces the seeds.
 func (f *Front) Reseed(seeds []hingeids.HostID) {
 	f.follower.Reseed(seeds)
 }
 
-// Proxy gives the part that answers callers.
+// Proxy returns the handler of callers' requests.
 func (f *Front) Proxy() *hingeproxy.Proxy {
 	return f.proxy
 }
--- a/internal/serve/hingefront/front_test.go
+++ b/internal/serve/hingefront/front_test.go
@@ -11,17 +11,16 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// One server leaves in a fleet of hundreds of entry hosts. If each wrote a line on it, whoever looks for a failed request
-// would read the same line 300 or 560 times, and half of all lines would be these. Control hosts write it, once each, however
-// many entry hosts there are; an entry host writes none, and knows all the same.
-func TestEntryHostWritesNoLineOnWhatControlHostsTold(t *testing.T) {
-	lines := 0
-	life := hingeids.Life{
+// Guards against log volume that grows with the number of entry hosts: a change of a server is
+// recorded by control hosts only, and an entry host applies it without an event.
+func TestEntryHostRecordsNoServerChanges(t *testing.T) {
+	events := 0
+	instance := hingeids.Life{
 		Host:        "entry-1",
 		Incarnation: 1,
 	}
 	f, err := New(Options{
-		Life: life,
+		Life: instance,
 		Link: "127.0.0.1:0",
 		AddressOf: func(hingeids.HostID) (string, error) {
 			return "127.0.0.1:1", nil
@@ -29,8 +28,8 @@
 		Parse: func([]byte) (*hingeroutes.Table, error) {
 			return &hingeroutes.Table{}, nil
 		},
-		Recorder: hingeevents.NewRecorderTo(life, func(hingeevents.Event) {
-			lines++
+		Recorder: hingeevents.NewRecorderTo(instance, func(hingeevents.Event) {
+			events++
 		}, time.Now),
 	})
 	if err != nil {
@@ -50,11 +49,11 @@
 			Owner: "control-1",
 		})
 	}
-	f.took(time.Now(), records)
+	f.mergeRecords(time.Now(), records)
 	if got := len(f.Replicas()["app"]); got != 100 {
-		t.Errorf("%d servers are known", got)
+		t.Errorf("%d servers are known, want 100", got)
 	}
-	if lines != 0 {
-		t.Errorf("%d lines", lines)
+	if events != 0 {
+		t.Errorf("the entry host recorded %d events, want none", events)
 	}
 }
--- a/internal/serve/hingefront/world.go
+++ b/internal/serve/hingefront/world.go
@@ -21,12 +21,13 @@
 	_ hingeplacer.Fleets = (*Front)(nil)
 )
 
-// Table gives the routes in force, nil before any are known.
+// Table returns the routes in force, nil before a configuration is known.
 func (f *Front) Table() *hingeroutes.Table {
-	return f.world.Load().Table()
+	return f.view.Load().Table()
 }
 
-// Newest reports whether the routes in force are the newest that were accepted before the call.
+// Newest waits until the routes in force are at least as new as any accepted before the call. It
+// returns false if this can't be confirmed before the context ends.
 func (f *Front) Newest(ctx context.Context) bool {
 	version, known := f.follower.Newest(ctx)
 	if !known {
@@ -45,77 +46,78 @@
 	}
 }
 
-// Changed closes at the next change of what is known of the fleet.
+// Changed returns a channel that is closed at the next change of the cluster view.
 func (f *Front) Changed() <-chan struct{} {
-	return f.world.Changed()
+	return f.view.Changed()
 }
 
-// Replicas gives the replicas of every service that may be used.
+// Replicas returns the usable replicas of every service.
 func (f *Front) Replicas() map[hingeids.Service][]hingebalance.Replica {
-	return f.world.Load().Replicas()
+	return f.view.Load().Replicas()
 }
 
-// Version names what is known of the fleet.
+// Version returns the version of the cluster view, as events contain it.
 func (f *Front) Version() string {
-	return f.world.Load().Version()
+	return f.view.Load().Version()
 }
 
-// Address gives a server's address.
+// Address returns a server's address, and false if the server is unknown.
 func (f *Front) Address(id hingeids.ServerID) (string, bool) {
-	return f.world.Load().Address(id)
+	return f.view.Load().Address(id)
 }
 
-// Gone reports whether a server is known to take no more work.
+// Gone reports whether a server is known to accept no more work.
 func (f *Front) Gone(id hingeids.ServerID) bool {
-	return f.world.Load().Gone(id)
+	return f.view.Load().Gone(id)
 }
 
-// Engines gives the engines that may be used.
+// Engines returns the usable engines of every service.
 func (f *Front) Engines() map[hingeids.Service][]hingefleet.Engine {
-	return f.world.Load().Engines()
+	return f.view.Load().Engines()
 }
 
-// Entries is how many entry hosts there are.
+// Entries returns the number of entry hosts, at least 1.
 func (f *Front) Entries() int {
 	return max(f.follower.State().Load().Entries, 1)
 }
 
-// Quota gives a customer's quota.
+// Quota returns the quota of a customer, which is unlimited for an unknown one.
 func (f *Front) Quota(c hingeids.CallerID) hingecustomers.Quota {
 	return f.Table().Quota(c)
 }
 
-// Poison gives what the list says of a request, as a control host told it.
+// Poison returns the entry for a fingerprint on the list of poison requests, as last received from a
+// control host.
 func (f *Front) Poison(p hingeids.Print) hingepoison.Listed {
 	return f.follower.State().Load().Poisons.At(time.Now(), p)
 }
 
-// Leads is false: an entry host is elected by nobody.
+// Leads returns false, as entry hosts take no part in elections.
 func (*Front) Leads() bool {
 	return false
 }
 
-// controlSilence is how long after its last word a control host is still asked: a
-// question waits for two seconds there.
-const controlSilence = 3 * time.Second
+// controlTimeout is how long after its last response a control host is still used as a placer. It
+// exceeds the two seconds for which a control host may hold a long poll.
+const controlTimeout = 3 * time.Second
 
-// Placers names the hosts that place streams: the leader, and where none is
-// heard the control hosts of the own zone, then others.
+// Placers returns the hosts from which placements are requested, in order of preference: the leader,
+// then control hosts that know no leader, first those of this host's zone.
 func (f *Front) Placers() []hingeids.HostID {
 	s := f.follower.State().Load()
 	now := hingeclock.Boot()
-	var leader, near, far []hingeids.HostID
-	if s.Leader != "" && now.Sub(s.HeardAt) < controlSilence {
+	var leader, sameZone, otherZones []hingeids.HostID
+	if s.Leader != "" && now.Sub(s.HeardAt) < controlTimeout {
 		leader = []hingeids.HostID{s.Leader}
 	}
 	for _, c := range s.Control {
 		switch {
-		case c.InTouch || now.Sub(c.HeardAt) > controlSilence:
+		case c.InTouch || now.Sub(c.HeardAt) > controlTimeout:
 		case c.Zone == f.options.Zone:
-			near = append(near, c.Host)
+			sameZone = append(sameZone, c.Host)
 		default:
-			far = append(far, c.Host)
+			otherZones = append(otherZones, c.Host)
 		}
 	}
-	return slices.Concat(leader, near, far)
+	return slices.Concat(leader, sameZone, otherZones)
 }
