--- a/internal/serve/hingedemo/callers.go
+++ b/internal/serve/hingedemo/callers.go
@@ -19,15 +19,15 @@
 
 const (
 	streamed kind = iota
-	whole
+	complete
 	plain
 	once
-	kinds
+	kindCount
 )
 
-var kindNames = [kinds]string{"streamed completion", "whole completion", "plain call", "guestbook entry"}
+var kindNames = [kindCount]string{"streamed completion", "whole completion", "plain call", "guestbook entry"}
 
-// outcome is what became of one request, as its caller saw it.
+// outcome is the result of one request as its caller saw it.
 type outcome int
 
 const (
@@ -35,31 +35,31 @@
 	refused
 	lost
 	truncated
-	doubled
+	duplicated
 )
 
-// task is one request.
+// task is one request of the run.
 type task struct {
 	number int
 	kind   kind
 	tokens int
-	// first is the host that the balancer chooses first.
-	first int
-	// resend says that the caller loses its answer and asks again elsewhere.
+	// firstHost is the index of the entry host that is tried first.
+	firstHost int
+	// resend makes the caller discard the answer and repeat the request on another host.
 	resend bool
 }
 
-// tasks draws the mix from a seed.
+// tasks generates the mix of requests from a seed.
 func tasks(n int, seed uint64) []task {
 	random := rand.New(rand.NewPCG(seed, 0))
 	out := make([]task, n)
 	for i := range out {
 		out[i] = task{
-			number: i,
-			kind:   kind(random.IntN(int(kinds))),
-			tokens: 5 + random.IntN(40),
-			first:  random.IntN(len(zoneNames) * hostsPerZone),
-			resend: random.IntN(4) == 0,
+			number:    i,
+			kind:      kind(random.IntN(int(kindCount))),
+			tokens:    5 + random.IntN(40),
+			firstHost: random.IntN(len(zoneNames) * hostsPerZone),
+			resend:    random.IntN(4) == 0,
 		}
 	}
 	return out
@@ -73,39 +73,39 @@
 	return fmt.Sprintf("eulogy %d, %s", t.number%7, strings.Repeat("remembered by the family, ", 20+t.number%13))
 }
 
-// caller asks through the balancer.
+// caller sends requests to the entry hosts in place of a load balancer.
 type caller struct {
 	fleet  *fleet
 	client http.Client
 }
 
-// The balancer's tries: about fifteen seconds with every host refusing.
+// Limits of the retries: about fifteen seconds if every host refuses.
 const (
-	mostTries = 150
-	tryPause  = 100 * time.Millisecond
+	maxAttempts = 150
+	retryDelay  = 100 * time.Millisecond
 )
 
-// ask carries a task to its final outcome, by rule 1.
-func (c *caller) ask(ctx context.Context, t task) outcome {
+// send retries a task on one entry host after another until its outcome is final (rule 1).
+func (c *caller) send(ctx context.Context, t task) outcome {
 	last := lost
-	for i := range mostTries {
-		host := c.fleet.hosts[(t.first+i)%len(c.fleet.hosts)]
-		got, final := c.try(ctx, host.Addresses().Callers, t)
-		if final {
+	for i := range maxAttempts {
+		host := c.fleet.hosts[(t.firstHost+i)%len(c.fleet.hosts)]
+		got, done := c.attempt(ctx, host.Addresses().Callers, t)
+		if done {
 			return got
 		}
 		last = got
 		select {
 		case <-ctx.Done():
 			return last
-		case <-time.After(tryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 	return last
 }
 
-// try asks one host. It is final unless another try is due.
-func (c *caller) try(ctx context.Context, address string, t task) (got outcome, final bool) {
+// attempt sends a task to one entry host. done is false if the task is to be retried on the next host.
+func (c *caller) attempt(ctx context.Context, address string, t task) (got outcome, done bool) {
 	req, err := t.request(ctx, address)
 	if err != nil {
 		return lost, true
@@ -119,16 +119,16 @@
 	}()
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
-		// An entry that may have run is settled: asking on gives the same.
+		// A guestbook entry that may have run is final: every host would refuse a retry.
 		settled := t.kind == once && resp.Header.Get("X-Verdict") != "notRun" &&
 			resp.StatusCode == http.StatusConflict && resp.Header.Get("Retry-After") == ""
 		return refused, settled
 	}
 	switch t.kind {
 	case streamed:
-		return judgeStream(resp.Body, t)
-	case whole:
-		return judgeWhole(resp.Body, t)
+		return classifyStream(resp.Body, t)
+	case complete:
+		return classifyComplete(resp.Body, t)
 	default:
 		_, err := io.Copy(io.Discard, resp.Body)
 		return answered, err == nil
@@ -170,20 +170,20 @@
 	} `json:"choices"`
 }
 
-// judge compares a text that looked whole with what the stand-in says it is.
-func judge(text string, t task) outcome {
-	want := hingestandin.Answer(t.prompt(), t.tokens)
+// classify compares a text that looks complete with the answer that the stand-in engines generate.
+func classify(text string, t task) outcome {
+	expected := hingestandin.Answer(t.prompt(), t.tokens)
 	switch {
-	case text == want:
+	case text == expected:
 		return answered
-	case len(text) > len(want):
-		return doubled
+	case len(text) > len(expected):
+		return duplicated
 	default:
 		return truncated
 	}
 }
 
-func judgeStream(body io.Reader, t task) (outcome, bool) {
+func classifyStream(body io.Reader, t task) (outcome, bool) {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
 	for lines.Scan() {
@@ -192,7 +192,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			return judge(text.String(), t), true
+			return classify(text.String(), t), true
 		}
 		var c choices
 		if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) == 0 {
@@ -203,10 +203,10 @@
 	return lost, false
 }
 
-func judgeWhole(body io.Reader, t task) (outcome, bool) {
+func classifyComplete(body io.Reader, t task) (outcome, bool) {
 	var c choices
 	if json.NewDecoder(body).Decode(&c) != nil || len(c.Choices) == 0 {
 		return lost, false
 	}
-	return judge(c.Choices[0].Text, t), true
+	return classify(c.Choices[0].Text, t), true
 }
--- a/internal/serve/hingedemo/demo.go
+++ b/internal/serve/hingedemo/demo.go
@@ -14,16 +14,17 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
 	Requests int
 	Seed     uint64
-	// Out gets the table and, as its last line, the result; Progress the rest.
+	// Out receives the table and, as its last line, the result as JSON; Progress receives messages
+	// about the run.
 	Out      io.Writer
 	Progress io.Writer
 }
 
-// Result counts what came of the requests.
+// Result counts the outcomes of the requests.
 type Result struct {
 	Sent             int `json:"sent"`
 	Answered         int `json:"answered"`
@@ -37,44 +38,46 @@
 	KilledEntryHosts int `json:"killedEntryHosts"`
 }
 
-// Failed tells whether a promise was broken.
+// Failed reports whether any request was lost, duplicated, truncated or run twice, or an engine kept
+// an allocation.
 func (r Result) Failed() bool {
 	return r.Lost+r.AnsweredTwice+r.Truncated+r.RanMoreThanOnce+r.HeldAfterEnd > 0
 }
 
-// callersAtOnce is how many requests are under way: most of the engines' slots.
-const callersAtOnce = 48
+// concurrentCallers is the number of concurrent requests: most of the engines' slots.
+const concurrentCallers = 48
 
-// holdLimit is how long engines may still hold something after the last answer.
-const holdLimit = 5 * time.Second
+// releaseTimeout is how long engines may keep allocations after the last answer.
+const releaseTimeout = 5 * time.Second
 
-// Run runs the demo.
+// Run runs the demo. It returns an error if the system can't be started or the result can't be
+// written.
 func Run(ctx context.Context, o Options) (Result, error) {
-	say(o.Progress, "starting %d entry hosts in %d zones\n", len(zoneNames)*hostsPerZone, len(zoneNames))
+	printf(o.Progress, "starting %d entry hosts in %d zones\n", len(zoneNames)*hostsPerZone, len(zoneNames))
 	f, err := startFleet(ctx, time.Now())
 	if err != nil {
 		return Result{}, err
 	}
 	defer f.close()
-	say(o.Progress, "ready; sending %d requests\n", o.Requests)
+	printf(o.Progress, "ready; sending %d requests\n", o.Requests)
 	r := &run{
 		fleet:   f,
 		options: o,
 	}
 	r.sendAll(ctx)
 	result := r.result()
-	result.HeldAfterEnd = f.awaitHeld()
+	result.HeldAfterEnd = f.awaitReleased()
 	return result, r.print(result)
 }
 
-// run is the requests of one demo.
+// run is the state of one demo run.
 type run struct {
 	fleet   *fleet
 	options Options
 	sent    atomic.Int64
 
 	mu       sync.Mutex
-	outcomes [kinds][doubled + 1]int
+	outcomes [kindCount][duplicated + 1]int
 }
 
 func (r *run) sendAll(ctx context.Context) {
@@ -86,45 +89,45 @@
 		},
 	}
 	var workers sync.WaitGroup
-	for range callersAtOnce {
+	for range concurrentCallers {
 		workers.Go(func() {
 			for t := range queue {
-				r.note(t, c.ask(ctx, t))
+				r.record(t, c.send(ctx, t))
 				if t.kind == once && t.resend {
-					// The caller lost its answer and asks again, elsewhere.
-					t.first++
-					c.ask(ctx, t)
+					// The caller lost its answer and repeats the request on another host.
+					t.firstHost++
+					c.send(ctx, t)
 				}
 			}
 		})
 	}
 	for i, t := range tasks(r.options.Requests, r.options.Seed) {
-		r.fail(i)
+		r.injectFailure(i)
 		queue <- t
 	}
 	close(queue)
 	workers.Wait()
 }
 
-// fail carries out rule 3.
-func (r *run) fail(i int) {
+// injectFailure kills an engine or an entry host before the task i, according to rule 3.
+func (r *run) injectFailure(i int) {
 	switch i {
 	case r.options.Requests / 3:
 		for _, e := range r.fleet.engines {
 			if e.kind == hingeannounce.Decode {
-				say(r.options.Progress, "killing a decode engine in %s\n", e.zone)
+				printf(r.options.Progress, "killing a decode engine in %s\n", e.zone)
 				e.kill()
 				break
 			}
 		}
 	case r.options.Requests * 2 / 3:
 		host := r.fleet.hosts[len(r.fleet.hosts)-1]
-		say(r.options.Progress, "killing entry host %s\n", host.Host())
+		printf(r.options.Progress, "killing entry host %s\n", host.Host())
 		host.Abort()
 	}
 }
 
-func (r *run) note(t task, o outcome) {
+func (r *run) record(t task, o outcome) {
 	r.sent.Add(1)
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -144,7 +147,7 @@
 		out.Refused += of[refused]
 		out.Lost += of[lost]
 		out.Truncated += of[truncated]
-		out.AnsweredTwice += of[doubled]
+		out.AnsweredTwice += of[duplicated]
 	}
 	for _, t := range tasks(r.options.Requests, r.options.Seed) {
 		if t.kind != once {
@@ -161,22 +164,22 @@
 	return out
 }
 
-// awaitHeld gives the engines the promised time to be free again.
-func (f *fleet) awaitHeld() int {
-	held := f.held()
-	for end := time.Now().Add(holdLimit); held > 0 && time.Now().Before(end); held = f.held() {
+// awaitReleased waits until the engines hold no allocations, at most for releaseTimeout, and returns
+// the number that remain.
+func (f *fleet) awaitReleased() int {
+	remaining := f.allocations()
+	for deadline := time.Now().Add(releaseTimeout); remaining > 0 && time.Now().Before(deadline); remaining = f.allocations() {
 		time.Sleep(20 * time.Millisecond)
 	}
-	return held
+	return remaining
 }
 
-// print writes the table and the result.
 func (r *run) print(result Result) error {
 	table := tabwriter.NewWriter(r.options.Out, 0, 4, 2, ' ', 0)
-	say(table, "\tanswered\trefused\tlost\ttruncated\tdoubled\n")
+	printf(table, "\tanswered\trefused\tlost\ttruncated\tdoubled\n")
 	for k, of := range r.outcomes {
-		say(table, "%s\t%d\t%d\t%d\t%d\t%d\n", kindNames[k],
-			of[answered], of[refused], of[lost], of[truncated], of[doubled])
+		printf(table, "%s\t%d\t%d\t%d\t%d\t%d\n", kindNames[k],
+			of[answered], of[refused], of[lost], of[truncated], of[duplicated])
 	}
 	if err := table.Flush(); err != nil {
 		return err
@@ -184,6 +187,6 @@
 	return json.NewEncoder(r.options.Out).Encode(result)
 }
 
-func say(w io.Writer, format string, args ...any) {
+func printf(w io.Writer, format string, args ...any) {
 	_, _ = fmt.Fprintf(w, format, args...)
 }
--- a/internal/serve/hingedemo/demo_test.go
+++ b/internal/serve/hingedemo/demo_test.go
@@ -8,10 +8,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// An engine and an entry host are killed while callers of every kind ask. A
-// newcomer who runs the demo sees at once if an answer was lost, doubled or cut
-// short, if a guestbook entry ran twice, or if an engine holds on to something.
-func TestDemoKeepsItsPromises(t *testing.T) {
+// Guards against answers that are lost, duplicated or truncated, guestbook entries that run twice and
+// allocations that leak when an engine and an entry host are killed under load.
+func TestDemoLosesNoRequests(t *testing.T) {
 	got, err := Run(context.Background(), Options{
 		Requests: 120,
 		Seed:     7,
@@ -21,7 +20,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// How many are refused depends on what was under way at the kills.
+	// The number of refused requests depends on which requests were in progress at the failures.
 	want := got
 	want.Sent = 120
 	want.Answered = 120 - got.Refused
--- a/internal/serve/hingedemo/fleet.go
+++ b/internal/serve/hingedemo/fleet.go
@@ -1,14 +1,14 @@
-// Package hingedemo shows the whole system in one process on loopback addresses:
-// three availability zones with two entry hosts each, stand-in engines and plain
-// services, callers with a mix of work, and two failures on the way. What came
-// of it is counted from what the callers read and what the stand-ins ran.
+// Package hingedemo runs the whole system in one process on loopback addresses: three availability
+// zones with two entry hosts each, stand-in engines and plain services, callers with a mix of
+// requests, and two injected failures. The outcome is counted from what the callers received and what
+// the stand-ins ran.
 //
-//  1. Callers come through a balancer, which is a loop over the entry hosts: one
-//     that can't be reached or refuses with a hint is followed by the next.
-//  2. A request is lost if it got no final answer, truncated if it looked whole
-//     and wasn't, doubled if a part of it came twice. A stream that broke with
-//     its entry host is not an answer; its caller asks again.
-//  3. At a third of the requests an engine is killed, at two thirds an entry host.
+//  1. Callers retry as behind a load balancer: when an entry host can't be reached or its
+//     refusal isn't final, the next one is tried.
+//  2. A request is lost if it received no final answer, truncated if its answer looked complete and
+//     wasn't, duplicated if a part of the answer came twice. A stream that is cut off with its entry
+//     host is not an answer; its caller retries.
+//  3. After a third of the requests an engine is killed, after two thirds an entry host.
 package hingedemo
 
 import (
@@ -32,8 +32,7 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// hostsPerZone and enginesPerZone are the sizes of the demo's zones: smaller
-// than the firms', so that a laptop runs it.
+// hostsPerZone is the number of entry hosts in a zone, small enough for a laptop.
 const hostsPerZone = 2
 
 var zoneNames = []hingeids.Zone{"ahmedabad-hall", "surat-hall", "rajkot-hall"}
@@ -43,7 +42,7 @@
 	serviceName hingeids.Service = "darshan-app"
 )
 
-// fleet is everything that runs.
+// fleet holds all running entry hosts and stand-ins.
 type fleet struct {
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -53,7 +52,7 @@
 	running sync.WaitGroup
 }
 
-// engine is a stand-in and the way to kill it.
+// engine is a stand-in server, and the function that kills it.
 type engine struct {
 	*hingestandin.Server
 	kind hingeannounce.Kind
@@ -61,11 +60,11 @@
 	kill context.CancelFunc
 }
 
-// startFleet starts hosts and stand-ins and puts a configuration in force.
+// startFleet starts the entry hosts and stand-ins and applies a configuration.
 func startFleet(ctx context.Context, now time.Time) (*fleet, error) {
 	folder, err := os.MkdirTemp("", "swifthinge-demo-")
 	if err != nil {
-		return nil, eris.Wrap(err, "demo")
+		return nil, eris.Wrap(err, "create the demo's data folder")
 	}
 	ctx, stop := context.WithCancel(ctx)
 	f := &fleet{
@@ -88,7 +87,7 @@
 	return f, nil
 }
 
-// close ends everything and removes the data folders.
+// close stops all hosts and stand-ins and removes the data folders.
 func (f *fleet) close() {
 	f.stop()
 	f.running.Wait()
@@ -99,20 +98,20 @@
 	return hingeids.HostID(fmt.Sprintf("%s-%d", zone, n+1))
 }
 
-// startHosts starts the entry hosts, the first of each zone with a disk.
+// startHosts starts the entry hosts; the first of each zone has a data folder.
 func (f *fleet) startHosts(now time.Time) error {
 	var settings []hingesettings.Settings
 	var peers []hingesettings.Peer
-	// Addresses are given back together: one given back at once may be found again.
-	var open []io.Closer
+	// All addresses are reserved until the last one is found, so that none is found twice.
+	var reserved []io.Closer
 	defer func() {
-		for _, c := range open {
+		for _, c := range reserved {
 			_ = c.Close()
 		}
 	}()
 	for z, zone := range zoneNames {
 		for n := range hostsPerZone {
-			s, err := f.settingsOf(z, n, zone, &open)
+			s, err := f.settingsOf(z, n, zone, &reserved)
 			if err != nil {
 				return err
 			}
@@ -126,10 +125,10 @@
 			})
 		}
 	}
-	for _, c := range open {
+	for _, c := range reserved {
 		_ = c.Close()
 	}
-	open = nil
+	reserved = nil
 	for _, s := range settings {
 		s.Peers = peers
 		host, err := hingeserver.New(hingeserver.Options{
@@ -146,9 +145,9 @@
 	return nil
 }
 
-// settingsOf makes the settings of a host, with free addresses that stay open.
+// settingsOf returns the settings of a host with free addresses, whose listeners it adds to reserved.
 func (f *fleet) settingsOf(
-	z, n int, zone hingeids.Zone, open *[]io.Closer,
+	z, n int, zone hingeids.Zone, reserved *[]io.Closer,
 ) (hingesettings.Settings, error) {
 	s := hingesettings.Defaults()
 	s.Host = hostName(zone, n)
@@ -160,17 +159,17 @@
 	for _, address := range []*string{&s.Listen.Callers, &s.Listen.Servers, &s.Listen.Operators} {
 		l, err := net.Listen("tcp", ip+":0")
 		if err != nil {
-			return s, eris.Wrap(err, "demo")
+			return s, eris.Wrap(err, "reserve a TCP address")
 		}
 		*address = l.Addr().String()
-		*open = append(*open, l)
+		*reserved = append(*reserved, l)
 	}
 	c, err := net.ListenPacket("udp", ip+":0")
 	if err != nil {
-		return s, eris.Wrap(err, "demo")
+		return s, eris.Wrap(err, "reserve a UDP address")
 	}
 	s.Listen.Link = c.LocalAddr().String()
-	*open = append(*open, c)
+	*reserved = append(*reserved, c)
 	return s, nil
 }
 
@@ -182,7 +181,7 @@
 		for _, h := range f.hosts[z*hostsPerZone : (z+1)*hostsPerZone] {
 			announce = append(announce, h.Addresses().Servers)
 		}
-		for i, kind := range kindsOfZone {
+		for i, kind := range zoneServers {
 			o := hingestandin.Options{
 				Server:   serverName(z, i),
 				Kind:     kind,
@@ -204,7 +203,7 @@
 	return nil
 }
 
-var kindsOfZone = []hingeannounce.Kind{
+var zoneServers = []hingeannounce.Kind{
 	hingeannounce.Prefill,
 	hingeannounce.Decode,
 	hingeannounce.Decode,
@@ -212,10 +211,10 @@
 }
 
 func serverName(zone, n int) hingeids.ServerID {
-	if kindsOfZone[n] == hingeannounce.Service {
+	if zoneServers[n] == hingeannounce.Service {
 		return hingeids.ServerID(fmt.Sprintf("%s-%d", serviceName, zone+1))
 	}
-	return hingeids.ServerID(fmt.Sprintf("%s-%d", modelName, zone*(len(kindsOfZone)-1)+n+1))
+	return hingeids.ServerID(fmt.Sprintf("%s-%d", modelName, zone*(len(zoneServers)-1)+n+1))
 }
 
 func (f *fleet) startEngine(o hingestandin.Options, now time.Time) error {
@@ -236,7 +235,7 @@
 	return nil
 }
 
-// inventory is what the demo's operator owns.
+// inventory returns the inventory of the demo's configuration.
 func (f *fleet) inventory() hingeinventory.Inventory {
 	inv := hingeinventory.Inventory{
 		Models: []hingeinventory.Model{
@@ -263,7 +262,7 @@
 			Name:  zone,
 			Hosts: hosts,
 		})
-		for i, kind := range kindsOfZone {
+		for i, kind := range zoneServers {
 			server := hingeinventory.Server{
 				Name: serverName(z, i),
 				Zone: zone,
@@ -279,7 +278,8 @@
 	return inv
 }
 
-// rules are the demo's: guestbook writes first and never repeated.
+// rules returns the rules of the demo's configuration: guestbook entries have the highest priority and
+// are never repeated.
 func rules() hingeinventory.Rules {
 	return hingeinventory.Rules{
 		KeepKeys: time.Hour,
@@ -318,11 +318,11 @@
 	}
 }
 
-// startLimit bounds the start: an election and a change take two seconds.
-const startLimit = 20 * time.Second
+// startTimeout limits the start, which takes about two seconds for an election and a change.
+const startTimeout = 20 * time.Second
 
-// configure applies the configuration, and waits until all hosts are ready and
-// know all backend servers.
+// configure applies the configuration and waits until all hosts are ready and know all backend
+// servers.
 func (f *fleet) configure() error {
 	inv, r := f.inventory(), rules()
 	change := hingeconfig.Change{
@@ -333,8 +333,8 @@
 	for path, document := range hingeinventory.Split(&inv, &r) {
 		change.Puts[hingeconfig.Path(path)] = document
 	}
-	end := time.Now().Add(startLimit)
-	for accepted := false; time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
+	deadline := time.Now().Add(startTimeout)
+	for accepted := false; time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		if !accepted {
 			accepted = f.hosts[0].Propose(f.ctx, change) == nil
 			continue
@@ -355,8 +355,8 @@
 	return true
 }
 
-// held counts what the engines that live still hold.
-func (f *fleet) held() int {
+// allocations counts the allocations that the running engines hold.
+func (f *fleet) allocations() int {
 	n := 0
 	for _, e := range f.engines {
 		select {
