--- a/internal/config/hingetoml/check.go
+++ b/internal/config/hingetoml/check.go
@@ -6,30 +6,32 @@
 	"regexp"
 )
 
-// nameForm keeps names to what is safe in a path of the configuration, in a
-// header and in a file name. A slash in a name would make two items one.
-var nameForm = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
+// namePattern allows only names that are safe in configuration paths, headers
+// and file names. A slash in a name could make the paths of two items equal.
+var namePattern = regexp.MustCompile(`^[a-z0-9][a-z0-9._-]{0,62}$`)
 
-// NameProblem says what is wrong with a name, or gives empty strings.
+// NameProblem returns what is wrong with a name and what is expected instead.
+// Both are empty if the name is valid.
 func NameProblem(name string) (text, want string) {
 	if name == "" {
 		return "is missing", "a name"
 	}
-	if !nameForm.MatchString(name) {
+	if !namePattern.MatchString(name) {
 		return fmt.Sprintf("is no name: %q", name), "lower-case letters, digits, dots, dashes; at most 63"
 	}
 	return "", ""
 }
 
-// CheckName notes a problem unless the name is one that can be used in paths.
+// CheckName adds a problem at the path unless NameProblem accepts the name.
 func (d *Document) CheckName(path, name string) {
 	if text, want := NameProblem(name); text != "" {
 		d.Problem(path, text, want)
 	}
 }
 
-// CheckAddress notes a problem unless the address is an IP number with a port.
-// Host names aren't taken: a process must come up while no name server answers.
+// CheckAddress adds a problem at the path unless the address is an IP address
+// with a port above 0. Host names are rejected, since a process must be able to
+// start while DNS is unavailable.
 func (d *Document) CheckAddress(path, address string) {
 	if address == "" {
 		d.Problem(path, "is missing", `an IP number and port such as "127.0.0.1:7100"`)
--- a/internal/config/hingetoml/document.go
+++ b/internal/config/hingetoml/document.go
@@ -1,16 +1,16 @@
-// Package hingetoml reads TOML files so that an operator sees every error at
-// once, each with its line and with what would be right.
+// Package hingetoml decodes TOML files and reports all errors of a file at
+// once, each with its line and the expected value.
 //
-//  1. The library parses the syntax. A syntax error is the only problem
-//     reported of a file, since what follows it can't be trusted.
-//  2. The parsed tree is then fitted to a Go struct by its toml tags. A key
-//     that no field has is an error, as is a value of another type; either is
-//     noted and left out, and the rest is fitted all the same.
-//  3. The line of each key comes from a second pass over the syntax. Checks on
-//     values use it through Document.Problem.
+//  1. The TOML library parses the syntax. A syntax error is the only problem
+//     reported for a file, since the rest of the file can't be parsed reliably.
+//  2. The parsed tree is then decoded into a Go struct by its toml tags. An
+//     unknown key or a value of the wrong type is reported and skipped, and
+//     decoding continues with the next key.
+//  3. A second pass over the syntax records the line of each key. Checks on
+//     values use these lines through Document.Problem.
 //
-// The library's own strict mode isn't used, because it stops at the first
-// value of a wrong type.
+// The library's strict mode isn't used, because it stops at the first value of
+// the wrong type.
 package hingetoml
 
 import (
@@ -19,31 +19,32 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Document is one file that has been read, and the problems found in it.
+// Document is one decoded file with the problems found in it. It is not safe
+// for concurrent use.
 type Document struct {
 	File     string
 	Problems []Problem
 	lines    map[string]int
 }
 
-// Read fits a file's contents to the struct that into points at. What the file
-// does not mention keeps its value.
-func Read(file string, data []byte, into any) *Document {
+// Read decodes a file's contents into the struct that target points to. Fields
+// whose keys are not in the file keep their values.
+func Read(file string, data []byte, target any) *Document {
 	d := &Document{
 		File: file,
 	}
 	var tree map[string]any
 	if err := toml.Unmarshal(data, &tree); err != nil {
-		d.syntax(err)
+		d.addSyntaxError(err)
 		return d
 	}
 	d.lines = indexLines(data)
-	d.fit(tree, into)
+	d.decode(tree, target)
 	return d
 }
 
-// syntax notes the one problem of Rule 1.
-func (d *Document) syntax(err error) {
+// addSyntaxError adds the parser's error as the only problem. Rule 1.
+func (d *Document) addSyntaxError(err error) {
 	line := 0
 	var e *toml.DecodeError
 	if errors.As(err, &e) {
@@ -57,7 +58,8 @@
 	})
 }
 
-// Line gives the line of a path, or of the nearest part of it that is there.
+// Line returns the line of a key path, or else that of its nearest ancestor in
+// the file. It returns 0 if the file has neither.
 func (d *Document) Line(path string) int {
 	for path != "" {
 		if line, ok := d.lines[path]; ok {
@@ -68,7 +70,7 @@
 	return 0
 }
 
-// Problem notes a problem at a path.
+// Problem adds a problem at a key path; want is what is expected instead.
 func (d *Document) Problem(path, text, want string) {
 	d.Problems = append(d.Problems, Problem{
 		File: d.File,
--- a/internal/config/hingetoml/lines.go
+++ b/internal/config/hingetoml/lines.go
@@ -7,17 +7,17 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineIndex maps the path of each key to its line.
+// lineIndex records the line of each key path.
 type lineIndex struct {
 	parser unstable.Parser
 	lines  map[string]int
-	// counts holds how often each array table has been opened.
+	// counts is the number of elements read so far of each array table.
 	counts map[string]int
-	// table is the path of the table that is open.
+	// table is the path of the current table.
 	table string
 }
 
-// indexLines finds the line of every key of a document that parses.
+// indexLines returns the line of every key path of a syntactically valid document.
 func indexLines(data []byte) map[string]int {
 	x := &lineIndex{
 		lines:  make(map[string]int),
@@ -28,18 +28,19 @@
 		e := x.parser.Expression()
 		switch e.Kind {
 		case unstable.Table:
-			x.table = x.resolve("", e.Key())
+			x.table = x.indexKey("", e.Key())
 		case unstable.ArrayTable:
 			x.openArrayTable(e)
 		case unstable.KeyValue:
-			x.keyValue(x.table, e)
+			x.indexKeyValue(x.table, e)
 		default:
 		}
 	}
 	return x.lines
 }
 
-// openArrayTable counts one more element: "[[models]]" opens models[0], then models[1].
+// openArrayTable starts the next element of an array table: the first
+// "[[models]]" starts models[0], the second models[1].
 func (x *lineIndex) openArrayTable(e *unstable.Node) {
 	key := e.Key()
 	path, line := "", 0
@@ -54,47 +55,48 @@
 	i := x.counts[path]
 	x.counts[path]++
 	x.table = fmt.Sprintf("%s[%d]", path, i)
-	x.set(path, line)
-	x.set(x.table, line)
+	x.record(path, line)
+	x.record(x.table, line)
 }
 
-// resolve gives the path of a key under a prefix, and notes the line of each part.
-func (x *lineIndex) resolve(prefix string, key unstable.Iterator) string {
+// indexKey returns the path of a key below a prefix and records the line of each part.
+func (x *lineIndex) indexKey(prefix string, key unstable.Iterator) string {
 	path := prefix
 	for key.Next() {
 		n := key.Node()
 		path = join(path, string(n.Data))
-		x.set(path, x.line(n))
+		x.record(path, x.line(n))
 		path = x.lastElement(path)
 	}
 	return path
 }
 
-func (x *lineIndex) keyValue(prefix string, e *unstable.Node) {
-	x.value(x.resolve(prefix, e.Key()), e.Value())
+func (x *lineIndex) indexKeyValue(prefix string, e *unstable.Node) {
+	x.indexValue(x.indexKey(prefix, e.Key()), e.Value())
 }
 
-func (x *lineIndex) value(path string, n *unstable.Node) {
+func (x *lineIndex) indexValue(path string, n *unstable.Node) {
 	switch n.Kind {
 	case unstable.InlineTable:
 		for c := n.Children(); c.Next(); {
-			x.keyValue(path, c.Node())
+			x.indexKeyValue(path, c.Node())
 		}
 	case unstable.Array:
 		i := 0
 		for c := n.Children(); c.Next(); {
 			element := fmt.Sprintf("%s[%d]", path, i)
 			if c.Node().Raw.Length > 0 {
-				x.set(element, x.parser.Shape(c.Node().Raw).Start.Line)
+				x.record(element, x.parser.Shape(c.Node().Raw).Start.Line)
 			}
-			x.value(element, c.Node())
+			x.indexValue(element, c.Node())
 			i++
 		}
 	default:
 	}
 }
 
-// lastElement gives the newest element of an array table, or the path itself.
+// lastElement returns the path of the last element read of an array table, or
+// the path itself if it isn't an array table.
 func (x *lineIndex) lastElement(path string) string {
 	if n := x.counts[path]; n > 0 {
 		return fmt.Sprintf("%s[%d]", path, n-1)
@@ -106,7 +108,7 @@
 	return x.parser.Shape(n.Raw).Start.Line
 }
 
-func (x *lineIndex) set(path string, line int) {
+func (x *lineIndex) record(path string, line int) {
 	if _, ok := x.lines[path]; !ok {
 		x.lines[path] = line
 	}
@@ -119,7 +121,8 @@
 	return prefix + "." + key
 }
 
-// parent cuts the last step off a path: "models[0].name", "models[0]", "models", "".
+// parent removes the last key or index of a path: "models[0].name" becomes
+// "models[0]", then "models", then "".
 func parent(path string) string {
 	i := strings.LastIndexAny(path, ".[")
 	if i < 0 {
--- a/internal/config/hingetoml/problem.go
+++ b/internal/config/hingetoml/problem.go
@@ -5,20 +5,20 @@
 	"sort"
 )
 
-// Problem is one thing that is wrong in a file, with what would be right.
+// Problem is one error in a file, with the expected value.
 type Problem struct {
 	File string `json:"file"`
-	// Line counts from 1; it is 0 where the file as a whole is meant.
+	// Line starts at 1; 0 means that the problem has no line.
 	Line int `json:"line"`
 	// Key is the path of the key, for example "models[0].name".
 	Key string `json:"key"`
-	// Text says what is wrong.
+	// Text describes the error.
 	Text string `json:"text"`
-	// Want says what would be right.
+	// Want describes the expected value.
 	Want string `json:"want"`
 }
 
-// String writes the problem in one line, as compilers do.
+// String formats the problem in one line, like a compiler error.
 func (p Problem) String() string {
 	s := p.File
 	if p.Line > 0 {
@@ -34,7 +34,7 @@
 	return s
 }
 
-// Sort orders problems by file and line.
+// Sort sorts problems in place by file and line. It is stable.
 func Sort(problems []Problem) {
 	sort.SliceStable(problems, func(i, j int) bool {
 		if problems[i].File != problems[j].File {
