--- a/internal/config/hingesettings/check.go
+++ b/internal/config/hingesettings/check.go
@@ -7,25 +7,25 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// checker notes what is wrong with the values of settings.
+// checker validates the values of decoded settings and adds problems to the document.
 type checker struct {
 	*hingetoml.Document
 	settings Settings
 }
 
-func (c *checker) all() {
+func (c *checker) checkAll() {
 	c.CheckName("host", string(c.settings.Host))
 	c.CheckName("zone", string(c.settings.Zone))
-	c.listen()
-	c.keys()
-	c.limits()
-	c.peers()
-	c.disks()
-	c.self()
+	c.checkListen()
+	c.checkKeys()
+	c.checkLimits()
+	c.checkPeers()
+	c.checkDisks()
+	c.checkSelf()
 }
 
-// listen carries out Rule 2 within the process.
-func (c *checker) listen() {
+// checkListen implements Rule 2 for the addresses of this process.
+func (c *checker) checkListen() {
 	l := c.settings.Listen
 	seen := make(map[string]string)
 	for _, a := range []struct {
@@ -51,11 +51,11 @@
 		}
 		seen[a.address] = a.path
 	}
-	// The link is UDP and may share a number with one of the TCP addresses.
+	// The link uses UDP and may have the same port as a TCP listener.
 	c.CheckAddress("listen.link", l.Link)
 }
 
-func (c *checker) keys() {
+func (c *checker) checkKeys() {
 	k := c.settings.Keys
 	given := 0
 	for _, name := range []string{k.Authority, k.Certificate, k.Key} {
@@ -68,8 +68,8 @@
 	}
 }
 
-// limits carries out Rule 3.
-func (c *checker) limits() {
+// checkLimits implements Rule 3.
+func (c *checker) checkLimits() {
 	l := c.settings.Limits
 	for _, x := range []struct {
 		path  string
@@ -98,31 +98,31 @@
 	}
 }
 
-// peers carries out Rule 2 between processes.
-func (c *checker) peers() {
+// checkPeers implements Rule 2 for the addresses of different processes.
+func (c *checker) checkPeers() {
 	hosts := make(map[hingeids.HostID]int)
 	links := make(map[string]int)
 	for i, p := range c.settings.Peers {
-		at := fmt.Sprintf("peers[%d]", i)
-		c.CheckName(at+".host", string(p.Host))
-		c.CheckName(at+".zone", string(p.Zone))
-		c.CheckAddress(at+".link", p.Link)
+		path := fmt.Sprintf("peers[%d]", i)
+		c.CheckName(path+".host", string(p.Host))
+		c.CheckName(path+".zone", string(p.Zone))
+		c.CheckAddress(path+".link", p.Link)
 		if p.Operators != "" {
-			c.CheckAddress(at+".operators", p.Operators)
+			c.CheckAddress(path+".operators", p.Operators)
 		}
 		if other, ok := hosts[p.Host]; ok {
-			c.Problem(at+".host", fmt.Sprintf("is the same as that of peers[%d]: %s", other, p.Host), "each host once")
+			c.Problem(path+".host", fmt.Sprintf("is the same as that of peers[%d]: %s", other, p.Host), "each host once")
 		}
 		if other, ok := links[p.Link]; ok && p.Link != "" {
-			c.Problem(at+".link", fmt.Sprintf("is the same as that of peers[%d]: %s", other, p.Link), "an address of its own")
+			c.Problem(path+".link", fmt.Sprintf("is the same as that of peers[%d]: %s", other, p.Link), "an address of its own")
 		}
 		hosts[p.Host] = i
 		links[p.Link] = i
 	}
 }
 
-// disks carries out Rule 1.
-func (c *checker) disks() {
+// checkDisks implements Rule 1.
+func (c *checker) checkDisks() {
 	count := 0
 	zones := make(map[hingeids.Zone]hingeids.HostID)
 	for i, p := range c.settings.Peers {
@@ -141,21 +141,21 @@
 	}
 }
 
-// self checks that the process and its peers see this host alike.
-func (c *checker) self() {
+// checkSelf checks that this host's entry in peers agrees with its other settings.
+func (c *checker) checkSelf() {
 	for i, p := range c.settings.Peers {
 		if p.Host != c.settings.Host {
 			continue
 		}
-		at := fmt.Sprintf("peers[%d]", i)
+		path := fmt.Sprintf("peers[%d]", i)
 		if p.Zone != c.settings.Zone {
-			c.Problem(at+".zone", "is not the zone of this host: "+string(p.Zone), string(c.settings.Zone))
+			c.Problem(path+".zone", "is not the zone of this host: "+string(p.Zone), string(c.settings.Zone))
 		}
 		if p.Disk && c.settings.DataFolder == "" {
 			c.Problem("dataFolder", "is missing on a host with a disk", "a folder")
 		}
 		if !p.Disk && c.settings.DataFolder != "" {
-			c.Problem("dataFolder", "is given on a host without a disk", "no dataFolder, or disk = true in "+at)
+			c.Problem("dataFolder", "is given on a host without a disk", "no dataFolder, or disk = true in "+path)
 		}
 		return
 	}
--- a/internal/config/hingesettings/settings.go
+++ b/internal/config/hingesettings/settings.go
@@ -1,15 +1,15 @@
-// Package hingesettings reads and checks the settings of one process: the TOML
-// file that says which host this is, in which availability zone, where it
-// listens and where its peers are. Everything that all hosts share is in the
-// inventory and the rules instead.
+// Package hingesettings reads and validates the TOML settings of one process:
+// its host ID, availability zone, listening addresses and peers. Configuration
+// that all hosts share is in the inventory and the rules instead.
 //
-//  1. Two or three peers have a disk, each in another availability zone, so
-//     that the loss of one zone leaves a quorum.
-//  2. Addresses are IP numbers, and no two processes or purposes share one.
-//  3. Every limit is above zero: a limit that is left out has a safe default,
-//     and none can be switched off by mistake.
-//  4. Values are checked only once all keys and types are right, so that one
-//     typing error isn't reported again as five missing values.
+//  1. Two or three peers have a disk, each in a different availability zone, so
+//     that a quorum remains after the loss of one zone.
+//  2. Addresses are IP addresses with ports, and no two processes or listeners
+//     share one.
+//  3. Every limit is above zero. An omitted limit has a safe default, and no
+//     limit can be disabled by mistake.
+//  4. Values are checked only if all keys and types are valid, so that one
+//     misspelt key isn't also reported as missing values.
 package hingesettings
 
 import (
@@ -24,79 +24,79 @@
 
 // Settings are the settings of one entry host process.
 type Settings struct {
-	// Host names this entry host.
+	// Host is the ID of this entry host.
 	Host hingeids.HostID `toml:"host"`
-	// Zone is the availability zone it stands in.
+	// Zone is the availability zone of this host.
 	Zone hingeids.Zone `toml:"zone"`
-	// DataFolder holds the durable state; empty on a host without a disk.
+	// DataFolder is the directory of the durable state; empty on a host without a disk.
 	DataFolder string `toml:"dataFolder"`
-	// Listen are the addresses to listen at, each IP number and port.
+	// Listen has the listening addresses, each an IP address with a port.
 	Listen Listen `toml:"listen"`
-	// Keys are the files with which our own processes know each other.
+	// Keys has the files for mutual TLS authentication between entry hosts.
 	Keys Keys `toml:"keys"`
-	// Limits bound what callers can take up.
+	// Limits bounds the resources that callers can use.
 	Limits Limits `toml:"limits"`
-	// Callers says how callers come here.
+	// Callers describes how callers connect to this host.
 	Callers Callers `toml:"callers"`
-	// Peers are all entry hosts, this one among them.
+	// Peers has all entry hosts, including this one.
 	Peers []Peer `toml:"peers"`
 }
 
-// Listen are a process's own addresses.
+// Listen has the listening addresses of a process.
 type Listen struct {
-	// Callers takes requests, readiness and liveness checks.
+	// Callers accepts requests of callers, and readiness and liveness checks.
 	Callers string `toml:"callers"`
-	// Servers takes announcements of backend servers.
+	// Servers accepts announcements of backend servers.
 	Servers string `toml:"servers"`
-	// Operators takes the commands of the swifthinge program, and /metrics.
+	// Operators accepts the commands of the swifthinge program and serves /metrics.
 	Operators string `toml:"operators"`
-	// Link takes the project's own processes, over UDP.
+	// Link accepts connections of other entry hosts, over UDP.
 	Link string `toml:"link"`
 }
 
-// Keys are file names of PEM files; empty ones make the links plain, which
-// only the demo and tests allow.
+// Keys has the names of PEM files. If all are empty, links don't authenticate
+// their peers, which only the demo and tests allow.
 type Keys struct {
 	Authority   string `toml:"authority"`
 	Certificate string `toml:"certificate"`
 	Key         string `toml:"key"`
 }
 
-// Limits bound what callers can take up.
+// Limits bounds the resources that callers can use.
 type Limits struct {
-	// RequestBytes bounds a request's body.
+	// RequestBytes is the maximum size of a request body.
 	RequestBytes hingeids.Bytes `toml:"requestBytes"`
-	// HeaderBytes bounds a request's header.
+	// HeaderBytes is the maximum size of a request header.
 	HeaderBytes hingeids.Bytes `toml:"headerBytes"`
-	// Connections bounds the callers' open connections.
+	// Connections is the maximum number of open connections of callers.
 	Connections int `toml:"connections"`
-	// SlowReader bounds how long a write to a caller may stand still.
+	// SlowReader is the maximum time for which a write to a caller may block.
 	SlowReader Duration `toml:"slowReader"`
 }
 
-// Callers says how callers come to a host.
+// Callers describes how callers connect to a host.
 type Callers struct {
-	// Gateway says that all callers come through a gateway of the operators' own, which names the customer in X-Caller. Without
-	// it that name is a caller's own, and isn't believed: whoever takes another's name would use up its share.
+	// Gateway means that all callers connect through a trusted gateway, which sets the customer in X-Caller. Otherwise
+	// X-Caller is set by the caller and ignored, since a caller could use up the quota of another customer.
 	Gateway bool `toml:"gateway"`
 }
 
-// Peer is one entry host as its peers see it.
+// Peer is the entry of one host in the list of all entry hosts.
 type Peer struct {
 	Host hingeids.HostID `toml:"host"`
 	Zone hingeids.Zone   `toml:"zone"`
 	Link string          `toml:"link"`
-	// Operators is where it takes operators' commands, so that any entry host can
-	// tell the commands where the others are. It may be left out.
+	// Operators is the address for operators' commands, which any entry host
+	// returns to the commands. It is optional.
 	Operators string `toml:"operators"`
-	// Disk says that the host keeps durable state and votes on the configuration.
+	// Disk means that the host stores durable state and votes on the configuration.
 	Disk bool `toml:"disk"`
 }
 
-// Duration is a time.Duration written as in Go, for example "250ms".
+// Duration is a time.Duration encoded as text in Go's syntax, for example "250ms".
 type Duration = hingetoml.Duration
 
-// Defaults are the limits in force where the file gives none.
+// Defaults returns settings with the default limits and no other values.
 func Defaults() Settings {
 	return Settings{
 		Limits: Limits{
@@ -108,8 +108,8 @@
 	}
 }
 
-// Load reads and checks the settings file. Its error names the first problem;
-// Check gives all of them.
+// Load reads and validates the settings file. Its error has the first problem
+// and the number of problems; Check returns all of them.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -122,7 +122,9 @@
 	return s, nil
 }
 
-// Check reads settings and gives every problem in them.
+// Check decodes and validates settings and returns all problems, sorted by
+// line. The file name is used in problems only. The settings are valid only if
+// there is no problem.
 func Check(file string, data []byte) (Settings, []hingetoml.Problem) {
 	s := Defaults()
 	d := hingetoml.Read(file, data, &s)
@@ -131,7 +133,7 @@
 			Document: d,
 			settings: s,
 		}
-		c.all()
+		c.checkAll()
 	}
 	hingetoml.Sort(d.Problems)
 	return s, d.Problems
--- a/internal/config/hingesettings/settings_test.go
+++ b/internal/config/hingesettings/settings_test.go
@@ -10,12 +10,12 @@
 	"github.com/rogpeppe/go-internal/txtar"
 )
 
-// An operator makes several mistakes in the settings. All are listed at once,
-// each with its line and what would be right.
+// Guards against settings errors that are reported one at a time, or without
+// their line and the expected value.
 func TestProblems(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(scripts) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatal("no test scripts found", err)
 	}
 	for _, script := range scripts {
 		t.Run(filepath.Base(script), func(t *testing.T) {
@@ -35,8 +35,8 @@
 	}
 }
 
-// Limits that a file leaves out are the safe defaults, not zero, which would
-// refuse or allow everything.
+// Guards against omitted limits that are zero instead of their defaults, which
+// would reject or allow everything.
 func TestDefaults(t *testing.T) {
 	s, _ := Check("settings.toml", []byte("limits.connections = 5\n"))
 	want := Defaults().Limits
@@ -57,11 +57,11 @@
 		s, problems := Check("settings.toml", data)
 		for _, p := range problems {
 			if strings.TrimSpace(p.Text) == "" {
-				t.Fatalf("a problem without text: %+v", p)
+				t.Fatalf("problem has no text: %+v", p)
 			}
 		}
 		if len(problems) == 0 && (s.Host == "" || len(s.Peers) < 2) {
-			t.Fatalf("no problem with %+v", s)
+			t.Fatalf("invalid settings have no problem: %+v", s)
 		}
 	})
 }
