--- a/internal/config/hingecustomers/customers.go
+++ b/internal/config/hingecustomers/customers.go
@@ -1,12 +1,12 @@
-// Package hingecustomers is who may ask: customers with their API keys, their priority and their quotas.
+// Package hingecustomers defines the customers that may send requests, with their API keys, priorities and quotas.
 //
-//  1. A set is checked whole before it is accepted, and refused with the first reason. Of two customers with one
-//     key each would be taken for the other, and pay for its requests.
-//  2. Keys are kept as digests only, so that whatever prints a set or an error about it prints no key.
-//  3. A request has a customer if it brings a key that the set holds. Every request is looked at by itself: a key that
-//     was taken away is of no use on a connection that was open before.
-//  4. A quota counts requests, or tokens of prompt and answer as the request states them. A request that states none counts
-//     as a fixed number of tokens.
+//  1. A set is validated completely before it is accepted, and rejected with the first error. Two customers can't have
+//     the same key, since requests of one would be charged to the other.
+//  2. Only digests of keys are stored, so that printing a set or an error about it reveals no key.
+//  3. A request belongs to the customer whose key it carries. Each request is authenticated separately, so a revoked key
+//     is rejected on connections that are already open too.
+//  4. A quota counts requests, or the prompt and output tokens that a request declares. A request that declares no tokens
+//     counts as a fixed number of tokens.
 package hingecustomers
 
 import (
@@ -17,53 +17,53 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Key is an API key as a caller sends it. It prints as nothing that could be used.
+// Key is an API key as sent by a caller. Formatting it with fmt doesn't reveal it.
 type Key string
 
-// String hides the key.
+// String returns a placeholder instead of the key.
 func (Key) String() string {
 	return "(API key)"
 }
 
-// GoString hides the key.
+// GoString returns a placeholder instead of the key, for %#v.
 func (Key) GoString() string {
 	return "(API key)"
 }
 
-// Digest stands for a key: equal keys have equal digests, and nobody finds a key from its digest.
+// Digest is the SHA-256 hash of a key.
 type Digest [sha256.Size]byte
 
-// Digest gives the digest of a key.
+// Digest returns the SHA-256 hash of the key.
 func (k Key) Digest() Digest {
 	return sha256.Sum256([]byte(k))
 }
 
-// Unit is what a quota counts.
+// Unit is the unit that a quota counts.
 type Unit uint8
 
-// The units.
+// The units of a quota.
 const (
 	Requests Unit = iota
 	Tokens
 )
 
-// Quota bounds what a customer may have run, over all hosts together.
+// Quota is the rate limit of a customer, over all hosts together.
 type Quota struct {
 	Unit Unit
-	// Rate is what it may use a second, in units; zero is without a bound.
+	// Rate is the sustained rate in units per second; zero means unlimited.
 	Rate float64
-	// Burst is what it may use beside that at any time.
+	// Burst is the number of units that may be used at once beyond the rate.
 	Burst hingeids.Units
-	// Plain is what a request costs that states no tokens, where tokens count.
+	// Plain is the cost of a request that declares no tokens, if the unit is Tokens.
 	Plain hingeids.Units
 }
 
-// Bounded reports whether there is a bound at all.
+// Bounded reports whether the quota limits the customer.
 func (q Quota) Bounded() bool {
 	return q.Rate > 0
 }
 
-// Cost is what one request counts, which may state tokens of prompt and answer (rule 4).
+// Cost returns the units that one request uses. The stated parameter reports whether the request declares tokens (rule 4).
 func (q Quota) Cost(tokens hingeids.Tokens, stated bool) hingeids.Units {
 	switch {
 	case q.Unit == Requests:
@@ -74,22 +74,22 @@
 	return q.Plain
 }
 
-// Customer is one customer.
+// Customer is a customer with the digests of its API keys.
 type Customer struct {
 	Name hingeids.CallerID
 	Keys []Digest
-	// Priority ranks its requests in place of their route's; nil leaves the route's.
+	// Priority overrides the priority of the route for this customer's requests; nil means no override.
 	Priority *int
 	Quota    Quota
 }
 
-// Set is all customers. Nobody changes it once it is made; a nil set asks for no keys.
+// Set has all customers. It is immutable and safe for concurrent use. A nil set means that no keys are required.
 type Set struct {
 	byKey  map[Digest]*Customer
 	byName map[hingeids.CallerID]*Customer
 }
 
-// NewSet checks and indexes customers (rule 1).
+// NewSet validates and indexes customers (rule 1). It keeps pointers into the list, which must not change afterwards.
 func NewSet(list []Customer) (*Set, error) {
 	s := &Set{
 		byKey:  make(map[Digest]*Customer),
@@ -103,11 +103,11 @@
 	return s, nil
 }
 
-// add takes the customer that stands at a place of the list.
-func (s *Set) add(place int, c *Customer) error {
+// add validates the customer at an index of the list and adds it.
+func (s *Set) add(index int, c *Customer) error {
 	switch {
 	case c.Name == "":
-		return eris.Errorf("customer %d has no name", place+1)
+		return eris.Errorf("customer %d has no name", index+1)
 	case s.byName[c.Name] != nil:
 		return eris.Errorf("two customers have the name %q", c.Name)
 	case c.Quota.Rate < 0 || c.Quota.Burst < 0 || c.Quota.Plain < 0:
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// Holder gives the customer that holds a key, or nil (rule 3).
+// Holder returns the customer that has the key, or nil (rule 3).
 func (s *Set) Holder(k Key) *Customer {
 	if s == nil {
 		return nil
@@ -134,7 +134,7 @@
 	return s.byKey[k.Digest()]
 }
 
-// Quota gives a customer's quota, without a bound if the customer isn't known.
+// Quota returns the quota of a customer, which is unlimited for an unknown customer.
 func (s *Set) Quota(name hingeids.CallerID) Quota {
 	if s == nil || s.byName[name] == nil {
 		return Quota{}
--- a/internal/config/hingecustomers/customers_test.go
+++ b/internal/config/hingecustomers/customers_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// parseCustomer reads "name rate=N burst=N plain=N keys=a,b"; "-" stands for an empty name or key.
+// parseCustomer parses "name rate=N burst=N plain=N keys=a,b"; "-" means an empty name or key.
 func parseCustomer(t *testing.T, line string) Customer {
 	t.Helper()
 	words := strings.Fields(line)
@@ -42,9 +42,9 @@
 	return c
 }
 
-// An operator gives two customers one key, or leaves a name out. If that were accepted, one customer would pay for the
-// other's requests, or an empty key would let everybody in.
-func TestCustomersAreCheckedWhole(t *testing.T) {
+// Guards against customers with a shared key, whose requests would be charged to each other, and against an empty key,
+// which would admit every caller.
+func TestNewSetRejectsInvalidCustomers(t *testing.T) {
 	data, err := os.ReadFile("testdata/check.txt")
 	if err != nil {
 		t.Fatal(err)
@@ -67,9 +67,8 @@
 	}
 }
 
-// A key that stands in a log line can be used by whoever reads the log. Neither a key nor anything that holds
-// customers prints one, also where two of them clash.
-func TestKeysAreNotPrinted(t *testing.T) {
+// Guards against API keys in logs: neither a formatted key or set nor the error about a duplicate key may contain one.
+func TestKeysAreRedacted(t *testing.T) {
 	const secret = "kwq81-secret"
 	list := []Customer{
 		{
@@ -83,7 +82,7 @@
 	}
 	_, err := NewSet(list)
 	set, _ := NewSet(list[:1])
-	held := struct {
+	container := struct {
 		Key Key
 		Set *Set
 	}{
@@ -91,11 +90,11 @@
 		Set: set,
 	}
 	for _, text := range []string{
-		fmt.Sprint(err), fmt.Sprintf("%v", held), fmt.Sprintf("%+v", held), fmt.Sprintf("%#v", held),
-		fmt.Sprintf("%s %q", held.Key, held.Key),
+		fmt.Sprint(err), fmt.Sprintf("%v", container), fmt.Sprintf("%+v", container), fmt.Sprintf("%#v", container),
+		fmt.Sprintf("%s %q", container.Key, container.Key),
 	} {
 		if strings.Contains(text, secret) {
-			t.Errorf("the key stands in %s", text)
+			t.Errorf("text contains the key: %s", text)
 		}
 	}
 }
@@ -113,7 +112,7 @@
 	}
 }
 
-func fleetOfCustomers(b *testing.B, n int) *Set {
+func newTestSet(b *testing.B, n int) *Set {
 	b.Helper()
 	var list []Customer
 	for i := range n {
@@ -130,11 +129,11 @@
 }
 
 func BenchmarkHolder(b *testing.B) {
-	s := fleetOfCustomers(b, 7300)
+	set := newTestSet(b, 7300)
 	b.ReportAllocs()
 	for b.Loop() {
-		if s.Holder("key-of-customer-7299") == nil {
-			b.Fatal("not found")
+		if set.Holder("key-of-customer-7299") == nil {
+			b.Fatal("key not found")
 		}
 	}
 }
