--- a/internal/config/hingeroutes/check.go
+++ b/internal/config/hingeroutes/check.go
@@ -6,31 +6,31 @@
 	"github.com/rotisserie/eris"
 )
 
-// place is where a route begins to apply.
-type place struct {
+// routeKey is the host and path prefix of a route; no two routes may have the same.
+type routeKey struct {
 	host   string
 	prefix string
 }
 
-// Check gives the first reason why a table can't be in force, or nil (rule 1).
+// Check returns the first error that makes the table invalid, or nil (rule 1).
 func (t *Table) Check() error {
 	if t.Version == 0 {
 		return eris.New("the configuration has no version")
 	}
-	taken := make(map[place]string, len(t.Routes))
+	seen := make(map[routeKey]string, len(t.Routes))
 	for i := range t.Routes {
 		r := &t.Routes[i]
 		if err := t.checkRoute(r); err != nil {
 			return err
 		}
-		p := place{
+		key := routeKey{
 			host:   r.Host,
 			prefix: r.Prefix,
 		}
-		if other, there := taken[p]; there {
+		if other, exists := seen[key]; exists {
 			return eris.Errorf("routes %q and %q stand at the same host and prefix", other, r.Name)
 		}
-		taken[p] = r.Name
+		seen[key] = r.Name
 	}
 	return nil
 }
@@ -50,7 +50,7 @@
 	}
 	total := 0
 	for _, s := range r.Shares {
-		if _, there := t.Services[s.Service]; !there {
+		if _, exists := t.Services[s.Service]; !exists {
 			return eris.Errorf("route %q: service %q isn't in the configuration", r.Name, s.Service)
 		}
 		if s.Weight < 0 {
--- a/internal/config/hingeroutes/routes.go
+++ b/internal/config/hingeroutes/routes.go
@@ -1,11 +1,10 @@
-// Package hingeroutes is the shared configuration of which requests go where:
-// routes by host name and path to services, and what may be done with each.
+// Package hingeroutes defines the shared routing configuration: routes map host
+// names and path prefixes to services, with a retry policy and limits for each.
 //
-//  1. A table is checked whole before it is accepted, and refused with the first reason.
-//  2. Among the routes of a host the one with the longest prefix of the path
-//     is taken.
-//  3. A route that splits its traffic gives each request a service by a hash of the
-//     request's id, so that a repeat of the same request goes the same way.
+//  1. A table is validated completely before it is accepted, and rejected with the first error.
+//  2. Among the routes of a host, the longest prefix that matches the path wins.
+//  3. A route that splits its traffic selects the service by a hash of the
+//     request ID, so that a retry of the same request goes to the same service.
 package hingeroutes
 
 import (
@@ -20,80 +19,81 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Kind says what may be repeated.
+// Kind is the retry policy of a route.
 type Kind uint8
 
-// Repeatable requests may run several times; Once requests at most once; a
-// Stream may run again only if its route is resumable, from where it broke off.
+// Repeatable requests are idempotent and may run several times; Once requests
+// run at most once; a Stream may be retried only if its route is resumable, and
+// continues after the last event sent.
 const (
 	Repeatable Kind = iota + 1
 	Once
 	Stream
 )
 
-// Share is a service with its weight in a split.
+// Share is a service with its weight in a traffic split.
 type Share struct {
 	Service hingeids.Service
 	Weight  int
 }
 
-// Route says where requests go and what may be done with them.
+// Route maps a host name and path prefix to services.
 type Route struct {
 	Name   string
 	Host   string
 	Prefix string
 	Kind   Kind
-	// Shares are the services, one or several.
+	// Shares has one or more services.
 	Shares []Share
-	// Timeout is the longest that a request may be kept waiting.
+	// Timeout is the maximum time that a request may wait.
 	Timeout time.Duration
-	// Target is the time to the answer, or to a stream's first event, that counts as on time.
+	// Target is the latency target for the response, or for the first event of a stream.
 	Target time.Duration
-	// GapTarget is the longest pause between a stream's events that counts as on time.
+	// GapTarget is the latency target for the time between events of a stream.
 	GapTarget time.Duration
-	// Patience is how long callers wait for the first event of a stream before they leave.
+	// Patience is the time after which callers disconnect if a stream has sent no event.
 	Patience time.Duration
-	// Attempts is how many backend servers one request may be sent to.
+	// Attempts is the maximum number of backend servers that one request may be sent to.
 	Attempts int
-	// Priority ranks routes; 0 goes first.
+	// Priority orders routes; 0 is the highest.
 	Priority  int
 	Resumable bool
-	// Public says that anybody may ask, where others need a customer's key.
+	// Public means that requests need no customer's key.
 	Public bool
-	// Engine says that requests name a model and their prompt.
+	// Engine means that requests specify a model and a prompt.
 	Engine bool
 }
 
-// MayRepeat reports whether a request that may have run may be sent again.
+// MayRepeat reports whether a request that may have run may be retried.
 func (r *Route) MayRepeat() bool {
 	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
 }
 
-// Engine is what the engines of a service have in common.
+// Engine has the properties that all engines of a service share.
 type Engine struct {
 	Slots hingeids.Slots
-	// Memory is the KV cache of one engine.
+	// Memory is the size of one engine's KV cache.
 	Memory hingeids.Tokens
-	// TokenBytes is the KV cache of one token.
+	// TokenBytes is the size of one token in the KV cache.
 	TokenBytes hingeids.Bytes
-	// EventTokens is how many tokens one event of a stream carries.
+	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens hingeids.Tokens
-	// HandleTime is how long a finished prefill is kept for its transfer.
+	// HandleTime is how long the KV cache of a finished prefill is kept for its transfer.
 	HandleTime time.Duration
-	// RoleTime is how long an engine is away when it changes its role.
+	// RoleTime is how long an engine is unavailable during a role change.
 	RoleTime time.Duration
 }
 
 // Service is a set of interchangeable backend servers.
 type Service struct {
 	Name hingeids.Service
-	// Connections is how many one backend server takes from all hosts together.
+	// Connections is the maximum number of connections to one backend server, over all hosts together.
 	Connections int
 	// Engine is nil for plain services.
 	Engine *Engine
 }
 
-// Limits bound what a caller may send and how long it may take.
+// Limits bounds the size and duration of what a caller sends.
 type Limits struct {
 	HeaderBytes int
 	BodyBytes   int
@@ -101,18 +101,18 @@
 	IdleTime    time.Duration
 }
 
-// Table is a whole configuration of routes. Nobody changes it once it is made.
+// Table is a complete routing configuration. It must not change after Index and is then safe for concurrent use.
 type Table struct {
 	Version  uint64
 	Routes   []Route
 	Services map[hingeids.Service]Service
-	// Customers are those whose keys are asked for; nil where nobody needs one.
+	// Customers has the customers with their keys; nil means that no keys are required.
 	Customers *hingecustomers.Set
 	Limits    Limits
 	byHost    map[string][]*Route
 }
 
-// Index prepares Match; to be called once, before the table is shared.
+// Index prepares Match. It must be called once, before the table is shared.
 func (t *Table) Index() {
 	t.byHost = make(map[string][]*Route)
 	for i := range t.Routes {
@@ -126,16 +126,16 @@
 	}
 }
 
-// Names reports whether a service stands in the configuration. Before any is known, each may.
+// Names reports whether the configuration has the service. A nil table has every service.
 func (t *Table) Names(s hingeids.Service) bool {
 	if t == nil {
 		return true
 	}
-	_, there := t.Services[s]
-	return there
+	_, exists := t.Services[s]
+	return exists
 }
 
-// Quota gives a customer's quota, without a bound where none is known.
+// Quota returns the quota of a customer, which is unlimited if the table is nil or the customer unknown.
 func (t *Table) Quota(c hingeids.CallerID) hingecustomers.Quota {
 	if t == nil {
 		return hingecustomers.Quota{}
@@ -143,7 +143,7 @@
 	return t.Customers.Quota(c)
 }
 
-// Match gives the route of a request, or nil (rule 2).
+// Match returns the route of a request, or nil (rule 2).
 func (t *Table) Match(host, path string) *Route {
 	for _, r := range t.byHost[host] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -153,7 +153,7 @@
 	return nil
 }
 
-// Service gives the service for a request (rule 3).
+// Service returns the service for a request (rule 3).
 func (r *Route) Service(requestID string) hingeids.Service {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -162,12 +162,12 @@
 	for _, s := range r.Shares {
 		total += s.Weight
 	}
-	at := int(xxhash.Sum64String(requestID) % uint64(max(total, 1)))
+	point := int(xxhash.Sum64String(requestID) % uint64(max(total, 1)))
 	for _, s := range r.Shares {
-		if at < s.Weight {
+		if point < s.Weight {
 			return s.Service
 		}
-		at -= s.Weight
+		point -= s.Weight
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
--- a/internal/config/hingeroutes/routes_test.go
+++ b/internal/config/hingeroutes/routes_test.go
@@ -13,8 +13,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// readCases gives the blocks of a data file: the lines before "->" are routes, the one after
-// it is what must come of them.
+// readCases returns the blocks of a data file: the lines before "->" are routes, the line
+// after it is the expected result.
 func readCases(t *testing.T, name string) []string {
 	t.Helper()
 	data, err := os.ReadFile(name)
@@ -36,7 +36,7 @@
 	return out
 }
 
-// parseRoute reads "name host prefix timeout service=weight...".
+// parseRoute parses "name host prefix timeout service=weight...".
 func parseRoute(t *testing.T, line string) Route {
 	t.Helper()
 	words := strings.Fields(line)
@@ -65,7 +65,7 @@
 	return r
 }
 
-func table(t *testing.T, lines []string) *Table {
+func newTable(t *testing.T, lines []string) *Table {
 	t.Helper()
 	out := &Table{
 		Version: 1,
@@ -81,14 +81,13 @@
 	return out
 }
 
-// An operator sends a configuration with a mistake in one of its routes. If it were
-// accepted, the requests of that route would go nowhere, or to the wrong
-// service, until somebody notices.
-func TestInvalidTablesAreRefused(t *testing.T) {
+// Guards against invalid routes in an accepted configuration, whose requests would fail
+// or go to the wrong service.
+func TestCheckRejectsInvalidTables(t *testing.T) {
 	for _, c := range readCases(t, "testdata/check.txt") {
 		routes, want, _ := strings.Cut(c, "\n-> ")
 		got := "valid"
-		if err := table(t, strings.Split(routes, "\n")).Check(); err != nil {
+		if err := newTable(t, strings.Split(routes, "\n")).Check(); err != nil {
 			got = err.Error()
 		}
 		if diff := cmp.Diff(want, got); diff != "" {
@@ -97,21 +96,21 @@
 	}
 }
 
-func TestLongestPrefixIsTaken(t *testing.T) {
-	x := table(t, []string{
+func TestMatchPrefersLongestPrefix(t *testing.T) {
+	x := newTable(t, []string{
 		"short quay.example /lots/ 1s app=1",
 		"long quay.example /lots/urgent/ 1s app=1",
 		"other depot.example /lots/ 1s app=1",
 	})
 	got := make(map[string]string)
-	for _, at := range []string{
+	for _, request := range []string{
 		"quay.example /lots/7", "quay.example /lots/urgent/7", "quay.example /lots/urgent",
 		"depot.example /lots/7", "quay.example /", "nowhere.example /lots/7",
 	} {
-		host, path, _ := strings.Cut(at, " ")
-		got[at] = "none"
+		host, path, _ := strings.Cut(request, " ")
+		got[request] = "none"
 		if r := x.Match(host, path); r != nil {
-			got[at] = r.Name
+			got[request] = r.Name
 		}
 	}
 	want := map[string]string{
@@ -127,8 +126,8 @@
 	}
 }
 
-// A route gives nine tenths of its requests to one service. Over a thousand requests
-// the shares hold, and a repeat of the same request goes the same way.
+// Guards against a traffic split that ignores the weights or sends a retry of a request
+// to another service.
 func TestSplitFollowsTheWeights(t *testing.T) {
 	r := parseRoute(t, "split quay.example / 1s app=90 model=10")
 	counts := make(map[hingeids.Service]int)
@@ -136,16 +135,16 @@
 		id := fmt.Sprint("request-", i)
 		s := r.Service(id)
 		if again := r.Service(id); again != s {
-			t.Fatalf("request %s goes to %s and to %s", id, s, again)
+			t.Fatalf("request %s goes to service %s first and to %s on a retry", id, s, again)
 		}
 		counts[s]++
 	}
 	if n := counts["app"]; n < 860 || n > 940 {
-		t.Fatalf("%d of 1000 requests went to the service with nine tenths", n)
+		t.Fatalf("%d of 1000 requests went to the service with weight 90 of 100", n)
 	}
 }
 
-func TestWhatMayBeRepeated(t *testing.T) {
+func TestMayRepeat(t *testing.T) {
 	got := make(map[string]bool)
 	for _, r := range []Route{
 		{
