--- a/internal/config/hingeinventory/checkrules.go
+++ b/internal/config/hingeinventory/checkrules.go
@@ -9,14 +9,14 @@
 
 var knownMethods = []string{"DELETE", "GET", "HEAD", "PATCH", "POST", "PUT"}
 
-// checkRules carries out Rules 2, 4 and 5.
-func checkRules(d place, inv *Inventory, r *Rules) {
+// checkRules implements Rules 2, 4 and 5.
+func checkRules(d problemReporter, inv *Inventory, r *Rules) {
 	checkWeights(d, r.Weights)
 	if r.KeepKeys < 0 {
 		d.Problem("keepKeys", "is below zero", `a duration such as "24h"`)
 	}
 	checkCustomers(d, r)
-	classes := newNames(d, "class")
+	classes := newNameSet(d, "class")
 	for i := range r.Classes {
 		c := &r.Classes[i]
 		at := fmt.Sprintf("classes[%d]", i)
@@ -34,7 +34,7 @@
 	}
 }
 
-func checkWeights(d place, w Weights) {
+func checkWeights(d problemReporter, w Weights) {
 	for _, x := range []struct {
 		path  string
 		value float64
@@ -48,7 +48,7 @@
 			value: w.WastedPrefill,
 		},
 	} {
-		// Written so that NaN, which TOML allows, is refused too.
+		// The negated condition also rejects NaN, which TOML allows.
 		if !(x.value >= 0 && x.value <= 1) {
 			d.Problem(x.path, fmt.Sprintf("is %v", x.value), "a number from 0 to 1")
 		}
@@ -58,7 +58,7 @@
 	}
 }
 
-func checkMatcher(d place, inv *Inventory, at string, c *Class) {
+func checkMatcher(d problemReporter, inv *Inventory, at string, c *Class) {
 	if c.Model != "" && c.Service != "" {
 		d.Problem(at, "names both a model and a service", "one of them, or neither")
 	}
@@ -80,10 +80,10 @@
 	}
 }
 
-// checkServiceRoute finds a class whose route lies outside its service's
-// route. It would match nothing, so the calls meant by it would run without
-// its neverRepeat and nobody would notice.
-func checkServiceRoute(d place, inv *Inventory, at string, c *Class) {
+// checkServiceRoute adds a problem if the route of a class is outside the route
+// of its service. Such a class matches no request, so the requests that it is
+// meant for would run without its neverRepeat.
+func checkServiceRoute(d problemReporter, inv *Inventory, at string, c *Class) {
 	i := slices.IndexFunc(inv.Services, func(s Service) bool {
 		return s.Name == c.Service
 	})
@@ -96,11 +96,11 @@
 	}
 }
 
-func checkTargets(d place, at string, c *Class) {
-	duration(d, at+".firstToken", c.FirstToken)
-	duration(d, at+".deadline", c.Deadline)
+func checkTargets(d problemReporter, at string, c *Class) {
+	checkDuration(d, at+".firstToken", c.FirstToken)
+	checkDuration(d, at+".deadline", c.Deadline)
 	if c.Service == "" {
-		duration(d, at+".tokenGap", c.TokenGap)
+		checkDuration(d, at+".tokenGap", c.TokenGap)
 	} else if c.TokenGap != 0 {
 		d.Problem(at+".tokenGap", "is given for a plain service, which sends no tokens", "no tokenGap")
 	}
@@ -109,14 +109,14 @@
 	}
 }
 
-func duration(d place, path string, value time.Duration) {
+func checkDuration(d problemReporter, path string, value time.Duration) {
 	if value <= 0 {
 		d.Problem(path, "is missing or not above zero", `a duration such as "250ms"`)
 	}
 }
 
-// checkNeverRepeat carries out Rule 5.
-func checkNeverRepeat(d place, at string, c *Class, keepKeys time.Duration) {
+// checkNeverRepeat implements Rule 5.
+func checkNeverRepeat(d problemReporter, at string, c *Class, keepKeys time.Duration) {
 	if !c.NeverRepeat {
 		return
 	}
--- a/internal/config/hingeinventory/classify.go
+++ b/internal/config/hingeinventory/classify.go
@@ -8,9 +8,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Work is what a request asks for, as far as the classes look at it.
+// Work has the attributes of a request that classes match.
 type Work struct {
-	// Model is set for completions, Service for calls of plain services.
+	// Model is set for completions, Service for calls to plain services.
 	Model   hingeids.Model
 	Service hingeids.Service
 	// Route is the path of the request.
@@ -18,9 +18,8 @@
 	Method string
 }
 
-// DefaultClass applies where no class of the rules matches. Its targets are
-// wide, since nobody asked for narrower ones, but it has them: without a
-// deadline a request could wait for ever.
+// DefaultClass applies if no class of the rules matches. Its deadline bounds
+// how long such a request may wait.
 var DefaultClass = Class{
 	Name:       "default",
 	FirstToken: 5 * time.Second,
@@ -28,9 +27,9 @@
 	Deadline:   2 * time.Minute,
 }
 
-// Classify gives the class of a request (Rule 4). It is called once for each
-// request and allocates nothing; with some tens of classes a scan is cheaper
-// than an index.
+// Classify returns the class of a request (Rule 4). It is called once per
+// request and doesn't allocate. It scans the classes, which is cheaper than an
+// index for some tens of them.
 func (r *Rules) Classify(w Work) Class {
 	for i := range r.Classes {
 		if r.Classes[i].matches(w) {
@@ -53,7 +52,7 @@
 	return len(c.Methods) == 0 || slices.Contains(c.Methods, w.Method)
 }
 
-// covers reports whether every request that o matches is matched by c.
+// covers reports whether c matches every request that o matches.
 func (c *Class) covers(o *Class) bool {
 	if c.Model != "" && c.Model != o.Model {
 		return false
@@ -75,7 +74,7 @@
 	return len(o.Methods) > 0
 }
 
-// ServiceOf finds the plain service that a path belongs to (Rule 3).
+// ServiceOf returns the plain service whose route matches a request path (Rule 3).
 func (inv *Inventory) ServiceOf(path string) (hingeids.Service, bool) {
 	for i := range inv.Services {
 		if underRoute(path, inv.Services[i].Route) {
@@ -85,8 +84,8 @@
 	return "", false
 }
 
-// underRoute reports whether a path is the route or goes on below it: /lots
-// takes /lots/7 but not /lotsize.
+// underRoute reports whether a path is the route itself or is below it: the
+// route /lots matches /lots/7 but not /lotsize.
 func underRoute(path, route string) bool {
 	route = strings.TrimSuffix(route, "/")
 	if !strings.HasPrefix(path, route) {
--- a/internal/config/hingeinventory/classify_test.go
+++ b/internal/config/hingeinventory/classify_test.go
@@ -7,8 +7,9 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A class that took one segment too many or too few would let a status reply
-// be repeated, which may ship a lot twice.
+// Guards against routes that match partial path segments, which would classify
+// a request that must not be retried as one that may be, and against allocations
+// per request.
 func TestClassify(t *testing.T) {
 	classes := make(map[string]string)
 	want := map[string]string{
@@ -25,9 +26,9 @@
 		"smriti POST /darshan/guestbookings/uncle": "pages",
 	}
 	for request := range want {
-		parts := strings.Fields(request)
-		firm, method, path := parts[0], parts[1], parts[2]
-		inv, rules := example(t, firm)
+		fields := strings.Fields(request)
+		workload, method, path := fields[0], fields[1], fields[2]
+		inv, rules := example(t, workload)
 		w := Work{
 			Route:  path,
 			Method: method,
--- a/internal/config/hingeinventory/customers.go
+++ b/internal/config/hingeinventory/customers.go
@@ -9,37 +9,37 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Customer is a customer as written in the rules. Where there is one, every request needs the key of one.
+// Customer is the entry of a customer in the rules. If the rules have any, every request needs a customer's key.
 type Customer struct {
 	Name hingeids.CallerID `toml:"name"`
-	// Keys are its API keys as callers send them. They don't leave the operator's machine: items hold their digests.
+	// Keys has API keys as callers send them. They stay on the operator's machine: items have only their digests.
 	Keys []string `toml:"keys,omitempty"`
-	// KeyDigests are digests of API keys, as `swifthinge keys customer` prints them.
+	// KeyDigests has digests of API keys, as printed by `swifthinge keys customer`.
 	KeyDigests []string `toml:"keyDigests,omitempty"`
-	// Priority takes the place of the class's; the higher goes first.
+	// Priority overrides the priority of the class; higher values come first.
 	Priority *int `toml:"priority,omitempty"`
 }
 
-// digestMark says how a digest was made.
-const digestMark = "sha256:"
+// digestPrefix names the hash algorithm of a digest.
+const digestPrefix = "sha256:"
 
-// DigestText gives the digest of a key as it is written.
+// DigestText returns the digest of a key as text: "sha256:" and hexadecimal digits.
 func DigestText(k hingecustomers.Key) string {
 	d := k.Digest()
-	return digestMark + hex.EncodeToString(d[:])
+	return digestPrefix + hex.EncodeToString(d[:])
 }
 
 func parseDigest(s string) (d hingecustomers.Digest, ok bool) {
-	digits, marked := strings.CutPrefix(s, digestMark)
+	digits, hasPrefix := strings.CutPrefix(s, digestPrefix)
 	b, err := hex.DecodeString(digits)
-	if !marked || err != nil || len(b) != len(d) {
+	if !hasPrefix || err != nil || len(b) != len(d) {
 		return d, false
 	}
 	return hingecustomers.Digest(b), true
 }
 
-// sealed gives the customer with digests in place of its keys.
-func (c Customer) sealed() Customer {
+// withDigestsOnly returns a copy of the customer with its keys replaced by their digests.
+func (c Customer) withDigestsOnly() Customer {
 	var digests []string
 	for _, k := range c.Keys {
 		digests = append(digests, DigestText(hingecustomers.Key(k)))
@@ -49,7 +49,7 @@
 	return c
 }
 
-// CustomerSet gives the customers of rules that were checked, nil if there are none.
+// CustomerSet returns the customers of the rules, or nil if there are none. It panics if the rules weren't validated.
 func (r *Rules) CustomerSet() *hingecustomers.Set {
 	if len(r.Customers) == 0 {
 		return nil
@@ -60,7 +60,7 @@
 			Name:     c.Name,
 			Priority: c.Priority,
 		}
-		for _, text := range c.sealed().KeyDigests {
+		for _, text := range c.withDigestsOnly().KeyDigests {
 			if d, ok := parseDigest(text); ok {
 				x.Keys = append(x.Keys, d)
 			}
@@ -69,15 +69,16 @@
 	}
 	set, err := hingecustomers.NewSet(list)
 	if err != nil {
-		// What the set refuses is a problem of the check.
+		// checkCustomers rejects everything that NewSet does.
 		panic(err)
 	}
 	return set
 }
 
-// checkCustomers carries out Rule 2 for customers: of two with one key each would be taken for the other.
-func checkCustomers(d place, r *Rules) {
-	customers := newNames(d, "customer")
+// checkCustomers implements Rule 2 for customers: two customers can't have the same key, since their requests couldn't be
+// told apart.
+func checkCustomers(d problemReporter, r *Rules) {
+	customers := newNameSet(d, "customer")
 	holders := make(map[string]string)
 	for i, c := range r.Customers {
 		at := fmt.Sprintf("customers[%d]", i)
@@ -88,7 +89,7 @@
 				d.Problem(key, "is empty", "a key as `swifthinge keys customer` makes it")
 				continue
 			}
-			holdKey(d, holders, at, key, DigestText(hingecustomers.Key(k)))
+			checkKeyHolder(d, holders, at, key, DigestText(hingecustomers.Key(k)))
 		}
 		for j, digest := range c.KeyDigests {
 			key := fmt.Sprintf("%s.keyDigests[%d]", at, j)
@@ -96,16 +97,17 @@
 				d.Problem(key, "is no digest of a key", "sha256: and 64 hexadecimal digits, as `swifthinge keys customer` prints them")
 				continue
 			}
-			holdKey(d, holders, at, key, strings.ToLower(digest))
+			checkKeyHolder(d, holders, at, key, strings.ToLower(digest))
 		}
 	}
 }
 
-// holdKey notes whose a key is, and a problem if it is another's too. Neither is shown.
-func holdKey(d place, holders map[string]string, at, key, digest string) {
-	holder, there := holders[digest]
+// checkKeyHolder records which customer has a key, and adds a problem if another customer has it too. The problem doesn't
+// contain the key or its digest.
+func checkKeyHolder(d problemReporter, holders map[string]string, at, key, digest string) {
+	holder, exists := holders[digest]
 	holders[digest] = at
-	if there && holder != at {
+	if exists && holder != at {
 		d.Problem(key, "is a key of "+holder+" too", "each key once")
 	}
 }
--- a/internal/config/hingeinventory/customers_test.go
+++ b/internal/config/hingeinventory/customers_test.go
@@ -10,17 +10,17 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// An operator writes a key as it is into the rules. It must not travel on: the configuration's items stand on every disk host, in
-// the history and in what `get` writes, where others read them. The customer is known by the key all the same.
-func TestKeysStayOnTheOperatorsMachine(t *testing.T) {
+// Guards against API keys from the operator's rules in items or formatted files, which are stored on every disk host and
+// shown to other operators. Their digests must still identify the customers.
+func TestItemsAndFilesHoldOnlyKeyDigests(t *testing.T) {
 	const secret = "kwq81-secret"
 	inv, r := example(t, "viviers")
-	rank := 90
+	priority := 90
 	r.Customers = []Customer{
 		{
 			Name:     "quai-nord",
 			Keys:     []string{secret},
-			Priority: &rank,
+			Priority: &priority,
 		},
 		{
 			Name:       "quai-sud",
@@ -31,11 +31,11 @@
 	_, rules := Format(&inv, &r)
 	for path, document := range items {
 		if strings.Contains(string(document), secret) {
-			t.Errorf("item %s holds the key", path)
+			t.Errorf("item %s contains the key", path)
 		}
 	}
 	if strings.Contains(string(rules), secret) {
-		t.Error("the rules hold the key")
+		t.Error("the formatted rules contain the key")
 	}
 	_, joined, err := FromItems(items)
 	if err != nil {
@@ -54,7 +54,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
-	if p := joined.CustomerSet().Holder(secret).Priority; p == nil || *p != rank {
-		t.Errorf("priority %v", p)
+	if p := joined.CustomerSet().Holder(secret).Priority; p == nil || *p != priority {
+		t.Errorf("unexpected priority %v", p)
 	}
 }
--- a/internal/config/hingeinventory/documents.go
+++ b/internal/config/hingeinventory/documents.go
@@ -7,16 +7,16 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// rulesDocument is Rules as written in a file, with durations as text.
+// rulesDocument is the file format of Rules, with durations as text.
 type rulesDocument struct {
 	KeepKeys hingetoml.Duration `toml:"keepKeys"`
 	Weights  Weights            `toml:"weights"`
 	Classes  []classDocument    `toml:"classes"`
-	// Customers stand last, as their tables would take in what follows.
+	// Customers must be last, since keys after an array table belong to its last element.
 	Customers []Customer `toml:"customers,omitempty"`
 }
 
-// classDocument is a Class as written in a file or item.
+// classDocument is the format of a Class in a file or item.
 type classDocument struct {
 	Name        string             `toml:"name"`
 	Model       hingeids.Model     `toml:"model,omitempty"`
@@ -59,7 +59,7 @@
 	}
 }
 
-func documentOf(c Class) classDocument {
+func newClassDocument(c Class) classDocument {
 	return classDocument{
 		Name:        c.Name,
 		Model:       c.Model,
--- a/internal/config/hingeinventory/items.go
+++ b/internal/config/hingeinventory/items.go
@@ -13,31 +13,31 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Paths of items. Those that end in a slash go on with a name.
+// Paths of items. Those that end in a slash are followed by a name.
 const (
-	zonePath     = "zones/"
-	modelPath    = "models/"
-	servicePath  = "services/"
-	serverPath   = "servers/"
-	linkPath     = "links/"
-	classPath    = "rules/classes/"
-	weightsPath  = "rules/weights"
-	keepKeysPath = "rules/keepKeys"
-	customerPath = "rules/customers/"
-	storePath    = "weightStore"
+	zonePath        = "zones/"
+	modelPath       = "models/"
+	servicePath     = "services/"
+	serverPath      = "servers/"
+	linkPath        = "links/"
+	classPath       = "rules/classes/"
+	weightsPath     = "rules/weights"
+	keepKeysPath    = "rules/keepKeys"
+	customerPath    = "rules/customers/"
+	weightStorePath = "weightStore"
 )
 
-// Items are the documents of a configuration by path.
+// Items maps the paths of a configuration's items to their TOML documents.
 type Items map[string][]byte
 
-// orderedClass is the item of a class: its place among the classes, which a
-// map of items has no other way to keep.
+// orderedClass is the item of a class with its position among the classes,
+// since Items is unordered.
 type orderedClass struct {
 	Order int           `toml:"order"`
 	Class classDocument `toml:"class"`
 }
 
-type storeItem struct {
+type weightStoreItem struct {
 	Rate hingeids.BytesPerSecond `toml:"rate"`
 }
 
@@ -45,7 +45,7 @@
 	Keep hingetoml.Duration `toml:"keep"`
 }
 
-// Split gives the items of an inventory and rules (Rule 6).
+// Split encodes an inventory and rules as items (Rule 6).
 func Split(inv *Inventory, r *Rules) Items {
 	items := make(Items)
 	for _, z := range inv.Zones {
@@ -61,9 +61,9 @@
 		items.put(serverPath+string(s.Name), s)
 	}
 	for _, l := range inv.Links {
-		items.put(linkItem(l), l)
+		items.put(linkItemPath(l), l)
 	}
-	items.put(storePath, storeItem{
+	items.put(weightStorePath, weightStoreItem{
 		Rate: inv.WeightStore,
 	})
 	items.put(weightsPath, r.Weights)
@@ -73,16 +73,16 @@
 	for i, c := range r.Classes {
 		items.put(classPath+c.Name, orderedClass{
 			Order: i,
-			Class: documentOf(c),
+			Class: newClassDocument(c),
 		})
 	}
 	for _, c := range r.Customers {
-		items.put(customerPath+string(c.Name), c.sealed())
+		items.put(customerPath+string(c.Name), c.withDigestsOnly())
 	}
 	return items
 }
 
-func linkItem(l Link) string {
+func linkItemPath(l Link) string {
 	return linkPath + string(l.From) + "/" + string(l.To)
 }
 
@@ -93,18 +93,17 @@
 func marshal(document any) []byte {
 	b, err := toml.Marshal(document)
 	if err != nil {
-		// Structs of strings and numbers always marshal; anything else is a
-		// mistake in this package.
+		// Only structs of strings and numbers are passed, which always marshal.
 		panic(err)
 	}
 	return b
 }
 
-// Join puts items together again and gives every problem in them, each with
-// the item's path as its file. Problems between items are found too.
+// Join decodes items into an inventory and rules and returns all problems, each
+// with the path of its item as File. It also checks references between items.
 func Join(items Items) (Inventory, Rules, []hingetoml.Problem) {
 	j := &joiner{
-		byKey: make(map[string]string),
+		itemPaths: make(map[string]string),
 	}
 	for _, path := range slices.Sorted(maps.Keys(items)) {
 		j.add(path, items[path])
@@ -114,7 +113,7 @@
 	})
 	for i, c := range j.classes {
 		j.rules.Classes = append(j.rules.Classes, c.Class.class())
-		j.byKey[indexed("classes", i)] = classPath + c.Class.Name
+		j.itemPaths[indexed("classes", i)] = classPath + c.Class.Name
 	}
 	if len(j.problems) == 0 {
 		checkInventory(j, &j.inventory)
@@ -124,8 +123,8 @@
 	return j.inventory, j.rules, j.problems
 }
 
-// FromItems is Join for a process that applies what was accepted. Its error
-// names the first problem.
+// FromItems is Join for accepted items, in which no problem is expected. Its
+// error has the first problem and the number of problems.
 func FromItems(items Items) (Inventory, Rules, error) {
 	inv, r, problems := Join(items)
 	if len(problems) > 0 {
@@ -134,9 +133,9 @@
 	return inv, r, nil
 }
 
-// Difference gives what leads from the old items to the new ones. Puts with
-// the same bytes as before are left out, so that a change touches, and races
-// others over, no more than it means to.
+// Difference returns the puts and deletes that change the old items into the
+// next ones. Unchanged items are omitted, so that they don't conflict with
+// concurrent changes. The deletes are sorted.
 func Difference(old, next Items) (puts Items, deletes []string) {
 	puts = make(Items)
 	for path, document := range next {
@@ -153,7 +152,7 @@
 	return puts, deletes
 }
 
-// Patch gives the items after a change; the old ones stay as they are.
+// Patch returns a copy of the old items with the deletes and then the puts applied.
 func Patch(old, puts Items, deletes []string) Items {
 	next := make(Items, len(old)+len(puts))
 	for path, document := range old {
--- a/internal/config/hingeinventory/parse.go
+++ b/internal/config/hingeinventory/parse.go
@@ -8,8 +8,8 @@
 	"github.com/swifthinge/swifthinge/internal/config/hingetoml"
 )
 
-// Files are the two files that operators write, with the names to report
-// problems under.
+// Files has the contents of the two files that operators write, and the file
+// names for problems.
 type Files struct {
 	InventoryName string
 	Inventory     []byte
@@ -17,16 +17,16 @@
 	Rules         []byte
 }
 
-// Parse reads both files and gives every problem in them, each alone and
-// against the other.
+// Parse decodes both files and returns all problems, including references
+// from one file that the other doesn't resolve.
 func Parse(f Files) (Inventory, Rules, []hingetoml.Problem) {
 	var inv Inventory
 	var rules rulesDocument
 	inventory := hingetoml.Read(f.InventoryName, f.Inventory, &inv)
 	rulesFile := hingetoml.Read(f.RulesName, f.Rules, &rules)
 	r := rules.rules()
-	// Values are checked only once all keys and types are right, so that one
-	// typing error isn't reported again as five missing values.
+	// Values are checked only if all keys and types are valid, so that one
+	// misspelt key isn't also reported as missing values.
 	if len(inventory.Problems)+len(rulesFile.Problems) == 0 {
 		checkInventory(inventory, &inv)
 		checkRules(rulesFile, &inv, &r)
@@ -36,7 +36,8 @@
 	return inv, r, problems
 }
 
-// Load reads both files from disk. Its error names the first problem.
+// Load reads both files from disk. Its error has the first problem and the
+// number of problems.
 func Load(inventoryPath, rulesPath string) (Inventory, Rules, error) {
 	inventory, err := os.ReadFile(inventoryPath)
 	if err != nil {
@@ -58,17 +59,18 @@
 	return inv, r, nil
 }
 
-// Format writes the two files again, as Parse reads them.
+// Format encodes an inventory and rules as the two files that Parse decodes.
+// Keys of customers are replaced by their digests.
 func Format(inv *Inventory, r *Rules) (inventory, rules []byte) {
 	document := rulesDocument{
 		Weights:  r.Weights,
 		KeepKeys: hingetoml.Duration(r.KeepKeys),
 	}
 	for _, c := range r.Classes {
-		document.Classes = append(document.Classes, documentOf(c))
+		document.Classes = append(document.Classes, newClassDocument(c))
 	}
 	for _, c := range r.Customers {
-		document.Customers = append(document.Customers, c.sealed())
+		document.Customers = append(document.Customers, c.withDigestsOnly())
 	}
 	return marshal(inv), marshal(document)
 }
--- a/internal/config/hingeinventory/parse_test.go
+++ b/internal/config/hingeinventory/parse_test.go
@@ -14,11 +14,11 @@
 	"github.com/swifthinge/swifthinge/internal/config/hingetoml"
 )
 
-var firms = []string{"viviers", "smriti"}
+var workloads = []string{"viviers", "smriti"}
 
-func example(t testing.TB, firm string) (Inventory, Rules) {
+func example(t testing.TB, workload string) (Inventory, Rules) {
 	t.Helper()
-	folder := filepath.Join("../../../examples", firm)
+	folder := filepath.Join("../../../examples", workload)
 	inv, r, err := Load(filepath.Join(folder, "inventory.toml"), filepath.Join(folder, "rules.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -34,12 +34,12 @@
 	return b.String()
 }
 
-// An operator makes several mistakes in a file. All are listed at once, each
-// with its line and what would be right, so that one round of mending is enough.
+// Guards against errors in a file that are reported one at a time, or without
+// their line and the expected value.
 func TestProblems(t *testing.T) {
 	scripts, err := filepath.Glob("testdata/*.txtar")
 	if err != nil || len(scripts) == 0 {
-		t.Fatal("no scripts", err)
+		t.Fatal("no test scripts found", err)
 	}
 	for _, script := range scripts {
 		t.Run(filepath.Base(script), func(t *testing.T) {
@@ -64,26 +64,26 @@
 	}
 }
 
-// Both firms' examples load, in the sizes of today, and each settings file
-// agrees with the inventory on the hosts of each zone.
+// Guards against examples that don't load, lack entries, or whose settings
+// disagree with the inventory on the hosts of a zone.
 func TestExamples(t *testing.T) {
 	want := map[string][4]int{
 		"viviers": {7, 9, 3, 4},
 		"smriti":  {6, 9, 3, 4},
 	}
-	for _, firm := range firms {
-		inv, rules := example(t, firm)
+	for _, workload := range workloads {
+		inv, rules := example(t, workload)
 		var got [4]int
 		for _, z := range inv.Zones {
 			for _, h := range z.Hosts {
 				got[0]++
-				path := filepath.Join("../../../examples", firm, string(h)+".toml")
+				path := filepath.Join("../../../examples", workload, string(h)+".toml")
 				s, err := hingesettings.Load(path)
 				if err != nil {
 					t.Error(err)
 				}
-				if s.Host != h || s.Zone != z.Name || len(s.Peers) != want[firm][0] {
-					t.Errorf("%s: host %s of zone %s with %d peers", path, s.Host, s.Zone, len(s.Peers))
+				if s.Host != h || s.Zone != z.Name || len(s.Peers) != want[workload][0] {
+					t.Errorf("%s: host %s in zone %s with %d peers doesn't match the inventory", path, s.Host, s.Zone, len(s.Peers))
 				}
 			}
 		}
@@ -95,17 +95,17 @@
 			}
 		}
 		got[3] = len(rules.Classes)
-		if diff := cmp.Diff(want[firm], got); diff != "" {
-			t.Errorf("%s: hosts, engines, replicas, classes (-want +got):\n%s", firm, diff)
+		if diff := cmp.Diff(want[workload], got); diff != "" {
+			t.Errorf("%s: hosts, engines, replicas, classes (-want +got):\n%s", workload, diff)
 		}
 	}
 }
 
-// Items lead back to the same inventory and rules, but for the order of
-// entries that has no meaning, and to the same bytes.
+// Guards against changes of the inventory, rules or encoded items in a round
+// trip through items and files. Only the order of unordered entries may change.
 func TestSplitAndJoin(t *testing.T) {
-	for _, firm := range firms {
-		inv, rules := example(t, firm)
+	for _, workload := range workloads {
+		inv, rules := example(t, workload)
 		items := Split(&inv, &rules)
 		inv2, rules2, err := FromItems(items)
 		if err != nil {
@@ -114,13 +114,13 @@
 		sorted := []cmp.Option{
 			cmpopts.SortSlices(func(a, b Zone) bool { return a.Name < b.Name }),
 			cmpopts.SortSlices(func(a, b Server) bool { return a.Name < b.Name }),
-			cmpopts.SortSlices(func(a, b Link) bool { return linkItem(a) < linkItem(b) }),
+			cmpopts.SortSlices(func(a, b Link) bool { return linkItemPath(a) < linkItemPath(b) }),
 		}
 		if diff := cmp.Diff(inv, inv2, sorted...); diff != "" {
-			t.Errorf("%s: inventory (-want +got):\n%s", firm, diff)
+			t.Errorf("%s: inventory (-want +got):\n%s", workload, diff)
 		}
 		if diff := cmp.Diff(rules, rules2); diff != "" {
-			t.Errorf("%s: rules (-want +got):\n%s", firm, diff)
+			t.Errorf("%s: rules (-want +got):\n%s", workload, diff)
 		}
 		inventoryFile, rulesFile := Format(&inv2, &rules2)
 		inv3, rules3, problems := Parse(Files{
@@ -128,18 +128,17 @@
 			Rules:     rulesFile,
 		})
 		if len(problems) > 0 {
-			t.Errorf("%s: formatted: %v", firm, problems)
+			t.Errorf("%s: formatted: %v", workload, problems)
 		}
 		puts, deletes := Difference(items, Split(&inv3, &rules3))
 		if len(puts)+len(deletes) > 0 {
-			t.Errorf("%s: items differ: %d puts, %d deletes", firm, len(puts), len(deletes))
+			t.Errorf("%s: items differ: %d puts, %d deletes", workload, len(puts), len(deletes))
 		}
 	}
 }
 
-// Two operators' changes meet: one removes a zone while servers still stand in
-// it. The accepted whole would have no meaning, so the change is refused, and
-// the problem names the item.
+// Guards against concurrent changes that are valid separately but leave dangling
+// references or mismatched names together, and against problems without the item.
 func TestJoinFindsProblemsBetweenItems(t *testing.T) {
 	inv, rules := example(t, "viviers")
 	items := Patch(Split(&inv, &rules), Items{
@@ -151,13 +150,13 @@
 		"models/other: holds the entry of another path: models/redacteur",
 	} {
 		if !strings.Contains(got, want) {
-			t.Errorf("no problem %q in:\n%s", want, got)
+			t.Errorf("problem %q is missing in:\n%s", want, got)
 		}
 	}
 	delete(items, "models/other")
 	_, _, problems = Join(items)
 	if want := `servers/redacteur-4: zone: no such zone: "roscoff"; want one of the inventory: cancale, quiberon`; !strings.Contains(lines(problems), want) {
-		t.Errorf("no problem %q in:\n%s", want, lines(problems))
+		t.Errorf("problem %q is missing in:\n%s", want, lines(problems))
 	}
 }
 
@@ -176,13 +175,13 @@
 	}
 	puts, deletes = Difference(next, next)
 	if len(puts)+len(deletes) > 0 {
-		t.Errorf("no difference gave %v, %v", puts, deletes)
+		t.Errorf("equal items differ: puts %v, deletes %v", puts, deletes)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	for _, firm := range firms {
-		folder := filepath.Join("../../../examples", firm)
+	for _, workload := range workloads {
+		folder := filepath.Join("../../../examples", workload)
 		inventory, err := os.ReadFile(filepath.Join(folder, "inventory.toml"))
 		if err != nil {
 			f.Fatal(err)
@@ -204,7 +203,7 @@
 		if len(problems) > 0 {
 			return
 		}
-		// What has no problem as files has none as items either.
+		// Files without problems must also have none as items.
 		if _, _, err := FromItems(Split(&inv, &r)); err != nil {
 			t.Fatal(err)
 		}
