--- a/internal/link/hingefake/fake.go
+++ b/internal/link/hingefake/fake.go
@@ -1,5 +1,6 @@
-// Package hingefake is an in-memory hingelink for tests: it delivers calls and
-// datagrams at once, and cuts either direction on command.
+// Package hingefake implements hingelink.Link in memory for tests. Calls and
+// datagrams run the peer's handler synchronously, and tests can block traffic
+// in either direction.
 package hingefake
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// Network joins the fake links of one test.
+// Network connects the fake links of one test. It is safe for concurrent use.
 type Network struct {
 	mu     sync.Mutex
 	links  map[hingeids.HostID]*Link
@@ -26,7 +27,7 @@
 	to   hingeids.HostID
 }
 
-// NewNetwork makes a network without links.
+// NewNetwork returns a network without links.
 func NewNetwork() *Network {
 	return &Network{
 		links:  make(map[hingeids.HostID]*Link),
@@ -35,8 +36,8 @@
 	}
 }
 
-// Link makes the end of a host; a second call for the same host replaces the
-// first, as a restart does.
+// Link adds a host and returns its link. A second call for the same host
+// replaces its link and handlers, as a restart does.
 func (n *Network) Link(host hingeids.HostID) *Link {
 	l := &Link{
 		network:   n,
@@ -50,21 +51,22 @@
 	return l
 }
 
-// Remove takes a host off the network, as a killed process is.
+// Remove removes a host from the network, as if its process were killed.
 func (n *Network) Remove(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.links, host)
 }
 
-// Freeze has a host take calls and answer none, as a suspended process does, until Thaw.
+// Freeze makes calls to a host block until their context ends, and drops datagrams to it, until Thaw is called. It
+// simulates a suspended process.
 func (n *Network) Freeze(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.frozen[host] = true
 }
 
-// Thaw has a host answer again.
+// Thaw reverts Freeze.
 func (n *Network) Thaw(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -77,21 +79,21 @@
 	return n.frozen[host]
 }
 
-// Cut stops traffic in one direction. Traffic the other way still passes.
+// Cut blocks traffic in one direction. Traffic in the other direction isn't affected.
 func (n *Network) Cut(from, to hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cuts[direction{from: from, to: to}] = true
 }
 
-// Heal lets traffic in one direction pass again.
+// Heal reverts Cut.
 func (n *Network) Heal(from, to hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cuts, direction{from: from, to: to})
 }
 
-func (n *Network) reach(from, to hingeids.HostID) *Link {
+func (n *Network) linkTo(from, to hingeids.HostID) *Link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.cuts[direction{from: from, to: to}] {
@@ -100,7 +102,7 @@
 	return n.links[to]
 }
 
-// Link is one host's end.
+// Link is the hingelink.Link of one host. It is safe for concurrent use.
 type Link struct {
 	network   *Network
 	self      hingeids.HostID
@@ -111,19 +113,19 @@
 
 var _ hingelink.Link = (*Link)(nil)
 
-// Self names the host at this end.
+// Self returns the ID of the link's host.
 func (l *Link) Self() hingeids.HostID {
 	return l.self
 }
 
-// HandleCall sets the handler of a method.
+// HandleCall sets the handler for calls of a method.
 func (l *Link) HandleCall(method hingelink.Method, h hingelink.CallHandler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.calls[method] = h
 }
 
-// HandleDatagram sets the handler of a method.
+// HandleDatagram sets the handler for datagrams of a method.
 func (l *Link) HandleDatagram(method hingelink.Method, h hingelink.DatagramHandler) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,15 +144,16 @@
 	return l.datagrams[method]
 }
 
-// Call runs the peer's handler. A cut towards the peer is NotRun; a cut on the
-// way back loses the answer after the handler ran.
+// Call runs the peer's handler. If traffic to the peer is cut, the error is
+// NotRun. If traffic from the peer is cut, the handler runs, its response is
+// lost and the error is MayHaveRun.
 func (l *Link) Call(
 	ctx context.Context, to hingeids.HostID, method hingelink.Method, body []byte,
 ) ([]byte, error) {
-	peer := l.network.reach(l.self, to)
+	peer := l.network.linkTo(l.self, to)
 	if peer == nil {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeLinkDown, 0,
-			eris.Errorf("no way to host %s", to))
+			eris.Errorf("host %s is unreachable", to))
 	}
 	if l.network.isFrozen(to) {
 		<-ctx.Done()
@@ -159,27 +162,28 @@
 	h := peer.callHandler(method)
 	if h == nil {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeLinkDown, 0,
-			eris.Errorf("host %s has no method %s", to, method))
+			eris.Errorf("host %s has no handler for method %s", to, method))
 	}
 	answer, err := h(ctx, l.self, append([]byte(nil), body...))
-	if l.network.reach(to, l.self) == nil {
+	if l.network.linkTo(to, l.self) == nil {
 		return nil, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeLinkDown, 0,
-			eris.Errorf("no answer from host %s", to))
+			eris.Errorf("the response of host %s was lost", to))
 	}
 	return answer, err
 }
 
-// Reply is Send: every two hosts have connections.
+// Reply is the same as Send, since all hosts of the network are connected.
 func (l *Link) Reply(to hingeids.HostID, method hingelink.Method, body []byte) {
 	l.Send(to, method, body)
 }
 
-// Send runs the peer's handler, or loses the datagram.
+// Send runs the peer's handler. The datagram is dropped if it is too large or
+// the peer is unreachable, frozen or has no handler.
 func (l *Link) Send(to hingeids.HostID, method hingelink.Method, body []byte) {
 	if len(body) > hingelink.MaxDatagram {
 		return
 	}
-	peer := l.network.reach(l.self, to)
+	peer := l.network.linkTo(l.self, to)
 	if peer == nil || l.network.isFrozen(to) {
 		return
 	}
