--- a/internal/link/hingelink/bounds_test.go
+++ b/internal/link/hingelink/bounds_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// The bounds are about twice what the benchmarks of this package measured, both ends counted.
+// Guards against calls and datagrams that allocate more often than both ends need.
 func TestAllocationsOfCallsAndDatagrams(t *testing.T) {
 	a, b := newPair(t)
 	b.HandleCall("test.echo", echo)
--- a/internal/link/hingelink/call.go
+++ b/internal/link/hingelink/call.go
@@ -13,80 +13,81 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// abandoned is the stream error code of a call that nobody waits for any more,
-// or whose message could not be read.
-const abandoned quic.StreamErrorCode = 1
+// streamCancelled is the stream error code of a call that was cancelled or whose
+// message could not be read.
+const streamCancelled quic.StreamErrorCode = 1
 
-// Call sends a call and waits for its answer. Rule 4.
+// Call sends a call and waits for its response until the context ends. All its
+// errors have a verdict, unless the link's own host is called. Rule 4.
 func (q *QUIC) Call(ctx context.Context, to hingeids.HostID, method Method, body []byte) ([]byte, error) {
 	if len(body) > MaxCall {
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeTooLarge, 0,
-			eris.Errorf("call %s of %d bytes: at most %d", method, len(body), MaxCall))
+			eris.Errorf("body of call %s has %d bytes, maximum is %d", method, len(body), MaxCall))
 	}
 	if to == q.config.Self {
 		return q.callSelf(ctx, method, body)
 	}
-	p := q.use(to)
+	p := q.peerForCall(to)
 	if p == nil {
-		return nil, notRun(eris.Errorf("no host %s among the peers", to))
+		return nil, notRun(eris.Errorf("host %s is not a peer", to))
 	}
 	if p.cutOutgoing.Load() {
-		return nil, notRun(eris.Errorf("the way to host %s is cut", to))
+		return nil, notRun(eris.Errorf("outgoing traffic to host %s is cut", to))
 	}
 	conn, err := p.connection(ctx)
 	if err != nil {
-		return nil, notRun(eris.Wrapf(err, "no way to host %s", to))
+		return nil, notRun(eris.Wrapf(err, "no connection to host %s", to))
 	}
 	s, err := conn.OpenStreamSync(ctx)
 	if err != nil {
-		return nil, notRun(eris.Wrapf(err, "call %s of host %s", method, to))
+		return nil, notRun(eris.Wrapf(err, "open a stream for call %s to host %s", method, to))
 	}
 	stop := context.AfterFunc(ctx, func() {
-		abandon(s)
+		cancelStream(s)
 	})
 	defer stop()
-	answer, err := q.exchange(p, s, method, body)
+	response, err := q.exchange(p, s, method, body)
 	if err != nil && ctx.Err() != nil {
-		// The stream's own error only says that it was abandoned.
+		// The stream's error only reports the cancellation, not its cause.
 		err = withCause(err, ctx.Err())
 	}
-	return answer, err
+	return response, err
 }
 
-// exchange sends the message and reads the answer on a stream of its own.
+// exchange sends the message on a stream and reads the response.
 func (q *QUIC) exchange(p *peer, s *quic.Stream, method Method, body []byte) ([]byte, error) {
-	whole, err := writeMessage(s, q.header(method), body)
+	complete, err := writeMessage(s, q.header(method), body)
 	if err != nil {
-		abandon(s)
-		return nil, unanswered(whole, eris.Wrapf(err, "call %s of host %s was not sent", method, p.host))
+		cancelStream(s)
+		return nil, errorWithoutResponse(complete, eris.Wrapf(err, "send call %s to host %s", method, p.host))
 	}
 	_ = s.Close()
-	var header answerHeader
-	answer, err := readMessage(s, &header, func(int) error {
+	var header responseHeader
+	response, err := readMessage(s, &header, func(int) error {
 		return nil
 	})
 	if err != nil || p.cutIncoming.Load() {
-		abandon(s)
-		return nil, unanswered(whole, eris.Wrapf(orLost(err), "call %s of host %s", method, p.host))
+		cancelStream(s)
+		return nil, errorWithoutResponse(complete, eris.Wrapf(orCut(err), "no response to call %s from host %s", method, p.host))
 	}
 	q.observe(header.Stamp)
 	if header.Failure != nil {
 		return nil, header.Failure.error(p.host)
 	}
-	return answer, nil
+	return response, nil
 }
 
-// callSelf runs the handler in place.
+// callSelf runs the handler for a call to the link's own host.
 func (q *QUIC) callSelf(ctx context.Context, method Method, body []byte) ([]byte, error) {
 	h := q.calls[method]
 	if h == nil {
-		return nil, notRun(eris.Errorf("no method %s", method))
+		return nil, notRun(eris.Errorf("no handler for method %s", method))
 	}
 	return h(ctx, q.config.Self, bytes.Clone(body))
 }
 
-// Send sends a datagram, or loses it: while no connection is up, while the way
-// is cut, or when it is too large.
+// Send sends a datagram. It is dropped if no connection is open, if outgoing
+// traffic is cut or if it is too large.
 func (q *QUIC) Send(to hingeids.HostID, method Method, body []byte) {
 	if to == q.config.Self {
 		if h := q.datagrams[method]; h != nil {
@@ -94,7 +95,7 @@
 		}
 		return
 	}
-	p := q.use(to)
+	p := q.peerForCall(to)
 	if p == nil || p.cutOutgoing.Load() {
 		return
 	}
@@ -102,13 +103,13 @@
 	q.sendOn(conn, method, body)
 }
 
-// Reply sends a datagram back on the connection that a host has opened to this one, or loses it.
+// Reply sends a datagram on the connection that a host has opened to this one. It is dropped if there is none.
 func (q *QUIC) Reply(to hingeids.HostID, method Method, body []byte) {
 	if to == q.config.Self {
 		q.Send(to, method, body)
 		return
 	}
-	p := q.known(to)
+	p := q.findPeer(to)
 	if p == nil || p.cutOutgoing.Load() {
 		return
 	}
@@ -122,7 +123,7 @@
 	b := buffers.Get().(*bytes.Buffer)
 	defer putBuffer(b)
 	if encodeDatagram(b, q.header(method), body) {
-		// What can't be sent is lost like any datagram.
+		// An error is ignored, since datagrams are unreliable.
 		_ = conn.SendDatagram(b.Bytes())
 	}
 }
@@ -135,7 +136,7 @@
 	}
 }
 
-// stamp gives the time line's stamp for a message. Rule 7.
+// stamp returns the clock stamp for a message. Rule 7.
 func (q *QUIC) stamp() hingeevents.Stamp {
 	if q.config.Recorder == nil {
 		return hingeevents.Stamp{}
@@ -149,18 +150,19 @@
 	}
 }
 
-func abandon(s *quic.Stream) {
-	s.CancelWrite(abandoned)
-	s.CancelRead(abandoned)
+func cancelStream(s *quic.Stream) {
+	s.CancelWrite(streamCancelled)
+	s.CancelRead(streamCancelled)
 }
 
 func notRun(cause error) error {
 	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeLinkDown, 0, cause)
 }
 
-// unanswered gives the verdict on a call without an answer. Rule 4.
-func unanswered(whole bool, cause error) error {
-	if !whole {
+// errorWithoutResponse adds the verdict to the error of a call without a
+// response: NotRun unless the complete message was sent. Rule 4.
+func errorWithoutResponse(complete bool, cause error) error {
+	if !complete {
 		return notRun(cause)
 	}
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeLinkDown, 0, cause)
@@ -174,9 +176,9 @@
 	return hingeverdict.New(v.Verdict, v.Code, v.RetryAfter, eris.Wrap(cause, v.Cause.Error()))
 }
 
-func orLost(err error) error {
+func orCut(err error) error {
 	if err == nil {
-		return eris.New("the way back is cut")
+		return eris.New("incoming traffic is cut")
 	}
 	return err
 }
@@ -185,8 +187,8 @@
 	return hingeverdict.New(f.Verdict, f.Code, f.RetryAfter, eris.Errorf("host %s: %s", from, f.Text))
 }
 
-// failureOf is the error as it travels. One without a verdict may have run.
-func failureOf(err error) *failure {
+// newFailure encodes a handler's error. The verdict of an error without one is MayHaveRun.
+func newFailure(err error) *failure {
 	f := &failure{
 		Verdict: hingeverdict.MayHaveRun,
 		Text:    err.Error(),
--- a/internal/link/hingelink/identity.go
+++ b/internal/link/hingelink/identity.go
@@ -13,7 +13,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// peerName is the host that a verified certificate names.
+// peerName returns the host ID in the peer's verified certificate, or "" if there is none.
 func peerName(s tls.ConnectionState) hingeids.HostID {
 	if len(s.PeerCertificates) == 0 || len(s.PeerCertificates[0].DNSNames) == 0 {
 		return ""
@@ -21,8 +21,9 @@
 	return hingeids.HostID(s.PeerCertificates[0].DNSNames[0])
 }
 
-// ownName is the host that this end's certificate names. Peers would refuse another
-// one each by itself, and the operator would look for the fault in the network.
+// ownName returns the host ID in the own certificate, or "" if there is none. It
+// is checked at startup, since otherwise each peer would reject the connection,
+// which looks like a network failure.
 func ownName(t *tls.Config) hingeids.HostID {
 	var own *tls.Certificate
 	if t.GetCertificate != nil {
@@ -40,7 +41,7 @@
 	return hingeids.HostID(leaf.DNSNames[0])
 }
 
-// dialTLS asks for the certificate of one host. Rule 5.
+// dialTLS accepts only the certificate of one host. Rule 5.
 func (q *QUIC) dialTLS(host hingeids.HostID) *tls.Config {
 	return q.withNameCheck(func(name hingeids.HostID) error {
 		if name == host {
@@ -50,25 +51,25 @@
 	})
 }
 
-// acceptTLS takes the certificate of any peer. Rule 5.
+// acceptTLS accepts the certificate of any peer. Rule 5.
 func (q *QUIC) acceptTLS() *tls.Config {
 	return q.withNameCheck(func(name hingeids.HostID) error {
-		if q.meet(name) != nil {
+		if q.findOrAddPeer(name) != nil {
 			return nil
 		}
 		return eris.Errorf("certificate is for host %q, which is not a peer", name)
 	})
 }
 
-// withNameCheck adds the check of the name to the configured one of the chain.
-// The name is compared here, byte for byte, and not by crypto/tls: a host id
-// is no DNS name, and no pattern matches it.
+// withNameCheck returns a TLS config that checks the host ID after the configured
+// verification of the chain. The host ID is compared byte for byte and not by
+// crypto/tls, since it isn't a DNS name and wildcards must not match it.
 func (q *QUIC) withNameCheck(check func(hingeids.HostID) error) *tls.Config {
 	t := q.config.TLS.Clone()
 	verifyChain := t.VerifyConnection
 	t.NextProtos = []string{protocolName}
 	t.MinVersion = tls.VersionTLS13
-	// A resumed session would pass over the checks of a renewed authority.
+	// A resumed session would skip verification against a renewed authority.
 	t.SessionTicketsDisabled = true
 	t.ServerName = "swifthinge"
 	t.VerifyConnection = func(s tls.ConnectionState) error {
@@ -82,11 +83,12 @@
 	return t
 }
 
-// insecureTLS makes a certificate in memory and verifies none.
+// insecureTLS returns a config with a generated self-signed certificate that
+// doesn't verify the peer's certificate.
 func insecureTLS(self hingeids.HostID) (*tls.Config, error) {
 	public, private, err := ed25519.GenerateKey(rand.Reader)
 	if err != nil {
-		return nil, eris.Wrap(err, "certificate in memory")
+		return nil, eris.Wrap(err, "generate a key for the self-signed certificate")
 	}
 	template := &x509.Certificate{
 		SerialNumber: big.NewInt(1),
@@ -95,7 +97,7 @@
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, public, private)
 	if err != nil {
-		return nil, eris.Wrap(err, "certificate in memory")
+		return nil, eris.Wrap(err, "create the self-signed certificate")
 	}
 	return &tls.Config{
 		Certificates: []tls.Certificate{
--- a/internal/link/hingelink/link.go
+++ b/internal/link/hingelink/link.go
@@ -1,13 +1,13 @@
-// Package hingelink is how the project's own processes talk: calls with one
-// answer, and datagrams that may be lost, both over QUIC with certificates of
-// our own on either side.
+// Package hingelink connects the router's processes to each other. It provides
+// calls with one response and unreliable datagrams, both over QUIC with mutual
+// TLS authentication.
 //
-//  1. A call opens a stream of its own. Its error carries a verdict: NotRun
-//     only if the peer cannot have seen the whole call.
-//  2. A connection that goes silent is given up after a bounded time and a
-//     new one is dialled, since connections can go silent for good while new
-//     ones work.
-//  3. A peer is known by its certificate, never by the address it calls from.
+//  1. Each call uses its own stream. Its error has a verdict, which is NotRun
+//     only if the peer can't have received the complete call.
+//  2. A connection on which nothing is received is closed after a bounded time
+//     and redialled, since a connection can fail permanently while new ones
+//     work.
+//  3. A peer is identified by its certificate, never by its address.
 package hingelink
 
 import (
@@ -16,36 +16,40 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Method names what a call or datagram asks for, as area.verb, for example "log.append".
+// Method is the name of a call or datagram in the form area.verb, for example "log.append".
 type Method string
 
-// CallHandler answers a call. The body is the handler's to keep. An error is
-// carried back with its verdict.
+// CallHandler handles a call and returns the response body. It may keep the
+// body. An error is sent to the caller with its verdict. Handlers run
+// concurrently; the context ends when the caller cancels the call.
 type CallHandler func(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error)
 
-// DatagramHandler takes a datagram. The body is the handler's to keep.
+// DatagramHandler handles a datagram. It may keep the body and must not block.
 type DatagramHandler func(from hingeids.HostID, body []byte)
 
-// Link is one process's end of the links to all others. Handlers are set
-// before the link runs. Calls to the own host are carried out in place.
+// Link sends calls and datagrams to other processes and handles theirs. All
+// handlers must be set before the link runs. Calls to the link's own host run
+// the handler directly.
 type Link interface {
-	// Self names the host at this end.
+	// Self returns the ID of the link's host.
 	Self() hingeids.HostID
-	// Call sends a call and waits for its answer until the context ends.
+	// Call sends a call and waits for its response until the context ends.
 	Call(ctx context.Context, to hingeids.HostID, method Method, body []byte) ([]byte, error)
-	// Send sends a datagram of at most MaxDatagram bytes, or loses it.
+	// Send sends a datagram of at most MaxDatagram bytes. It may be lost.
 	Send(to hingeids.HostID, method Method, body []byte)
-	// Reply sends a datagram of at most MaxDatagram bytes to a host that has a connection to this one, or loses it. It opens none.
+	// Reply sends a datagram of at most MaxDatagram bytes over a connection that the receiver has opened. It opens no
+	// connection itself, and the datagram may be lost.
 	Reply(to hingeids.HostID, method Method, body []byte)
-	// HandleCall sets the handler of a method.
+	// HandleCall sets the handler for calls of a method.
 	HandleCall(method Method, h CallHandler)
-	// HandleDatagram sets the handler of a method.
+	// HandleDatagram sets the handler for datagrams of a method.
 	HandleDatagram(method Method, h DatagramHandler)
 }
 
-// MaxDatagram is the largest datagram body in bytes: what fits a QUIC packet
-// on any network path, less our own header.
+// MaxDatagram is the maximum size of a datagram body in bytes. With its header,
+// such a datagram fits a QUIC packet on any network path.
 const MaxDatagram = 1100
 
-// MaxCall is the largest call or answer body in bytes. A snapshot goes in parts.
+// MaxCall is the maximum size of a call or response body in bytes. Larger data,
+// such as snapshots, is split.
 const MaxCall = 4 << 20
--- a/internal/link/hingelink/meet.go
+++ b/internal/link/hingelink/meet.go
@@ -7,21 +7,21 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// unusedAfter is how long a host that was met may go uncalled and unreached
-// before it is forgotten. Callers ask again within seconds, so one that nobody
-// called for half a minute isn't wanted any more.
-const unusedAfter = 30 * time.Second
+// unusedTimeout is how long a dynamically added peer may be unused before it is
+// removed when it can't be reached. It is longer than the retry interval of callers.
+const unusedTimeout = 30 * time.Second
 
-// known gives a peer, or nil.
-func (q *QUIC) known(host hingeids.HostID) *peer {
+// findPeer returns a known peer, or nil.
+func (q *QUIC) findPeer(host hingeids.HostID) *peer {
 	q.peersMu.RLock()
 	defer q.peersMu.RUnlock()
 	return q.peers[host]
 }
 
-// meet gives a peer, and makes it where the membership is open. Rule 6.
-func (q *QUIC) meet(host hingeids.HostID) *peer {
-	if p := q.known(host); p != nil || q.config.AddressOf == nil || host == q.config.Self || host == "" {
+// findOrAddPeer returns a peer and adds it first if the membership is open. It
+// returns nil for a host that isn't a peer. Rule 6.
+func (q *QUIC) findOrAddPeer(host hingeids.HostID) *peer {
+	if p := q.findPeer(host); p != nil || q.config.AddressOf == nil || host == q.config.Self || host == "" {
 		return p
 	}
 	text, err := q.config.AddressOf(host)
@@ -42,43 +42,44 @@
 	return p
 }
 
-// use gives a peer that is about to be called, and sees to it that a connection is kept up.
-func (q *QUIC) use(host hingeids.HostID) *peer {
-	p := q.meet(host)
+// peerForCall returns a peer that is about to be called, or nil. It starts to maintain a connection if needed.
+func (q *QUIC) peerForCall(host hingeids.HostID) *peer {
+	p := q.findOrAddPeer(host)
 	if p == nil {
 		return nil
 	}
-	p.usedAt.Store(q.clock().UnixNano())
+	p.lastUsed.Store(q.clock().UnixNano())
 	q.peersMu.RLock()
-	kept := p.kept
+	maintained := p.maintained
 	q.peersMu.RUnlock()
-	if kept {
+	if maintained {
 		return p
 	}
 	q.peersMu.Lock()
 	defer q.peersMu.Unlock()
-	if p.kept || q.running == nil || q.running.Err() != nil {
+	if p.maintained || q.runContext == nil || q.runContext.Err() != nil {
 		return p
 	}
-	p.kept = true
-	p.set(nil, nil)
-	q.serving.Go(func() {
-		q.maintain(q.running, p)
+	p.maintained = true
+	p.setConnection(nil, nil)
+	q.tasks.Go(func() {
+		q.maintain(q.runContext, p)
 	})
 	return p
 }
 
-// forget ends the care for a host that was met and isn't wanted any more.
-func (q *QUIC) forget(p *peer) bool {
+// removeIfUnused removes a dynamically added peer that wasn't called for
+// unusedTimeout, and reports whether it did. Rule 6.
+func (q *QUIC) removeIfUnused(p *peer) bool {
 	if _, configured := q.config.Peers[p.host]; configured || q.config.AddressOf == nil {
 		return false
 	}
-	if q.clock().UnixNano()-p.usedAt.Load() < int64(unusedAfter) {
+	if q.clock().UnixNano()-p.lastUsed.Load() < int64(unusedTimeout) {
 		return false
 	}
 	q.peersMu.Lock()
 	defer q.peersMu.Unlock()
-	p.kept = false
+	p.maintained = false
 	delete(q.peers, p.host)
 	return true
 }
--- a/internal/link/hingelink/peer.go
+++ b/internal/link/hingelink/peer.go
@@ -14,25 +14,27 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// peer is one other host as this end sees it.
+// peer is the state of the link to one other host.
 type peer struct {
 	host        hingeids.HostID
 	address     *net.UDPAddr
 	cutOutgoing atomic.Bool
 	cutIncoming atomic.Bool
-	// newest is the latest incarnation heard from.
-	newest atomic.Uint64
-	// usedAt is when the peer was called last, in nanoseconds of the link's clock.
-	usedAt atomic.Int64
-	// accepted is the newest connection that the peer has opened to this end.
+	// latestIncarnation is the latest incarnation that a message was received from.
+	latestIncarnation atomic.Uint64
+	// lastUsed is the time of the last call or datagram to the peer, in nanoseconds
+	// of the link's clock.
+	lastUsed atomic.Int64
+	// accepted is the latest connection that the peer opened to this host.
 	accepted atomic.Pointer[quic.Conn]
-	// kept says that a connection to the peer is kept up; peersMu guards it.
-	kept bool
-
-	mu      sync.Mutex
-	conn    *quic.Conn
-	away    error
-	changed chan struct{}
+	// maintained means that a goroutine keeps a connection to the peer open.
+	// Guarded by QUIC.peersMu.
+	maintained bool
+
+	mu          sync.Mutex
+	conn        *quic.Conn
+	unavailable error
+	changed     chan struct{}
 }
 
 func newPeer(host hingeids.HostID, address *net.UDPAddr) *peer {
@@ -43,33 +45,34 @@
 	}
 }
 
-// set notes a connection, or why there is none; both nil while a dial is awaited.
-func (p *peer) set(conn *quic.Conn, away error) {
+// setConnection sets the connection, or the reason why there is none. Both are
+// nil while a dial is in progress.
+func (p *peer) setConnection(conn *quic.Conn, unavailable error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.conn = conn
-	p.away = away
+	p.unavailable = unavailable
 	close(p.changed)
 	p.changed = make(chan struct{})
 }
 
-// state gives the connection, a channel that closes when that changes, and why
-// there is no connection.
-func (p *peer) state() (conn *quic.Conn, changed <-chan struct{}, away error) {
+// state returns the connection, a channel that is closed when the state changes,
+// and the reason if there is no connection.
+func (p *peer) state() (conn *quic.Conn, changed <-chan struct{}, unavailable error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.conn, p.changed, p.away
+	return p.conn, p.changed, p.unavailable
 }
 
-// connection gives the connection to the peer. Rule 3.
+// connection returns the connection to the peer and waits for a dial in progress. Rule 3.
 func (p *peer) connection(ctx context.Context) (*quic.Conn, error) {
 	for {
-		conn, changed, away := p.state()
+		conn, changed, unavailable := p.state()
 		if conn != nil {
 			return conn, nil
 		}
-		if away != nil {
-			return nil, away
+		if unavailable != nil {
+			return nil, unavailable
 		}
 		select {
 		case <-changed:
@@ -79,29 +82,30 @@
 	}
 }
 
-// hears reports whether a message of this incarnation may be taken. Rule 5: a
-// process that was stopped for minutes and then goes on must not speak for its
-// host after a new process took its place.
-func (p *peer) hears(i hingeids.Incarnation) bool {
+// acceptIncarnation reports whether a message of this incarnation is accepted,
+// and rejects earlier incarnations from then on. Rule 5: a process that resumes
+// after a suspension must not act for its host once a new process has started.
+func (p *peer) acceptIncarnation(i hingeids.Incarnation) bool {
 	for {
-		newest := p.newest.Load()
-		if uint64(i) < newest {
+		latest := p.latestIncarnation.Load()
+		if uint64(i) < latest {
 			return false
 		}
-		if p.newest.CompareAndSwap(newest, uint64(i)) {
+		if p.latestIncarnation.CompareAndSwap(latest, uint64(i)) {
 			return true
 		}
 	}
 }
 
-// dialled is a connection with the socket of its own that it was dialled from.
+// dialled is an outgoing connection with its own socket.
 type dialled struct {
 	conn      *quic.Conn
 	transport *quic.Transport
 	socket    *net.UDPConn
 }
 
-// close tells the peer, so that it need not wait out the idle time.
+// close closes the connection and its socket. It notifies the peer, which
+// otherwise would wait for the idle timeout.
 func (d *dialled) close() {
 	if d.conn != nil {
 		_ = d.conn.CloseWithError(0, "")
@@ -110,15 +114,15 @@
 	_ = d.socket.Close()
 }
 
-// dial opens a connection from a new port. Rule 2.
+// dial opens a connection from a new UDP port. Rule 2.
 func (q *QUIC) dial(ctx context.Context, p *peer) (*dialled, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialTime)
+	ctx, cancel := context.WithTimeout(ctx, dialTimeout)
 	defer cancel()
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{
 		IP: q.Addr().IP,
 	})
 	if err != nil {
-		return nil, eris.Wrapf(err, "dial host %s", p.host)
+		return nil, eris.Wrapf(err, "open a socket to dial host %s", p.host)
 	}
 	d := &dialled{
 		transport: &quic.Transport{
@@ -134,35 +138,37 @@
 	return d, nil
 }
 
-// maintain keeps a connection to the peer up until the context ends. Rules 1 and 2.
+// maintain keeps a connection to the peer open until the context ends or the
+// peer is removed. Rules 1 and 2.
 func (q *QUIC) maintain(ctx context.Context, p *peer) {
-	defer p.set(nil, eris.Errorf("link of host %s has ended", q.config.Self))
-	wasUp := true
+	defer p.setConnection(nil, eris.Errorf("link of host %s is closed", q.config.Self))
+	wasConnected := true
 	for ctx.Err() == nil {
 		d, err := q.dial(ctx, p)
 		if err != nil {
-			p.set(nil, err)
-			q.recordAway(p, wasUp, err)
-			wasUp = false
-			if q.forget(p) {
+			p.setConnection(nil, err)
+			q.recordLost(p, wasConnected, err)
+			wasConnected = false
+			if q.removeIfUnused(p) {
 				return
 			}
-			hingeclock.Pause(ctx, redialPause)
+			hingeclock.Pause(ctx, redialInterval)
 			continue
 		}
-		wasUp = q.keep(ctx, p, d, wasUp)
+		wasConnected = q.holdConnection(ctx, p, d, wasConnected)
 	}
 }
 
-// keep holds one connection until it ends. A connection that ends as soon as
-// it began was refused by the peer (which judges our certificate only after our
-// side of the handshake is over): dialling on at once would spin, and an event for
-// each would drive the others out of the time line.
-func (q *QUIC) keep(ctx context.Context, p *peer, d *dialled, wasUp bool) (lasted bool) {
+// holdConnection serves one connection until it is closed, and reports whether it
+// lasted. A connection that is closed immediately was rejected by the peer, which
+// verifies the certificate only after this end has completed the handshake. It is
+// redialled after a pause and recorded only once, so that repeated rejections
+// neither cause a busy loop nor evict other events.
+func (q *QUIC) holdConnection(ctx context.Context, p *peer, d *dialled, wasConnected bool) (lasted bool) {
 	defer d.close()
-	began := q.clock()
-	p.set(d.conn, nil)
-	q.serving.Go(func() {
+	start := q.clock()
+	p.setConnection(d.conn, nil)
+	q.tasks.Go(func() {
 		q.serveDatagrams(p, d.conn)
 	})
 	select {
@@ -171,19 +177,20 @@
 		return true
 	}
 	cause := context.Cause(d.conn.Context())
-	if q.clock().Sub(began) > redialPause {
-		p.set(nil, nil)
-		q.recordAway(p, true, cause)
+	if q.clock().Sub(start) > redialInterval {
+		p.setConnection(nil, nil)
+		q.recordLost(p, true, cause)
 		return true
 	}
-	p.set(nil, eris.Wrapf(cause, "host %s ended the connection", p.host))
-	q.recordAway(p, wasUp, cause)
-	hingeclock.Pause(ctx, redialPause)
+	p.setConnection(nil, eris.Wrapf(cause, "host %s closed the connection after the handshake", p.host))
+	q.recordLost(p, wasConnected, cause)
+	hingeclock.Pause(ctx, redialInterval)
 	return false
 }
 
-// recordAway writes an event when a connection is lost, not for every dial that fails after it.
-func (q *QUIC) recordAway(p *peer, first bool, cause error) {
+// recordLost records an event if the failure is the first since the peer was
+// connected, and none for later failures to dial.
+func (q *QUIC) recordLost(p *peer, first bool, cause error) {
 	if !first {
 		return
 	}
--- a/internal/link/hingelink/quic.go
+++ b/internal/link/hingelink/quic.go
@@ -17,81 +17,84 @@
 )
 
 const (
-	// keepAlive is how often a connection without traffic shows that it lives.
-	// Five of them fit into idleTime, so four lost packets in a row close nothing.
-	keepAlive = 300 * time.Millisecond
-	// idleTime is how long a connection may hear nothing before it is given up.
-	// Longer, and calls hang on a flow that a middlebox has forgotten; shorter,
-	// and a pause of the other process (a slow disk, a full run queue) breaks
-	// calls whose verdict is then "may have run".
-	idleTime = 1500 * time.Millisecond
-	// dialTime bounds a handshake. Calls wait for it, so it is the longest that
-	// a call takes to learn that a host is away for the first time.
-	dialTime = time.Second
-	// redialPause is the time between dials to a host that is away: 5 packets a
-	// second and host, and a host that is back is noticed within it.
-	redialPause = 200 * time.Millisecond
-	// callsAtOnce bounds one peer's calls in progress. The peer waits at its own
-	// side beyond that, so one host's burst can't take all of another's memory.
-	callsAtOnce = 256
-	// bodyBytesAtOnce bounds the bodies of calls in progress over all peers: eight
-	// of the largest, against 256 calls of 4 MB from each of six peers.
-	bodyBytesAtOnce = 8 * MaxCall
+	// keepAliveInterval is the interval of keep-alive packets on a connection without
+	// traffic. Five of them fit into idleTimeout, so four consecutive lost packets
+	// don't close the connection.
+	keepAliveInterval = 300 * time.Millisecond
+	// idleTimeout is the time after which a connection that receives nothing is
+	// closed. A longer one makes calls hang on a connection whose packets a
+	// middlebox drops; a shorter one makes a pause of the peer process fail calls
+	// as MayHaveRun.
+	idleTimeout = 1500 * time.Millisecond
+	// dialTimeout is the maximum time of a handshake. Calls wait for a dial in
+	// progress, so it also bounds how long the first calls to an unreachable host
+	// take to fail.
+	dialTimeout = time.Second
+	// redialInterval is the time between dials to an unreachable host.
+	redialInterval = 200 * time.Millisecond
+	// maxConcurrentCalls is the maximum number of calls in progress per peer.
+	// Further calls wait at the peer, so that the burst of one host can't exhaust the
+	// memory of another.
+	maxConcurrentCalls = 256
+	// maxConcurrentBodyBytes is the maximum total size of the call bodies in progress
+	// over all peers, since maxConcurrentCalls alone allows 1 GiB per peer.
+	maxConcurrentBodyBytes = 8 * MaxCall
 )
 
-// protocolName is agreed on in the handshake, so that another version of the
-// wire format is refused there rather than misread.
+// protocolName is the ALPN protocol name, so that the handshake fails with a
+// peer that uses another version of the wire format.
 const protocolName = "swifthinge/1"
 
-// Config says who this end is and where the others are.
+// Config has the identity of a link's host and the addresses of its peers.
 type Config struct {
-	// Self names this host; its certificate must carry the same name.
+	// Self is the ID of this host. Its certificate must have the same ID.
 	Self hingeids.HostID
-	// Incarnation is this life of the process. Peers refuse what an earlier
-	// life of a host says once they have heard from a later one.
+	// Incarnation is that of this process. Peers reject messages of an earlier
+	// incarnation of a host once they have received one of a later incarnation.
 	Incarnation hingeids.Incarnation
-	// Listen is the UDP address to listen at, IP number and port.
+	// Listen is the UDP address to listen on, an IP address with a port.
 	Listen string
-	// Peers are the addresses of all hosts that may call and be called.
+	// Peers has the addresses of all hosts that may call and be called.
 	Peers map[hingeids.HostID]string
-	// AddressOf, if set, opens the membership: a host that isn't among Peers may
-	// call, and is called at the address that AddressOf gives for it.
+	// AddressOf, if set, opens the membership: hosts that aren't in Peers may call
+	// and be called too, and AddressOf returns their addresses. It must be safe for
+	// concurrent use.
 	AddressOf func(hingeids.HostID) (string, error)
-	// TLS holds this host's certificate and, in VerifyConnection, how the chain of
-	// a peer's is verified; see hingekeys.LoadTLS. It may be nil only if Insecure is set.
+	// TLS has this host's certificate, and in VerifyConnection the verification of
+	// a peer's certificate chain; see hingekeys.LoadTLS. It may be nil only if Insecure is set.
 	TLS *tls.Config
-	// Insecure makes a certificate in memory and believes any name a peer
-	// gives. Only tests and the demo set it.
+	// Insecure uses a generated certificate and doesn't verify the certificates
+	// of peers, so that a peer may claim any host ID.
 	Insecure bool
-	// AllowCut lets Cut refuse traffic. Only tests and debug settings set it.
+	// AllowCut enables Cut. Only tests and debug settings set it.
 	AllowCut bool
-	// Recorder may be nil.
+	// Recorder records events and stamps messages. It may be nil.
 	Recorder *hingeevents.Recorder
-	// Clock reads the present time; nil means the system's clock.
+	// Clock returns the current time; nil means time.Now.
 	Clock func() time.Time
 }
 
-// QUIC is the Link over QUIC.
+// QUIC implements Link over QUIC.
 //
-//  1. Each end dials its own connection to every peer and keeps it up. Its calls
-//     and datagrams go out on that one; what comes in on connections that peers
-//     dialled is theirs.
-//  2. Every connection sends keep-alives, and one that hears nothing for idleTime
-//     is given up. The next is dialled from a new UDP port: a middlebox that
-//     has lost track of a flow knows it by its ports, and would swallow a
-//     new connection on the old ones too.
-//  3. A call waits for a dial in progress, unless the dial before it failed: then
-//     the host counts as away and calls are refused at once.
-//  4. A call is one message each way on a stream of its own. It is NotRun until
-//     the whole message was handed to QUIC, since a handler runs only on a whole
-//     message; from then on it is MayHaveRun until its answer is here.
-//  5. A peer is who its certificate says. One that is not among the peers, or
-//     an earlier life of a host heard from since, gets no handler run.
-//  6. Where the membership is open, hosts are met as they call or are called. One
-//     that wasn't called for unusedAfter and can't be reached is forgotten: a host
-//     that was replaced at another address never comes back to the old one.
-//  7. Every message carries a hybrid logical clock stamp, so that what it
-//     causes sorts after it in the time line.
+//  1. Each end dials its own connection to every peer and keeps it open. It sends
+//     its calls and datagrams on that connection, and receives those of peers on
+//     the connections that they dialled. Replies use the receiver's connection.
+//  2. Every connection sends keep-alives and is closed if it receives nothing for
+//     idleTimeout. The next one is dialled from a new UDP port, since a middlebox
+//     that drops the packets of a connection identifies it by its ports, and would
+//     drop those of a new connection from the same port too.
+//  3. A call waits for a dial in progress, unless the previous dial failed. Then
+//     the host counts as unreachable and calls fail immediately.
+//  4. A call is one message in each direction on its own stream. It is NotRun until
+//     the complete message was passed to QUIC, since a handler runs only for a
+//     complete message, and MayHaveRun from then on until the response arrives.
+//  5. A peer is identified by its certificate. Messages of hosts that aren't peers
+//     and of earlier incarnations than the latest seen run no handler.
+//  6. With an open membership, peers are added when they call or are called. One
+//     that wasn't called for unusedTimeout and can't be reached is removed, since a
+//     host that was replaced at another address doesn't return to the old one.
+//  7. Every message carries a hybrid logical clock stamp, so that events that it
+//     causes have later stamps than its sending.
 type QUIC struct {
 	config    Config
 	clock     func() time.Time
@@ -100,19 +103,19 @@
 	transport *quic.Transport
 	peersMu   sync.RWMutex
 	peers     map[hingeids.HostID]*peer
-	// running is the context of Run; met hosts are kept up under it.
-	running   context.Context
-	calls     map[Method]CallHandler
-	datagrams map[Method]DatagramHandler
-	bodies    *semaphore.Weighted
-	serving   sync.WaitGroup
-	done      chan struct{}
+	// runContext is the context of Run. Connections to peers that are added later use it too.
+	runContext context.Context
+	calls      map[Method]CallHandler
+	datagrams  map[Method]DatagramHandler
+	bodyMemory *semaphore.Weighted
+	tasks      sync.WaitGroup
+	done       chan struct{}
 }
 
 var _ Link = (*QUIC)(nil)
 
-// NewInsecure makes the link of a host on a platform that gives its processes no keys: links are
-// encrypted with certificates made in memory, and whoever can send packets is believed.
+// NewInsecure returns the link of a host on a platform that provides no keys. Connections are
+// encrypted with generated certificates, but peers aren't authenticated.
 func NewInsecure(
 	self hingeids.Life, listen string, addressOf func(hingeids.HostID) (string, error), r *hingeevents.Recorder,
 ) (*QUIC, error) {
@@ -126,10 +129,10 @@
 	})
 }
 
-// NewQUIC opens the listening socket. Run must follow, and closes it.
+// NewQUIC validates the configuration and opens the listening socket. Run must be called afterwards; it closes the socket.
 func NewQUIC(c Config) (*QUIC, error) {
 	if !c.Insecure && (c.TLS == nil || c.TLS.VerifyConnection == nil) {
-		return nil, eris.Errorf("link of host %s: no certificate to show or no way to verify a peer's", c.Self)
+		return nil, eris.Errorf("link of host %s: TLS configuration is missing or doesn't verify peers", c.Self)
 	}
 	if c.TLS == nil {
 		own, err := insecureTLS(c.Self)
@@ -139,16 +142,16 @@
 		c.TLS = own
 	}
 	if name := ownName(c.TLS); name != c.Self {
-		return nil, eris.Errorf("link of host %s: its certificate is for host %q", c.Self, name)
+		return nil, eris.Errorf("link of host %s: own certificate is for host %q", c.Self, name)
 	}
 	q := &QUIC{
-		config:    c,
-		clock:     c.Clock,
-		peers:     make(map[hingeids.HostID]*peer, len(c.Peers)),
-		calls:     make(map[Method]CallHandler),
-		datagrams: make(map[Method]DatagramHandler),
-		bodies:    semaphore.NewWeighted(bodyBytesAtOnce),
-		done:      make(chan struct{}),
+		config:     c,
+		clock:      c.Clock,
+		peers:      make(map[hingeids.HostID]*peer, len(c.Peers)),
+		calls:      make(map[Method]CallHandler),
+		datagrams:  make(map[Method]DatagramHandler),
+		bodyMemory: semaphore.NewWeighted(maxConcurrentBodyBytes),
+		done:       make(chan struct{}),
 	}
 	if q.clock == nil {
 		q.clock = time.Now
@@ -170,7 +173,7 @@
 		}
 		a, err := net.ResolveUDPAddr("udp", address)
 		if err != nil {
-			return eris.Wrapf(err, "link address of host %s", host)
+			return eris.Wrapf(err, "resolve link address of host %s", host)
 		}
 		q.peers[host] = newPeer(host, a)
 	}
@@ -180,11 +183,11 @@
 func (q *QUIC) listen() error {
 	a, err := net.ResolveUDPAddr("udp", q.config.Listen)
 	if err != nil {
-		return eris.Wrapf(err, "link address of host %s", q.config.Self)
+		return eris.Wrapf(err, "resolve listening address of host %s", q.config.Self)
 	}
 	q.socket, err = net.ListenUDP("udp", a)
 	if err != nil {
-		return eris.Wrapf(err, "link of host %s", q.config.Self)
+		return eris.Wrapf(err, "link of host %s: open UDP socket", q.config.Self)
 	}
 	q.transport = &quic.Transport{
 		Conn: q.socket,
@@ -192,52 +195,53 @@
 	return nil
 }
 
-// Addr is where this end listens.
+// Addr returns the listening address.
 func (q *QUIC) Addr() *net.UDPAddr {
 	return q.socket.LocalAddr().(*net.UDPAddr)
 }
 
-// Self names the host at this end.
+// Self returns the ID of the link's host.
 func (q *QUIC) Self() hingeids.HostID {
 	return q.config.Self
 }
 
-// HandleCall sets the handler of a method. Not to be called once Run has begun.
+// HandleCall sets the handler for calls of a method. It must not be called after Run.
 func (q *QUIC) HandleCall(method Method, h CallHandler) {
 	q.calls[method] = h
 }
 
-// HandleDatagram sets the handler of a method. Handlers of one peer's datagrams
-// run one after the other, so they must not wait. Not to be called once Run has begun.
+// HandleDatagram sets the handler for datagrams of a method. The datagrams of one
+// connection are handled sequentially, so handlers must not block. It must not be
+// called after Run.
 func (q *QUIC) HandleDatagram(method Method, h DatagramHandler) {
 	q.datagrams[method] = h
 }
 
-// Done closes when Run has ended and no handler runs any more.
+// Done returns a channel that is closed when Run has returned and no handler runs any more.
 func (q *QUIC) Done() <-chan struct{} {
 	return q.done
 }
 
-// Run keeps the connections up and serves peers until the context ends.
+// Run maintains connections to all peers and serves theirs until the context ends.
 func (q *QUIC) Run(ctx context.Context) error {
 	defer close(q.done)
 	defer func() {
-		// The transport goes last, so that peers are told of the end and need
-		// not wait out the idle time.
-		q.serving.Wait()
+		// The transport is closed last, so that peers are notified that their
+		// connections are closed and don't wait for the idle timeout.
+		q.tasks.Wait()
 		_ = q.transport.Close()
 		_ = q.socket.Close()
 	}()
 	listener, err := q.transport.Listen(q.serverTLS, quicConfig())
 	if err != nil {
-		return eris.Wrapf(err, "link of host %s", q.config.Self)
+		return eris.Wrapf(err, "link of host %s: listen", q.config.Self)
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	q.peersMu.Lock()
-	q.running = ctx
+	q.runContext = ctx
 	for _, p := range q.peers {
-		p.kept = true
-		q.serving.Go(func() {
+		p.maintained = true
+		q.tasks.Go(func() {
 			q.maintain(ctx, p)
 		})
 	}
@@ -250,16 +254,16 @@
 
 func quicConfig() *quic.Config {
 	return &quic.Config{
-		HandshakeIdleTimeout:  dialTime,
-		MaxIdleTimeout:        idleTime,
-		KeepAlivePeriod:       keepAlive,
-		MaxIncomingStreams:    callsAtOnce,
+		HandshakeIdleTimeout:  dialTimeout,
+		MaxIdleTimeout:        idleTimeout,
+		KeepAlivePeriod:       keepAliveInterval,
+		MaxIncomingStreams:    maxConcurrentCalls,
 		MaxIncomingUniStreams: -1,
 		EnableDatagrams:       true,
 	}
 }
 
-// Direction is one way between this host and a peer.
+// Direction is the direction of traffic between this host and a peer.
 type Direction uint8
 
 // Outgoing is from this host to the peer, Incoming from the peer to this host.
@@ -268,16 +272,17 @@
 	Incoming
 )
 
-// Cut makes this end refuse traffic with a peer in one direction, or takes the
-// cut back. A cut Outgoing refuses calls and loses answers and datagrams to the
-// peer; a cut Incoming loses all that the peer says. It fails unless AllowCut is set.
+// Cut blocks traffic with a peer in one direction, or unblocks it if cut is false.
+// Blocking Outgoing makes calls to the peer fail and drops responses and datagrams
+// to it. Blocking Incoming drops everything from the peer. It returns an error if
+// AllowCut isn't set or the host isn't a peer.
 func (q *QUIC) Cut(host hingeids.HostID, d Direction, cut bool) error {
 	if !q.config.AllowCut {
-		return eris.New("links can be cut only where the settings allow it for tests")
+		return eris.New("cutting links is not allowed by the settings")
 	}
-	p := q.known(host)
+	p := q.findPeer(host)
 	if p == nil {
-		return eris.Errorf("no host %s among the peers", host)
+		return eris.Errorf("host %s is not a peer", host)
 	}
 	if d == Outgoing {
 		p.cutOutgoing.Store(cut)
--- a/internal/link/hingelink/quic_test.go
+++ b/internal/link/hingelink/quic_test.go
@@ -25,20 +25,20 @@
 	goleak.VerifyTestMain(m)
 }
 
-// patience is how long a test waits for what must come; no verdict depends on it being short.
-const patience = 30 * time.Second
+// maxWait bounds how long a test waits for an expected event.
+const maxWait = 30 * time.Second
 
-func newTestLink(t testing.TB, self hingeids.HostID, life hingeids.Incarnation) *QUIC {
+func newTestLink(t testing.TB, self hingeids.HostID, incarnation hingeids.Incarnation) *QUIC {
 	t.Helper()
 	q, err := NewQUIC(Config{
 		Self:        self,
-		Incarnation: life,
+		Incarnation: incarnation,
 		Listen:      "127.0.0.1:0",
 		Insecure:    true,
 		AllowCut:    true,
 		Recorder: hingeevents.NewRecorder(hingeids.Life{
 			Host:        self,
-			Incarnation: life,
+			Incarnation: incarnation,
 		}),
 	})
 	if err != nil {
@@ -47,14 +47,14 @@
 	return q
 }
 
-// knows makes a link see a host at an address. Peers of tests get their ports from the system.
-func (q *QUIC) knows(host hingeids.HostID, address *net.UDPAddr) {
+// addTestPeer adds a peer after the link was created, since the ports of test links aren't known before.
+func (q *QUIC) addTestPeer(host hingeids.HostID, address *net.UDPAddr) {
 	q.peers[host] = newPeer(host, address)
 }
 
 func run(t testing.TB, links ...*QUIC) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), maxWait)
 	for _, q := range links {
 		go func() {
 			_ = q.Run(ctx)
@@ -73,8 +73,8 @@
 	t.Helper()
 	a = newTestLink(t, "cancale-1", 1)
 	b = newTestLink(t, "roscoff-1", 1)
-	a.knows("roscoff-1", b.Addr())
-	b.knows("cancale-1", a.Addr())
+	a.addTestPeer("roscoff-1", b.Addr())
+	b.addTestPeer("cancale-1", a.Addr())
 	return a, b
 }
 
@@ -82,7 +82,7 @@
 	return body, nil
 }
 
-// outcome is what a test compares of an error.
+// outcome has the fields of an error that tests compare.
 type outcome struct {
 	Verdict    hingeverdict.Verdict
 	Code       hingeverdict.Code
@@ -114,19 +114,19 @@
 	linkMayHaveRun = outcome{Verdict: hingeverdict.MayHaveRun, Code: hingeverdict.CodeLinkDown}
 )
 
-// forwarder passes UDP packets between dialling ends and one target. Each source
-// port is a flow; a flow that it forgets is dropped for good.
+// forwarder forwards UDP packets between dialling hosts and one target, like a
+// middlebox. Each source port is a flow; packets of a dropped flow are discarded.
 type forwarder struct {
 	socket *net.UDPConn
 	target *net.UDPAddr
 	mu     sync.Mutex
 	flows  map[string]*flow
-	ended  sync.WaitGroup
+	tasks  sync.WaitGroup
 }
 
 type flow struct {
-	upstream  *net.UDPConn
-	forgotten atomic.Bool
+	upstream *net.UDPConn
+	dropped  atomic.Bool
 }
 
 func newForwarder(t *testing.T, target *net.UDPAddr) *forwarder {
@@ -140,7 +140,7 @@
 		target: target,
 		flows:  make(map[string]*flow),
 	}
-	f.ended.Go(f.forward)
+	f.tasks.Go(f.forward)
 	t.Cleanup(func() {
 		_ = socket.Close()
 		f.mu.Lock()
@@ -148,7 +148,7 @@
 			_ = fl.upstream.Close()
 		}
 		f.mu.Unlock()
-		f.ended.Wait()
+		f.tasks.Wait()
 	})
 	return f
 }
@@ -161,7 +161,7 @@
 			return
 		}
 		fl := f.flow(from)
-		if fl != nil && !fl.forgotten.Load() {
+		if fl != nil && !fl.dropped.Load() {
 			_, _ = fl.upstream.Write(buffer[:n])
 		}
 	}
@@ -181,14 +181,14 @@
 		upstream: upstream,
 	}
 	f.flows[from.String()] = fl
-	f.ended.Go(func() {
+	f.tasks.Go(func() {
 		buffer := make([]byte, 64<<10)
 		for {
 			n, err := upstream.Read(buffer)
 			if err != nil {
 				return
 			}
-			if !fl.forgotten.Load() {
+			if !fl.dropped.Load() {
 				_, _ = f.socket.WriteToUDP(buffer[:n], from)
 			}
 		}
@@ -196,22 +196,20 @@
 	return fl
 }
 
-func (f *forwarder) forgetAll() {
+func (f *forwarder) dropFlows() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, fl := range f.flows {
-		fl.forgotten.Store(true)
+		fl.dropped.Store(true)
 	}
 }
 
-// A middlebox between two hosts loses track of an open connection and swallows
-// its packets from then on, while new connections pass. Without a link that
-// gives up silent connections, every request that needs the other host hangs
-// until somebody restarts the process.
-func TestSilentConnectionIsGivenUpAndDialledAgain(t *testing.T) {
+// Guards against calls that hang on a connection whose packets a middlebox drops,
+// while new connections work.
+func TestSilentConnectionIsRedialled(t *testing.T) {
 	a, b := newPair(t)
 	f := newForwarder(t, b.Addr())
-	a.knows("roscoff-1", f.socket.LocalAddr().(*net.UDPAddr))
+	a.addTestPeer("roscoff-1", f.socket.LocalAddr().(*net.UDPAddr))
 	var ran atomic.Int64
 	b.HandleCall("test.count", func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 		ran.Add(1)
@@ -221,48 +219,48 @@
 	if _, err := a.Call(ctx, "roscoff-1", "test.count", nil); err != nil {
 		t.Fatal(err)
 	}
-	f.forgetAll()
+	f.dropFlows()
 	_, err := a.Call(ctx, "roscoff-1", "test.count", nil)
 	wantOutcome(t, err, linkMayHaveRun)
 	if _, err := a.Call(ctx, "roscoff-1", "test.count", nil); err != nil {
-		t.Fatalf("the link did not come back: %v", err)
+		t.Fatalf("the call after the redial failed: %v", err)
 	}
 	if diff := cmp.Diff(int64(2), ran.Load()); diff != "" {
 		t.Fatal(diff)
 	}
 }
 
-// A process of another operator, or one set up with the wrong keys, answers at
-// a peer's address or calls from anywhere. It must get no call and have none run.
-func TestHostOfAnotherNameIsRefused(t *testing.T) {
+// Guards against calls to or from a process whose certificate has the ID of
+// another host, and against an event for each of its rejected connections.
+func TestPeerWithUnexpectedNameIsRefused(t *testing.T) {
 	a := newTestLink(t, "cancale-1", 1)
-	stranger := newTestLink(t, "elsewhere-1", 1)
-	// No time passes for it, so each of its connections ended as soon as it began.
-	stranger.clock = func() time.Time {
+	foreign := newTestLink(t, "elsewhere-1", 1)
+	// Its clock stands still, so each of its connections counts as rejected immediately.
+	foreign.clock = func() time.Time {
 		return time.Unix(0, 0)
 	}
-	a.knows("roscoff-1", stranger.Addr())
-	stranger.knows("cancale-1", a.Addr())
+	a.addTestPeer("roscoff-1", foreign.Addr())
+	foreign.addTestPeer("cancale-1", a.Addr())
 	var ran atomic.Int64
 	count := func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 		ran.Add(1)
 		return nil, nil
 	}
 	a.HandleCall("test.count", count)
-	stranger.HandleCall("test.count", count)
-	ctx := run(t, a, stranger)
+	foreign.HandleCall("test.count", count)
+	ctx := run(t, a, foreign)
 	_, err := a.Call(ctx, "roscoff-1", "test.count", nil)
 	wantOutcome(t, err, linkNotRun)
 	if !strings.Contains(err.Error(), `certificate is for host "elsewhere-1", want "roscoff-1"`) {
-		t.Fatalf("the error does not name the wrong host: %v", err)
+		t.Fatalf("the error does not contain the unexpected host ID: %v", err)
 	}
-	if _, err := stranger.Call(ctx, "cancale-1", "test.count", nil); err == nil {
-		t.Fatal("a stranger's call was answered")
+	if _, err := foreign.Call(ctx, "cancale-1", "test.count", nil); err == nil {
+		t.Fatal("a call from a host that is not a peer succeeded")
 	}
-	// It dials on and is refused each time: one event in all, not one each time.
-	time.Sleep(5 * redialPause)
-	if events := len(stranger.config.Recorder.Kept()); events > 1 {
-		t.Fatalf("%d events for one host that refuses", events)
+	// Its repeated dials are all rejected and must record only one event in total.
+	time.Sleep(5 * redialInterval)
+	if events := len(foreign.config.Recorder.Kept()); events > 1 {
+		t.Fatalf("%d events for repeated rejections by one host, want at most 1", events)
 	}
 	if diff := cmp.Diff(int64(0), ran.Load()); diff != "" {
 		t.Fatal(diff)
@@ -299,16 +297,16 @@
 	return folder
 }
 
-// Somebody with a certificate of the right name but of their own making sits at
-// a peer's address. Our hosts must still know each other, and not them.
-func TestHostOfAnotherAuthorityIsRefused(t *testing.T) {
+// Guards against accepting a certificate with the right host ID that was signed by
+// another authority.
+func TestCertificateOfAnotherAuthorityIsRefused(t *testing.T) {
 	folder := makeKeys(t, "cancale-1", "roscoff-1")
 	a := newKeyedLink(t, folder, "cancale-1")
 	b := newKeyedLink(t, folder, "roscoff-1")
 	forged := newKeyedLink(t, makeKeys(t, "quiberon-1"), "quiberon-1")
-	a.knows("roscoff-1", b.Addr())
-	a.knows("quiberon-1", forged.Addr())
-	b.knows("cancale-1", a.Addr())
+	a.addTestPeer("roscoff-1", b.Addr())
+	a.addTestPeer("quiberon-1", forged.Addr())
+	b.addTestPeer("cancale-1", a.Addr())
 	b.HandleCall("test.echo", echo)
 	forged.HandleCall("test.echo", echo)
 	ctx := run(t, a, b, forged)
@@ -318,16 +316,16 @@
 	_, err := a.Call(ctx, "quiberon-1", "test.echo", nil)
 	wantOutcome(t, err, linkNotRun)
 	if !strings.Contains(err.Error(), "signed by another authority") {
-		t.Fatalf("the error does not say why: %v", err)
+		t.Fatalf("the error does not contain the reason: %v", err)
 	}
 }
 
-// A process stopped for minutes goes on after a new one took its host's place.
-// What it still says must not be taken for the host's word.
-func TestEarlierLifeIsRefusedOnceALaterOneWasHeard(t *testing.T) {
+// Guards against accepting calls of a suspended process that resumes after a new
+// process of the same host has started.
+func TestEarlierIncarnationIsRefused(t *testing.T) {
 	a, b := newPair(t)
 	newer := newTestLink(t, "cancale-1", 2)
-	newer.knows("roscoff-1", b.Addr())
+	newer.addTestPeer("roscoff-1", b.Addr())
 	b.HandleCall("test.echo", echo)
 	ctx := run(t, a, b, newer)
 	for _, q := range []*QUIC{a, newer} {
@@ -339,8 +337,8 @@
 	wantOutcome(t, err, linkNotRun)
 }
 
-// A network partition may pass one direction and not the other. The caller of a
-// call that got there must not be told that it was not run.
+// Guards against the verdict NotRun for a call that arrived while only one
+// direction of the network is partitioned.
 func TestCutOneWay(t *testing.T) {
 	for _, c := range []struct {
 		name     string
@@ -385,7 +383,7 @@
 	}
 }
 
-func TestVerdictOfTheHandlerIsCarriedBack(t *testing.T) {
+func TestHandlerVerdictReachesCaller(t *testing.T) {
 	a, b := newPair(t)
 	b.HandleCall("test.full", func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 		return nil, eris.Wrap(hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeQueueFull, 3*time.Second, eris.New("full")), "wrapped")
@@ -404,61 +402,60 @@
 	wantOutcome(t, err, linkNotRun)
 }
 
-// A caller gives up a call whose handler waits for something. If the handler were
-// not told, calls that nobody waits for would pile up until the peer's bound is reached.
-func TestGivenUpCallEndsItsHandler(t *testing.T) {
+// Guards against handlers that keep running after their caller has cancelled the
+// call, which would accumulate up to the bound on concurrent calls.
+func TestCancelledCallCancelsItsHandler(t *testing.T) {
 	a, b := newPair(t)
-	began := make(chan struct{})
-	ended := make(chan struct{})
+	started := make(chan struct{})
+	finished := make(chan struct{})
 	b.HandleCall("test.wait", func(ctx context.Context, _ hingeids.HostID, _ []byte) ([]byte, error) {
-		close(began)
+		close(started)
 		<-ctx.Done()
-		close(ended)
+		close(finished)
 		return nil, ctx.Err()
 	})
 	ctx, cancel := context.WithCancel(run(t, a, b))
 	go func() {
-		<-began
+		<-started
 		cancel()
 	}()
 	_, err := a.Call(ctx, "roscoff-1", "test.wait", nil)
 	wantOutcome(t, err, linkMayHaveRun)
 	if !errors.Is(err, context.Canceled) {
-		t.Fatalf("the error does not say that the call was cancelled: %v", err)
+		t.Fatalf("the error does not wrap context.Canceled: %v", err)
 	}
-	<-ended
+	<-finished
 }
 
-// A host's burst of calls meets handlers that are stuck. Without a bound it would
-// take up the other host's memory until that host dies.
-func TestCallsAtOnceAreBounded(t *testing.T) {
+// Guards against unbounded memory for a peer's calls while handlers are blocked.
+func TestConcurrentCallsAreBounded(t *testing.T) {
 	a, b := newPair(t)
-	began := make(chan struct{}, 2*callsAtOnce)
-	letGo := make(chan struct{})
+	started := make(chan struct{}, 2*maxConcurrentCalls)
+	release := make(chan struct{})
 	b.HandleCall("test.stuck", func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
-		began <- struct{}{}
-		<-letGo
+		started <- struct{}{}
+		<-release
 		return nil, nil
 	})
 	ctx := run(t, a, b)
 	var group sync.WaitGroup
-	for range callsAtOnce {
+	for range maxConcurrentCalls {
 		group.Go(func() {
 			if _, err := a.Call(ctx, "roscoff-1", "test.stuck", nil); err != nil {
 				t.Error(err)
 			}
 		})
 	}
-	for range callsAtOnce {
-		<-began
+	for range maxConcurrentCalls {
+		<-started
 	}
 	short, cancel := context.WithTimeout(ctx, 50*time.Millisecond)
 	defer cancel()
 	_, err := a.Call(short, "roscoff-1", "test.stuck", nil)
 	wantOutcome(t, err, linkNotRun)
-	close(letGo)
+	close(release)
 	group.Wait()
-	if diff := cmp.Diff(0, len(began)); diff != "" {
+	if diff := cmp.Diff(0, len(started)); diff != "" {
 		t.Fatal(diff)
 	}
 	if _, err := a.Call(ctx, "roscoff-1", "test.stuck", nil); err != nil {
@@ -472,10 +469,10 @@
 	b.HandleCall("test.huge", func(context.Context, hingeids.HostID, []byte) ([]byte, error) {
 		return make([]byte, MaxCall+1), nil
 	})
-	got := make(chan []byte, 1)
+	bodies := make(chan []byte, 1)
 	b.HandleDatagram("test.datagramOfLongName", func(_ hingeids.HostID, body []byte) {
 		select {
-		case got <- body:
+		case bodies <- body:
 		default:
 		}
 	})
@@ -494,7 +491,7 @@
 	for received := false; !received; {
 		a.Send("roscoff-1", "test.datagramOfLongName", largest[:MaxDatagram])
 		select {
-		case body := <-got:
+		case body := <-bodies:
 			received = true
 			if diff := cmp.Diff(MaxDatagram, len(body)); diff != "" {
 				t.Fatal(diff)
@@ -507,8 +504,8 @@
 	}
 }
 
-// What another process sends is read before anything is known about it: it may
-// neither panic nor make this process take memory that it was not asked for.
+// Guards against panics and unbounded allocation while parsing messages of
+// unauthenticated processes.
 func FuzzMessages(f *testing.F) {
 	var b bytes.Buffer
 	if _, err := writeMessage(&b, &callHeader{Method: "ledger.claim", Incarnation: 9}, []byte("body")); err != nil {
--- a/internal/link/hingelink/serve.go
+++ b/internal/link/hingelink/serve.go
@@ -7,7 +7,7 @@
 	"github.com/rotisserie/eris"
 )
 
-// accept serves the connections that peers dial, until the context ends.
+// accept serves incoming connections until the context ends.
 func (q *QUIC) accept(ctx context.Context, listener *quic.Listener) error {
 	for {
 		conn, err := listener.Accept(ctx)
@@ -15,20 +15,20 @@
 			return nil
 		}
 		if err != nil {
-			return eris.Wrapf(err, "link of host %s", q.config.Self)
+			return eris.Wrapf(err, "link of host %s: accept a connection", q.config.Self)
 		}
-		p := q.meet(peerName(conn.ConnectionState().TLS))
+		p := q.findOrAddPeer(peerName(conn.ConnectionState().TLS))
 		if p == nil {
 			_ = conn.CloseWithError(0, "not a peer")
 			continue
 		}
-		q.serving.Go(func() {
+		q.tasks.Go(func() {
 			q.serve(ctx, p, conn)
 		})
 	}
 }
 
-// serve takes one connection's calls and datagrams until it ends.
+// serve handles the calls and datagrams of one incoming connection until it is closed.
 func (q *QUIC) serve(ctx context.Context, p *peer, conn *quic.Conn) {
 	stop := context.AfterFunc(ctx, func() {
 		_ = conn.CloseWithError(0, "")
@@ -36,7 +36,7 @@
 	defer stop()
 	p.accepted.Store(conn)
 	defer p.accepted.CompareAndSwap(conn, nil)
-	q.serving.Go(func() {
+	q.tasks.Go(func() {
 		q.serveDatagrams(p, conn)
 	})
 	for {
@@ -44,7 +44,7 @@
 		if err != nil {
 			return
 		}
-		q.serving.Go(func() {
+		q.tasks.Go(func() {
 			q.serveCall(p, s)
 		})
 	}
@@ -58,7 +58,7 @@
 		}
 		var header callHeader
 		body, err := decodeDatagram(raw, &header)
-		if err != nil || p.cutIncoming.Load() || !p.hears(header.Incarnation) {
+		if err != nil || p.cutIncoming.Load() || !p.acceptIncarnation(header.Incarnation) {
 			continue
 		}
 		q.observe(header.Stamp)
@@ -68,59 +68,59 @@
 	}
 }
 
-// serveCall answers one call. The stream's context ends when the caller gives
-// the call up or the connection is lost.
+// serveCall handles one call. The stream's context ends when the caller cancels
+// the call or the connection is lost.
 func (q *QUIC) serveCall(p *peer, s *quic.Stream) {
 	var header callHeader
 	reserved := int64(0)
 	defer func() {
-		q.bodies.Release(reserved)
+		q.bodyMemory.Release(reserved)
 	}()
 	body, err := readMessage(s, &header, func(size int) error {
-		if err := q.bodies.Acquire(s.Context(), int64(size)); err != nil {
+		if err := q.bodyMemory.Acquire(s.Context(), int64(size)); err != nil {
 			return err
 		}
 		reserved = int64(size)
 		return nil
 	})
 	if err != nil || p.cutIncoming.Load() {
-		abandon(s)
+		cancelStream(s)
 		return
 	}
-	answer, err := q.run(s.Context(), p, header, body)
+	response, err := q.handleCall(s.Context(), p, header, body)
 	if p.cutOutgoing.Load() {
-		abandon(s)
+		cancelStream(s)
 		return
 	}
-	q.answer(s, answer, err)
+	q.writeResponse(s, response, err)
 }
 
-func (q *QUIC) run(ctx context.Context, p *peer, header callHeader, body []byte) ([]byte, error) {
-	if !p.hears(header.Incarnation) {
-		return nil, notRun(eris.Errorf("host %s has a later life than the caller's", p.host))
+func (q *QUIC) handleCall(ctx context.Context, p *peer, header callHeader, body []byte) ([]byte, error) {
+	if !p.acceptIncarnation(header.Incarnation) {
+		return nil, notRun(eris.Errorf("caller is an earlier incarnation of host %s than the latest seen", p.host))
 	}
 	q.observe(header.Stamp)
 	h := q.calls[header.Method]
 	if h == nil {
-		return nil, notRun(eris.Errorf("no method %s", header.Method))
+		return nil, notRun(eris.Errorf("no handler for method %s", header.Method))
 	}
-	answer, err := h(ctx, p.host, body)
-	if err == nil && len(answer) > MaxCall {
-		err = eris.Errorf("answer of %d bytes: at most %d", len(answer), MaxCall)
+	response, err := h(ctx, p.host, body)
+	if err == nil && len(response) > MaxCall {
+		err = eris.Errorf("response has %d bytes, maximum is %d", len(response), MaxCall)
 	}
-	return answer, err
+	return response, err
 }
 
-func (q *QUIC) answer(s *quic.Stream, body []byte, failed error) {
-	header := answerHeader{
+func (q *QUIC) writeResponse(s *quic.Stream, body []byte, handlerError error) {
+	header := responseHeader{
 		Stamp: q.stamp(),
 	}
-	if failed != nil {
-		header.Failure = failureOf(failed)
+	if handlerError != nil {
+		header.Failure = newFailure(handlerError)
 		body = nil
 	}
 	if _, err := writeMessage(s, &header, body); err != nil {
-		abandon(s)
+		cancelStream(s)
 		return
 	}
 	_ = s.Close()
--- a/internal/link/hingelink/wire.go
+++ b/internal/link/hingelink/wire.go
@@ -15,34 +15,36 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// A message on a stream is the length of its header and of its body, four bytes
-// each with the highest first, then the header in CBOR, then the body as it is. A
-// datagram is one byte of header length, the header, the body.
+// A message on a stream consists of the lengths of its header and its body as
+// four-byte big-endian integers, the header in CBOR, and the body. A datagram
+// consists of one byte with the length of its header, the header, and the body.
 
 const (
 	lengthsSize = 8
-	// maxHeader bounds a header: a method or the text of an error, and numbers.
+	// maxHeader is the maximum size of a header in bytes. A header has a method or
+	// an error text, and a few numbers.
 	maxHeader = 2048
-	// maxErrorText keeps an error's text within a header.
+	// maxErrorText is the maximum size of an error text in bytes, so that it fits a header.
 	maxErrorText = 1024
-	// maxDatagramHeader leaves MaxDatagram bytes of QUIC's smallest packet for the body.
+	// maxDatagramHeader is the maximum size of a datagram header in bytes. With it,
+	// a body of MaxDatagram bytes still fits a QUIC packet on any network path.
 	maxDatagramHeader = 60
 )
 
-// callHeader goes before the body of a call or datagram.
+// callHeader is the header of a call or datagram.
 type callHeader struct {
 	Method      Method               `cbor:"1,keyasint"`
 	Incarnation hingeids.Incarnation `cbor:"2,keyasint"`
 	Stamp       hingeevents.Stamp    `cbor:"3,keyasint"`
 }
 
-// answerHeader goes before the body of an answer.
-type answerHeader struct {
+// responseHeader is the header of a response.
+type responseHeader struct {
 	Stamp   hingeevents.Stamp `cbor:"1,keyasint"`
 	Failure *failure          `cbor:"2,keyasint,omitempty"`
 }
 
-// failure is a handler's error on its way back.
+// failure is the encoding of a handler's error.
 type failure struct {
 	Verdict    hingeverdict.Verdict `cbor:"1,keyasint"`
 	Code       hingeverdict.Code    `cbor:"2,keyasint"`
@@ -78,20 +80,20 @@
 	return m
 }
 
-// keptBuffer bounds what the pool keeps: one large snapshot part must not leave
-// a buffer of its size behind for good.
-const keptBuffer = 64 << 10
+// maxPooledBuffer is the maximum capacity in bytes of a buffer in the pool, so
+// that one large message doesn't retain its memory.
+const maxPooledBuffer = 64 << 10
 
 func putBuffer(b *bytes.Buffer) {
-	if b.Cap() <= keptBuffer {
+	if b.Cap() <= maxPooledBuffer {
 		b.Reset()
 		buffers.Put(b)
 	}
 }
 
-// writeMessage writes header and body in one piece. It reports whether all of it
-// was handed on; short of that the reader never gets a whole message.
-func writeMessage(w io.Writer, header any, body []byte) (whole bool, err error) {
+// writeMessage writes header and body with a single Write, and reports whether
+// the complete message was written. Otherwise the reader can't receive it.
+func writeMessage(w io.Writer, header any, body []byte) (complete bool, err error) {
 	b := buffers.Get().(*bytes.Buffer)
 	defer putBuffer(b)
 	var lengths [lengthsSize]byte
@@ -106,17 +108,17 @@
 	return n == b.Len(), err
 }
 
-// readMessage reads a message. The reserve function is asked before memory of
-// the body's size is taken.
+// readMessage reads a message. It calls reserve with the size of the body before
+// it allocates the body, and returns the error of reserve.
 func readMessage(r io.Reader, header any, reserve func(int) error) ([]byte, error) {
 	var lengths [lengthsSize]byte
 	if _, err := io.ReadFull(r, lengths[:]); err != nil {
-		return nil, eris.Wrap(err, "lengths")
+		return nil, eris.Wrap(err, "read message lengths")
 	}
 	headerSize := binary.BigEndian.Uint32(lengths[:])
 	bodySize := binary.BigEndian.Uint32(lengths[4:])
 	if headerSize > maxHeader || bodySize > MaxCall {
-		return nil, eris.Errorf("message of %d + %d bytes: at most %d + %d", headerSize, bodySize, maxHeader, MaxCall)
+		return nil, eris.Errorf("message has %d header and %d body bytes, maximum is %d and %d", headerSize, bodySize, maxHeader, MaxCall)
 	}
 	if err := readHeader(r, header, int(headerSize)); err != nil {
 		return nil, err
@@ -126,7 +128,7 @@
 	}
 	body := make([]byte, bodySize)
 	if _, err := io.ReadFull(r, body); err != nil {
-		return nil, eris.Wrap(err, "body")
+		return nil, eris.Wrap(err, "read message body")
 	}
 	return body, nil
 }
@@ -137,12 +139,13 @@
 	b.Grow(size)
 	raw := b.AvailableBuffer()[:size]
 	if _, err := io.ReadFull(r, raw); err != nil {
-		return eris.Wrap(err, "header")
+		return eris.Wrap(err, "read message header")
 	}
-	return eris.Wrap(decoder.Unmarshal(raw, header), "header")
+	return eris.Wrap(decoder.Unmarshal(raw, header), "decode message header")
 }
 
-// encodeDatagram puts a datagram into the buffer, or reports that it does not fit.
+// encodeDatagram writes a datagram to an empty buffer, and reports whether it is
+// within the maximum sizes.
 func encodeDatagram(b *bytes.Buffer, header *callHeader, body []byte) bool {
 	b.WriteByte(0)
 	if err := encoder.MarshalToBuffer(header, b); err != nil {
@@ -163,7 +166,7 @@
 	}
 	end := 1 + int(raw[0])
 	if err := decoder.Unmarshal(raw[1:end], header); err != nil {
-		return nil, eris.Wrap(err, "datagram header")
+		return nil, eris.Wrap(err, "decode datagram header")
 	}
 	return raw[end:], nil
 }
