--- a/cmd/swifthinge/serve.go
+++ b/cmd/swifthinge/serve.go
@@ -10,10 +10,10 @@
 
 func serve(ctx context.Context, s hingecommand.ServeOptions) error {
 	server, err := hingeserver.New(hingeserver.Options{
-		Settings:  s.Settings,
-		Inventory: s.Inventory,
-		Rules:     s.Rules,
-		Given:     s.HasConfiguration,
+		Settings:         s.Settings,
+		Inventory:        s.Inventory,
+		Rules:            s.Rules,
+		HasConfiguration: s.HasConfiguration,
 	}, time.Now())
 	if err != nil {
 		return err
--- a/internal/agreement/hingegroup/history_test.go
+++ b/internal/agreement/hingegroup/history_test.go
@@ -180,9 +180,9 @@
 
 func (r *workload) heal() {
 	for _, a := range diskHosts {
-		r.network.Heal("quiberon-2", a)
+		r.network.Restore("quiberon-2", a)
 		for _, b := range diskHosts {
-			r.network.Heal(a, b)
+			r.network.Restore(a, b)
 		}
 	}
 }
--- a/internal/capacity/hingeplacer/calls_test.go
+++ b/internal/capacity/hingeplacer/calls_test.go
@@ -76,7 +76,7 @@
 // timeouts, the next ones at once.
 func TestRequestsContinueWhileThePlacerIsSuspended(t *testing.T) {
 	withCluster(t, func(t *testing.T, cl *cluster) {
-		cl.network.Freeze("control-1")
+		cl.network.Suspend("control-1")
 		start := time.Now()
 		a := cl.owners[0].PlaceCall(context.Background(), callRequest(1))
 		if elapsed := time.Since(start); !a.Local || a.Server == "" || elapsed > 120*time.Millisecond {
@@ -87,7 +87,7 @@
 		if elapsed := time.Since(start); !a.Local || elapsed > 5*time.Millisecond {
 			t.Fatalf("second request: %+v after %v", a, elapsed)
 		}
-		cl.network.Thaw("control-1")
+		cl.network.Resume("control-1")
 	})
 }
 
--- a/internal/capacity/hingeplacer/placer_test.go
+++ b/internal/capacity/hingeplacer/placer_test.go
@@ -279,7 +279,7 @@
 // without answering them.
 func TestSuspendedPlacerIsAbandonedSoon(t *testing.T) {
 	withCluster(t, func(t *testing.T, cl *cluster) {
-		cl.network.Freeze("control-1")
+		cl.network.Suspend("control-1")
 		var waits []time.Duration
 		for i := range 2 {
 			start := time.Now()
--- a/internal/config/hingecustomers/customers.go
+++ b/internal/config/hingecustomers/customers.go
@@ -54,12 +54,12 @@
 	Rate float64
 	// Burst is the number of units that may be used at once beyond the rate.
 	Burst hingeids.QuotaUnits
-	// Plain is the cost of a request that declares no tokens, if the unit is Tokens.
-	Plain hingeids.QuotaUnits
+	// DefaultCost is the cost of a request that declares no tokens, if the unit is Tokens.
+	DefaultCost hingeids.QuotaUnits
 }
 
-// Bounded reports whether the quota limits the customer.
-func (q Quota) Bounded() bool {
+// Limited reports whether the quota limits the customer.
+func (q Quota) Limited() bool {
 	return q.Rate > 0
 }
 
@@ -71,7 +71,7 @@
 	case stated:
 		return hingeids.QuotaUnits(tokens)
 	}
-	return q.Plain
+	return q.DefaultCost
 }
 
 // Customer is a customer with the digests of its API keys.
@@ -110,7 +110,7 @@
 		return eris.Errorf("customer %d has no name", index+1)
 	case s.byName[c.Name] != nil:
 		return eris.Errorf("two customers have the name %q", c.Name)
-	case c.Quota.Rate < 0 || c.Quota.Burst < 0 || c.Quota.Plain < 0:
+	case c.Quota.Rate < 0 || c.Quota.Burst < 0 || c.Quota.DefaultCost < 0:
 		return eris.Errorf("customer %q: a figure of the quota is negative", c.Name)
 	}
 	s.byName[c.Name] = c
@@ -126,8 +126,8 @@
 	return nil
 }
 
-// Holder returns the customer that has the key, or nil (rule 3).
-func (s *Set) Holder(k Key) *Customer {
+// CustomerByKey returns the customer that has the key, or nil (rule 3).
+func (s *Set) CustomerByKey(k Key) *Customer {
 	if s == nil {
 		return nil
 	}
--- a/internal/config/hingecustomers/customers_test.go
+++ b/internal/config/hingecustomers/customers_test.go
@@ -32,7 +32,7 @@
 		case "burst":
 			c.Quota.Burst = hingeids.QuotaUnits(n)
 		case "plain":
-			c.Quota.Plain = hingeids.QuotaUnits(n)
+			c.Quota.DefaultCost = hingeids.QuotaUnits(n)
 		case "keys":
 			for k := range strings.SplitSeq(value, ",") {
 				c.Keys = append(c.Keys, Key(strings.Trim(k, "-")).Digest())
@@ -101,8 +101,8 @@
 
 func TestCost(t *testing.T) {
 	tokens := Quota{
-		Unit:  Tokens,
-		Plain: 200,
+		Unit:        Tokens,
+		DefaultCost: 200,
 	}
 	got := []hingeids.QuotaUnits{
 		Quota{}.Cost(5000, true), tokens.Cost(5000, true), tokens.Cost(0, false),
@@ -132,7 +132,7 @@
 	set := newTestSet(b, 7300)
 	b.ReportAllocs()
 	for b.Loop() {
-		if set.Holder("key-of-customer-7299") == nil {
+		if set.CustomerByKey("key-of-customer-7299") == nil {
 			b.Fatal("key not found")
 		}
 	}
--- a/internal/config/hingeinventory/classify.go
+++ b/internal/config/hingeinventory/classify.go
@@ -8,8 +8,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Work has the attributes of a request that classes match.
-type Work struct {
+// RequestAttributes has the attributes of a request that classes match.
+type RequestAttributes struct {
 	// Model is set for completions, Service for calls to plain services.
 	Model   hingeids.Model
 	Service hingeids.Service
@@ -30,7 +30,7 @@
 // Classify returns the class of a request (Rule 4). It is called once per
 // request and doesn't allocate. It scans the classes, which is cheaper than an
 // index for some tens of them.
-func (r *Rules) Classify(w Work) Class {
+func (r *Rules) Classify(w RequestAttributes) Class {
 	for i := range r.Classes {
 		if r.Classes[i].matches(w) {
 			return r.Classes[i]
@@ -39,7 +39,7 @@
 	return DefaultClass
 }
 
-func (c *Class) matches(w Work) bool {
+func (c *Class) matches(w RequestAttributes) bool {
 	if c.Model != "" && c.Model != w.Model {
 		return false
 	}
--- a/internal/config/hingeinventory/classify_test.go
+++ b/internal/config/hingeinventory/classify_test.go
@@ -29,7 +29,7 @@
 		fields := strings.Fields(request)
 		workload, method, path := fields[0], fields[1], fields[2]
 		inv, rules := example(t, workload)
-		w := Work{
+		w := RequestAttributes{
 			Route:  path,
 			Method: method,
 		}
@@ -44,7 +44,7 @@
 		t.Errorf("classes (-want +got):\n%s", diff)
 	}
 	_, rules := example(t, "viviers")
-	w := Work{
+	w := RequestAttributes{
 		Model: "redacteur",
 		Route: "/v1/completions",
 	}
--- a/internal/config/hingeinventory/customers_test.go
+++ b/internal/config/hingeinventory/customers_test.go
@@ -43,7 +43,7 @@
 	}
 	got := make(map[hingecustomers.Key]hingeids.CallerID)
 	for _, k := range []hingecustomers.Key{secret, "other", "nobody's"} {
-		if c := joined.CustomerSet().Holder(k); c != nil {
+		if c := joined.CustomerSet().CustomerByKey(k); c != nil {
 			got[k] = c.Name
 		}
 	}
@@ -54,7 +54,7 @@
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Fatal(diff)
 	}
-	if p := joined.CustomerSet().Holder(secret).Priority; p == nil || *p != priority {
+	if p := joined.CustomerSet().CustomerByKey(secret).Priority; p == nil || *p != priority {
 		t.Errorf("unexpected priority %v", p)
 	}
 }
--- a/internal/config/hingeroutes/routes.go
+++ b/internal/config/hingeroutes/routes.go
@@ -26,8 +26,8 @@
 // run at most once; a Stream may be retried only if its route is resumable, and
 // continues after the last event sent.
 const (
-	Repeatable Kind = iota + 1
-	Once
+	Idempotent Kind = iota + 1
+	AtMostOnce
 	Stream
 )
 
@@ -47,12 +47,12 @@
 	Shares []Share
 	// Timeout is the maximum time that a request may wait.
 	Timeout time.Duration
-	// Target is the latency target for the response, or for the first event of a stream.
-	Target time.Duration
-	// GapTarget is the latency target for the time between events of a stream.
-	GapTarget time.Duration
-	// Patience is the time after which callers disconnect if a stream has sent no event.
-	Patience time.Duration
+	// LatencyTarget is the latency target for the response, or for the first event of a stream.
+	LatencyTarget time.Duration
+	// EventGapTarget is the latency target for the time between events of a stream.
+	EventGapTarget time.Duration
+	// MaxWait is the time after which callers disconnect if a stream has sent no event.
+	MaxWait time.Duration
 	// Attempts is the maximum number of backend servers that one request may be sent to.
 	Attempts int
 	// Priority orders routes; 0 is the highest.
@@ -64,9 +64,9 @@
 	Engine bool
 }
 
-// MayRepeat reports whether a request that may have run may be retried.
-func (r *Route) MayRepeat() bool {
-	return r.Kind == Repeatable || r.Kind == Stream && r.Resumable
+// MayRetry reports whether a request that may have run may be retried.
+func (r *Route) MayRetry() bool {
+	return r.Kind == Idempotent || r.Kind == Stream && r.Resumable
 }
 
 // Engine has the properties that all engines of a service share.
@@ -74,14 +74,14 @@
 	Slots hingeids.Slots
 	// Memory is the size of one engine's KV cache.
 	Memory hingeids.Tokens
-	// TokenBytes is the size of one token in the KV cache.
-	TokenBytes hingeids.Bytes
+	// CacheBytesPerToken is the size of one token in the KV cache.
+	CacheBytesPerToken hingeids.Bytes
 	// EventTokens is the number of tokens in one event of a stream.
 	EventTokens hingeids.Tokens
-	// HandleTime is how long the KV cache of a finished prefill is kept for its transfer.
-	HandleTime time.Duration
-	// RoleTime is how long an engine is unavailable during a role change.
-	RoleTime time.Duration
+	// HandleTTL is how long the KV cache of a finished prefill is kept for its transfer.
+	HandleTTL time.Duration
+	// RoleChangeTime is how long an engine is unavailable during a role change.
+	RoleChangeTime time.Duration
 }
 
 // Service is a set of interchangeable backend servers.
@@ -95,10 +95,10 @@
 
 // Limits bounds the size and duration of what a caller sends.
 type Limits struct {
-	HeaderBytes int
-	BodyBytes   int
-	HeaderTime  time.Duration
-	IdleTime    time.Duration
+	HeaderBytes   int
+	BodyBytes     int
+	HeaderTimeout time.Duration
+	IdleTimeout   time.Duration
 }
 
 // Table is a complete routing configuration. It must not change after Index and is then safe for concurrent use.
@@ -126,8 +126,8 @@
 	}
 }
 
-// Names reports whether the configuration has the service. A nil table has every service.
-func (t *Table) Names(s hingeids.Service) bool {
+// HasService reports whether the configuration has the service. A nil table has every service.
+func (t *Table) HasService(s hingeids.Service) bool {
 	if t == nil {
 		return true
 	}
--- a/internal/config/hingeroutes/routes_test.go
+++ b/internal/config/hingeroutes/routes_test.go
@@ -48,7 +48,7 @@
 		Name:    words[0],
 		Host:    words[1],
 		Prefix:  words[2],
-		Kind:    Once,
+		Kind:    AtMostOnce,
 		Timeout: timeout,
 	}
 	for _, w := range words[4:] {
@@ -149,11 +149,11 @@
 	for _, r := range []Route{
 		{
 			Name: "lookup",
-			Kind: Repeatable,
+			Kind: Idempotent,
 		},
 		{
 			Name: "entry",
-			Kind: Once,
+			Kind: AtMostOnce,
 		},
 		{
 			Name: "stream",
@@ -165,7 +165,7 @@
 			Resumable: true,
 		},
 	} {
-		got[r.Name] = r.MayRepeat()
+		got[r.Name] = r.MayRetry()
 	}
 	want := map[string]bool{
 		"lookup":           true,
--- a/internal/config/hingesettings/check.go
+++ b/internal/config/hingesettings/check.go
@@ -89,7 +89,7 @@
 		},
 		{
 			path:  "limits.slowReader",
-			value: int64(l.SlowReader),
+			value: int64(l.WriteTimeout),
 		},
 	} {
 		if x.value <= 0 {
--- a/internal/config/hingesettings/settings.go
+++ b/internal/config/hingesettings/settings.go
@@ -70,8 +70,8 @@
 	HeaderBytes hingeids.Bytes `toml:"headerBytes"`
 	// Connections is the maximum number of open connections of callers.
 	Connections int `toml:"connections"`
-	// SlowReader is the maximum time for which a write to a caller may block.
-	SlowReader Duration `toml:"slowReader"`
+	// WriteTimeout is the maximum time for which a write to a caller may block.
+	WriteTimeout Duration `toml:"slowReader"`
 }
 
 // Callers describes how callers connect to a host.
@@ -103,7 +103,7 @@
 			RequestBytes: 8 << 20,
 			HeaderBytes:  16 << 10,
 			Connections:  20000,
-			SlowReader:   Duration(10 * time.Second),
+			WriteTimeout: Duration(10 * time.Second),
 		},
 	}
 }
--- a/internal/decide/hingequota/book.go
+++ b/internal/decide/hingequota/book.go
@@ -172,7 +172,7 @@
 // Admit decides on a request; hosts is the number of hosts known now, and maxWait how long the caller waits at most. The cost of an
 // admitted request is pending until Settle.
 func (b *Limiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, maxWait time.Duration) Decision {
-	if c.Free() || !q.Bounded() {
+	if c.Free() || !q.Limited() {
 		return Decision{
 			Admitted: true,
 		}
--- a/internal/decide/hingequota/lone.go
+++ b/internal/decide/hingequota/lone.go
@@ -37,7 +37,7 @@
 // Admit decides on a request and adds an admitted one to the ledger. hosts is the number of hosts known now, sample a random number in [0, 1)
 // for this request.
 func (l *LocalLimiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) Decision {
-	if c.Free() || !q.Bounded() {
+	if c.Free() || !q.Limited() {
 		return Decision{
 			Admitted: true,
 		}
--- a/internal/decide/hingequota/sim_test.go
+++ b/internal/decide/hingequota/sim_test.go
@@ -33,10 +33,10 @@
 // modelQuota returns the quota of the simulated customers.
 func modelQuota(rate float64) hingecustomers.Quota {
 	return hingecustomers.Quota{
-		Unit:  hingecustomers.Tokens,
-		Rate:  rate,
-		Burst: hingeids.QuotaUnits(rate),
-		Plain: 200,
+		Unit:        hingecustomers.Tokens,
+		Rate:        rate,
+		Burst:       hingeids.QuotaUnits(rate),
+		DefaultCost: 200,
 	}
 }
 
--- a/internal/ledger/hingeledger/ledger_test.go
+++ b/internal/ledger/hingeledger/ledger_test.go
@@ -56,7 +56,7 @@
 				sc.network.Cut(p.from, p.to)
 			} else {
 				delete(sc.cuts, p)
-				sc.network.Heal(p.from, p.to)
+				sc.network.Restore(p.from, p.to)
 			}
 		}
 	}
--- a/internal/ledger/hingeledger/schedule_test.go
+++ b/internal/ledger/hingeledger/schedule_test.go
@@ -107,7 +107,7 @@
 	}
 	if sc.cuts[p] {
 		delete(sc.cuts, p)
-		sc.network.Heal(p.from, p.to)
+		sc.network.Restore(p.from, p.to)
 		return
 	}
 	sc.cuts[p] = true
@@ -152,7 +152,7 @@
 func (sc *simCluster) checkRecovery() {
 	sc.reliable = true
 	for p := range sc.cuts {
-		sc.network.Heal(p.from, p.to)
+		sc.network.Restore(p.from, p.to)
 		delete(sc.cuts, p)
 	}
 	for _, h := range sc.order {
--- a/internal/link/hingefake/fake.go
+++ b/internal/link/hingefake/fake.go
@@ -58,16 +58,16 @@
 	delete(n.links, host)
 }
 
-// Freeze makes calls to a host block until their context ends, and drops datagrams to it, until Thaw is called. It
+// Suspend makes calls to a host block until their context ends, and drops datagrams to it, until Thaw is called. It
 // simulates a suspended process.
-func (n *Network) Freeze(host hingeids.HostID) {
+func (n *Network) Suspend(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.frozen[host] = true
 }
 
-// Thaw reverts Freeze.
-func (n *Network) Thaw(host hingeids.HostID) {
+// Resume reverts Freeze.
+func (n *Network) Resume(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.frozen, host)
@@ -86,8 +86,8 @@
 	n.cuts[direction{from: from, to: to}] = true
 }
 
-// Heal reverts Cut.
-func (n *Network) Heal(from, to hingeids.HostID) {
+// Restore reverts Cut.
+func (n *Network) Restore(from, to hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.cuts, direction{from: from, to: to})
--- a/internal/load/hingeload/run_test.go
+++ b/internal/load/hingeload/run_test.go
@@ -44,10 +44,10 @@
 		},
 	}
 	host, err := hingeserver.New(hingeserver.Options{
-		Settings:  settings,
-		Inventory: inventory,
-		Rules:     rules,
-		Given:     true,
+		Settings:         settings,
+		Inventory:        inventory,
+		Rules:            rules,
+		HasConfiguration: true,
 	}, time.Now())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -125,7 +125,7 @@
 	s.listener = &watchedListener{
 		maxWriteTime: &s.writeTimeout,
 	}
-	s.SetWriteTimeout(time.Duration(c.Limits.SlowReader))
+	s.SetWriteTimeout(time.Duration(c.Limits.WriteTimeout))
 	s.httpServer = &fasthttp.Server{
 		Handler:               s.handle,
 		ErrorHandler:          s.handleUnreadable,
--- a/internal/path/hingecaller/customer.go
+++ b/internal/path/hingecaller/customer.go
@@ -47,7 +47,7 @@
 	if customers == nil {
 		return r, nil
 	}
-	customer := customers.Holder(apiKeyOf(ctx))
+	customer := customers.CustomerByKey(apiKeyOf(ctx))
 	if customer == nil {
 		return requester{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0,
 			eris.New("the request has no API key of a known customer"))
--- a/internal/path/hingeproxy/admit.go
+++ b/internal/path/hingeproxy/admit.go
@@ -42,7 +42,7 @@
 		return a
 	}
 	if key != "" {
-		a.customer = t.Customers.Holder(key)
+		a.customer = t.Customers.CustomerByKey(key)
 	}
 	if a.customer == nil && t.Customers != nil && !a.route.Public {
 		a.denial = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoCustomer, 0, nil)
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, err)
 	}
-	if r.relay.headSent || r.route.MayRepeat() && r.runs < r.route.Attempts {
+	if r.relay.headSent || r.route.MayRetry() && r.runs < r.route.Attempts {
 		return hingeverdict.New(hingeverdict.Ran, hingeverdict.CodeServerFailed, 0,
 			eris.Errorf("engine failed with status %d", x.Response.StatusCode))
 	}
--- a/internal/path/hingeproxy/plain.go
+++ b/internal/path/hingeproxy/plain.go
@@ -110,8 +110,8 @@
 	id := hingequeue.CallID(p.nextID())
 	// Without a latency target, any answer before the deadline is in time.
 	timeToTarget := p.remaining(j)
-	if j.route.Target > 0 {
-		timeToTarget = max(j.Arrived.Add(j.route.Target).Sub(now), 0)
+	if j.route.LatencyTarget > 0 {
+		timeToTarget = max(j.Arrived.Add(j.route.LatencyTarget).Sub(now), 0)
 	}
 	placed := p.owner.PlaceCall(ctx, hingeplacer.CallRequest{
 		Service:            j.service,
@@ -175,7 +175,7 @@
 // attemptContext limits one attempt to a part of the remaining time while another attempt is allowed.
 func (p *Proxy) attemptContext(ctx context.Context, j *job) (context.Context, context.CancelFunc) {
 	limit := p.remaining(j)
-	if j.route.MayRepeat() && j.runs+1 < j.route.Attempts {
+	if j.route.MayRetry() && j.runs+1 < j.route.Attempts {
 		limit = min(limit, max(time.Duration(attemptShare*float64(limit)), minAttemptTime))
 	}
 	return context.WithTimeout(ctx, limit)
@@ -296,7 +296,7 @@
 
 // lateReason returns why an answer counts as late, empty if it is on time.
 func (j *job) lateReason(now time.Time) string {
-	if now.Sub(j.Arrived) > j.route.Target {
+	if now.Sub(j.Arrived) > j.route.LatencyTarget {
 		return "answer"
 	}
 	return ""
--- a/internal/path/hingeproxy/proxy_test.go
+++ b/internal/path/hingeproxy/proxy_test.go
@@ -472,7 +472,7 @@
 	}
 	r.relay.headSent = true
 	d.proxy.allowResume(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, nil))
-	if w := d.proxy.streamRequest(r); !w.Moved || w.Waited > time.Second || w.MaxWait != route.Patience {
+	if w := d.proxy.streamRequest(r); !w.Moved || w.Waited > time.Second || w.MaxWait != route.MaxWait {
 		t.Fatalf("moved %v, waited %v of %v", w.Moved, w.Waited, w.MaxWait)
 	}
 }
--- a/internal/path/hingeproxy/quota.go
+++ b/internal/path/hingeproxy/quota.go
@@ -13,7 +13,7 @@
 // chargeOf returns the charge of a request to its customer's quota, zero if the customer has none or the route is
 // public.
 func (p *Proxy) chargeOf(a admission, info RequestInfo) hingequota.Charge {
-	if a.customer == nil || a.route.Public || !a.customer.Quota.Bounded() {
+	if a.customer == nil || a.route.Public || !a.customer.Quota.Limited() {
 		return hingequota.Charge{}
 	}
 	tokens := info.PromptTokens + info.MaxTokens
--- a/internal/path/hingeproxy/repeat.go
+++ b/internal/path/hingeproxy/repeat.go
@@ -9,7 +9,7 @@
 
 // mayRetry reports whether a server's error response may be retried on another replica.
 func (p *Proxy) mayRetry(j *job, a *serverAnswer) bool {
-	return a.response.StatusCode >= http.StatusInternalServerError && j.route.MayRepeat() &&
+	return a.response.StatusCode >= http.StatusInternalServerError && j.route.MayRetry() &&
 		j.runs < j.route.Attempts
 }
 
@@ -21,7 +21,7 @@
 		j.reserved = false
 		return true
 	}
-	if j.verdict != hingeverdict.NotRun && (!j.route.MayRepeat() || j.runs >= j.route.Attempts) {
+	if j.verdict != hingeverdict.NotRun && (!j.route.MayRetry() || j.runs >= j.route.Attempts) {
 		return false
 	}
 	messages := j.unpaidMessages()
@@ -33,7 +33,7 @@
 		EarlierVerdict: j.verdict,
 		Attempts:       j.attempts,
 		ExtraMessages:  messages,
-		NeverRepeat:    !j.route.MayRepeat(),
+		NeverRepeat:    !j.route.MayRetry(),
 		Deadline:       j.deadline,
 	}, p.budget(j.service))
 	if d.Action != hingeretry.Retry {
--- a/internal/path/hingeproxy/silence.go
+++ b/internal/path/hingeproxy/silence.go
@@ -8,7 +8,7 @@
 // may, the exchange continues, since the engine may still answer.
 func (p *Proxy) watchStall(r *streamJob, stop func()) *stallWatch {
 	s := &stallWatch{}
-	mayResume := r.route.MayRepeat() && r.runs+1 < r.route.Attempts
+	mayResume := r.route.MayRetry() && r.runs+1 < r.route.Attempts
 	s.timer = time.AfterFunc(stallTimeout, func() {
 		if mayResume && p.reserveRetry(r.job) {
 			stop()
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -323,15 +323,15 @@
 func routes() *hingeroutes.Table {
 	route := func(name, prefix string, kind hingeroutes.Kind, service hingeids.Service) hingeroutes.Route {
 		return hingeroutes.Route{
-			Name:      name,
-			Host:      "quay.example",
-			Prefix:    prefix,
-			Kind:      kind,
-			Timeout:   9 * time.Second,
-			Target:    time.Second,
-			Patience:  2 * time.Second,
-			Attempts:  2,
-			Resumable: name == "dossier",
+			Name:          name,
+			Host:          "quay.example",
+			Prefix:        prefix,
+			Kind:          kind,
+			Timeout:       9 * time.Second,
+			LatencyTarget: time.Second,
+			MaxWait:       2 * time.Second,
+			Attempts:      2,
+			Resumable:     name == "dossier",
 			Shares: []hingeroutes.Share{
 				{
 					Service: service,
@@ -343,8 +343,8 @@
 	t := &hingeroutes.Table{
 		Version: 1,
 		Routes: []hingeroutes.Route{
-			route("status", "/status/", hingeroutes.Once, "app"),
-			route("lookup", "/lookup/", hingeroutes.Repeatable, "app"),
+			route("status", "/status/", hingeroutes.AtMostOnce, "app"),
+			route("lookup", "/lookup/", hingeroutes.Idempotent, "app"),
 			route("dossier", "/dossier/", hingeroutes.Stream, "model"),
 			route("health", "/health/", hingeroutes.Stream, "model"),
 		},
@@ -355,7 +355,7 @@
 					Slots:       8,
 					Memory:      100000,
 					EventTokens: 10,
-					HandleTime:  500 * time.Millisecond,
+					HandleTTL:   500 * time.Millisecond,
 				},
 			},
 		},
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -102,9 +102,9 @@
 // lateReason returns why a complete stream counts as late, empty if it is on time.
 func (r *streamJob) lateReason() string {
 	switch {
-	case r.relay.firstAt.Sub(r.Arrived) > r.route.Target:
+	case r.relay.firstAt.Sub(r.Arrived) > r.route.LatencyTarget:
 		return "firstEvent"
-	case r.route.GapTarget > 0 && r.relay.maxPause > r.route.GapTarget:
+	case r.route.EventGapTarget > 0 && r.relay.maxPause > r.route.EventGapTarget:
 		return "pause"
 	}
 	return ""
@@ -147,9 +147,9 @@
 		PromptTokens:   r.info.PromptTokens + generated,
 		ExpectedTokens: max(expectedTokens(r.info, r.engine)-generated, r.engine.EventTokens),
 		Waited:         waited,
-		Target:         r.route.Target,
-		MaxEventGap:    r.route.GapTarget,
-		MaxWait:        min(r.route.Patience, waited+p.remaining(r.job)),
+		Target:         r.route.LatencyTarget,
+		MaxEventGap:    r.route.EventGapTarget,
+		MaxWait:        min(r.route.MaxWait, waited+p.remaining(r.job)),
 		TimeToDeadline: p.remaining(r.job),
 		Moved:          r.moved,
 		Avoid:          r.avoid,
@@ -213,7 +213,7 @@
 		if context.Cause(ctx) == nil {
 			p.recordEngineFailure(ctx, r, placed, placed.Decode, err)
 		}
-		if cache == (Cache{}) || ctx.Err() != nil || p.settings.Clock().Sub(prefillDone) > r.engine.HandleTime/2 ||
+		if cache == (Cache{}) || ctx.Err() != nil || p.settings.Clock().Sub(prefillDone) > r.engine.HandleTTL/2 ||
 			!p.mayTransfer(r, err) {
 			break
 		}
--- a/internal/serve/hingecontrol/announce.go
+++ b/internal/serve/hingecontrol/announce.go
@@ -15,22 +15,22 @@
 // in the configuration, so that an unrelated sender can't replace the record of a known server that
 // has the same id.
 func (c *Control) Announce(now time.Time, a hingeannounce.Announcement) error {
-	if !c.view.Load().Table().Names(a.Service) {
+	if !c.view.Load().Table().HasService(a.Service) {
 		return eris.Errorf("service %q isn't in the configuration", a.Service)
 	}
 	c.source.HandleAnnouncement(now, a)
 	return nil
 }
 
-// Leave handles the message of a backend server that it leaves. The incarnation is zero if the message
+// HandleLeave handles the message of a backend server that it leaves. The incarnation is zero if the message
 // doesn't contain it.
-func (c *Control) Leave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
+func (c *Control) HandleLeave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	c.source.HandleLeave(now, id, i)
 }
 
-// Refuse records a rejected announcement. It writes at most one event per refusalInterval, as an
+// RecordRefusal records a rejected announcement. It writes at most one event per refusalInterval, as an
 // unrelated sender may send any number.
-func (c *Control) Refuse(now time.Time, id hingeids.ServerID, cause error) {
+func (c *Control) RecordRefusal(now time.Time, id hingeids.ServerID, cause error) {
 	count, ok := c.refusals.add(now)
 	if !ok {
 		return
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -41,29 +41,29 @@
 
 // Options configures a control host.
 type Options struct {
-	Life      hingeids.Instance
-	Zone      hingeids.Zone
-	Link      string
-	AddressOf func(hingeids.HostID) (string, error)
-	Seeds     []hingeids.HostID
-	// Founds is set when the whole system starts for the first time; the host then bootstraps the
+	Instance    hingeids.Instance
+	Zone        hingeids.Zone
+	LinkAddress string
+	AddressOf   func(hingeids.HostID) (string, error)
+	Seeds       []hingeids.HostID
+	// FirstStart is set when the whole system starts for the first time; the host then bootstraps the
 	// group.
-	Founds bool
+	FirstStart bool
 	// Voters is the target number of voting control hosts.
 	Voters int
-	// Data is the folder for the host's persistent state.
-	Data  string
-	Parse func(body []byte) (*hingeroutes.Table, error)
-	// Engines returns the client that sends orders to engines, at the addresses that the given
+	// DataFolder is the folder for the host's persistent state.
+	DataFolder string
+	Parse      func(body []byte) (*hingeroutes.Table, error)
+	// NewEngines returns the client that sends orders to engines, at the addresses that the given
 	// function returns.
-	Engines func(address func(hingeids.ServerID) (string, bool)) hingeorders.Engines
+	NewEngines func(address func(hingeids.ServerID) (string, bool)) hingeorders.Engines
 	// ChecksFence says that engines reject orders with an old fencing number. IssuerPause is the
 	// minimum time between the last order of one issuer and the first of another at an engine.
 	ChecksFence bool
 	IssuerPause time.Duration
-	// Quotas are the parameters by which customers' quotas are enforced.
-	Quotas   hingequota.Params
-	Recorder *hingeevents.Recorder
+	// QuotaParams are the parameters by which customers' quotas are enforced.
+	QuotaParams hingequota.Params
+	Recorder    *hingeevents.Recorder
 }
 
 const (
@@ -114,24 +114,24 @@
 	}
 	c.view.Store(hingeworld.Build(nil, nil))
 	var err error
-	if c.link, err = hingelink.NewInsecure(o.Life, o.Link, o.AddressOf, o.Recorder); err != nil {
+	if c.link, err = hingelink.NewInsecure(o.Instance, o.LinkAddress, o.AddressOf, o.Recorder); err != nil {
 		return nil, err
 	}
 	if c.group, err = c.openGroup(ctx); err != nil {
 		return nil, err
 	}
-	c.source = hingefollow.NewSource(o.Life, c, c, hingeclock.BootTime, c.link)
+	c.source = hingefollow.NewSource(o.Instance, c, c, hingeclock.BootTime, c.link)
 	c.follower = hingefollow.New(hingefollow.Settings{
-		Self:  o.Life.Host,
+		Self:  o.Instance.Host,
 		Zone:  o.Zone,
 		Clock: hingeclock.BootTime,
 		OnRecords: func(now time.Time, records []hingeannounce.Record) {
 			c.source.Merge(now, records)
 		},
 	}, c.link, o.Seeds)
-	c.placer = hingeplacer.New(c, c, c.isPlacer, hingeclock.BootTime, o.Quotas)
+	c.placer = hingeplacer.New(c, c, c.isPlacer, hingeclock.BootTime, o.QuotaParams)
 	c.placer.RegisterHandlers(c.link, c.options.Recorder)
-	c.roles = newRoles(c, o.Engines(c.Address))
+	c.roles = newRoles(c, o.NewEngines(c.Address))
 	return c, nil
 }
 
@@ -140,7 +140,7 @@
 func (c *Control) openGroup(ctx context.Context) (*hingegroup.Group, error) {
 	var last error
 	for range maxOpenAttempts {
-		files, err := hingejournal.OpenDirectory(filepath.Join(c.options.Data, "config"))
+		files, err := hingejournal.OpenDirectory(filepath.Join(c.options.DataFolder, "config"))
 		if err == nil {
 			var g *hingegroup.Group
 			if g, err = c.newGroup(files); err == nil {
@@ -164,16 +164,16 @@
 	o := c.options
 	return hingegroup.New(hingegroup.Settings{
 		Name:      "config",
-		Self:      o.Life.Host,
+		Self:      o.Instance.Host,
 		Hosts:     o.Seeds,
 		Open:      true,
-		JoinOnly:  !o.Founds,
+		JoinOnly:  !o.FirstStart,
 		Voters:    o.Voters,
 		Election:  electionTimeout,
 		Heartbeat: heartbeatInterval,
 		Clock:     hingeclock.BootTime,
 		WallClock: time.Now,
-		Seed:      uint64(o.Life.Incarnation),
+		Seed:      uint64(o.Instance.Incarnation),
 		Recorder:  o.Recorder,
 	}, c.link, files, c.machine)
 }
@@ -377,7 +377,7 @@
 // ZoneOf returns the zone of this host or of another control host, and an empty zone if the host is
 // unknown.
 func (c *Control) ZoneOf(h hingeids.HostID) hingeids.Zone {
-	if h == c.options.Life.Host {
+	if h == c.options.Instance.Host {
 		return c.options.Zone
 	}
 	for _, x := range c.follower.State().Load().ControlHosts {
@@ -404,9 +404,9 @@
 	return out
 }
 
-// Change proposes a configuration and waits until it is accepted (rule 1). The error contains the
+// ProposeDocument proposes a configuration and waits until it is accepted (rule 1). The error contains the
 // verdict.
-func (c *Control) Change(ctx context.Context, d hingeversion.Document) error {
+func (c *Control) ProposeDocument(ctx context.Context, d hingeversion.Document) error {
 	body, err := d.Encode()
 	if err != nil {
 		return err
@@ -415,8 +415,8 @@
 	return err
 }
 
-// Reseed replaces the seeds.
-func (c *Control) Reseed(seeds []hingeids.HostID) {
+// SetSeeds replaces the seeds.
+func (c *Control) SetSeeds(seeds []hingeids.HostID) {
 	c.follower.SetSeeds(seeds)
 	c.group.SetExtraHosts(seeds)
 }
--- a/internal/serve/hingecontrol/operators.go
+++ b/internal/serve/hingecontrol/operators.go
@@ -49,17 +49,17 @@
 
 // record is the JSON form of a poison request on the list.
 type record struct {
-	Print   hingeids.Fingerprint `json:"print"`
-	Service hingeids.Service     `json:"service,omitempty"`
-	Caller  hingeids.CallerID    `json:"caller,omitempty"`
-	Ended   int                  `json:"ended"`
-	Servers []hingeids.ServerID  `json:"servers,omitempty"`
-	First   time.Time            `json:"first"`
-	Since   time.Time            `json:"since"`
-	// TriedInMs is the time until the next probe; zero or negative if the probe is overdue.
-	TriedInMs int64 `json:"triedInMs"`
-	Trials    int   `json:"trials,omitempty"`
-	Doubtful  bool  `json:"doubtful,omitempty"`
+	Fingerprint hingeids.Fingerprint `json:"print"`
+	Service     hingeids.Service     `json:"service,omitempty"`
+	Caller      hingeids.CallerID    `json:"caller,omitempty"`
+	Crashes     int                  `json:"ended"`
+	Servers     []hingeids.ServerID  `json:"servers,omitempty"`
+	First       time.Time            `json:"first"`
+	Since       time.Time            `json:"since"`
+	// NextProbeInMs is the time until the next probe; zero or negative if the probe is overdue.
+	NextProbeInMs int64 `json:"triedInMs"`
+	FailedProbes  int   `json:"trials,omitempty"`
+	Doubtful      bool  `json:"doubtful,omitempty"`
 }
 
 func (o Operators) list(w *hingewire.Writer) {
@@ -68,16 +68,16 @@
 	var records []record
 	for _, r := range l.Refused() {
 		records = append(records, record{
-			Print:     r.Fingerprint,
-			Service:   r.Service,
-			Caller:    r.Caller,
-			Ended:     r.Crashes,
-			Servers:   r.Servers,
-			First:     time.UnixMilli(r.First).UTC(),
-			Since:     time.UnixMilli(r.Since).UTC(),
-			TriedInMs: r.Wait(now).Milliseconds(),
-			Trials:    r.FailedProbes,
-			Doubtful:  r.Doubtful,
+			Fingerprint:   r.Fingerprint,
+			Service:       r.Service,
+			Caller:        r.Caller,
+			Crashes:       r.Crashes,
+			Servers:       r.Servers,
+			First:         time.UnixMilli(r.First).UTC(),
+			Since:         time.UnixMilli(r.Since).UTC(),
+			NextProbeInMs: r.Wait(now).Milliseconds(),
+			FailedProbes:  r.FailedProbes,
+			Doubtful:      r.Doubtful,
 		})
 	}
 	writeJSON(w, http.StatusOK, struct {
--- a/internal/serve/hingecontrol/roles.go
+++ b/internal/serve/hingecontrol/roles.go
@@ -200,7 +200,7 @@
 	planner := r.planners[s]
 	if planner == nil {
 		planner = hingeshift.New(hingeshift.Config{
-			ChangeTime:        e.RoleTime,
+			ChangeTime:        e.RoleChangeTime,
 			HoldFor:           holdFor,
 			Cooldown:          cooldown,
 			MaxDemandDuration: maxDemandDuration,
--- a/internal/serve/hingedemo/demo.go
+++ b/internal/serve/hingedemo/demo.go
@@ -26,22 +26,22 @@
 
 // Result counts the outcomes of the requests.
 type Result struct {
-	Sent             int `json:"sent"`
-	Answered         int `json:"answered"`
-	Refused          int `json:"refused"`
-	Lost             int `json:"lost"`
-	AnsweredTwice    int `json:"answeredTwice"`
-	Truncated        int `json:"truncated"`
-	RanMoreThanOnce  int `json:"ranMoreThanOnce"`
-	HeldAfterEnd     int `json:"heldAfterEnd"`
-	KilledEngines    int `json:"killedEngines"`
-	KilledEntryHosts int `json:"killedEntryHosts"`
+	Sent              int `json:"sent"`
+	Answered          int `json:"answered"`
+	Refused           int `json:"refused"`
+	Lost              int `json:"lost"`
+	Duplicated        int `json:"answeredTwice"`
+	Truncated         int `json:"truncated"`
+	RanMoreThanOnce   int `json:"ranMoreThanOnce"`
+	LeakedAllocations int `json:"heldAfterEnd"`
+	KilledEngines     int `json:"killedEngines"`
+	KilledEntryHosts  int `json:"killedEntryHosts"`
 }
 
 // Failed reports whether any request was lost, duplicated, truncated or run twice, or an engine kept
 // an allocation.
 func (r Result) Failed() bool {
-	return r.Lost+r.AnsweredTwice+r.Truncated+r.RanMoreThanOnce+r.HeldAfterEnd > 0
+	return r.Lost+r.Duplicated+r.Truncated+r.RanMoreThanOnce+r.LeakedAllocations > 0
 }
 
 // concurrentCallers is the number of concurrent requests: most of the engines' slots.
@@ -66,7 +66,7 @@
 	}
 	r.sendAll(ctx)
 	result := r.result()
-	result.HeldAfterEnd = f.awaitReleased()
+	result.LeakedAllocations = f.awaitReleased()
 	return result, r.print(result)
 }
 
@@ -147,7 +147,7 @@
 		out.Refused += of[refused]
 		out.Lost += of[lost]
 		out.Truncated += of[truncated]
-		out.AnsweredTwice += of[duplicated]
+		out.Duplicated += of[duplicated]
 	}
 	for _, t := range tasks(r.options.Requests, r.options.Seed) {
 		if t.kind != once {
--- a/internal/serve/hingedemo/demo_test.go
+++ b/internal/serve/hingedemo/demo_test.go
@@ -24,7 +24,7 @@
 	want := got
 	want.Sent = 120
 	want.Answered = 120 - got.Refused
-	want.Lost, want.AnsweredTwice, want.Truncated, want.RanMoreThanOnce, want.HeldAfterEnd = 0, 0, 0, 0, 0
+	want.Lost, want.Duplicated, want.Truncated, want.RanMoreThanOnce, want.LeakedAllocations = 0, 0, 0, 0, 0
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/serve/hingedemo/fleet.go
+++ b/internal/serve/hingedemo/fleet.go
@@ -348,7 +348,7 @@
 
 func (f *fleet) ready() bool {
 	for _, h := range f.hosts {
-		if !h.Ready() || h.Servers() < len(f.engines) {
+		if !h.Ready() || h.UsableServers() < len(f.engines) {
 			return false
 		}
 	}
--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -37,21 +37,21 @@
 
 // Options configures an entry host.
 type Options struct {
-	Life hingeids.Instance
-	Zone hingeids.Zone
+	Instance hingeids.Instance
+	Zone     hingeids.Zone
 	// Listen is the address on which callers connect.
 	Listen string
-	// Link is the address for connections of other hosts of the router; AddressOf returns that of
+	// LinkAddress is the address for connections of other hosts of the router; AddressOf returns that of
 	// another host.
-	Link      string
-	AddressOf func(hingeids.HostID) (string, error)
-	Seeds     []hingeids.HostID
-	Dialect   hingeproxy.Dialect
+	LinkAddress string
+	AddressOf   func(hingeids.HostID) (string, error)
+	Seeds       []hingeids.HostID
+	Dialect     hingeproxy.Dialect
 	// Parse decodes the body of a configuration.
-	Parse  func(body []byte) (*hingeroutes.Table, error)
-	Budget hingeproxy.RetryBudget
-	// Quotas are the parameters by which customers' quotas are enforced.
-	Quotas hingequota.Params
+	Parse       func(body []byte) (*hingeroutes.Table, error)
+	RetryBudget hingeproxy.RetryBudget
+	// QuotaParams are the parameters by which customers' quotas are enforced.
+	QuotaParams hingequota.Params
 	// Grace is the maximum time between a request to stop and the end of the process.
 	Grace    time.Duration
 	Recorder *hingeevents.Recorder
@@ -97,26 +97,26 @@
 func New(o Options) (*Front, error) {
 	f := &Front{
 		options:   o,
-		directory: hingeannounce.NewDirectory(o.Life.Host),
+		directory: hingeannounce.NewDirectory(o.Instance.Host),
 		done:      make(chan struct{}),
 	}
 	f.view.Store(hingeworld.Build(nil, nil))
 	var err error
-	if f.link, err = hingelink.NewInsecure(o.Life, o.Link, o.AddressOf, o.Recorder); err != nil {
+	if f.link, err = hingelink.NewInsecure(o.Instance, o.LinkAddress, o.AddressOf, o.Recorder); err != nil {
 		return nil, err
 	}
 	f.follower = hingefollow.New(hingefollow.Settings{
-		Self:      o.Life.Host,
+		Self:      o.Instance.Host,
 		Zone:      o.Zone,
 		EntryHost: true,
 		Clock:     hingeclock.BootTime,
 		OnRecords: f.mergeRecords,
 	}, f.link, o.Seeds)
-	f.owner = hingeplacer.NewOwner(o.Life.Host, f.link, f, hingeclock.BootTime, o.Recorder, o.Quotas)
+	f.owner = hingeplacer.NewOwner(o.Instance.Host, f.link, f, hingeclock.BootTime, o.Recorder, o.QuotaParams)
 	f.proxy = hingeproxy.New(hingeproxy.Settings{
-		Self:        o.Life,
+		Self:        o.Instance,
 		Zone:        o.Zone,
-		RetryBudget: o.Budget,
+		RetryBudget: o.RetryBudget,
 		Clock:       hingeclock.BootTime,
 		StartedAt:   hingeclock.BootTime(),
 		Recorder:    o.Recorder,
@@ -227,8 +227,8 @@
 	return hingewire.Limits{
 		HeaderBytes:   t.Limits.HeaderBytes,
 		BodyBytes:     t.Limits.BodyBytes,
-		HeaderTimeout: t.Limits.HeaderTime,
-		IdleTimeout:   t.Limits.IdleTime,
+		HeaderTimeout: t.Limits.HeaderTimeout,
+		IdleTimeout:   t.Limits.IdleTimeout,
 	}
 }
 
@@ -289,8 +289,8 @@
 	}
 }
 
-// Reseed replaces the seeds.
-func (f *Front) Reseed(seeds []hingeids.HostID) {
+// SetSeeds replaces the seeds.
+func (f *Front) SetSeeds(seeds []hingeids.HostID) {
 	f.follower.SetSeeds(seeds)
 }
 
--- a/internal/serve/hingefront/front_test.go
+++ b/internal/serve/hingefront/front_test.go
@@ -20,8 +20,8 @@
 		Incarnation: 1,
 	}
 	f, err := New(Options{
-		Life: instance,
-		Link: "127.0.0.1:0",
+		Instance:    instance,
+		LinkAddress: "127.0.0.1:0",
 		AddressOf: func(hingeids.HostID) (string, error) {
 			return "127.0.0.1:1", nil
 		},
--- a/internal/serve/hingeserver/catalogue.go
+++ b/internal/serve/hingeserver/catalogue.go
@@ -60,7 +60,7 @@
 func (c catalogue) Classify(
 	m hingeids.Model, s hingeids.Service, path, method string,
 ) hingeinventory.Class {
-	return c.configuration.Load().Rules.Classify(hingeinventory.Work{
+	return c.configuration.Load().Rules.Classify(hingeinventory.RequestAttributes{
 		Model:   m,
 		Service: s,
 		Route:   path,
--- a/internal/serve/hingeserver/fleet_test.go
+++ b/internal/serve/hingeserver/fleet_test.go
@@ -60,9 +60,9 @@
 		return err
 	}
 	server, err := New(Options{
-		Settings: settings,
-		Settle:   -1,
-		AllowCut: true,
+		Settings:      settings,
+		SettleTimeout: -1,
+		AllowCut:      true,
 	}, time.Now())
 	if err != nil {
 		return err
--- a/internal/serve/hingeserver/inprocess.go
+++ b/internal/serve/hingeserver/inprocess.go
@@ -19,8 +19,8 @@
 	return ready
 }
 
-// Servers counts the backend servers that are announced and usable.
-func (s *Server) Servers() int {
+// UsableServers counts the backend servers that are announced and usable.
+func (s *Server) UsableServers() int {
 	return len(s.servers.Load().Servers)
 }
 
--- a/internal/serve/hingeserver/ledger.go
+++ b/internal/serve/hingeserver/ledger.go
@@ -24,7 +24,7 @@
 	Status      int    `cbor:"1,keyasint"`
 	ContentType string `cbor:"2,keyasint"`
 	Body        []byte `cbor:"3,keyasint"`
-	Whole       bool   `cbor:"4,keyasint"`
+	Complete    bool   `cbor:"4,keyasint"`
 }
 
 func claimOf(c hingedispatch.Claim) hingeledger.Claim {
@@ -53,7 +53,7 @@
 		Status:      s.Status,
 		ContentType: s.ContentType,
 		Body:        s.Body,
-		Complete:    s.Whole,
+		Complete:    s.Complete,
 	}, nil
 }
 
@@ -63,7 +63,7 @@
 		Status:      s.Status,
 		ContentType: s.ContentType,
 		Body:        s.Body,
-		Whole:       s.Complete,
+		Complete:    s.Complete,
 	})
 	if err != nil {
 		return eris.Wrap(err, "encode the answer to store")
--- a/internal/serve/hingeserver/script_test.go
+++ b/internal/serve/hingeserver/script_test.go
@@ -77,11 +77,11 @@
 		},
 	}
 	host, err := New(Options{
-		Settings:  settings,
-		Inventory: inventory,
-		Rules:     rules,
-		Given:     true,
-		Settle:    -1,
+		Settings:         settings,
+		Inventory:        inventory,
+		Rules:            rules,
+		HasConfiguration: true,
+		SettleTimeout:    -1,
 	}, time.Now())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -24,12 +24,12 @@
 	Settings hingesettings.Settings
 	// Inventory and Rules are in force until the configuration log has a revision, if Given is
 	// set. Deployments leave them empty and apply their configuration through the log.
-	Inventory hingeinventory.Inventory
-	Rules     hingeinventory.Rules
-	Given     bool
-	// Settle is how long a starting host waits for slots to grant before it accepts requests.
+	Inventory        hingeinventory.Inventory
+	Rules            hingeinventory.Rules
+	HasConfiguration bool
+	// SettleTimeout is how long a starting host waits for slots to grant before it accepts requests.
 	// Zero means the default, a negative value means no wait.
-	Settle time.Duration
+	SettleTimeout time.Duration
 	// AllowCut permits cutting links for tests.
 	AllowCut bool
 }
@@ -72,11 +72,11 @@
 		done:     make(chan struct{}),
 	}
 	s.metrics = hingemetrics.New(s.recorder)
-	s.settleDeadline = now.Add(cmp.Or(o.Settle, defaultSettleTimeout))
+	s.settleDeadline = now.Add(cmp.Or(o.SettleTimeout, defaultSettleTimeout))
 	// Cancels have to be sent after the callers' requests have ended, so this context is
 	// independent of Run's.
 	s.control, s.stop = context.WithCancel(context.Background())
-	if o.Given {
+	if o.HasConfiguration {
 		s.configuration.Store(newConfiguration(0, o.Inventory, o.Rules))
 	}
 	if err := s.listeners.open(o.Settings.Listen); err != nil {
--- a/internal/soak/hingesoak/fleet.go
+++ b/internal/soak/hingesoak/fleet.go
@@ -74,23 +74,23 @@
 			name: fmt.Sprintf("%s-%d", name, n),
 			role: role,
 			settings: hingeplatform.Settings{
-				IP:          ip,
-				Zone:        hingeids.Zone(fmt.Sprint("zone-", (n-1)%zones+1)),
-				CallersAt:   ip + ":8144",
-				ReadyAt:     ip + ":8140",
-				ControlAt:   ip + ":8146",
-				LinkPort:    7660,
-				MetricsPort: 7675,
-				Seeds:       seeds,
-				FirstStart:  true,
-				DisksLost:   max((min(o.Controls, mostVoters)-1)/2, 1),
-				Grace:       8 * time.Second,
-				RepeatShare: 0.2,
-				RepeatBurst: 50,
+				IP:              ip,
+				Zone:            hingeids.Zone(fmt.Sprint("zone-", (n-1)%zones+1)),
+				CallerAddress:   ip + ":8144",
+				ReadyAddress:    ip + ":8140",
+				ControlAddress:  ip + ":8146",
+				LinkPort:        7660,
+				MetricsPort:     7675,
+				Seeds:           seeds,
+				FirstStart:      true,
+				MaxDiskFailures: max((min(o.Controls, mostVoters)-1)/2, 1),
+				Grace:           8 * time.Second,
+				RetryRatio:      0.2,
+				RetryBurst:      50,
 			},
 		}
 		if control {
-			p.settings.Data = filepath.Join(o.Folder, p.name+".data")
+			p.settings.DataFolder = filepath.Join(o.Folder, p.name+".data")
 			x.controls = append(x.controls, p)
 			continue
 		}
@@ -115,8 +115,8 @@
 
 // start writes a process's settings and runs it, with its output in a file.
 func (x *fleet) start(p *process) error {
-	if p.settings.Data != "" {
-		if err := os.MkdirAll(p.settings.Data, 0o700); err != nil {
+	if p.settings.DataFolder != "" {
+		if err := os.MkdirAll(p.settings.DataFolder, 0o700); err != nil {
 			return eris.Wrap(err, "data folder")
 		}
 	}
@@ -196,7 +196,7 @@
 // ready reports whether all entry hosts say so.
 func (x *fleet) ready() bool {
 	for _, p := range x.entries {
-		status, _, err := call(context.Background(), p.settings.ReadyAt, hingeplatform.Call{
+		status, _, err := call(context.Background(), p.settings.ReadyAddress, hingeplatform.Call{
 			Method: http.MethodGet,
 			Path:   "/api/ready",
 		})
--- a/internal/soak/hingesoak/load.go
+++ b/internal/soak/hingesoak/load.go
@@ -54,7 +54,7 @@
 	c.asked++
 	id := fmt.Sprintf("%s-%d", c.name, c.asked)
 	path := []string{"/once/x", "/safe/x", "/safe/y", "/stream/x"}[c.random.IntN(4)]
-	at := c.fleet.entries[c.random.IntN(len(c.fleet.entries))].settings.CallersAt
+	at := c.fleet.entries[c.random.IntN(len(c.fleet.entries))].settings.CallerAddress
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+path, strings.NewReader("body of "+id))
 	if err != nil {
 		return false
@@ -67,7 +67,7 @@
 	if stream {
 		prompt = 500
 	}
-	wire.Ask(q.Header, id, int(patience.Milliseconds()), prompt)
+	wire.SetCallerHeaders(q.Header, id, int(patience.Milliseconds()), prompt)
 	c.book.asks(id, strings.HasPrefix(path, "/once/"))
 	a, err := c.client.Do(q)
 	if err != nil {
@@ -169,7 +169,7 @@
 
 // at goes through the control hosts in turn.
 func (o *operator) at() string {
-	return o.fleet.controls[int(o.turn.Add(1))%len(o.fleet.controls)].settings.ControlAt
+	return o.fleet.controls[int(o.turn.Add(1))%len(o.fleet.controls)].settings.ControlAddress
 }
 
 // read reads the configuration back while it changes.
@@ -198,7 +198,7 @@
 func (o *operator) readAll(ctx context.Context) {
 	for _, p := range o.fleet.controls {
 		if !waitFor(ctx, recoverTime, func() bool {
-			return o.readAt(ctx, p.settings.ControlAt)
+			return o.readAt(ctx, p.settings.ControlAddress)
 		}) {
 			o.book.broken("recovers", "", p.name+" can't be read")
 		}
--- a/internal/soak/hingesoak/plan.go
+++ b/internal/soak/hingesoak/plan.go
@@ -145,7 +145,7 @@
 			p.wait(time.Second)
 			if f.kind == wipe {
 				// A failed removal shows as a host that is not repaired from nothing.
-				_ = os.RemoveAll(p.settings.Data)
+				_ = os.RemoveAll(p.settings.DataFolder)
 			}
 			time.Sleep(f.lasts)
 			x.restart(p)
--- a/internal/soak/hingesoak/poison.go
+++ b/internal/soak/hingesoak/poison.go
@@ -55,7 +55,7 @@
 // once sends the request, and reports whether it was refused for what it is.
 func (p *poisoner) once(ctx context.Context) bool {
 	p.sent++
-	at := p.fleet.entries[p.random.IntN(len(p.fleet.entries))].settings.CallersAt
+	at := p.fleet.entries[p.random.IntN(len(p.fleet.entries))].settings.CallerAddress
 	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+p.path, strings.NewReader("body of "+p.path))
 	if err != nil {
 		return false
@@ -67,7 +67,7 @@
 		prompt = 500
 	}
 	id := fmt.Sprintf("%s-%d", p.path, p.sent)
-	wire.Ask(q.Header, id, int(patience.Milliseconds()), prompt)
+	wire.SetCallerHeaders(q.Header, id, int(patience.Milliseconds()), prompt)
 	p.book.asks(id, false)
 	a, err := p.client.Do(q)
 	if err != nil {
--- a/internal/soak/hingesoak/server.go
+++ b/internal/soak/hingesoak/server.go
@@ -102,7 +102,7 @@
 			continue
 		}
 		c := wire.Heartbeat(x.name(), x.service(), x.proxy.address(), "zone-1", x.stage, x.seq.Add(1))
-		status, _, err := call(ctx, f.controls[at%len(f.controls)].settings.ControlAt, c)
+		status, _, err := call(ctx, f.controls[at%len(f.controls)].settings.ControlAddress, c)
 		if err != nil || status != http.StatusOK {
 			at++
 			continue
@@ -121,7 +121,7 @@
 // ServeHTTP runs a request as a backend server does.
 func (x *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	_, _ = io.Copy(io.Discard, q.Body)
-	told := wire.Told(q.Header)
+	told := wire.ForwardedHeaders(q.Header)
 	if told.Server != "" && told.Server != x.name() {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
@@ -134,21 +134,21 @@
 		x.end(q.URL.Path)
 	case told.Prefill:
 		time.Sleep(20 * time.Millisecond)
-		wire.Answered(w.Header(), told.ID)
-		_, _ = w.Write(wire.Exported(fmt.Sprint("cache-", x.cache.Add(1))))
+		wire.SetResponseHeaders(w.Header(), told.ID)
+		_, _ = w.Write(wire.PrefillResponse(fmt.Sprint("cache-", x.cache.Add(1))))
 	case x.stage == "decode":
-		x.stream(w, q, told.ID, told.After)
+		x.stream(w, q, told.ID, told.LastEventID)
 	default:
 		x.book.ran(told.ID, x.id)
 		time.Sleep(10 * time.Millisecond)
-		wire.Answered(w.Header(), told.ID)
+		wire.SetResponseHeaders(w.Header(), told.ID)
 		_, _ = io.WriteString(w, answerTo(told.ID))
 	}
 }
 
 func (x *server) stream(w http.ResponseWriter, q *http.Request, id, after string) {
 	x.book.ran(id, x.id)
-	wire.Answered(w.Header(), id)
+	wire.SetResponseHeaders(w.Header(), id)
 	first, _ := strconv.Atoi(after)
 	for i := first + 1; i <= streamEvents; i++ {
 		if q.Context().Err() != nil {
