--- a/internal/load/hingeload/client.go
+++ b/internal/load/hingeload/client.go
@@ -18,23 +18,23 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// client makes attempts at entry hosts.
+// client sends requests to entry hosts in round-robin order.
 type client struct {
-	hosts []string
-	turn  atomic.Uint64
-	web   http.Client
+	hosts      []string
+	sequence   atomic.Uint64
+	httpClient http.Client
 }
 
-// dialLimit bounds a connection, so that a frozen host costs a caller one second.
-const dialLimit = time.Second
+// dialTimeout bounds the delay that a frozen host causes before the next one is tried.
+const dialTimeout = time.Second
 
 func newClient(hosts []string) *client {
 	dialer := net.Dialer{
-		Timeout: dialLimit,
+		Timeout: dialTimeout,
 	}
 	return &client{
 		hosts: hosts,
-		web: http.Client{
+		httpClient: http.Client{
 			// Rule 3.
 			Transport: &http.Transport{
 				DisableKeepAlives:  true,
@@ -45,13 +45,13 @@
 	}
 }
 
-// next gives the index of the host whose turn it is.
-func (c *client) next() int {
-	return int(c.turn.Add(1) % uint64(len(c.hosts)))
+// nextHost returns the index of the next host in round-robin order.
+func (c *client) nextHost() int {
+	return int(c.sequence.Add(1) % uint64(len(c.hosts)))
 }
 
-// question is one request in the words of HTTP.
-type question struct {
+// httpRequest describes the HTTP request of one attempt.
+type httpRequest struct {
 	method, path, body string
 	caller             hingeids.CallerID
 	key                string
@@ -59,8 +59,8 @@
 	stream, chat       bool
 }
 
-func (a Arrival) question(m Mix, run string) question {
-	q := question{
+func (a Arrival) httpRequest(m Mix, run string) httpRequest {
+	q := httpRequest{
 		method:   http.MethodPost,
 		caller:   a.Caller,
 		deadline: a.Class.Deadline,
@@ -127,8 +127,8 @@
 	return string(b)
 }
 
-// want is the answer that the stand-ins give.
-func (a Arrival) want(q question, run string) string {
+// expectedAnswer returns the text with which a stand-in answers the request.
+func (a Arrival) expectedAnswer(q httpRequest, run string) string {
 	switch a.Class.Kind {
 	case Chat:
 		return hingestandin.Answer("user: "+a.Text(run)+"\n", a.Output)
@@ -139,31 +139,31 @@
 	}
 }
 
-// issue asks a host for an idempotency key.
-func (c *client) issue(ctx context.Context, host string, caller hingeids.CallerID) (string, reply) {
+// issueKey requests an idempotency key from a host.
+func (c *client) issueKey(ctx context.Context, host string, caller hingeids.CallerID) (string, reply) {
 	var body struct {
 		Key string `json:"key"`
 	}
-	r := c.exchange(ctx, host, question{
+	r := c.exchange(ctx, host, httpRequest{
 		method: http.MethodPost,
 		path:   "/v1/keys",
 		caller: caller,
 	}, func(answer io.Reader, r *reply) {
 		r.err = json.NewDecoder(answer).Decode(&body)
-		r.whole = r.err == nil && body.Key != ""
+		r.complete = r.err == nil && body.Key != ""
 	})
 	return body.Key, r
 }
 
-// ask makes one attempt.
-func (c *client) ask(ctx context.Context, host string, q question) reply {
+// do makes one attempt.
+func (c *client) do(ctx context.Context, host string, q httpRequest) reply {
 	if q.stream {
 		return c.exchange(ctx, host, q, readStream)
 	}
 	return c.exchange(ctx, host, q, readCall)
 }
 
-func (c *client) exchange(ctx context.Context, host string, q question, read func(io.Reader, *reply)) reply {
+func (c *client) exchange(ctx context.Context, host string, q httpRequest, read func(io.Reader, *reply)) reply {
 	req, err := http.NewRequestWithContext(ctx, q.method, "http://"+host+q.path, strings.NewReader(q.body))
 	if err != nil {
 		return reply{
@@ -177,7 +177,7 @@
 	if q.key != "" {
 		req.Header.Set("Idempotency-Key", q.key)
 	}
-	resp, err := c.web.Do(req)
+	resp, err := c.httpClient.Do(req)
 	if err != nil {
 		return reply{
 			err: err,
@@ -187,9 +187,9 @@
 		_ = resp.Body.Close()
 	}()
 	r := reply{
-		status:  resp.StatusCode,
-		verdict: resp.Header.Get("X-Verdict"),
-		request: resp.Header.Get("X-Request-Id"),
+		status:    resp.StatusCode,
+		verdict:   resp.Header.Get("X-Verdict"),
+		requestID: resp.Header.Get("X-Request-Id"),
 	}
 	if seconds, err := strconv.Atoi(resp.Header.Get("Retry-After")); err == nil {
 		r.retryAfter = time.Duration(seconds) * time.Second
@@ -198,12 +198,12 @@
 		read(resp.Body, &r)
 		return r
 	}
-	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxEvent))
+	b, _ := io.ReadAll(io.LimitReader(resp.Body, maxLineBytes))
 	r.code = codeOf(b)
 	return r
 }
 
-// codeOf gives the code of a refusal's body, or 0.
+// codeOf returns the verdict code in the body of a refusal, or 0 if there is none.
 func codeOf(body []byte) int {
 	var refusal struct {
 		Error struct {
@@ -214,7 +214,7 @@
 	return refusal.Error.Code
 }
 
-// readCall reads a plain service's answer, which tells what it was sent.
+// readCall reads the answer of a plain service, which echoes the request.
 func readCall(body io.Reader, r *reply) {
 	var answer struct {
 		Path string `json:"path"`
@@ -224,32 +224,32 @@
 	if r.err = json.NewDecoder(body).Decode(&answer); r.err != nil {
 		return
 	}
-	r.first, r.whole = time.Now(), true
+	r.firstAt, r.complete = time.Now(), true
 	r.text, r.runs = answer.Path+" "+answer.Echo, answer.Runs
 }
 
-// maxEvent bounds a line of a stream, in bytes.
-const maxEvent = 64 << 10
+// maxLineBytes bounds a line of an event stream, and the body of a refusal.
+const maxLineBytes = 64 << 10
 
-// readStream reads a streamed answer. One without its end mark is not whole.
+// readStream reads a streamed answer. It is complete only with its [DONE] event.
 func readStream(body io.Reader, r *reply) {
 	var text strings.Builder
 	lines := bufio.NewScanner(body)
-	lines.Buffer(make([]byte, 4096), maxEvent)
+	lines.Buffer(make([]byte, 4096), maxLineBytes)
 	for lines.Scan() {
 		data, ok := strings.CutPrefix(lines.Text(), "data: ")
 		switch {
 		case lines.Text() == "event: error":
-			r.told = true
-		case r.told && ok:
+			r.errorEvent = true
+		case r.errorEvent && ok:
 			r.code = codeOf([]byte(data))
 		case !ok:
 		case data == "[DONE]":
-			r.whole = true
+			r.complete = true
 			r.text = text.String()
 			return
 		default:
-			if r.err = r.token(data, &text); r.err != nil {
+			if r.err = r.recordToken(data, &text); r.err != nil {
 				return
 			}
 		}
@@ -258,8 +258,8 @@
 	r.err = lines.Err()
 }
 
-// token notes one event and its time.
-func (r *reply) token(data string, text *strings.Builder) error {
+// recordToken parses one token event, appends its text and records its time.
+func (r *reply) recordToken(data string, text *strings.Builder) error {
 	var event struct {
 		Choices []struct {
 			Text  string `json:"text"`
@@ -269,15 +269,15 @@
 		} `json:"choices"`
 	}
 	if err := json.Unmarshal([]byte(data), &event); err != nil {
-		return eris.Wrap(err, "event")
+		return eris.Wrap(err, "decode token event")
 	}
 	now := time.Now()
-	if r.first.IsZero() {
-		r.first = now
+	if r.firstAt.IsZero() {
+		r.firstAt = now
 	} else {
-		r.gaps = append(r.gaps, now.Sub(r.last))
+		r.tokenGaps = append(r.tokenGaps, now.Sub(r.lastAt))
 	}
-	r.last = now
+	r.lastAt = now
 	for _, c := range event.Choices {
 		text.WriteString(c.Text)
 		text.WriteString(c.Delta.Content)
--- a/internal/load/hingeload/doc.go
+++ b/internal/load/hingeload/doc.go
@@ -1,22 +1,26 @@
-// Package hingeload sends entry hosts the work of a firm and judges every
-// answer.
+// Package hingeload is an open-loop load generator for entry hosts that
+// verifies every answer.
 //
-//  1. Open loop: all arrivals are drawn before the run, by seed, and each is sent
-//     at its time whatever became of the others. Latency is counted from the
-//     time of arrival in the schedule, so that neither a slow router nor a slow
-//     load generator is flattered.
+//  1. Open loop: the arrival schedule is generated from a seed before the run,
+//     and each request is sent at its scheduled time, independent of the others.
+//     Latency is measured from the scheduled time, so that delays of the router
+//     and of the load generator both count.
 //  2. Arrivals are a Poisson process in each phase; a burst is a phase with a
 //     higher rate.
-//  3. Attempts go to the hosts in turn, as a balancer sends them, and to the
-//     next one where no connection can be had. No connection is kept: the HTTP
-//     library sends again on its own when a kept one turns out dead.
-//  4. A caller that was refused as not run comes back: when told, or at once. A
-//     caller whose answer broke off sends the same again, under the same
-//     idempotency key if it has one. Attempts and time are bounded.
-//  5. What the stand-ins should answer is known, so every answer is judged:
-//     whole, cut short, doubled, or another request's.
-//  6. Wasted prefill and runs for each key come from the stand-ins' own counts.
+//  3. Attempts go to the hosts in round-robin order, as from a load balancer,
+//     and fail over to the next host if the connection can't be opened.
+//     Connections aren't reused, because net/http silently resends a request
+//     when a reused connection is found closed.
+//  4. A caller whose request was refused as not run retries after Retry-After,
+//     or immediately. A caller whose answer was cut off resends the request
+//     under the same idempotency key, if it has one. The number of attempts and
+//     the time are bounded.
+//  5. The answers of the stand-ins are deterministic, so every answer is
+//     classified as complete, truncated, duplicated, or another request's.
+//  6. Wasted prefill and the runs of each key are read from the stand-ins'
+//     counters.
 //
-// Limits: one process on one host is the load generator, and its own processor
-// time is part of what it measures; the report gives how late it sent.
+// The load generator is one process, and its processor time adds to the
+// measured latency; the report includes the delay between scheduled and actual
+// send times.
 package hingeload
--- a/internal/load/hingeload/fate.go
+++ b/internal/load/hingeload/fate.go
@@ -1,7 +1,7 @@
 package hingeload
 
-// fate is what became of one request in the end.
-type fate struct {
+// requestResult is the final result of one request over all its attempts.
+type requestResult struct {
 	outcome  outcome
 	finding  Finding
 	reply    reply
@@ -10,12 +10,13 @@
 	codes    []int
 }
 
-// what names a fate that its caller didn't want, or is empty.
-func (f fate) what() string {
+// problem names the failure of a request, or is empty if the request was
+// answered correctly or refused as not run.
+func (f requestResult) problem() string {
 	switch {
 	case f.outcome == uncertain:
 		return "uncertain"
-	case f.outcome == broken || f.outcome == unreached:
+	case f.outcome == incomplete || f.outcome == unreachable:
 		return "lost"
 	case f.outcome != answered:
 		return ""
@@ -28,15 +29,15 @@
 	}[f.finding]
 }
 
-func (r *Result) addCase(a Arrival, f fate) {
-	what := f.what()
-	if what == "" || len(r.Cases) == mostCases {
+func (r *Result) addCase(a Arrival, f requestResult) {
+	problem := f.problem()
+	if problem == "" || len(r.Cases) == maxCases {
 		return
 	}
 	c := Case{
 		Class:    a.Class.Name,
-		What:     what,
-		Request:  f.reply.request,
+		What:     problem,
+		Request:  f.reply.requestID,
 		Second:   a.At.Seconds(),
 		Attempts: f.attempts,
 		Code:     f.reply.code,
--- a/internal/load/hingeload/judge.go
+++ b/internal/load/hingeload/judge.go
@@ -2,45 +2,45 @@
 
 import "strings"
 
-// Finding is what is wrong with an answer that was given as whole.
+// Finding classifies the text of an answer that ended as complete.
 type Finding uint8
 
 // The findings.
 const (
-	// Right is the whole answer to its own request.
+	// Right is the complete, expected answer.
 	Right Finding = iota
 	// Truncated lacks tokens.
 	Truncated
-	// Doubled has tokens twice.
+	// Doubled has duplicate tokens.
 	Doubled
 	// Crossed has tokens of another request's answer.
 	Crossed
 )
 
-// Judge compares an answer with the one that is wanted, token by token, by
-// rule 5. Tokens end with a space, as the stand-ins' do. An answer with more
-// than one fault has the worst of them: crossed, then doubled.
+// Judge compares an answer with the expected one token by token (rule 5).
+// Tokens end with a space. Of several faults it returns the most severe:
+// Crossed, then Doubled, then Truncated.
 func Judge(want, got string) Finding {
 	if got == want {
 		return Right
 	}
-	wanted := make(map[string]int)
+	expected := make(map[string]int)
 	for token := range strings.SplitAfterSeq(want, " ") {
-		wanted[token]++
+		expected[token]++
 	}
 	finding := Truncated
 	for token := range strings.SplitAfterSeq(got, " ") {
-		left, ours := wanted[token]
+		remaining, known := expected[token]
 		switch {
 		case token == "":
-		case !ours:
+		case !known:
 			return Crossed
-		case left == 0:
+		case remaining == 0:
 			finding = Doubled
 		}
-		wanted[token]--
-		if left == 0 {
-			wanted[token] = 0
+		expected[token]--
+		if remaining == 0 {
+			expected[token] = 0
 		}
 	}
 	return finding
--- a/internal/load/hingeload/judge_test.go
+++ b/internal/load/hingeload/judge_test.go
@@ -9,8 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// A router that drops, repeats or crosses tokens gives callers a wrong text that
-// looks like an answer. The judge must tell each from a whole answer.
+// Judge must detect dropped and repeated tokens and tokens of other requests.
 func TestJudge(t *testing.T) {
 	want := hingestandin.Answer("own", 3)
 	other := hingestandin.Answer("other", 3)
@@ -41,8 +40,8 @@
 	}
 }
 
-// Two routers can be compared only if both meet the same arrivals, and no answer
-// can be judged if two requests have the same prompt.
+// The schedule must be the same for the same seed, so that runs are comparable,
+// and no two requests may have the same prompt, or their answers couldn't be told apart.
 func TestDraw(t *testing.T) {
 	phases := []Phase{
 		{
--- a/internal/load/hingeload/reply.go
+++ b/internal/load/hingeload/reply.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// reply is what one attempt came to, as its caller saw it.
+// reply is the result of one attempt as seen by the caller.
 type reply struct {
 	status  int
 	verdict string
-	// request is the router's id for the attempt, code that of a refusal.
-	request string
-	code    int
-	// retryAfter is 0 where the answer names no time to come back.
+	// requestID is the router's id for the attempt, code the verdict code of a refusal.
+	requestID string
+	code      int
+	// retryAfter is 0 if the answer has no Retry-After header.
 	retryAfter time.Duration
 	text       string
-	// whole says that the answer had its end mark, or was a whole body; told that
-	// a stream ended with an error event.
-	whole, told bool
-	// runs is how often the stand-in says that a call ran.
-	runs  int
-	first time.Time
-	last  time.Time
-	gaps  []time.Duration
-	err   error
+	// complete reports that a stream had its end mark or a call its full body,
+	// errorEvent that a stream ended with an error event.
+	complete, errorEvent bool
+	// runs is the number of runs under the call's key that the stand-in counted.
+	runs      int
+	firstAt   time.Time
+	lastAt    time.Time
+	tokenGaps []time.Duration
+	err       error
 }
 
-// outcome is what an attempt means to its caller.
+// outcome classifies an attempt from the caller's point of view.
 type outcome uint8
 
 const (
-	// answered has an answer that claims to be whole.
+	// answered ended as a complete answer.
 	answered outcome = iota
-	// refused was told that it was not run.
+	// refused was not run, by the router's verdict.
 	refused
-	// uncertain was told that it may have run, or ran without an answer.
+	// uncertain ended with an error that doesn't exclude that the request ran.
 	uncertain
-	// broken got no final answer: the connection ended without one.
-	broken
-	// unreached found no host to connect to.
-	unreached
+	// incomplete lost its connection before a final answer.
+	incomplete
+	// unreachable failed to open a connection to a host.
+	unreachable
 )
 
 const (
@@ -52,13 +52,13 @@
 	var dial *net.OpError
 	switch {
 	case r.err != nil && errors.As(r.err, &dial) && dial.Op == "dial":
-		return unreached
-	case r.status == statusOK && r.whole:
+		return unreachable
+	case r.status == statusOK && r.complete:
 		return answered
-	case r.told:
+	case r.errorEvent:
 		return uncertain
 	case r.status == 0 || r.status == statusOK:
-		return broken
+		return incomplete
 	case r.verdict == notRun:
 		return refused
 	default:
@@ -66,25 +66,25 @@
 	}
 }
 
-// retryAtOnce is how soon a caller is back that doesn't wait as told, or whose
-// attempt broke off.
-const retryAtOnce = 50 * time.Millisecond
+// immediateRetryDelay is the delay before a retry that ignores Retry-After or
+// follows a connection failure.
+const immediateRetryDelay = 50 * time.Millisecond
 
-// retry carries out rule 4: whether the caller tries again, and when.
-func retry(c *Class, r reply, asTold bool) (wait time.Duration, again bool) {
+// retry decides whether the caller retries and after which delay (rule 4).
+func retry(c *Class, r reply, honorsRetryAfter bool) (wait time.Duration, again bool) {
 	switch r.outcome() {
-	case unreached:
-		return retryAtOnce, true
-	case broken:
-		return retryAtOnce, true
+	case unreachable:
+		return immediateRetryDelay, true
+	case incomplete:
+		return immediateRetryDelay, true
 	case refused, uncertain:
-		// Under a key a resend is safe whatever became of the first.
+		// An idempotency key makes a resend safe even if the first attempt ran.
 		safe := r.outcome() == refused || c.Key != NoKey
 		if r.retryAfter == 0 || !safe {
 			return 0, false
 		}
-		if !asTold {
-			return retryAtOnce, true
+		if !honorsRetryAfter {
+			return immediateRetryDelay, true
 		}
 		return r.retryAfter, true
 	}
--- a/internal/load/hingeload/reply_test.go
+++ b/internal/load/hingeload/reply_test.go
@@ -8,21 +8,20 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A caller that takes "may have run" for "not run" and sends again without a key
-// has its call run twice; one that takes a broken answer for a final one loses
-// it. Each reply must lead to the one right step.
+// A call that may have run must not be resent without a key, or it runs twice,
+// and an answer that was cut off must be retried, or the request is lost.
 func TestRetry(t *testing.T) {
 	type step struct {
 		Outcome outcome
 		Wait    time.Duration
 		Again   bool
 	}
-	told := reply{
+	retriable := reply{
 		status:     503,
 		verdict:    "mayHaveRun",
 		retryAfter: time.Second,
 	}
-	refusal := told
+	refusal := retriable
 	refusal.verdict = notRun
 	final := refusal
 	final.retryAfter = 0
@@ -30,7 +29,7 @@
 		status: statusOK,
 	}
 	cutByRouter := cut
-	cutByRouter.told = true
+	cutByRouter.errorEvent = true
 	got := make(map[string]step)
 	for name, c := range map[string]struct {
 		reply  reply
@@ -41,32 +40,32 @@
 			reply:  refusal,
 			asTold: true,
 		},
-		"refused, impatient": {
+		"refused, ignores Retry-After": {
 			reply: refusal,
 		},
-		"refused for good": {
+		"refused without Retry-After": {
 			reply:  final,
 			asTold: true,
 		},
 		"may have run": {
-			reply:  told,
+			reply:  retriable,
 			asTold: true,
 		},
 		"may have run, with a key": {
-			reply:  told,
+			reply:  retriable,
 			key:    OwnKey,
 			asTold: true,
 		},
-		"cut": {
+		"stream without end mark": {
 			reply: cut,
 		},
-		"cut and told": {
+		"stream with error event": {
 			reply: cutByRouter,
 		},
-		"whole": {
+		"complete": {
 			reply: reply{
-				status: statusOK,
-				whole:  true,
+				status:   statusOK,
+				complete: true,
 			},
 		},
 		"no host": {reply: reply{
@@ -95,12 +94,12 @@
 			Wait:    time.Second,
 			Again:   true,
 		},
-		"refused, impatient": {
+		"refused, ignores Retry-After": {
 			Outcome: refused,
-			Wait:    retryAtOnce,
+			Wait:    immediateRetryDelay,
 			Again:   true,
 		},
-		"refused for good": {
+		"refused without Retry-After": {
 			Outcome: refused,
 		},
 		"may have run": {
@@ -111,25 +110,25 @@
 			Wait:    time.Second,
 			Again:   true,
 		},
-		"cut": {
-			Outcome: broken,
-			Wait:    retryAtOnce,
+		"stream without end mark": {
+			Outcome: incomplete,
+			Wait:    immediateRetryDelay,
 			Again:   true,
 		},
-		"cut and told": {
+		"stream with error event": {
 			Outcome: uncertain,
 		},
-		"whole": {
+		"complete": {
 			Outcome: answered,
 		},
 		"no host": {
-			Outcome: unreached,
-			Wait:    retryAtOnce,
+			Outcome: unreachable,
+			Wait:    immediateRetryDelay,
 			Again:   true,
 		},
 		"connection broke": {
-			Outcome: broken,
-			Wait:    retryAtOnce,
+			Outcome: incomplete,
+			Wait:    immediateRetryDelay,
 			Again:   true,
 		},
 	}, got); diff != "" {
--- a/internal/load/hingeload/result.go
+++ b/internal/load/hingeload/result.go
@@ -9,7 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Result is what came of a run.
+// Result has the counts and latencies of a run.
 type Result struct {
 	Mix     string         `json:"mix"`
 	Seed    uint64         `json:"seed"`
@@ -17,17 +17,18 @@
 	Judged  bool           `json:"judged"`
 	Seconds float64        `json:"seconds"`
 	Classes []*ClassResult `json:"classes"`
-	// OfferedPerSecond and InTargetPerSecond count by the second of arrival.
+	// OfferedPerSecond and InTargetPerSecond are indexed by the second of the scheduled arrival.
 	OfferedPerSecond  []int `json:"offeredPerSecond"`
 	InTargetPerSecond []int `json:"inTargetPerSecond"`
-	// Unsent were dropped here because too many were open: the run is then no
-	// measure of the router. SendLagMs is how late requests were sent.
+	// Unsent counts requests dropped because Options.MostOpen were open; a run
+	// with any doesn't measure the router. SendLagMs is the delay of requests
+	// behind the schedule.
 	Unsent    int       `json:"unsent"`
 	SendLagMs Quantiles `json:"sendLagMs"`
-	// Cases are the first requests that were lost, uncertain, or not given the
-	// whole answer, to be looked up with swifthinge explain.
+	// Cases are the first requests that were lost, uncertain, or answered
+	// wrongly, with the ids that swifthinge explain takes.
 	Cases []Case `json:"cases,omitempty"`
-	// Standins is nil when no stand-in was asked.
+	// Standins is nil if no stand-in addresses were given.
 	Standins *StandinCounts `json:"standins,omitempty"`
 
 	mu   sync.Mutex
@@ -35,24 +36,25 @@
 	open int
 }
 
-// ClassResult is what came of a class's requests.
+// ClassResult has the counts and latencies of one class.
 type ClassResult struct {
 	Name string `json:"name"`
 	Sent int    `json:"sent"`
-	// Answered had the whole answer, of which InTarget within both targets.
+	// Answered counts complete answers, InTarget those of them within both targets.
 	Answered int `json:"answered"`
 	InTarget int `json:"inTarget"`
-	// Refused were told at last that they were not run, Uncertain that they may
-	// have run. Lost got no final answer.
+	// Refused counts requests whose final verdict was that they didn't run,
+	// Uncertain those that may have run. Lost got no final answer.
 	Refused   int `json:"refused"`
 	Uncertain int `json:"uncertain"`
 	Lost      int `json:"lost"`
-	// These claimed to be whole answers and were not.
+	// Truncated, Doubled and Crossed count answers that ended as complete but
+	// had the wrong text.
 	Truncated int `json:"truncated"`
 	Doubled   int `json:"doubled"`
 	Crossed   int `json:"crossed"`
-	// Attempts counts what was sent, Refusals each refusal, Codes those of
-	// refusals and errors.
+	// Attempts and Refusals count over all attempts, Codes by the verdict code
+	// of refusals and errors.
 	Attempts     int         `json:"attempts"`
 	Refusals     int         `json:"refusals"`
 	Codes        map[int]int `json:"codes,omitempty"`
@@ -64,7 +66,7 @@
 	TokenGap   *hdrhistogram.Histogram `json:"-"`
 }
 
-// Case is a request with which something went wrong.
+// Case is one request that failed.
 type Case struct {
 	Class    string  `json:"class"`
 	What     string  `json:"what"`
@@ -75,10 +77,10 @@
 	Detail   string  `json:"detail,omitempty"`
 }
 
-// mostCases bounds the cases of a report.
-const mostCases = 50
+// maxCases bounds the cases listed in a report.
+const maxCases = 50
 
-// Quantiles are of a histogram, in milliseconds.
+// Quantiles summarizes a histogram, in milliseconds.
 type Quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -88,26 +90,27 @@
 	Max   float64 `json:"max"`
 }
 
-// StandinCounts sums what the stand-ins counted during the run.
+// StandinCounts is the sum of the stand-ins' counters over the run.
 type StandinCounts struct {
 	Runs int `json:"runs"`
-	// CallRuns are the runs at plain services: no more than calls were sent,
-	// unless the router or a caller repeated one without a key.
+	// CallRuns counts runs at plain services. It exceeds the number of calls
+	// only if one was repeated without a key.
 	CallRuns      int             `json:"callRuns"`
 	PrefillTokens hingeids.Tokens `json:"prefillTokens"`
 	WastedTokens  hingeids.Tokens `json:"wastedTokens"`
 	CachedTokens  hingeids.Tokens `json:"cachedTokens"`
-	// MostRunsOfAKey is at any one stand-in in its whole life, Held is at the end.
+	// MostRunsOfAKey is the maximum over the stand-ins since their start. Held
+	// is the number of allocations still held at the end.
 	MostRunsOfAKey int `json:"mostRunsOfAKey"`
 	Held           int `json:"held"`
-	// SettledSeconds is how long after the last answer Held was taken: when it
-	// came down to 0, or after the longest wait.
+	// SettledSeconds is the time from the last answer until Held was 0, or until
+	// Options.Settle had passed.
 	SettledSeconds float64 `json:"settledSeconds"`
-	// Unread stand-ins could not be asked, for example because they died.
+	// Unread counts stand-ins whose counters couldn't be read or were reset by a restart.
 	Unread int `json:"unread"`
 }
 
-// Wasted is the share of the prefill tokens that nobody decoded from.
+// Wasted returns the share of the prefill tokens from which no answer was decoded.
 func (c StandinCounts) Wasted() float64 {
 	if c.PrefillTokens == 0 {
 		return 0
@@ -115,8 +118,8 @@
 	return float64(c.WastedTokens) / float64(c.PrefillTokens)
 }
 
-// Bad counts what must never happen: requests lost, and answers cut short,
-// doubled or crossed, or run twice under one key.
+// Bad counts violated guarantees: lost requests, truncated, doubled and crossed
+// answers, and one if any key ran more than once.
 func (r *Result) Bad() int {
 	n := 0
 	for _, c := range r.Classes {
@@ -128,7 +131,7 @@
 	return n
 }
 
-// Total sums the classes.
+// Total sums the counts of all classes, without codes and histograms.
 func (r *Result) Total() ClassResult {
 	t := ClassResult{
 		Name: "all",
@@ -149,7 +152,7 @@
 	return t
 }
 
-// newHistogram counts microseconds from one up to an hour, to three digits.
+// newHistogram returns a histogram of 1 µs to 1 h with three significant digits.
 func newHistogram() *hdrhistogram.Histogram {
 	return hdrhistogram.New(1, time.Hour.Microseconds(), 3)
 }
@@ -197,8 +200,9 @@
 	return nil
 }
 
-// add counts a request; first is the time from its arrival to its first token.
-func (r *Result) add(a Arrival, f fate, first time.Duration) {
+// add counts a finished request; first is the time from its scheduled arrival
+// to its first token.
+func (r *Result) add(a Arrival, f requestResult, first time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open--
@@ -214,7 +218,7 @@
 		c.Refused++
 	case uncertain:
 		c.Uncertain++
-	case broken, unreached:
+	case incomplete, unreachable:
 		c.Lost++
 	case answered:
 		switch f.finding {
@@ -225,22 +229,22 @@
 		case Crossed:
 			c.Crossed++
 		case Right:
-			r.addRight(a, c, f.reply, first)
+			r.addComplete(a, c, f.reply, first)
 		}
 	}
 }
 
-func (r *Result) addRight(a Arrival, c *ClassResult, got reply, first time.Duration) {
+func (r *Result) addComplete(a Arrival, c *ClassResult, got reply, first time.Duration) {
 	c.Answered++
 	record(c.FirstToken, first)
 	sum := time.Duration(0)
-	for _, gap := range got.gaps {
+	for _, gap := range got.tokenGaps {
 		record(c.TokenGap, gap)
 		sum += gap
 	}
-	// The gap that a reader feels is the mean: a stream is read at its own pace.
+	// The target applies to the mean gap, since readers buffer a stream.
 	inTarget := first <= a.Class.FirstToken
-	if n := time.Duration(len(got.gaps)); n > 0 && a.Class.TokenGap > 0 {
+	if n := time.Duration(len(got.tokenGaps)); n > 0 && a.Class.TokenGap > 0 {
 		inTarget = inTarget && sum/n <= a.Class.TokenGap
 	}
 	if inTarget {
@@ -249,8 +253,9 @@
 	}
 }
 
-// sent counts a request that is due, unless too many are open.
-func (r *Result) sent(a Arrival, lag time.Duration, limit int) bool {
+// recordSent counts a scheduled request as open. It returns false if limit
+// requests are open already; the request is then counted as unsent.
+func (r *Result) recordSent(a Arrival, lag time.Duration, limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.OfferedPerSecond[int(a.At/time.Second)]++
@@ -264,8 +269,8 @@
 	return true
 }
 
-func (r *Result) finish(took time.Duration) {
-	r.Seconds = took.Seconds()
+func (r *Result) finish(elapsed time.Duration) {
+	r.Seconds = elapsed.Seconds()
 	r.SendLagMs = quantiles(r.lag)
 	for _, c := range r.Classes {
 		c.FirstTokenMs = quantiles(c.FirstToken)
--- a/internal/load/hingeload/run.go
+++ b/internal/load/hingeload/run.go
@@ -14,58 +14,59 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// Options say what to send where.
+// Options configures a run.
 type Options struct {
-	// Hosts are the entry hosts' addresses for callers.
+	// Hosts are the addresses of the entry hosts' caller endpoints.
 	Hosts []string
-	// Judge says that stand-ins answer, so that every answer can be judged.
+	// Judge compares every answer with the one that a stand-in gives.
 	Judge bool
-	// Standins are addresses whose counts are read.
+	// Standins are the addresses of stand-ins whose counters are read.
 	Standins []string
 	Mix      Mix
 	Phases   []Phase
 	Seed     uint64
-	// MostRequests bounds the run; MostOpen bounds what is open at once.
+	// MostRequests bounds the requests of the run, MostOpen those open at once.
 	MostRequests, MostOpen int
-	// Attempts bounds a request's attempts; AsTold is the share of the callers
-	// that wait as they are told.
+	// Attempts bounds the attempts of one request. AsTold is the share of
+	// requests whose callers wait for Retry-After.
 	Attempts int
 	AsTold   float64
-	// Settle bounds the wait, after the last answer, for the stand-ins to hold
-	// nothing more.
+	// Settle bounds the wait after the last answer until the stand-ins have
+	// released all allocations.
 	Settle time.Duration
-	// Progress is called about once a second, if it is set.
+	// Progress is called about once a second from the sending goroutine; nil disables it.
 	Progress func(sent, open int, at time.Duration)
 }
 
 // run is a run in progress.
 type run struct {
 	Options
-	name   string
-	client *client
-	result *Result
-	began  time.Time
+	name      string
+	client    *client
+	result    *Result
+	startedAt time.Time
 }
 
-// Run sends the schedule and waits for the last answer: at most the phases and
-// the longest deadline.
+// Run sends all requests of the schedule and waits for the last answer, no
+// longer than the phases, the longest deadline and Options.Settle. If the context
+// is done before the schedule is, it returns the partial result with the error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if len(o.Hosts) == 0 {
 		return nil, eris.New("no entry hosts given")
 	}
 	schedule := Draw(o.Seed, o.Mix, o.Phases, o.MostRequests)
 	if len(schedule) == 0 {
-		return nil, eris.New("nothing to send: rate, time or number of requests is 0")
+		return nil, eris.New("the schedule is empty: rate, duration or the limit of requests is 0")
 	}
 	r := &run{
-		Options: o,
-		client:  newClient(o.Hosts),
-		result:  newResult(o.Mix),
-		began:   time.Now(),
+		Options:   o,
+		client:    newClient(o.Hosts),
+		result:    newResult(o.Mix),
+		startedAt: time.Now(),
 	}
-	// Prompts and keys of an earlier run against the same hosts are not met again.
+	// The name makes prompts and keys differ from those of earlier runs against the same hosts.
 	r.name = "run" + hingeids.RequestID{
-		Sequence: uint64(r.began.UnixNano()),
+		Sequence: uint64(r.startedAt.UnixNano()),
 	}.String()
 	seconds := int(schedule[len(schedule)-1].At/time.Second) + 1
 	r.result.OfferedPerSecond = make([]int, seconds)
@@ -73,63 +74,63 @@
 	r.result.Seed, r.result.Hosts, r.result.Judged = o.Seed, len(o.Hosts), o.Judge
 	before := r.counts(ctx)
 	err := r.send(ctx, schedule)
-	r.result.finish(time.Since(r.began))
+	r.result.finish(time.Since(r.startedAt))
 	if len(o.Standins) > 0 {
 		r.result.Standins = r.settle(ctx, before)
 	}
 	return r.result, err
 }
 
-// send carries out rule 1.
+// send starts each request at its scheduled time (rule 1).
 func (r *run) send(ctx context.Context, schedule []Arrival) error {
 	var open sync.WaitGroup
 	defer open.Wait()
-	told := time.Duration(0)
+	lastProgress := time.Duration(0)
 	for i, a := range schedule {
 		select {
 		case <-ctx.Done():
-			return eris.Wrap(ctx.Err(), "run")
-		case <-time.After(time.Until(r.began.Add(a.At))):
+			return eris.Wrap(ctx.Err(), "load run stopped before the end of its schedule")
+		case <-time.After(time.Until(r.startedAt.Add(a.At))):
 		}
-		if r.Progress != nil && a.At-told >= time.Second {
-			told = a.At
-			r.Progress(i, r.result.openNow(), a.At)
+		if r.Progress != nil && a.At-lastProgress >= time.Second {
+			lastProgress = a.At
+			r.Progress(i, r.result.openCount(), a.At)
 		}
-		due := r.began.Add(a.At)
-		if !r.result.sent(a, time.Since(due), r.MostOpen) {
+		scheduled := r.startedAt.Add(a.At)
+		if !r.result.recordSent(a, time.Since(scheduled), r.MostOpen) {
 			continue
 		}
 		open.Go(func() {
-			f := r.carry(ctx, a, due)
-			r.result.add(a, f, f.reply.first.Sub(due))
+			f := r.runRequest(ctx, a, scheduled)
+			r.result.add(a, f, f.reply.firstAt.Sub(scheduled))
 		})
 	}
 	return nil
 }
 
-// openNow counts the requests without a final answer yet.
-func (r *Result) openNow() int {
+// openCount returns the number of requests without a final answer.
+func (r *Result) openCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.open
 }
 
-// grace is how long after its deadline a request may still get its final
-// answer: a second for a router under load, and one for the way.
-const grace = 2 * time.Second
+// deadlineGrace is how long after its deadline a request may still receive its
+// final answer, for delays in the router and the network.
+const deadlineGrace = 2 * time.Second
 
-// carry takes one request through its attempts.
-func (r *run) carry(ctx context.Context, a Arrival, due time.Time) fate {
+// runRequest sends one request, with retries, until it has a final result.
+func (r *run) runRequest(ctx context.Context, a Arrival, scheduled time.Time) requestResult {
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(a.Serial)))
-	asTold := rng.Float64() < r.AsTold
-	q := a.question(r.Mix, r.name)
-	ctx, cancel := context.WithDeadline(ctx, due.Add(a.Class.Deadline+grace))
+	honorsRetryAfter := rng.Float64() < r.AsTold
+	q := a.httpRequest(r.Mix, r.name)
+	ctx, cancel := context.WithDeadline(ctx, scheduled.Add(a.Class.Deadline+deadlineGrace))
 	defer cancel()
-	var f fate
+	var f requestResult
 	mayHaveRun := false
 	for {
 		f.attempts++
-		q.deadline = time.Until(due.Add(a.Class.Deadline))
+		q.deadline = time.Until(scheduled.Add(a.Class.Deadline))
 		f.reply = r.attempt(ctx, a, &q)
 		f.outcome = f.reply.outcome()
 		if f.outcome == refused {
@@ -138,19 +139,19 @@
 		if f.reply.code != 0 {
 			f.codes = append(f.codes, f.reply.code)
 		}
-		mayHaveRun = mayHaveRun || f.outcome == broken || f.outcome == uncertain
-		wait, again := retry(a.Class, f.reply, asTold)
-		if !again || f.attempts == r.Attempts || time.Now().Add(wait).After(due.Add(a.Class.Deadline)) {
+		mayHaveRun = mayHaveRun || f.outcome == incomplete || f.outcome == uncertain
+		wait, again := retry(a.Class, f.reply, honorsRetryAfter)
+		if !again || f.attempts == r.Attempts || time.Now().Add(wait).After(scheduled.Add(a.Class.Deadline)) {
 			break
 		}
 		time.Sleep(wait)
 	}
-	// That the last attempt was not run proves nothing about the ones before it.
+	// An earlier attempt may have run even if the last one didn't.
 	if f.outcome == refused && mayHaveRun {
 		f.outcome = uncertain
 	}
 	if f.outcome == answered && r.Judge {
-		f.finding = Judge(a.want(q, r.name), f.reply.text)
+		f.finding = Judge(a.expectedAnswer(q, r.name), f.reply.text)
 		if f.reply.runs > 1 {
 			f.finding = Doubled
 		}
@@ -158,55 +159,56 @@
 	return f
 }
 
-// attempt sends the request to the host whose turn it is, or to the next one
-// that can be reached, as a balancer does: rule 3.
-func (r *run) attempt(ctx context.Context, a Arrival, q *question) reply {
+// attempt sends the request to the next host in round-robin order, and fails
+// over to the following ones while hosts are unreachable (rule 3).
+func (r *run) attempt(ctx context.Context, a Arrival, q *httpRequest) reply {
 	var got reply
-	turn := r.client.next()
+	turn := r.client.nextHost()
 	for i := range r.client.hosts {
-		got = r.attemptAt(ctx, r.client.hosts[(turn+i)%len(r.client.hosts)], a, q)
-		if got.outcome() != unreached {
+		got = r.attemptHost(ctx, r.client.hosts[(turn+i)%len(r.client.hosts)], a, q)
+		if got.outcome() != unreachable {
 			break
 		}
 	}
 	return got
 }
 
-// attemptAt sends the request, after getting a key for it if it needs an issued one.
-func (r *run) attemptAt(ctx context.Context, host string, a Arrival, q *question) reply {
+// attemptHost sends the request to one host. It first requests an idempotency
+// key if the class uses issued keys and the request has none yet.
+func (r *run) attemptHost(ctx context.Context, host string, a Arrival, q *httpRequest) reply {
 	if a.Class.Key == IssuedKey && q.key == "" {
-		key, got := r.client.issue(ctx, host, a.Caller)
+		key, got := r.client.issueKey(ctx, host, a.Caller)
 		if got.outcome() != answered {
-			return notSent(got)
+			return keyFailure(got)
 		}
 		q.key = key
 	}
-	return r.client.ask(ctx, host, *q)
+	return r.client.do(ctx, host, *q)
 }
 
-// notSent makes of a failure to get a key what it means to the request: no host
-// was reached with it, or it was refused. It has not been sent.
-func notSent(got reply) reply {
-	if got.outcome() == broken {
+// keyFailure converts a failed key request into the reply of the request itself,
+// which has not been sent: it counts as refused, or as unreachable.
+func keyFailure(got reply) reply {
+	if got.outcome() == incomplete {
 		got.status = http.StatusServiceUnavailable
-		got.retryAfter = retryAtOnce
+		got.retryAfter = immediateRetryDelay
 	}
 	got.verdict = notRun
 	return got
 }
 
-// counts asks the stand-ins what they counted, by their addresses.
+// counts reads the counters of all stand-ins that answer, by address.
 func (r *run) counts(ctx context.Context) map[string]hingestandin.Counts {
 	counts := make(map[string]hingestandin.Counts, len(r.Standins))
 	for _, address := range r.Standins {
-		if c, err := r.countsOf(ctx, address); err == nil {
+		if c, err := r.countsAt(ctx, address); err == nil {
 			counts[address] = c
 		}
 	}
 	return counts
 }
 
-func (r *run) countsOf(ctx context.Context, address string) (hingestandin.Counts, error) {
+func (r *run) countsAt(ctx context.Context, address string) (hingestandin.Counts, error) {
 	var c hingestandin.Counts
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -214,7 +216,7 @@
 	if err != nil {
 		return c, err
 	}
-	resp, err := r.client.web.Do(req)
+	resp, err := r.client.httpClient.Do(req)
 	if err != nil {
 		return c, err
 	}
@@ -224,31 +226,31 @@
 	return c, json.NewDecoder(resp.Body).Decode(&c)
 }
 
-// settleEvery is how often the stand-ins are asked whether they still hold something.
-const settleEvery = 200 * time.Millisecond
+// settleInterval is the time between polls of the stand-ins' counters.
+const settleInterval = 200 * time.Millisecond
 
-// settle gives the router time to have dropped what nobody waits for any more,
-// such as what a killed entry host held, and gives the counts at the end.
+// settle waits until the stand-ins have released all allocations, such as those
+// left by a killed entry host, and returns the final counts.
 func (r *run) settle(ctx context.Context, before map[string]hingestandin.Counts) *StandinCounts {
-	ended := time.Now()
+	runEnd := time.Now()
 	for {
 		c := r.difference(before, r.counts(ctx))
-		c.SettledSeconds = time.Since(ended).Seconds()
-		if c.Held == 0 || time.Since(ended) > r.Settle || ctx.Err() != nil {
+		c.SettledSeconds = time.Since(runEnd).Seconds()
+		if c.Held == 0 || time.Since(runEnd) > r.Settle || ctx.Err() != nil {
 			return c
 		}
-		time.Sleep(settleEvery)
+		time.Sleep(settleInterval)
 	}
 }
 
-// difference sums what the stand-ins counted between two looks. One that could
-// not be asked both times is left out, and said so.
+// difference sums the increments of the counters between two readings. A
+// stand-in that is missing in one of them, or restarted, is counted as unread.
 func (r *run) difference(before, after map[string]hingestandin.Counts) *StandinCounts {
 	sum := &StandinCounts{}
 	for _, address := range r.Standins {
-		b, there := before[address]
-		a, still := after[address]
-		if !there || !still || a.Requests < b.Requests {
+		b, hadBefore := before[address]
+		a, hasAfter := after[address]
+		if !hadBefore || !hasAfter || a.Requests < b.Requests {
 			sum.Unread++
 			continue
 		}
--- a/internal/load/hingeload/run_test.go
+++ b/internal/load/hingeload/run_test.go
@@ -33,7 +33,7 @@
 		Link:      "127.0.0.1:0",
 	}
 	settings.DataFolder = t.TempDir()
-	// The load names its customers, as a gateway would.
+	// The load generator sets X-Caller, which is trusted from a gateway only.
 	settings.Callers.Gateway = true
 	settings.Peers = []hingesettings.Peer{
 		{
@@ -111,8 +111,7 @@
 	return running, addresses
 }
 
-// options are a run of three seconds with a burst in the second one. The second
-// address given has no host: callers that meet it go on to the next.
+// options configures a run of three seconds with a burst in the second one.
 func options(hosts, standins []string) hingeload.Options {
 	return hingeload.Options{
 		Hosts:    hosts,
@@ -141,9 +140,9 @@
 	}
 }
 
-// The mix goes through a real entry host to stand-ins while one of the two
-// addresses that callers know leads nowhere. Nothing may be lost, cut short,
-// doubled or crossed, every call runs once, and the report is written.
+// Runs the mix through an entry host while one of the two configured addresses
+// is unreachable. No guarantee may be violated, every call runs at most once,
+// and the report is written.
 func TestRunAgainstAnEntryHost(t *testing.T) {
 	t.Parallel()
 	host := startHost(t)
@@ -171,22 +170,21 @@
 	}
 	total := result.Total()
 	if result.Bad() > 0 || total.Answered == 0 || total.Sent != total.Answered+total.Refused+total.Uncertain {
-		t.Errorf("%d promises broken, %d sent, %d answered", result.Bad(), total.Sent, total.Answered)
+		t.Errorf("%d guarantees violated, %d sent, %d answered", result.Bad(), total.Sent, total.Answered)
 	}
 	calls := 0
 	for _, c := range result.Classes[:2] {
 		calls += c.Sent
 	}
 	if result.Standins.CallRuns > calls {
-		t.Errorf("%d runs of %d calls with keys", result.Standins.CallRuns, calls)
+		t.Errorf("%d runs for %d calls with keys", result.Standins.CallRuns, calls)
 	}
 }
 
-// A service whose connection breaks after it ran, and a caller that sends the
-// same again: without a router between them the call runs twice, and a lot ships
-// twice. The tool must find it, or a run without findings proves nothing. And
-// where no host is, every request must count as lost.
-func TestRunFindsWhatIsBroken(t *testing.T) {
+// The load generator must detect faults. Without a router, a call that is resent
+// after its connection was closed runs twice, and must count as doubled; without
+// any reachable host, every request must count as lost.
+func TestRunDetectsFaults(t *testing.T) {
 	t.Parallel()
 	running, addresses := startStandins(t, "127.0.0.1:1")
 	service := len(running) - 1
@@ -213,12 +211,12 @@
 		t.Fatal(err)
 	}
 	if total := result.Total(); total.Lost != total.Sent || result.Bad() == 0 {
-		t.Errorf("%d of %d lost where no host is", total.Lost, total.Sent)
+		t.Errorf("%d of %d lost without a reachable host", total.Lost, total.Sent)
 	}
 }
 
-// waitUntilServed asks with one request of each class until all are answered:
-// the engines have to be known and their slots lent first.
+// waitUntilServed sends one request of each class until it is answered, which
+// takes until the engines have registered and their slots are delegated.
 func waitUntilServed(t *testing.T, host string) {
 	o := options([]string{host}, nil)
 	for _, c := range o.Mix.Classes {
--- a/internal/load/hingeload/schedule.go
+++ b/internal/load/hingeload/schedule.go
@@ -9,7 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Phase is a stretch of time with a rate of arrivals a second.
+// Phase is a part of the run with a constant rate, in arrivals per second.
 type Phase struct {
 	Lasts time.Duration
 	Rate  float64
@@ -17,7 +17,7 @@
 
 // Arrival is one request of the schedule.
 type Arrival struct {
-	// At is counted from the start of the run.
+	// At is the scheduled time since the start of the run.
 	At     time.Duration
 	Serial int
 	Class  *Class
@@ -27,8 +27,8 @@
 	Output int
 }
 
-// Draw draws the schedule of a run, at most limit arrivals. The same seed gives
-// the same schedule.
+// Draw generates the schedule of a run with at most limit arrivals. It is
+// deterministic for a seed.
 func Draw(seed uint64, m Mix, phases []Phase, limit int) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var list []Arrival
@@ -40,15 +40,15 @@
 			if at >= end || len(list) == limit {
 				break
 			}
-			list = append(list, draw(rng, m, at, len(list)))
+			list = append(list, sampleArrival(rng, m, at, len(list)))
 		}
 		start = end
 	}
 	return list
 }
 
-func draw(rng *rand.Rand, m Mix, at time.Duration, serial int) Arrival {
-	c := pick(rng, m.Classes)
+func sampleArrival(rng *rand.Rand, m Mix, at time.Duration, serial int) Arrival {
+	c := pickClass(rng, m.Classes)
 	own := float64(c.Prompt-c.PrefixTokens) * (0.5 + rng.Float64())
 	return Arrival{
 		At:     at,
@@ -61,7 +61,7 @@
 	}
 }
 
-func pick(rng *rand.Rand, classes []Class) *Class {
+func pickClass(rng *rand.Rand, classes []Class) *Class {
 	total := 0.0
 	for _, c := range classes {
 		total += c.Share
@@ -76,11 +76,11 @@
 	return &classes[len(classes)-1]
 }
 
-// bytesPerToken is how the stand-ins count a prompt's tokens.
+// bytesPerToken is the prompt length that a stand-in counts as one token.
 const bytesPerToken = 4
 
-// Text is the prompt: the prefix that is shared, then text that no other
-// request of the run has, so that an answer tells whose it is.
+// Text returns the prompt: the shared prefix, then text that is unique to the
+// request, so that its answer identifies it.
 func (a Arrival) Text(run string) string {
 	var b strings.Builder
 	fill(&b, fmt.Sprintf("%s prefix %d. ", a.Class.Name, a.Prefix), int(a.Class.PrefixTokens)*bytesPerToken)
