--- a/internal/load/hingeprogram/load.go
+++ b/internal/load/hingeprogram/load.go
@@ -12,15 +12,15 @@
 	"github.com/swifthinge/swifthinge/internal/load/hingereport"
 )
 
-func (p *program) load() *cli.Command {
+func (p *program) loadCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "run",
-		Usage: "run a mix against entry hosts, open loop",
+		Usage: "send the requests of a mix to entry hosts, open loop",
 		UsageText: "swifthinge-load run --host 127.0.1.1:8080 --host 127.0.2.1:8080 " +
 			"--standin 127.0.1.5:9000 --mix shellfish --rate 50 --duration 30s",
-		Description: "Requests are sent by a schedule drawn from the seed, whatever becomes of the ones before.\n" +
-			"Latency counts from a request's time in the schedule. The run ends by itself, at the latest\n" +
-			"when the longest deadline of the mix has passed after the last request.",
+		Description: "Requests are sent on a schedule generated from the seed, independent of earlier answers.\n" +
+			"Latency is measured from the scheduled time. After the last request, the run ends when all\n" +
+			"answers have arrived, or when the longest deadline of the mix has passed.",
 		Flags:        append(loadFlags(), outFlag()),
 		OnUsageError: usageError,
 		Action: func(ctx context.Context, c *cli.Command) error {
@@ -33,12 +33,12 @@
 	return []cli.Flag{
 		&cli.StringSliceFlag{
 			Name:     "host",
-			Usage:    "address for callers of an entry host; give one flag for each host, they are taken in turn",
+			Usage:    "address for callers of an entry host; repeat for each host, they are used in round-robin order",
 			Required: true,
 		},
 		&cli.StringSliceFlag{
 			Name:  "standin",
-			Usage: "address of a stand-in: its counts are read, and the answers' text is judged",
+			Usage: "address of a stand-in: its counters are read, and the text of all answers is verified",
 		},
 		&cli.StringFlag{
 			Name:  "mix",
@@ -47,16 +47,16 @@
 		},
 		&cli.StringFlag{
 			Name:  "model",
-			Usage: "name of the model to ask, if it isn't that of the mix's example",
+			Usage: "model name in requests, if it differs from the one of the mix's example",
 		},
 		&cli.FloatFlag{
 			Name:  "rate",
-			Usage: "requests a second",
+			Usage: "requests per second",
 			Value: 20,
 		},
 		&cli.DurationFlag{
 			Name:  "duration",
-			Usage: "how long requests arrive, at most 1h",
+			Usage: "time during which requests are sent, at most 1h",
 			Value: 30 * time.Second,
 		},
 		&cli.FloatFlag{
@@ -66,11 +66,11 @@
 		},
 		&cli.DurationFlag{
 			Name:  "burst-for",
-			Usage: "how long the burst lasts, within the duration",
+			Usage: "length of the burst, at most the duration",
 		},
 		&cli.FloatFlag{
 			Name:  "scale",
-			Usage: "factor of the length of prompts and answers",
+			Usage: "factor for the length of prompts and answers",
 			Value: 1,
 		},
 		&cli.Uint64Flag{
@@ -80,34 +80,34 @@
 		},
 		&cli.IntFlag{
 			Name:  "attempts",
-			Usage: "most attempts a request gets",
+			Usage: "maximum number of attempts for a request",
 			Value: 5,
 		},
 		&cli.FloatFlag{
 			Name:  "as-told",
-			Usage: "share of the callers that wait for Retry-After; the others are back at once",
+			Usage: "share of the callers that wait for Retry-After; the others retry immediately",
 			Value: 1,
 		},
 		&cli.DurationFlag{
 			Name:  "settle",
-			Usage: "longest wait after the last answer for the stand-ins to hold nothing more",
+			Usage: "maximum wait after the last answer until the stand-ins have released all allocations",
 			Value: 15 * time.Second,
 		},
 		&cli.IntFlag{
 			Name:  "max-requests",
-			Usage: "most requests of the run",
+			Usage: "maximum number of requests of the run",
 			Value: 100000,
 		},
 		&cli.IntFlag{
 			Name:  "max-open",
-			Usage: "most requests open at once; more are not sent and spoil the run",
+			Usage: "maximum number of open requests; further ones are not sent, which invalidates the run",
 			Value: 10000,
 		},
 	}
 }
 
-// longestRun bounds a run's arrivals.
-const longestRun = time.Hour
+// maxDuration bounds the length of the schedule, which is held in memory.
+const maxDuration = time.Hour
 
 func mixOf(c *cli.Command) (hingeload.Mix, error) {
 	var mix hingeload.Mix
@@ -128,17 +128,17 @@
 	return mix.Scaled(c.Float("scale")), nil
 }
 
-// phasesOf puts the burst into the middle of the run.
+// phasesOf returns the phases of the run, with the burst in the middle.
 func phasesOf(c *cli.Command) ([]hingeload.Phase, error) {
-	whole, burst, rate := c.Duration("duration"), c.Duration("burst-for"), c.Float("rate")
-	if whole <= 0 || whole > longestRun || burst < 0 || burst > whole {
-		return nil, eris.Errorf("--duration %v --burst-for %v: want a duration of at most %v, and a burst within it",
-			whole, burst, longestRun)
+	total, burst, rate := c.Duration("duration"), c.Duration("burst-for"), c.Float("rate")
+	if total <= 0 || total > maxDuration || burst < 0 || burst > total {
+		return nil, eris.Errorf("--duration %v --burst-for %v: want a positive duration of at most %v, and a burst no longer than it",
+			total, burst, maxDuration)
 	}
 	if rate <= 0 || c.Float("burst") < 0 {
-		return nil, eris.Errorf("--rate %v --burst %v: want positive numbers", rate, c.Float("burst"))
+		return nil, eris.Errorf("--rate %v --burst %v: want a positive rate and a burst factor of at least 0", rate, c.Float("burst"))
 	}
-	side := (whole - burst) / 2
+	side := (total - burst) / 2
 	return []hingeload.Phase{
 		{
 			Lasts: side,
@@ -193,7 +193,7 @@
 	p.printf("%d sent, %d answered, %d in target, %d refused, %d uncertain, %d lost, %d truncated, %d doubled, %d crossed; report in %s\n",
 		t.Sent, t.Answered, t.InTarget, t.Refused, t.Uncertain, t.Lost, t.Truncated, t.Doubled, t.Crossed, c.String("out"))
 	if bad := result.Bad(); bad > 0 {
-		return eris.Errorf("%d promises were broken", bad)
+		return eris.Errorf("%d guarantees were violated", bad)
 	}
 	return nil
 }
--- a/internal/load/hingeprogram/model.go
+++ b/internal/load/hingeprogram/model.go
@@ -12,10 +12,10 @@
 	"github.com/swifthinge/swifthinge/internal/load/hingereport"
 )
 
-func (p *program) model() *cli.Command {
+func (p *program) modelCommand() *cli.Command {
 	return &cli.Command{
 		Name:  "model",
-		Usage: "compare our decisions with plainer ones on the engine model, without processes",
+		Usage: "compare the router's policy with baseline policies in a simulation of the engines",
 		Flags: []cli.Flag{
 			&cli.StringFlag{
 				Name:  "firm",
@@ -24,12 +24,12 @@
 			},
 			&cli.FloatSliceFlag{
 				Name:  "load",
-				Usage: "load as a multiple of the firm's peak; give one flag for each",
+				Usage: "load as a multiple of the workload's peak rate; repeat for each load",
 				Value: []float64{0.7, 0.9, 1, 1.3, 2},
 			},
 			&cli.IntFlag{
 				Name:  "seeds",
-				Usage: "runs that each figure is the mean of",
+				Usage: "number of runs, with different seeds, over which each result is averaged",
 				Value: 2,
 			},
 			&cli.DurationFlag{
@@ -46,7 +46,7 @@
 	}
 }
 
-func firmOf(name string) (hingemodel.Firm, error) {
+func workloadOf(name string) (hingemodel.Firm, error) {
 	switch name {
 	case "shellfish":
 		return hingemodel.Shellfish(), nil
@@ -58,25 +58,25 @@
 	return hingemodel.Firm{}, eris.Errorf("--firm %q: want shellfish, shellfish-skewed or streaming", name)
 }
 
-// mostLoad bounds a run's arrivals, which all are drawn beforehand.
-const mostLoad = 20
+// maxLoad bounds the arrivals of a run, which are all generated in advance.
+const maxLoad = 20
 
 func (p *program) runModel(ctx context.Context, c *cli.Command) error {
-	firm, err := firmOf(c.String("firm"))
+	workload, err := workloadOf(c.String("firm"))
 	if err != nil {
 		return err
 	}
 	for _, load := range c.FloatSlice("load") {
-		if load <= 0 || load > mostLoad {
-			return eris.Errorf("--load %v: want more than 0 and at most %v", load, mostLoad)
+		if load <= 0 || load > maxLoad {
+			return eris.Errorf("--load %v: want more than 0 and at most %v", load, maxLoad)
 		}
 	}
-	if c.Int("seeds") < 1 || c.Duration("duration") <= 0 || c.Duration("duration") > longestRun {
-		return eris.Errorf("--seeds %d --duration %v: want at least 1, and at most %v",
-			c.Int("seeds"), c.Duration("duration"), longestRun)
+	if c.Int("seeds") < 1 || c.Duration("duration") <= 0 || c.Duration("duration") > maxDuration {
+		return eris.Errorf("--seeds %d --duration %v: want at least 1 seed, and a positive duration of at most %v",
+			c.Int("seeds"), c.Duration("duration"), maxDuration)
 	}
 	points, err := hingecompare.Compare(ctx, hingecompare.Options{
-		Firm:  firm,
+		Firm:  workload,
 		Loads: c.FloatSlice("load"),
 		Seeds: c.Int("seeds"),
 		Lasts: c.Duration("duration"),
@@ -90,7 +90,7 @@
 	if err := hingereport.WriteModel(c.String("out"), hingereport.Header{
 		Command: p.command,
 		Written: p.now(),
-	}, firm.Name, points); err != nil {
+	}, workload.Name, points); err != nil {
 		return err
 	}
 	p.printf("%d points; report in %s\n", len(points), c.String("out"))
--- a/internal/load/hingeprogram/program.go
+++ b/internal/load/hingeprogram/program.go
@@ -1,9 +1,10 @@
-// Package hingeprogram is the swifthinge-load program: one subcommand that
-// sends load to entry hosts, and one that compares decisions on the engine model.
+// Package hingeprogram implements the command line of swifthinge-load: the
+// subcommand run sends load to entry hosts, and model compares placement
+// policies on the engine model.
 //
-// Progress and errors go to standard error, the summary to standard output. The
-// exit status is 1 if anything was lost, cut short, doubled, crossed or run
-// twice under one key, or if the run could not be made.
+// Progress and errors are written to standard error, the summary to standard
+// output. The exit status is 1 if a request was lost, truncated, doubled,
+// crossed or run twice under one key, or if the run failed.
 package hingeprogram
 
 import (
@@ -17,14 +18,15 @@
 	"github.com/urfave/cli/v3"
 )
 
-// program is one run of the program.
+// program is one invocation of swifthinge-load.
 type program struct {
 	out, err io.Writer
 	now      func() time.Time
 	command  string
 }
 
-// Run runs the program and gives its exit status.
+// Run executes the command line args, with the program name first, and returns
+// the exit status. The report is dated by now.
 func Run(ctx context.Context, args []string, out, errors io.Writer, now func() time.Time) int {
 	p := &program{
 		out:     out,
@@ -42,26 +44,26 @@
 func (p *program) root() *cli.Command {
 	return &cli.Command{
 		Name:      "swifthinge-load",
-		Usage:     "sends the firms' work to entry hosts and judges every answer",
+		Usage:     "sends example workloads to entry hosts and verifies every answer",
 		Writer:    p.out,
 		ErrWriter: p.err,
-		// The exit status is the caller's; the library would end the process.
+		// Run returns the exit status; the library's default handler calls os.Exit.
 		ExitErrHandler: func(context.Context, *cli.Command, error) {},
 		OnUsageError:   usageError,
 		Commands: []*cli.Command{
-			p.load(),
-			p.model(),
+			p.loadCommand(),
+			p.modelCommand(),
 		},
 	}
 }
 
-// usageError keeps a wrong argument to one line on standard error; the library
-// would write the whole help to standard output, where scripts read.
+// usageError reports a wrong argument as an error of one line. The library's
+// default writes the help text to standard output, which scripts parse.
 func usageError(_ context.Context, _ *cli.Command, err error, _ bool) error {
 	return err
 }
 
-// printf and progressf write where nothing better can be done with an error.
+// printf writes to standard output. Write errors are ignored, as in progressf.
 func (p *program) printf(format string, args ...any) {
 	_, _ = fmt.Fprintf(p.out, format, args...)
 }
@@ -70,7 +72,7 @@
 	_, _ = fmt.Fprintf(p.err, format, args...)
 }
 
-// outFlag is where the report goes.
+// outFlag returns the flag for the report folder.
 func outFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:  "out",
--- a/internal/load/hingeprogram/program_test.go
+++ b/internal/load/hingeprogram/program_test.go
@@ -13,9 +13,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A script that measures every night trusts the exit status. Arguments that make
-// no sense, and a run in which every request is lost because no host is there,
-// must end with 1 and say why in one line.
+// Scripts rely on the exit status: invalid arguments, and a run that loses every
+// request because no host is reachable, must return 1 with one line on standard error.
 func TestFailuresGiveStatusOne(t *testing.T) {
 	for name, c := range map[string]struct {
 		args []string
@@ -42,7 +41,7 @@
 				"run", "--host", "127.0.0.1:1", "--duration", "100ms", "--rate", "100", "--attempts", "1",
 				"--out", t.TempDir(),
 			},
-			want: "promises were broken",
+			want: "guarantees were violated",
 		},
 	} {
 		var out, errors bytes.Buffer
@@ -54,8 +53,8 @@
 	}
 }
 
-// The report of a comparison is the same for the same seeds, or no two versions
-// of the decisions could be compared by it.
+// The report must be the same for the same seeds, so that the policies of two
+// versions can be compared.
 func TestModelReport(t *testing.T) {
 	var reports []string
 	for range 2 {
