--- a/internal/load/hingereport/model.go
+++ b/internal/load/hingereport/model.go
@@ -10,41 +10,42 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingefigure"
 )
 
-// WriteModel writes the report of a comparison on the engine model.
-func WriteModel(folder string, h Header, firm string, points []hingecompare.Point) error {
+// WriteModel writes the report of a comparison on the engine model into folder,
+// which it creates. Points of one policy must be adjacent.
+func WriteModel(folder string, h Header, workload string, points []hingecompare.Point) error {
 	if err := writeJSON(folder, struct {
 		Header
 		Firm   string               `json:"firm"`
 		Points []hingecompare.Point `json:"points"`
 	}{
 		Header: h,
-		Firm:   firm,
+		Firm:   workload,
 		Points: points,
 	}); err != nil {
 		return err
 	}
 	for _, f := range []hingefigure.Figure{
-		byLoad("goodput.png", "Goodput under both targets, "+firm, "requests/s", points,
+		loadFigure("goodput.png", "Goodput under both targets, "+workload, "requests/s", points,
 			func(p hingecompare.Point) float64 { return p.Goodput }),
-		byLoad("tokenGoodput.png", "Output tokens within both targets, "+firm, "tokens/s", points,
+		loadFigure("tokenGoodput.png", "Output tokens within both targets, "+workload, "tokens/s", points,
 			func(p hingecompare.Point) float64 { return p.TokenGoodput }),
-		byLoad("wasted.png", "Wasted prefill, "+firm, "share of prefill tokens", points,
+		loadFigure("wasted.png", "Wasted prefill, "+workload, "share of prefill tokens", points,
 			func(p hingecompare.Point) float64 { return p.Wasted }),
 	} {
 		if err := f.Write(folder); err != nil {
 			return err
 		}
 	}
-	return writeText(folder, modelText(h, firm, points))
+	return writeText(folder, modelText(h, workload, points))
 }
 
-func byLoad(
+func loadFigure(
 	file, title, y string, points []hingecompare.Point, value func(hingecompare.Point) float64,
 ) hingefigure.Figure {
 	f := hingefigure.Figure{
 		File:  file,
 		Title: title,
-		X:     "load, as a multiple of the peak",
+		X:     "load, as a multiple of the peak rate",
 		Y:     y,
 	}
 	for _, p := range points {
@@ -62,10 +63,10 @@
 	return f
 }
 
-func modelText(h Header, firm string, points []hingecompare.Point) string {
+func modelText(h Header, workload string, points []hingecompare.Point) string {
 	var b strings.Builder
-	b.WriteString(h.text("Decisions on the engine model, " + firm))
-	b.WriteString("Rates are a second, wasted is a share of the prefill tokens, refused and timed out are shares of the requests.\n\n")
+	b.WriteString(h.text("Policies on the engine model, " + workload))
+	b.WriteString("Goodput is per second, wasted is a share of the prefill tokens, refused and timed out are shares of the requests.\n\n")
 	b.WriteString("| policy | load | goodput | token goodput | wasted | refused | timed out |\n|---|---|---|---|---|---|---|\n")
 	for _, p := range points {
 		fmt.Fprintf(&b, "| %s | %.2f | %.1f | %.0f | %.4f | %.3f | %.3f |\n",
--- a/internal/load/hingereport/plots.go
+++ b/internal/load/hingereport/plots.go
@@ -52,7 +52,8 @@
 	return nil
 }
 
-// cumulative gives the distribution of a histogram of microseconds, in ms.
+// cumulative returns the cumulative distribution of a histogram of microseconds,
+// with the values in milliseconds.
 func cumulative(h *hdrhistogram.Histogram) plotter.XYs {
 	var points plotter.XYs
 	sum := int64(0)
--- a/internal/load/hingereport/report.go
+++ b/internal/load/hingereport/report.go
@@ -1,5 +1,5 @@
-// Package hingereport writes what a run measured into a folder: report.json for
-// programs, report.md for people, and plots beside it.
+// Package hingereport writes the results of a run into a folder: report.json,
+// the same results as tables in report.md, and plots as PNG files.
 package hingereport
 
 import (
@@ -17,14 +17,14 @@
 	"github.com/swifthinge/swifthinge/internal/load/hingeload"
 )
 
-// Header says where a report comes from.
+// Header identifies the run that produced a report.
 type Header struct {
-	// Command is the command line that gave the report.
+	// Command is the command line of the run.
 	Command string    `json:"command"`
 	Written time.Time `json:"written"`
 }
 
-// WriteLoad writes the report of a load run.
+// WriteLoad writes the report of a load run into folder, which it creates.
 func WriteLoad(folder string, h Header, r *hingeload.Result) error {
 	if err := writeJSON(folder, struct {
 		Header
@@ -45,17 +45,17 @@
 
 func writeJSON(folder string, body any) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
-		return eris.Wrap(err, "report folder")
+		return eris.Wrap(err, "create report folder")
 	}
 	b, err := json.MarshalIndent(body, "", "  ")
 	if err != nil {
-		return eris.Wrap(err, "report.json")
+		return eris.Wrap(err, "encode report.json")
 	}
-	return eris.Wrap(os.WriteFile(filepath.Join(folder, "report.json"), append(b, '\n'), 0o644), "report.json")
+	return eris.Wrap(os.WriteFile(filepath.Join(folder, "report.json"), append(b, '\n'), 0o644), "write report.json")
 }
 
 func writeText(folder, text string) error {
-	return eris.Wrap(os.WriteFile(filepath.Join(folder, "report.md"), []byte(text), 0o644), "report.md")
+	return eris.Wrap(os.WriteFile(filepath.Join(folder, "report.md"), []byte(text), 0o644), "write report.md")
 }
 
 func (h Header) text(title string) string {
@@ -67,16 +67,16 @@
 	b.WriteString(h.text("Load of the " + r.Mix + " mix"))
 	total := r.Total()
 	fmt.Fprintf(&b, "%d requests to %d entry hosts in %.1f s, seed %d. ", total.Sent, r.Hosts, r.Seconds, r.Seed)
-	fmt.Fprintf(&b, "Goodput under both targets: %.1f a second (%d requests).\n\n",
+	fmt.Fprintf(&b, "Goodput under both targets: %.1f per second (%d requests).\n\n",
 		float64(total.InTarget)/float64(len(r.OfferedPerSecond)), total.InTarget)
-	b.WriteString(verdictText(r))
+	b.WriteString(summaryText(r))
 	b.WriteString("| class | sent | answered | in target | refused | uncertain | lost | truncated | doubled | crossed | attempts | refusals |\n")
 	b.WriteString("|---|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, c := range append(r.Classes, &total) {
 		fmt.Fprintf(&b, "| %s | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d |\n", c.Name, c.Sent, c.Answered,
 			c.InTarget, c.Refused, c.Uncertain, c.Lost, c.Truncated, c.Doubled, c.Crossed, c.Attempts, c.Refusals)
 	}
-	b.WriteString("\nTimes in ms, from a request's arrival in the schedule.\n\n")
+	b.WriteString("\nTimes in ms; time to first token is counted from the scheduled arrival.\n\n")
 	b.WriteString("| class | | count | p50 | p90 | p99 | p99.9 | max |\n|---|---|---|---|---|---|---|---|\n")
 	for _, c := range r.Classes {
 		quantileRow(&b, c.Name, "first token", c.FirstTokenMs)
@@ -88,7 +88,7 @@
 	return b.String()
 }
 
-// caseRows lists what went wrong, and the codes of refusals and errors.
+// caseRows lists the failed requests, and the verdict codes of refusals and errors.
 func caseRows(b *strings.Builder, r *hingeload.Result) {
 	for _, c := range r.Classes {
 		for _, code := range slices.Sorted(maps.Keys(c.Codes)) {
@@ -113,21 +113,22 @@
 		class, what, q.Count, q.P50, q.P90, q.P99, q.P999, q.Max)
 }
 
-// verdictText says what the run can't be taken for.
-func verdictText(r *hingeload.Result) string {
+// summaryText lists violated guarantees, reasons that invalidate the run, and
+// the counters of the stand-ins.
+func summaryText(r *hingeload.Result) string {
 	var b strings.Builder
 	if bad := r.Bad(); bad > 0 {
-		fmt.Fprintf(&b, "**%d promises were broken**: see lost, truncated, doubled and crossed.\n\n", bad)
+		fmt.Fprintf(&b, "**%d guarantees were violated**: see lost, truncated, doubled and crossed.\n\n", bad)
 	}
 	if !r.Judged {
-		b.WriteString("The answers' text was not judged: no stand-ins answered.\n\n")
+		b.WriteString("The text of the answers was not verified, since no stand-ins were given.\n\n")
 	}
 	if r.Unsent > 0 {
-		fmt.Fprintf(&b, "%d requests were never sent: too many were open. This is no measure of the router.\n\n", r.Unsent)
+		fmt.Fprintf(&b, "%d requests were not sent because too many were open. The run doesn't measure the router.\n\n", r.Unsent)
 	}
 	if s := r.Standins; s != nil {
 		fmt.Fprintf(&b, "The stand-ins counted %d prefill tokens, %d of them wasted (%.2f%%), %d more from their prefix caches; "+
-			"%d runs, %d of them calls of plain services; at most %d runs of one key at one of them; %d held %.1f s after the last answer; %d could not be asked.\n\n",
+			"%d runs, %d of them calls of plain services; at most %d runs of one key at one stand-in; %d allocations held %.1f s after the last answer; the counters of %d stand-ins could not be read.\n\n",
 			s.PrefillTokens, s.WastedTokens, 100*s.Wasted(), s.CachedTokens, s.Runs, s.CallRuns, s.MostRunsOfAKey, s.Held, s.SettledSeconds, s.Unread)
 	}
 	return b.String()
