--- a/internal/load/hingecompare/compare.go
+++ b/internal/load/hingecompare/compare.go
@@ -1,9 +1,8 @@
-// Package hingecompare plays the engine model under our decisions and under
-// plainer ones, over a range of loads, so that they can be drawn side by side.
+// Package hingecompare simulates the router's placement policy and baseline
+// policies on the engine model over a range of loads.
 //
-// Every policy meets the same arrivals for the same seed. What is compared is
-// decisions on a model of engines, not processes: swifthinge-load run measures
-// those.
+// For the same seed, all policies get the same arrivals. The simulation covers
+// placement decisions only; hingeload measures running processes.
 package hingecompare
 
 import (
@@ -18,24 +17,26 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingepolicy"
 )
 
-// Options say what to compare.
+// Options configures a comparison.
 type Options struct {
 	Firm hingemodel.Firm
-	// Loads are multiples of the firm's peak rate.
+	// Loads are multiples of the workload's peak rate.
 	Loads []float64
 	Seeds int
-	// Lasts is the simulated time of each run; its first two fifths aren't counted.
+	// Lasts is the simulated time of each run; the first two fifths are warm-up
+	// and aren't measured.
 	Lasts time.Duration
-	// Progress is called before each run, if it is set.
+	// Progress is called before each policy is simulated at a load; nil disables it.
 	Progress func(policy string, load float64)
 }
 
-// Point is the mean over the seeds of one policy at one load.
+// Point is the result of one policy at one load, averaged over the seeds.
 type Point struct {
 	Policy string  `json:"policy"`
 	Load   float64 `json:"load"`
-	// Goodput and TokenGoodput are requests and output tokens within both
-	// targets, a second. Wasted is the share of prefill tokens that was lost.
+	// Goodput and TokenGoodput are requests and output tokens per second within
+	// both targets. Wasted is the share of prefill tokens that were computed but
+	// not used.
 	Goodput      float64 `json:"goodput"`
 	TokenGoodput float64 `json:"tokenGoodput"`
 	Wasted       float64 `json:"wasted"`
@@ -44,85 +45,86 @@
 	TimedOut float64 `json:"timedOut"`
 }
 
-// contender is a way to decide.
-type contender struct {
-	name string
-	make func(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) hingemodel.Policy
+// candidate is a placement policy under comparison.
+type candidate struct {
+	name      string
+	newPolicy func(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) hingemodel.Policy
 }
 
-// contenders are ours with the weights of both firms' examples, and the
-// baselines.
-func contenders() []contender {
-	return []contender{
+// candidates returns the router's policy with the weights of both example
+// workloads, and the baselines.
+func candidates() []candidate {
+	return []candidate{
 		{
 			name: "ours, goodput first",
-			make: ours(hingeplace.Weights{
+			newPolicy: routerPolicy(hingeplace.Weights{
 				Goodput:       1,
 				WastedPrefill: 0.3,
 			}),
 		},
 		{
 			name: "ours, waste first",
-			make: ours(hingeplace.Weights{
+			newPolicy: routerPolicy(hingeplace.Weights{
 				Goodput:       0.4,
 				WastedPrefill: 1,
 			}),
 		},
 		{
-			name: "round robin",
-			make: baseline(hingebaseline.RoundRobin),
+			name:      "round robin",
+			newPolicy: baselinePolicy(hingebaseline.RoundRobin),
 		},
 		{
-			name: "least load",
-			make: baseline(hingebaseline.LeastLoad),
+			name:      "least load",
+			newPolicy: baselinePolicy(hingebaseline.LeastLoad),
 		},
 		{
-			name: "two choices",
-			make: baseline(hingebaseline.TwoChoices),
+			name:      "two choices",
+			newPolicy: baselinePolicy(hingebaseline.TwoChoices),
 		},
 		{
-			name: "prefix affinity",
-			make: baseline(hingebaseline.PrefixAffinity),
+			name:      "prefix affinity",
+			newPolicy: baselinePolicy(hingebaseline.PrefixAffinity),
 		},
 		{
-			name: "affinity, by priority",
-			make: baseline(hingebaseline.PriorityAffinity),
+			name:      "affinity, by priority",
+			newPolicy: baselinePolicy(hingebaseline.PriorityAffinity),
 		},
 	}
 }
 
-func ours(w hingeplace.Weights) func(hingemodel.Firm, hingemodel.Cluster, uint64) hingemodel.Policy {
+func routerPolicy(w hingeplace.Weights) func(hingemodel.Firm, hingemodel.Cluster, uint64) hingemodel.Policy {
 	return func(f hingemodel.Firm, c hingemodel.Cluster, _ uint64) hingemodel.Policy {
 		return hingepolicy.New(f, c, w)
 	}
 }
 
-func baseline(
-	b func(hingemodel.Firm, hingemodel.Cluster, uint64) *hingebaseline.Router,
+func baselinePolicy(
+	newRouter func(hingemodel.Firm, hingemodel.Cluster, uint64) *hingebaseline.Router,
 ) func(hingemodel.Firm, hingemodel.Cluster, uint64) hingemodel.Policy {
 	return func(f hingemodel.Firm, c hingemodel.Cluster, seed uint64) hingemodel.Policy {
-		return b(f, c, seed)
+		return newRouter(f, c, seed)
 	}
 }
 
-// Compare plays all policies at all loads, in order of policy, then load.
+// Compare simulates all policies at all loads. The points are ordered by policy,
+// then load. If ctx is done, it returns the points so far with an error.
 func Compare(ctx context.Context, o Options) ([]Point, error) {
 	var points []Point
-	for _, c := range contenders() {
+	for _, c := range candidates() {
 		for _, load := range o.Loads {
 			if err := ctx.Err(); err != nil {
-				return points, eris.Wrap(err, "comparison")
+				return points, eris.Wrap(err, "comparison stopped")
 			}
 			if o.Progress != nil {
 				o.Progress(c.name, load)
 			}
-			points = append(points, o.play(c, load))
+			points = append(points, o.simulate(c, load))
 		}
 	}
 	return points, nil
 }
 
-func (o Options) play(c contender, load float64) Point {
+func (o Options) simulate(c candidate, load float64) Point {
 	p := Point{
 		Policy: c.name,
 		Load:   load,
@@ -145,7 +147,7 @@
 				},
 			},
 		}
-		r := hingemodel.Play(run, c.make(run.Firm, run.Cluster, run.Seed))
+		r := hingemodel.Play(run, c.newPolicy(run.Firm, run.Cluster, run.Seed))
 		p.Goodput += r.Goodput() / n
 		p.TokenGoodput += r.TokenGoodput() / n
 		p.Wasted += r.Wasted() / n
