--- a/internal/standin/hingestandin/announce.go
+++ b/internal/standin/hingestandin/announce.go
@@ -11,16 +11,17 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Leave announces that the stand-in takes no new work from now on.
+// Leave makes all further announcements say that the server is leaving and
+// accepts no new requests.
 func (s *Server) Leave() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.leaving = true
 }
 
-// announceUntil tells any one entry host that the stand-in is there, and goes
-// on to the next when one doesn't answer.
-func (s *Server) announceUntil(ctx context.Context) {
+// announceLoop sends a heartbeat to one entry host at a time, and fails over to
+// the next host if it isn't accepted.
+func (s *Server) announceLoop(ctx context.Context) {
 	if len(s.options.Announce) == 0 {
 		return
 	}
@@ -38,7 +39,7 @@
 			return
 		}
 		for range s.options.Announce {
-			if post(client, s.options.Announce[host%len(s.options.Announce)], body) {
+			if postAnnouncement(client, s.options.Announce[host%len(s.options.Announce)], body) {
 				break
 			}
 			host++
@@ -51,7 +52,7 @@
 	}
 }
 
-func post(client *fasthttp.Client, address string, body []byte) bool {
+func postAnnouncement(client *fasthttp.Client, address string, body []byte) bool {
 	req := fasthttp.AcquireRequest()
 	resp := fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
@@ -66,9 +67,9 @@
 func (s *Server) announcement(sequence uint64) hingeannounce.Announcement {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	held := hingeids.Bytes(0)
-	for _, e := range s.caches {
-		held += e.bytes
+	cacheBytes := hingeids.Bytes(0)
+	for _, e := range s.exports {
+		cacheBytes += e.bytes
 	}
 	return hingeannounce.Announcement{
 		Server:      s.options.Server,
@@ -84,9 +85,9 @@
 		Leaving:     s.leaving,
 		Load: hingeannounce.Load{
 			Running:      len(s.running),
-			Queued:       s.prefills,
-			QueuedTokens: s.queued,
-			CacheBytes:   held,
+			Queued:       s.queuedPrefills,
+			QueuedTokens: s.queuedTokens,
+			CacheBytes:   cacheBytes,
 			CacheLimit:   hingeids.Bytes(64 << 30),
 		},
 	}
--- a/internal/standin/hingestandin/counts.go
+++ b/internal/standin/hingestandin/counts.go
@@ -2,53 +2,54 @@
 
 import "github.com/swifthinge/swifthinge/internal/core/hingeids"
 
-// Counts is what a stand-in saw.
+// Counts are the counters of a stand-in, served at /standin/counts.
 type Counts struct {
-	// Requests counts all that was asked, Runs what was run.
+	// Requests counts all requests received, Runs those that were executed.
 	Requests int `json:"requests"`
 	Runs     int `json:"runs"`
-	// MostRunsOfAKey is the most runs any one Idempotency-Key had.
+	// MostRunsOfAKey is the maximum number of runs under one Idempotency-Key.
 	MostRunsOfAKey int `json:"mostRunsOfAKey"`
-	// Held is what is held now: generations, exported KV cache and imports.
+	// Held is the current number of generations, imports and KV cache exports.
 	Held int `json:"held"`
-	// Overfull counts requests that came to a decode engine without a free slot.
+	// Overfull counts requests to a decode engine that had no free slot or was
+	// running the same request id.
 	Overfull int `json:"overfull"`
-	// MostHeld is the most generations held at once.
+	// MostHeld is the maximum number of generations held at once.
 	MostHeld int `json:"mostHeld"`
-	// PrefillTokens is the prefill done, of which WastedTokens was never
-	// decoded from.
+	// PrefillTokens counts tokens prefilled, and WastedTokens those of them whose
+	// KV cache was freed without being imported.
 	PrefillTokens hingeids.Tokens `json:"prefillTokens"`
 	WastedTokens  hingeids.Tokens `json:"wastedTokens"`
 	CachedTokens  hingeids.Tokens `json:"cachedTokens"`
 	DecodedTokens hingeids.Tokens `json:"decodedTokens"`
 	Cancelled     int             `json:"cancelled"`
 	Orders        int             `json:"orders"`
-	// OldOrders counts orders that took effect although a newer issuer's had.
+	// OldOrders counts orders executed although their fencing number was old.
 	OldOrders int `json:"oldOrders"`
-	// RefusedOrders counts orders with an old fencing number.
+	// RefusedOrders counts orders refused because their fencing number was old.
 	RefusedOrders int `json:"refusedOrders"`
 }
 
-// Counts gives what the stand-in saw so far.
+// Counts returns a snapshot of the counters.
 func (s *Server) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	c := s.counts
-	c.Held = len(s.running) + len(s.caches)
+	c.Held = len(s.running) + len(s.exports)
 	for _, n := range s.runs {
 		c.MostRunsOfAKey = max(c.MostRunsOfAKey, n)
 	}
 	return c
 }
 
-// RunsOf tells how often a service call with the key was run.
+// RunsOf returns the number of runs of service calls with the idempotency key.
 func (s *Server) RunsOf(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
 }
 
-func (s *Server) count(f func(c *Counts)) {
+func (s *Server) updateCounts(f func(c *Counts)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	f(&s.counts)
--- a/internal/standin/hingestandin/decode.go
+++ b/internal/standin/hingestandin/decode.go
@@ -15,13 +15,13 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// unreadLife is how long a finished generation waits for somebody to read it.
-const unreadLife = 30 * time.Second
+// unreadTimeout is how long a finished generation is kept for a reader.
+const unreadTimeout = 30 * time.Second
 
-// batchDrag is how much a full batch lengthens the time between tokens.
-const batchDrag = 0.5
+// batchSlowdown is the relative increase of the time between tokens in a full batch.
+const batchSlowdown = 0.5
 
-// generation is one request in a decode slot.
+// generation is one request in a decode slot, running or finished but not yet read.
 type generation struct {
 	digest  uint64
 	chat    bool
@@ -29,31 +29,31 @@
 	first   int
 	total   int
 
-	mu       sync.Mutex
-	ready    int
-	ended    bool
-	gone     bool
-	progress chan struct{}
-	cancel   chan struct{}
+	mu        sync.Mutex
+	ready     int
+	finished  bool
+	cancelled bool
+	progress  chan struct{}
+	cancel    chan struct{}
 }
 
-// advance makes one more token ready, or ends the generation.
+// advance makes one more token ready and reports whether any remain.
 func (g *generation) advance() (more bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.ready < g.total {
 		g.ready++
 	}
-	g.ended = g.ready == g.total
+	g.finished = g.ready == g.total
 	close(g.progress)
 	g.progress = make(chan struct{})
-	return !g.ended
+	return !g.finished
 }
 
-func (g *generation) state() (ready int, ended, gone bool, progress <-chan struct{}) {
+func (g *generation) state() (ready int, finished, cancelled bool, progress <-chan struct{}) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.ready, g.ended, g.gone, g.progress
+	return g.ready, g.finished, g.cancelled, g.progress
 }
 
 func (s *Server) handleCompletion(ctx *fasthttp.RequestCtx) {
@@ -62,15 +62,15 @@
 		replyError(ctx, fasthttp.StatusBadRequest, "malformed", false)
 		return
 	}
-	s.count(func(c *Counts) {
+	s.updateCounts(func(c *Counts) {
 		c.Requests++
 	})
-	if s.faults.take(Refuse) {
+	if s.faults.consume(Refuse) {
 		replyError(ctx, fasthttp.StatusServiceUnavailable, "refused", false)
 		return
 	}
-	if s.faults.take(Late) {
-		time.Sleep(lateBy)
+	if s.faults.consume(Late) {
+		time.Sleep(lateDelay)
 	}
 	if r.Transfer != nil && r.Transfer.DoRemoteDecode {
 		s.prefill(ctx, r)
@@ -79,8 +79,8 @@
 	s.decode(ctx, r)
 }
 
-// decode takes a slot, brings the KV cache here, and streams. The slot counts
-// as held from the start, since the memory of a half-finished import is held.
+// decode acquires a slot, imports the KV cache and streams the answer. The slot
+// is held during the import, since a partial import occupies memory too.
 func (s *Server) decode(ctx *fasthttp.RequestCtx, r completionRequest) {
 	g := &generation{
 		digest:   xxhash.Sum64String(r.text()),
@@ -92,29 +92,29 @@
 		progress: make(chan struct{}),
 		cancel:   make(chan struct{}),
 	}
-	if !s.takeSlot(r.RequestID, g) {
+	if !s.acquireSlot(r.RequestID, g) {
 		replyError(ctx, fasthttp.StatusServiceUnavailable, "noSlot", false)
 		return
 	}
-	if !s.bringCache(r) {
-		s.drop(r.RequestID, g)
+	if !s.importCache(r) {
+		s.releaseSlot(r.RequestID, g)
 		replyError(ctx, fasthttp.StatusConflict, "kvCacheGone", false)
 		return
 	}
-	s.count(func(c *Counts) {
+	s.updateCounts(func(c *Counts) {
 		c.Runs++
 	})
-	if s.poisoned(r.text()) {
+	if s.crashIfPoisoned(r.text()) {
 		return
 	}
 	go s.generate(r.RequestID, g)
 	s.stream(ctx, r.RequestID, g, r.ResumeFrom)
 }
 
-func (s *Server) takeSlot(id string, g *generation) bool {
+func (s *Server) acquireSlot(id string, g *generation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, twice := s.running[id]; twice || len(s.running) >= int(s.options.Slots) {
+	if _, duplicate := s.running[id]; duplicate || len(s.running) >= int(s.options.Slots) {
 		s.counts.Overfull++
 		return false
 	}
@@ -123,12 +123,13 @@
 	return true
 }
 
-// bringCache imports KV cache from a prefill engine, or prefills here.
-func (s *Server) bringCache(r completionRequest) bool {
+// importCache fetches the KV cache from the prefill engine, or prefills the
+// prompt locally if the request names no remote prefill.
+func (s *Server) importCache(r completionRequest) bool {
 	if r.Transfer == nil || !r.Transfer.DoRemotePrefill {
 		s.mu.Lock()
 		prompt := r.text()
-		missing := CountTokens(prompt) - s.prefixes.use(prompt)
+		missing := CountTokens(prompt) - s.prefixes.lookupAndAdd(prompt)
 		s.counts.PrefillTokens += missing
 		s.mu.Unlock()
 		time.Sleep(time.Duration(missing) * s.options.PrefillPerToken)
@@ -149,27 +150,27 @@
 func (s *Server) generate(id string, g *generation) {
 	for {
 		s.mu.Lock()
-		fill := float64(len(s.running)) / float64(s.options.Slots)
+		occupancy := float64(len(s.running)) / float64(s.options.Slots)
 		s.counts.DecodedTokens++
 		s.mu.Unlock()
-		gap := time.Duration(float64(s.options.TokenGap) * (1 + batchDrag*fill))
+		tokenGap := time.Duration(float64(s.options.TokenGap) * (1 + batchSlowdown*occupancy))
 		select {
 		case <-g.cancel:
 			return
 		case <-s.done:
 			return
-		case <-time.After(gap):
+		case <-time.After(tokenGap):
 		}
 		if !g.advance() {
 			break
 		}
 	}
-	time.AfterFunc(unreadLife, func() {
-		s.drop(id, g)
+	time.AfterFunc(unreadTimeout, func() {
+		s.releaseSlot(id, g)
 	})
 }
 
-func (s *Server) drop(id string, g *generation) bool {
+func (s *Server) releaseSlot(id string, g *generation) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.running[id] != g {
@@ -179,29 +180,30 @@
 	return true
 }
 
-// cancel ends whatever is held for the request.
+// cancel stops the generation of the request and frees its exports. It reports
+// whether there were any.
 func (s *Server) cancel(id string) bool {
 	s.mu.Lock()
 	g := s.running[id]
 	var blocks []string
-	for block, e := range s.caches {
+	for block, e := range s.exports {
 		if e.requestID == id {
 			blocks = append(blocks, block)
 		}
 	}
 	s.mu.Unlock()
 	for _, block := range blocks {
-		s.dropExport(block, true)
+		s.freeExport(block, true)
 	}
-	if g == nil || !s.drop(id, g) {
+	if g == nil || !s.releaseSlot(id, g) {
 		return len(blocks) > 0
 	}
-	s.count(func(c *Counts) {
+	s.updateCounts(func(c *Counts) {
 		c.Cancelled++
 	})
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.gone = true
+	g.cancelled = true
 	close(g.cancel)
 	close(g.progress)
 	g.progress = make(chan struct{})
@@ -220,7 +222,7 @@
 	}
 }
 
-// handleResume streams a generation that is still held, from a token index.
+// handleResume streams a generation that is still held, from the given token index.
 func (s *Server) handleResume(ctx *fasthttp.RequestCtx) {
 	var r completionRequest
 	if err := json.Unmarshal(ctx.PostBody(), &r); err != nil {
@@ -240,7 +242,7 @@
 func (s *Server) stream(ctx *fasthttp.RequestCtx, id string, g *generation, from int) {
 	echo := id
 	digest := g.digest
-	if s.kind() != hingeannounce.Service && s.faults.take(Foreign) {
+	if s.kind() != hingeannounce.Service && s.faults.consume(Foreign) {
 		echo = "another-request.1.1"
 		digest++
 	}
@@ -254,20 +256,20 @@
 		digest:     digest,
 		generation: g,
 		next:       from,
-		stallAt:    at(s.faults.take(Stall), half),
-		cutAt:      at(s.faults.take(CutStream), half),
-		endAt:      at(s.faults.take(NoEndMark), half),
+		stallAt:    indexIf(s.faults.consume(Stall), half),
+		cutAt:      indexIf(s.faults.consume(CutStream), half),
+		endAt:      indexIf(s.faults.consume(NoEndMark), half),
 	}, -1)
 }
 
-func at(there bool, index int) int {
-	if there {
+func indexIf(set bool, index int) int {
+	if set {
 		return index
 	}
 	return -1
 }
 
-// tokenStream gives the server-sent events of a generation as a body.
+// tokenStream is a response body with the server-sent events of a generation.
 type tokenStream struct {
 	server     *Server
 	id         string
@@ -279,14 +281,14 @@
 	cutAt      int
 	endAt      int
 	buffer     []byte
-	ended      bool
+	finished   bool
 }
 
-var errCut = errors.New("stream cut by a fault")
+var errStreamCut = errors.New("stream closed by an injected fault")
 
 func (t *tokenStream) Read(p []byte) (int, error) {
 	if len(t.buffer) == 0 {
-		if t.ended {
+		if t.finished {
 			return 0, io.EOF
 		}
 		if err := t.fill(); err != nil {
@@ -298,37 +300,37 @@
 	return n, nil
 }
 
-// fill waits for the next token, or writes the end mark.
+// fill waits for the next token and appends its event, or the end mark, to the buffer.
 func (t *tokenStream) fill() error {
 	t.buffer = t.buffer[:0]
 	switch t.next {
 	case t.stallAt:
 		<-t.server.done
-		return errCut
+		return errStreamCut
 	case t.cutAt:
-		return errCut
+		return errStreamCut
 	case t.endAt:
 		return io.EOF
 	}
 	for {
-		ready, ended, gone, progress := t.generation.state()
+		ready, finished, cancelled, progress := t.generation.state()
 		switch {
-		case gone:
-			return eris.New("cancelled")
+		case cancelled:
+			return eris.New("generation was cancelled")
 		case t.next < ready:
 			t.buffer = appendEvent(t.buffer, t.echo, t.next, t.digest, t.generation.chat)
 			t.next++
 			return nil
-		case ended:
+		case finished:
 			t.buffer = append(t.buffer, "data: [DONE]\n\n"...)
-			t.ended = true
-			t.server.drop(t.id, t.generation)
+			t.finished = true
+			t.server.releaseSlot(t.id, t.generation)
 			return nil
 		}
 		select {
 		case <-progress:
 		case <-t.server.done:
-			return errCut
+			return errStreamCut
 		}
 	}
 }
--- a/internal/standin/hingestandin/faults.go
+++ b/internal/standin/hingestandin/faults.go
@@ -6,62 +6,64 @@
 	"time"
 )
 
-// Fault names a fault that can be set on command.
+// Fault is the name of a fault that can be injected.
 type Fault string
 
-// The faults. Each is used up by one request, but for Silent, which strikes
-// the connections that are open when it is set.
+// The faults. Each applies to one request per count, except Silent, which
+// applies to all connections that are open when it is set.
 const (
-	// Stall stops a stream halfway, with its connection open.
+	// Stall stops a stream halfway, or withholds the answer of a service call,
+	// with the connection open.
 	Stall Fault = "stall"
-	// Silent makes all open connections silent for good; new ones work.
+	// Silent drops all further data on the open connections; new ones work.
 	Silent Fault = "silent"
-	// Late answers two seconds late.
+	// Late delays the answer by two seconds.
 	Late Fault = "late"
 	// Foreign answers with another request's id and text.
 	Foreign Fault = "foreign"
-	// CloseBefore runs the request and closes the connection before it answers.
+	// CloseBefore runs a service call and closes the connection without an answer.
 	CloseBefore Fault = "closeBefore"
 	// CutStream closes the connection in the middle of a stream, without an end mark.
 	CutStream Fault = "cutStream"
-	// NoEndMark ends a stream properly but short, without its end mark.
+	// NoEndMark ends the HTTP response halfway through a stream, without an end mark.
 	NoEndMark Fault = "noEndMark"
 	// Refuse refuses a request before it runs.
 	Refuse Fault = "refuse"
-	// LoseCache evicts KV cache the moment it is made.
+	// LoseCache evicts the exported KV cache immediately.
 	LoseCache Fault = "loseCache"
 )
 
-// lateBy is how late a Late answer comes.
-const lateBy = 2 * time.Second
+// lateDelay is the delay of the fault Late.
+const lateDelay = 2 * time.Second
 
 type faults struct {
-	silences atomic.Int64
-	mu       sync.Mutex
-	waiting  map[Fault]int
+	silenceCount atomic.Int64
+	mu           sync.Mutex
+	remaining    map[Fault]int
 }
 
-// SetFault sets a fault for the next count requests it applies to.
+// SetFault injects a fault into the next count requests to which it applies.
+// It replaces an earlier count of the same fault.
 func (s *Server) SetFault(f Fault, count int) {
 	if f == Silent {
-		s.faults.silences.Add(1)
+		s.faults.silenceCount.Add(1)
 		return
 	}
 	s.faults.mu.Lock()
 	defer s.faults.mu.Unlock()
-	if s.faults.waiting == nil {
-		s.faults.waiting = make(map[Fault]int)
+	if s.faults.remaining == nil {
+		s.faults.remaining = make(map[Fault]int)
 	}
-	s.faults.waiting[f] = count
+	s.faults.remaining[f] = count
 }
 
-// take uses up one of a fault, if there is one.
-func (f *faults) take(name Fault) bool {
+// consume reports whether the fault is set, and decrements its count.
+func (f *faults) consume(name Fault) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.waiting[name] == 0 {
+	if f.remaining[name] == 0 {
 		return false
 	}
-	f.waiting[name]--
+	f.remaining[name]--
 	return true
 }
--- a/internal/standin/hingestandin/orders.go
+++ b/internal/standin/hingestandin/orders.go
@@ -10,7 +10,7 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// order is the body of an order.
+// order is the body of a controller's order.
 type order struct {
 	Fence   hingeids.Fence     `json:"fence"`
 	Kind    string             `json:"kind"`
@@ -20,16 +20,17 @@
 	Role    hingeannounce.Kind `json:"role"`
 }
 
-// shape is what orders have made of an engine.
-type shape struct {
+// engineState is the part of an engine's state that orders change.
+type engineState struct {
 	version  string
 	adapters []string
 	loading  bool
 	fence    hingeids.Fence
 }
 
-// loadTime is how long a load takes; the order is answered at once.
-const loadTime = 100 * time.Millisecond
+// loadDuration is the time to load a model or an adapter. The order is answered
+// before the load is complete.
+const loadDuration = 100 * time.Millisecond
 
 func (s *Server) kind() hingeannounce.Kind {
 	s.mu.Lock()
@@ -37,8 +38,8 @@
 	return s.options.Kind
 }
 
-// handleOrder carries out an order. An engine that checks refuses one with an
-// old fencing number; one that doesn't counts that it took one.
+// handleOrder executes an order. An old fencing number is refused if the engine
+// checks it, else the order is executed and counted in OldOrders.
 func (s *Server) handleOrder(ctx *fasthttp.RequestCtx) {
 	var o order
 	if err := json.Unmarshal(ctx.PostBody(), &o); err != nil {
@@ -48,7 +49,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.counts.Orders++
-	if o.Fence < s.shape.fence {
+	if o.Fence < s.engineState.fence {
 		if s.options.ChecksFence {
 			s.counts.RefusedOrders++
 			replyError(ctx, fasthttp.StatusConflict, "oldFence", false)
@@ -56,15 +57,15 @@
 		}
 		s.counts.OldOrders++
 	}
-	s.shape.fence = max(s.shape.fence, o.Fence)
+	s.engineState.fence = max(s.engineState.fence, o.Fence)
 	switch o.Kind {
 	case "loadModel":
-		s.load(func() {
-			s.options.Model, s.shape.version = o.Model, o.Version
+		s.startLoad(func() {
+			s.options.Model, s.engineState.version = o.Model, o.Version
 		})
 	case "loadAdapter":
-		s.load(func() {
-			s.shape.adapters = append(s.shape.adapters, o.Adapter)
+		s.startLoad(func() {
+			s.engineState.adapters = append(s.engineState.adapters, o.Adapter)
 		})
 	case "changeRole":
 		s.options.Kind = o.Role
@@ -75,13 +76,13 @@
 	reply(ctx, fasthttp.StatusOK, o)
 }
 
-func (s *Server) load(then func()) {
-	s.shape.loading = true
-	time.AfterFunc(loadTime, func() {
+func (s *Server) startLoad(apply func()) {
+	s.engineState.loading = true
+	time.AfterFunc(loadDuration, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.shape.loading = false
-		then()
+		s.engineState.loading = false
+		apply()
 	})
 }
 
@@ -96,9 +97,9 @@
 		Loading  bool               `json:"loading"`
 	}{
 		Model:    s.options.Model,
-		Version:  s.shape.version,
-		Adapters: s.shape.adapters,
+		Version:  s.engineState.version,
+		Adapters: s.engineState.adapters,
 		Role:     s.options.Kind,
-		Loading:  s.shape.loading,
+		Loading:  s.engineState.loading,
 	})
 }
--- a/internal/standin/hingestandin/prefill.go
+++ b/internal/standin/hingestandin/prefill.go
@@ -9,32 +9,32 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// export is KV cache that waits to be imported by a decode engine.
+// export is KV cache held until a decode engine imports it.
 type export struct {
 	requestID string
 	tokens    hingeids.Tokens
 	bytes     hingeids.Bytes
-	made      time.Time
+	createdAt time.Time
 	evict     *time.Timer
 }
 
-// prefill works the prompt in its turn, and exports its KV cache.
+// prefill waits in the queue, prefills the prompt and exports its KV cache.
 func (s *Server) prefill(ctx *fasthttp.RequestCtx, r completionRequest) {
 	prompt := r.text()
 	tokens := CountTokens(prompt)
 	s.mu.Lock()
-	s.prefills++
-	s.queued += tokens
+	s.queuedPrefills++
+	s.queuedTokens += tokens
 	s.mu.Unlock()
-	s.prefillQ <- struct{}{}
+	s.prefillSlot <- struct{}{}
 	s.mu.Lock()
-	cached := s.prefixes.use(prompt)
+	cached := s.prefixes.lookupAndAdd(prompt)
 	s.counts.Runs++
 	s.mu.Unlock()
 	time.Sleep(time.Duration(tokens-cached) * s.options.PrefillPerToken)
-	<-s.prefillQ
+	<-s.prefillSlot
 	id := s.addExport(r.RequestID, tokens, cached)
-	reply(ctx, fasthttp.StatusOK, prefillAnswer{
+	reply(ctx, fasthttp.StatusOK, prefillResponse{
 		ID: r.RequestID,
 		Transfer: transferParams{
 			DoRemotePrefill: true,
@@ -48,8 +48,8 @@
 	})
 }
 
-// prefillAnswer is the body of a prefill's answer.
-type prefillAnswer struct {
+// prefillResponse is the response body of a prefill.
+type prefillResponse struct {
 	ID       string         `json:"id"`
 	Transfer transferParams `json:"kv_transfer_params"`
 	Usage    usage          `json:"usage"`
@@ -63,57 +63,58 @@
 func (s *Server) addExport(requestID string, tokens, cached hingeids.Tokens) string {
 	now := time.Now()
 	id := requestID + "/" + strconv.FormatInt(now.UnixNano(), 36)
-	life := s.options.CacheLife
-	if s.faults.take(LoseCache) {
-		life = 0
+	lifetime := s.options.CacheLife
+	if s.faults.consume(LoseCache) {
+		lifetime = 0
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.prefills--
-	s.queued -= tokens
+	s.queuedPrefills--
+	s.queuedTokens -= tokens
 	s.counts.PrefillTokens += tokens - cached
 	s.counts.CachedTokens += cached
-	s.caches[id] = &export{
+	s.exports[id] = &export{
 		requestID: requestID,
 		tokens:    tokens - cached,
 		bytes:     hingeids.Bytes(tokens) * s.options.CacheBytesPerToken,
-		made:      now,
-		evict: time.AfterFunc(life, func() {
-			s.dropExport(id, true)
+		createdAt: now,
+		evict: time.AfterFunc(lifetime, func() {
+			s.freeExport(id, true)
 		}),
 	}
 	return id
 }
 
-// dropExport frees exported KV cache; wasted says that nobody decoded from it.
-func (s *Server) dropExport(id string, wasted bool) bool {
+// freeExport frees exported KV cache, and counts its tokens as wasted if it was
+// not imported. It reports whether the export still existed.
+func (s *Server) freeExport(id string, wasted bool) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	e, ok := s.caches[id]
+	e, ok := s.exports[id]
 	if !ok {
 		return false
 	}
 	e.evict.Stop()
-	delete(s.caches, id)
+	delete(s.exports, id)
 	if wasted {
 		s.counts.WastedTokens += e.tokens
 	}
 	return true
 }
 
-// handleExport gives a decode engine the KV cache, after the time that the
-// link takes, and frees it.
+// handleExport serves the import of KV cache by a decode engine: it waits for the
+// transfer time and frees the export.
 func (s *Server) handleExport(ctx *fasthttp.RequestCtx) {
 	id := string(ctx.QueryArgs().Peek("block"))
 	s.mu.Lock()
-	e, ok := s.caches[id]
+	e, ok := s.exports[id]
 	s.mu.Unlock()
 	if !ok {
 		replyError(ctx, fasthttp.StatusNotFound, "kvCacheGone", false)
 		return
 	}
 	time.Sleep(time.Duration(float64(e.bytes) / float64(s.options.LinkRate) * float64(time.Second)))
-	if !s.dropExport(id, false) {
+	if !s.freeExport(id, false) {
 		replyError(ctx, fasthttp.StatusNotFound, "kvCacheGone", false)
 		return
 	}
--- a/internal/standin/hingestandin/service.go
+++ b/internal/standin/hingestandin/service.go
@@ -8,14 +8,14 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// handleService runs a call of a plain service: it counts the run under the
-// call's Idempotency-Key and answers with what it was sent.
+// handleService runs a call of a plain service. It counts the run under the
+// call's Idempotency-Key and echoes the path and the body.
 func (s *Server) handleService(ctx *fasthttp.RequestCtx) {
 	key := string(ctx.Request.Header.Peek("Idempotency-Key"))
-	s.count(func(c *Counts) {
+	s.updateCounts(func(c *Counts) {
 		c.Requests++
 	})
-	if s.faults.take(Refuse) {
+	if s.faults.consume(Refuse) {
 		replyError(ctx, fasthttp.StatusServiceUnavailable, "refused", false)
 		return
 	}
@@ -28,14 +28,14 @@
 	}
 	s.mu.Unlock()
 	switch {
-	case s.poisoned(string(ctx.Path())):
+	case s.crashIfPoisoned(string(ctx.Path())):
 		return
-	case s.faults.take(CloseBefore):
+	case s.faults.consume(CloseBefore):
 		_ = ctx.Conn().Close()
 		return
-	case s.faults.take(Late):
-		time.Sleep(lateBy)
-	case s.faults.take(Stall):
+	case s.faults.consume(Late):
+		time.Sleep(lateDelay)
+	case s.faults.consume(Stall):
 		<-s.done
 		return
 	}
@@ -50,7 +50,7 @@
 		Echo:   string(ctx.PostBody()),
 		Runs:   runs,
 	})
-	if s.faults.take(Foreign) {
+	if s.faults.consume(Foreign) {
 		ctx.Response.Header.Set("X-Request-Id", "another-request.1.1")
 	}
 }
--- a/internal/standin/hingestandin/standin.go
+++ b/internal/standin/hingestandin/standin.go
@@ -1,20 +1,20 @@
-// Package hingestandin is a small stand-in for the backend servers of the
-// brief: model engines for prefill and decode, and replicas of plain services.
-// Tests, the demo and the load tool judge the router by what the stand-in
-// counted, never by the router's own word.
+// Package hingestandin simulates backend servers: model engines for prefill and
+// decode, and replicas of plain services. Tests, the demo and the load generator
+// verify the router against the counters of the stand-in, which don't depend on
+// what the router reports.
 //
-//  1. A decode engine holds a fixed number of requests. A request lives apart
-//     from its connection: it runs on when the connection breaks, until it is
-//     finished and read, cancelled, or the engine dies. What is held is counted.
-//  2. A prefill engine works its queue one by one, caches prompt prefixes, and
-//     exports KV cache that is evicted after a short time.
-//  3. A decode engine imports KV cache over a link of limited rate. One that is
-//     gone is refused before anything runs.
-//  4. Each answer is a function of the prompt, so that a reader can tell a
-//     whole answer, and its own, from any other.
-//  5. Faults are set on command and counted down.
+//  1. A decode engine has a fixed number of slots. A request doesn't depend on
+//     its connection: it keeps running when the connection breaks, until it is
+//     finished and read, cancelled, or the engine stops. Held slots are counted.
+//  2. A prefill engine processes its queue sequentially, caches prompt prefixes,
+//     and exports KV cache, which it evicts after a short time.
+//  3. A decode engine imports KV cache over a link of limited rate. If the KV
+//     cache has been evicted, the request is refused before it runs.
+//  4. The answer is a function of the prompt, so that a truncated answer or the
+//     answer to another request can be detected.
+//  5. Faults are injected by an HTTP call and apply to a given number of requests.
 //
-// The HTTP bodies follow the published habits of today's engines (completion
+// The HTTP bodies follow the conventions of common inference engines (completion
 // routes, server-sent events, kv_transfer_params), so their names are in snake
 // case; docs/INTERFACES.md lists them.
 package hingestandin
@@ -34,35 +34,37 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// Options say what a stand-in is and how fast.
+// Options configures a stand-in. Zero values are replaced by Defaults.
 type Options struct {
 	Server  hingeids.ServerID
 	Kind    hingeannounce.Kind
 	Zone    hingeids.Zone
 	Model   hingeids.Model
 	Service hingeids.Service
-	// Listen is the IP number and port to take requests at.
+	// Listen is the IP address and port to listen on; port 0 selects a free one.
 	Listen string
-	// Announce are the entry hosts' addresses for servers; one is used at a time.
+	// Announce are the addresses of the entry hosts' server endpoints. Heartbeats
+	// go to one of them at a time; without any, none are sent.
 	Announce []string
 	Slots    hingeids.Slots
-	// TokenGap is the time between tokens with an empty batch.
+	// TokenGap is the time between tokens in an empty batch.
 	TokenGap time.Duration
-	// PrefillPerToken is the time to prefill one token that is not cached.
+	// PrefillPerToken is the time to prefill one token that isn't cached.
 	PrefillPerToken time.Duration
-	// CacheLife is how long exported KV cache is kept.
+	// CacheLife is the time until exported KV cache is evicted.
 	CacheLife time.Duration
-	// CacheBytesPerToken and LinkRate give the time of a transfer.
+	// CacheBytesPerToken and LinkRate determine the time of a KV cache transfer.
 	CacheBytesPerToken hingeids.Bytes
 	LinkRate           hingeids.BytesPerSecond
 	ChecksFence        bool
-	// Heartbeat is the time between announcements; a report is that old when it arrives.
+	// Heartbeat is the time between announcements.
 	Heartbeat time.Duration
-	// Poison is a text that ends the stand-in as soon as it runs a request that has it; empty for none.
+	// Poison crashes the stand-in when it runs a request that contains this text;
+	// empty disables it.
 	Poison string
 }
 
-// Defaults fills in what was left zero.
+// Defaults returns the options with default values in place of zero ones.
 func (o Options) Defaults() Options {
 	setDefault(&o.Slots, 20)
 	setDefault(&o.TokenGap, 10*time.Millisecond)
@@ -74,10 +76,10 @@
 	return o
 }
 
-func setDefault[T comparable](v *T, to T) {
+func setDefault[T comparable](v *T, value T) {
 	var zero T
 	if *v == zero {
-		*v = to
+		*v = value
 	}
 }
 
@@ -88,30 +90,30 @@
 	listener    net.Listener
 	faults      faults
 	done        chan struct{}
-	// ended closes when a request has ended the stand-in.
-	ended    chan struct{}
-	endsOnce sync.Once
+	// crashed is closed when a poison request has crashed the stand-in.
+	crashed   chan struct{}
+	crashOnce sync.Once
 
-	mu       sync.Mutex
-	counts   Counts
-	running  map[string]*generation
-	caches   map[string]*export
-	prefixes *prefixCache
-	prefills int
-	queued   hingeids.Tokens
-	runs     map[string]int
-	shape    shape
-	leaving  bool
-	conns    map[net.Conn]struct{}
-	prefillQ chan struct{}
+	mu             sync.Mutex
+	counts         Counts
+	running        map[string]*generation
+	exports        map[string]*export
+	prefixes       *prefixCache
+	queuedPrefills int
+	queuedTokens   hingeids.Tokens
+	runs           map[string]int
+	engineState    engineState
+	leaving        bool
+	conns          map[net.Conn]struct{}
+	prefillSlot    chan struct{}
 }
 
-// New makes a stand-in and takes its listening address.
+// New creates a stand-in and opens its listener. now becomes its incarnation.
 func New(o Options, now time.Time) (*Server, error) {
 	o = o.Defaults()
 	l, err := net.Listen("tcp", o.Listen)
 	if err != nil {
-		return nil, eris.Wrap(err, "stand-in")
+		return nil, eris.Wrap(err, "open stand-in listener")
 	}
 	o.Listen = l.Addr().String()
 	return &Server{
@@ -119,33 +121,34 @@
 		incarnation: hingeids.Incarnation(now.UnixNano()),
 		listener:    l,
 		done:        make(chan struct{}),
-		ended:       make(chan struct{}),
+		crashed:     make(chan struct{}),
 		running:     make(map[string]*generation),
-		caches:      make(map[string]*export),
+		exports:     make(map[string]*export),
 		prefixes:    newPrefixCache(),
 		runs:        make(map[string]int),
 		conns:       make(map[net.Conn]struct{}),
-		prefillQ:    make(chan struct{}, 1),
+		prefillSlot: make(chan struct{}, 1),
 	}, nil
 }
 
-// Address is where the stand-in takes requests.
+// Address returns the listening address, with the port that was selected.
 func (s *Server) Address() string {
 	return s.options.Listen
 }
 
-// Incarnation is the life the stand-in announces.
+// Incarnation returns the incarnation that the stand-in announces.
 func (s *Server) Incarnation() hingeids.Incarnation {
 	return s.incarnation
 }
 
-// Done closes when the stand-in has ended.
+// Done returns a channel that is closed when Run returns.
 func (s *Server) Done() <-chan struct{} {
 	return s.done
 }
 
-// Run serves and announces until the context ends. It ends as a killed process
-// does: connections break at once.
+// Run serves requests and sends announcements until the context is done or a
+// poison request crashes the stand-in. It closes all connections without
+// draining them, as a killed process does. It must be called once.
 func (s *Server) Run(ctx context.Context) error {
 	defer close(s.done)
 	web := &fasthttp.Server{
@@ -153,13 +156,13 @@
 		NoDefaultServerHeader: true,
 		ReadBufferSize:        16 << 10,
 		MaxRequestBodySize:    64 << 20,
-		Logger:                quiet{},
+		Logger:                discardLogger{},
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	go func() {
 		select {
-		case <-s.ended:
+		case <-s.crashed:
 			stop()
 		case <-ctx.Done():
 		}
@@ -172,45 +175,46 @@
 		})
 	})
 	g.Go(func() error {
-		s.announceUntil(ctx)
+		s.announceLoop(ctx)
 		return nil
 	})
 	g.Go(func() error {
 		<-ctx.Done()
 		_ = s.listener.Close()
-		s.breakConnections()
+		s.closeConnections()
 		s.cancelAll()
 		return nil
 	})
 	if err := g.Wait(); err != nil && ctx.Err() == nil {
-		return eris.Wrap(err, "stand-in")
+		return eris.Wrap(err, "serve stand-in")
 	}
 	return nil
 }
 
-// poisoned ends the stand-in if it has a request in hand that does.
-func (s *Server) poisoned(request string) bool {
+// crashIfPoisoned crashes the stand-in if the request contains the poison text,
+// and reports whether it did, after Run has stopped.
+func (s *Server) crashIfPoisoned(request string) bool {
 	if s.options.Poison == "" || !strings.Contains(request, s.options.Poison) {
 		return false
 	}
-	s.endsOnce.Do(func() {
-		close(s.ended)
+	s.crashOnce.Do(func() {
+		close(s.crashed)
 	})
 	<-s.done
 	return true
 }
 
-// Ended closes when a request has ended the stand-in.
+// Ended returns a channel that is closed when a poison request crashes the stand-in.
 func (s *Server) Ended() <-chan struct{} {
-	return s.ended
+	return s.crashed
 }
 
-type quiet struct{}
+type discardLogger struct{}
 
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
-// trackingListener knows the open connections, so that a fault can break or
-// silence just those.
+// trackingListener registers accepted connections, so that they can be closed,
+// or silenced by a fault.
 type trackingListener struct {
 	net.Listener
 	server *Server
@@ -222,9 +226,9 @@
 		return nil, err
 	}
 	t := &trackedConn{
-		Conn:   c,
-		server: l.server,
-		birth:  l.server.faults.silences.Load(),
+		Conn:           c,
+		server:         l.server,
+		silencesAtOpen: l.server.faults.silenceCount.Load(),
 	}
 	l.server.mu.Lock()
 	defer l.server.mu.Unlock()
@@ -232,16 +236,16 @@
 	return t, nil
 }
 
-// trackedConn swallows what is written to it once its generation is silenced:
-// the peer sees an open connection on which nothing ever comes.
+// trackedConn drops all data in both directions once Silent is set after it was
+// accepted. The peer sees an open connection without any answer.
 type trackedConn struct {
 	net.Conn
-	server *Server
-	birth  int64
+	server         *Server
+	silencesAtOpen int64
 }
 
 func (c *trackedConn) Write(p []byte) (int, error) {
-	if c.birth < c.server.faults.silences.Load() {
+	if c.silencesAtOpen < c.server.faults.silenceCount.Load() {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
@@ -250,7 +254,7 @@
 func (c *trackedConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if err != nil || c.birth >= c.server.faults.silences.Load() {
+		if err != nil || c.silencesAtOpen >= c.server.faults.silenceCount.Load() {
 			return n, err
 		}
 	}
@@ -263,7 +267,7 @@
 	return c.Conn.Close()
 }
 
-func (s *Server) breakConnections() {
+func (s *Server) closeConnections() {
 	s.mu.Lock()
 	open := make([]net.Conn, 0, len(s.conns))
 	for c := range s.conns {
--- a/internal/standin/hingestandin/text.go
+++ b/internal/standin/hingestandin/text.go
@@ -9,7 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Token gives the text of one token of the answer to a prompt.
+// Token returns the token at index of the answer to prompt. It ends with a space.
 func Token(prompt string, index int) string {
 	return string(appendToken(nil, xxhash.Sum64String(prompt), index))
 }
@@ -21,7 +21,7 @@
 	return append(dst, ' ')
 }
 
-// Answer gives the whole answer to a prompt.
+// Answer returns the complete answer to prompt, of the given number of tokens.
 func Answer(prompt string, tokens int) string {
 	var b strings.Builder
 	for i := range tokens {
@@ -30,18 +30,18 @@
 	return b.String()
 }
 
-// CountTokens counts a prompt's tokens: one for each four bytes.
+// CountTokens returns the number of tokens of a prompt, one for every four bytes, rounded up.
 func CountTokens(prompt string) hingeids.Tokens {
 	return hingeids.Tokens((len(prompt) + 3) / 4)
 }
 
-// prefixBlock is how many bytes of prompt make one block of the prefix cache.
-const prefixBlock = 64
+// prefixBlockSize is the block size of the prefix cache, in bytes of prompt.
+const prefixBlockSize = 64
 
-// keptBlocks bounds the prefix cache.
-const keptBlocks = 4096
+// maxPrefixBlocks bounds the prefix cache, which evicts its oldest block.
+const maxPrefixBlocks = 4096
 
-// prefixCache remembers the newest prompt prefixes, block by block.
+// prefixCache stores digests of prompt prefixes at block boundaries.
 type prefixCache struct {
 	order  []uint64
 	blocks map[uint64]bool
@@ -53,11 +53,11 @@
 	}
 }
 
-// use tells how many tokens of the prompt were cached, and caches the rest.
-func (p *prefixCache) use(prompt string) hingeids.Tokens {
+// lookupAndAdd returns how many tokens of the prompt were cached, and caches the remaining blocks.
+func (p *prefixCache) lookupAndAdd(prompt string) hingeids.Tokens {
 	cached := 0
 	hit := true
-	for end := prefixBlock; end <= len(prompt); end += prefixBlock {
+	for end := prefixBlockSize; end <= len(prompt); end += prefixBlockSize {
 		digest := xxhash.Sum64String(prompt[:end])
 		hit = hit && p.blocks[digest]
 		if hit {
@@ -73,7 +73,7 @@
 	if p.blocks[digest] {
 		return
 	}
-	if len(p.order) == keptBlocks {
+	if len(p.order) == maxPrefixBlocks {
 		delete(p.blocks, p.order[0])
 		p.order = p.order[1:]
 	}
--- a/internal/standin/hingestandin/wire.go
+++ b/internal/standin/hingestandin/wire.go
@@ -10,7 +10,8 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// completionRequest is the part of a completion's body that the stand-in reads.
+// completionRequest is the body of a completion, without the fields that the
+// stand-in ignores.
 type completionRequest struct {
 	RequestID string `json:"request_id"`
 	Model     string `json:"model"`
@@ -22,13 +23,13 @@
 	MaxTokens int  `json:"max_tokens"`
 	Stream    bool `json:"stream"`
 	Priority  int  `json:"priority"`
-	// ResumeFrom is the index of the first token wanted: the ones before it
-	// were generated before, here or elsewhere.
+	// ResumeFrom is the index of the first token to send; earlier ones have been
+	// generated already, by this engine or another.
 	ResumeFrom int             `json:"resume_from"`
 	Transfer   *transferParams `json:"kv_transfer_params"`
 }
 
-// text is the prompt as one string, messages in their order.
+// text returns the prompt, followed by the chat messages in order.
 func (r completionRequest) text() string {
 	text := r.Prompt
 	for _, m := range r.Messages {
@@ -37,7 +38,7 @@
 	return text
 }
 
-// transferParams say where KV cache goes or comes from.
+// transferParams select remote prefill or decode, and the source of the KV cache.
 type transferParams struct {
 	DoRemoteDecode  bool   `json:"do_remote_decode,omitempty"`
 	DoRemotePrefill bool   `json:"do_remote_prefill,omitempty"`
@@ -76,7 +77,7 @@
 	}
 }
 
-// reply writes a JSON body, and echoes the request's id.
+// reply writes a JSON body and echoes the X-Request-Id header.
 func reply(ctx *fasthttp.RequestCtx, status int, body any) {
 	b, err := json.Marshal(body)
 	if err != nil {
@@ -91,7 +92,7 @@
 	ctx.SetBody(b)
 }
 
-// replyError refuses a request; ran says whether it ran.
+// replyError writes an error body; ran reports whether the request ran.
 func replyError(ctx *fasthttp.RequestCtx, status int, kind string, ran bool) {
 	type body struct {
 		Type string `json:"type"`
@@ -137,7 +138,8 @@
 	})
 }
 
-// HeldItem is one thing an engine holds for a request.
+// HeldItem is a generation or an export that an engine holds for a request, as
+// listed by /v1/held.
 type HeldItem struct {
 	RequestID string `json:"request_id"`
 	Kind      string `json:"kind"`
@@ -147,7 +149,7 @@
 func (s *Server) handleHeld(ctx *fasthttp.RequestCtx) {
 	now := time.Now()
 	s.mu.Lock()
-	items := make([]HeldItem, 0, len(s.running)+len(s.caches))
+	items := make([]HeldItem, 0, len(s.running)+len(s.exports))
 	for id, g := range s.running {
 		items = append(items, HeldItem{
 			RequestID: id,
@@ -155,11 +157,11 @@
 			AgeMillis: now.Sub(g.started).Milliseconds(),
 		})
 	}
-	for _, e := range s.caches {
+	for _, e := range s.exports {
 		items = append(items, HeldItem{
 			RequestID: e.requestID,
 			Kind:      "export",
-			AgeMillis: now.Sub(e.made).Milliseconds(),
+			AgeMillis: now.Sub(e.createdAt).Milliseconds(),
 		})
 	}
 	s.mu.Unlock()
