--- a/internal/soak/hingesoak/book.go
+++ b/internal/soak/hingesoak/book.go
@@ -7,146 +7,148 @@
 	"time"
 )
 
-// poison is what is known of a request that ends servers.
-type poison struct {
-	// ended counts the servers that ended under it, late those later than contactTime after the third of them.
-	ended int
-	late  int
-	third time.Time
+// poisonRecord counts the server crashes under one poison request.
+type poisonRecord struct {
+	// lateCrashes counts the crashes later than propagationTime after the third one.
+	crashes      int
+	lateCrashes  int
+	thirdCrashAt time.Time
 }
 
-// The users' bound: once a request has ended three servers and all hosts had time to hear of it, three more servers may run it.
+// After detectionCrashes crashes and propagationTime for the hosts to report them to
+// each other, a poison request may crash at most maxLateCrashes more servers.
 const (
-	mostEnded   = 3
-	mostLate    = 3
-	contactTime = 3 * time.Second
+	detectionCrashes = 3
+	maxLateCrashes   = 3
+	propagationTime  = 3 * time.Second
 )
 
-// entry is what is known of one request.
-type entry struct {
-	once bool
-	runs int
-	// refused says that its caller was told that it has not run and never will.
+// requestRecord has the runs and refusals of one request.
+type requestRecord struct {
+	atMostOnce bool
+	runs       int
+	// refused reports that the caller received a refusal as not run, which excludes later runs.
 	refused bool
 }
 
-// book is what callers, servers and operators saw (rule 5).
-type book struct {
-	began time.Time
+// checker records what callers, servers and operators observe, and checks the
+// guarantees (rule 5).
+type checker struct {
+	startedAt time.Time
 
 	mu       sync.Mutex
-	requests map[string]*entry
-	poisons  map[string]*poison
-	acked    uint64
+	requests map[string]*requestRecord
+	poisons  map[string]*poisonRecord
+	accepted uint64
 	result   Report
 }
 
-func newBook(began time.Time) *book {
-	return &book{
-		began:    began,
-		requests: make(map[string]*entry),
-		poisons:  make(map[string]*poison),
+func newChecker(startedAt time.Time) *checker {
+	return &checker{
+		startedAt: startedAt,
+		requests:  make(map[string]*requestRecord),
+		poisons:   make(map[string]*poisonRecord),
 	}
 }
 
-// ends notes that a server ends under a request, by its path.
-func (b *book) ends(path, server string) {
+// recordCrash counts a server crash under the poison request with the path.
+func (b *checker) recordCrash(path, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	p := b.poisons[path]
 	if p == nil {
-		p = &poison{}
+		p = &poisonRecord{}
 		b.poisons[path] = p
 	}
 	b.result.Ended++
-	p.ended++
-	if p.ended == mostEnded {
-		p.third = time.Now()
+	p.crashes++
+	if p.crashes == detectionCrashes {
+		p.thirdCrashAt = time.Now()
 	}
-	if p.ended <= mostEnded || time.Since(p.third) < contactTime {
+	if p.crashes <= detectionCrashes || time.Since(p.thirdCrashAt) < propagationTime {
 		return
 	}
-	p.late++
-	if p.late > mostLate {
-		b.note("stops a request that ends servers", path, fmt.Sprintf("%s is the %dth that ended", server, p.ended))
+	p.lateCrashes++
+	if p.lateCrashes > maxLateCrashes {
+		b.addViolation("a poison request is blocked", path, fmt.Sprintf("%s is the %dth server that crashed under it", server, p.crashes))
 	}
 }
 
-// broken notes a promise that was broken.
-func (b *book) broken(promise, id, detail string) {
+// recordViolation adds a violated guarantee to the report.
+func (b *checker) recordViolation(guarantee, id, detail string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.note(promise, id, detail)
+	b.addViolation(guarantee, id, detail)
 }
 
-func (b *book) note(promise, id, detail string) {
+func (b *checker) addViolation(guarantee, id, detail string) {
 	b.result.Broken = append(b.result.Broken, Broken{
-		Promise: promise,
-		At:      time.Since(b.began),
+		Promise: guarantee,
+		At:      time.Since(b.startedAt),
 		ID:      id,
 		Detail:  detail,
 	})
 }
 
-func (b *book) fault() {
+func (b *checker) countFault() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.result.Faults++
 }
 
-// asks notes a request before it is sent.
-func (b *book) asks(id string, once bool) {
+// recordRequest registers a request. It is called before the request is sent.
+func (b *checker) recordRequest(id string, atMostOnce bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.result.Asked++
-	b.requests[id] = &entry{
-		once: once,
+	b.requests[id] = &requestRecord{
+		atMostOnce: atMostOnce,
 	}
 }
 
-// ran notes that a server runs a request.
-func (b *book) ran(id, server string) {
+// recordRun counts a run of a request at a server.
+func (b *checker) recordRun(id, server string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	e := b.requests[id]
 	if e == nil {
-		b.note("runs only what was asked", id, "at "+server)
+		b.addViolation("servers run only requests that were sent", id, "at "+server)
 		return
 	}
 	e.runs++
-	if e.once && e.runs > 1 {
-		b.note("runs at most once", id, fmt.Sprintf("run %d, at %s", e.runs, server))
+	if e.atMostOnce && e.runs > 1 {
+		b.addViolation("a request runs at most once", id, fmt.Sprintf("run %d, at %s", e.runs, server))
 	}
 	if e.refused {
-		b.note("not run is true", id, "it runs at "+server+" after its caller was told that it never will")
+		b.addViolation("a request refused as not run never runs", id, "it runs at "+server+" after it was refused")
 	}
 }
 
-// refused notes that a caller was told that its request has not run.
-func (b *book) refused(id string, status int) {
+// refused records that a caller received a refusal as not run.
+func (b *checker) refused(id string, status int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.result.Refused++
 	e := b.requests[id]
 	e.refused = true
-	if e.once && e.runs > 0 {
-		b.note("not run is true", id, fmt.Sprintf("status %d, and it has run", status))
+	if e.atMostOnce && e.runs > 0 {
+		b.addViolation("a request refused as not run never runs", id, fmt.Sprintf("status %d after it has run", status))
 	}
 }
 
-func (b *book) answered() {
+func (b *checker) countAnswer() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.result.Answered++
 }
 
-// found names the requests that have ended as many servers as it takes to know, by path.
-func (b *book) found() []string {
+// detectable returns the paths of the poison requests with enough crashes to be detected, sorted.
+func (b *checker) detectable() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	var out []string
 	for path, p := range b.poisons {
-		if p.ended >= mostEnded {
+		if p.crashes >= detectionCrashes {
 			out = append(out, path)
 		}
 	}
@@ -154,41 +156,42 @@
 	return out
 }
 
-// poisonFound names one of them, with how many servers have ended under it.
-func (b *book) poisonFound() (path string, ended int) {
+// pickLifted returns the path of one detectable poison request, and its number of
+// crashes. It expects the request to run again.
+func (b *checker) pickLifted() (path string, crashes int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for path, p := range b.poisons {
-		if p.ended >= mostEnded {
-			// It is let run again: what ends now is no breach.
-			p.third = time.Now()
-			return path, p.ended
+		if p.crashes >= detectionCrashes {
+			// The operator has lifted the block, so further crashes are no violation.
+			p.thirdCrashAt = time.Now()
+			return path, p.crashes
 		}
 	}
 	return "", 0
 }
 
-func (b *book) endedUnder(path string) int {
+func (b *checker) crashesOf(path string) int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.poisons[path].ended
+	return b.poisons[path].crashes
 }
 
-// accepted notes an accepted version; newest gives the newest.
-func (b *book) accepted(v uint64) {
+// recordAccepted counts an accepted change of the configuration.
+func (b *checker) recordAccepted(v uint64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.result.Changes++
-	b.acked = max(b.acked, v)
+	b.accepted = max(b.accepted, v)
 }
 
-func (b *book) newest() uint64 {
+func (b *checker) newestVersion() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.acked
+	return b.accepted
 }
 
-func (b *book) report() Report {
+func (b *checker) report() Report {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.result
--- a/internal/soak/hingesoak/fleet.go
+++ b/internal/soak/hingesoak/fleet.go
@@ -21,47 +21,47 @@
 
 var wire hingeplatform.Wire
 
-// process is one program of the fleet.
+// process is one swifthinge-fleet process, with the settings it is started with.
 type process struct {
 	name     string
 	role     string
 	settings hingeplatform.Settings
 
-	// mu is held while something is done to the process.
+	// mu is held while a fault is applied to the process.
 	mu      sync.Mutex
 	cmd     *exec.Cmd
 	started time.Time
 	exited  chan struct{}
 }
 
-// fleet is all programs of a run.
+// fleet has all processes of a run.
 type fleet struct {
 	options     Options
 	controls    []*process
 	entries     []*process
-	book        *book
-	controlLost sync.Mutex
+	checker     *checker
+	controlDown sync.Mutex
 	faults      sync.WaitGroup
 }
 
 const (
 	zones = 3
-	// mostSeeds is how many control hosts a process is told of.
-	mostSeeds = 3
-	// mostVoters is how many control hosts vote; others stand by.
-	mostVoters = 5
+	// maxSeeds bounds the control hosts in the settings of a process.
+	maxSeeds = 3
+	// maxVoters is the number of control hosts that are voters; further ones are standbys.
+	maxVoters = 5
 )
 
-// newFleet gives each process a loopback address of its own. The second part of it
-// follows the soak's process id, so that two runs don't meet.
+// newFleet assigns a loopback address to each process. Its second byte is derived
+// from the process id, so that concurrent runs use different addresses.
 func newFleet(o Options) *fleet {
-	net := 16 + os.Getpid()%200
+	subnet := 16 + os.Getpid()%200
 	x := &fleet{
 		options: o,
 	}
 	var seeds []hingeids.HostID
-	for i := range min(o.Controls, mostSeeds) {
-		seeds = append(seeds, hingeids.HostID(fmt.Sprintf("127.%d.1.%d", net, i+1)))
+	for i := range min(o.Controls, maxSeeds) {
+		seeds = append(seeds, hingeids.HostID(fmt.Sprintf("127.%d.1.%d", subnet, i+1)))
 	}
 	for i := range o.Controls + o.Entries {
 		control := i < o.Controls
@@ -69,7 +69,7 @@
 		if !control {
 			group, n, name, role = 2, i-o.Controls+1, "entry", "front"
 		}
-		ip := fmt.Sprintf("127.%d.%d.%d", net, group, n)
+		ip := fmt.Sprintf("127.%d.%d.%d", subnet, group, n)
 		p := &process{
 			name: fmt.Sprintf("%s-%d", name, n),
 			role: role,
@@ -83,7 +83,7 @@
 				MetricsPort: 7675,
 				Seeds:       seeds,
 				FirstStart:  true,
-				DisksLost:   max((min(o.Controls, mostVoters)-1)/2, 1),
+				DisksLost:   max((min(o.Controls, maxVoters)-1)/2, 1),
 				Grace:       8 * time.Second,
 				RepeatShare: 0.2,
 				RepeatBurst: 50,
@@ -113,20 +113,20 @@
 	return nil
 }
 
-// start writes a process's settings and runs it, with its output in a file.
+// start writes the settings of a process and starts it, with its output appended to a log file.
 func (x *fleet) start(p *process) error {
 	if p.settings.Data != "" {
 		if err := os.MkdirAll(p.settings.Data, 0o700); err != nil {
-			return eris.Wrap(err, "data folder")
+			return eris.Wrap(err, "create data folder")
 		}
 	}
 	path := filepath.Join(x.options.Folder, p.name+".conf")
 	if err := os.WriteFile(path, []byte(wire.Settings(p.settings)), 0o600); err != nil {
-		return eris.Wrap(err, "settings")
+		return eris.Wrap(err, "write settings")
 	}
 	log, err := os.OpenFile(filepath.Join(x.options.Folder, p.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return eris.Wrap(err, "log")
+		return eris.Wrap(err, "open log file")
 	}
 	p.cmd = exec.Command(x.options.Program, p.role)
 	p.cmd.Env = []string{wire.SettingsVariable() + "=" + path}
@@ -137,7 +137,7 @@
 	p.exited = make(chan struct{})
 	p.started = time.Now()
 	go func(cmd *exec.Cmd, exited chan struct{}) {
-		// How it ended is told by its log.
+		// The reason for the exit is in the log file.
 		_ = cmd.Wait()
 		_ = log.Close()
 		close(exited)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// restart runs a process again. One that can't be started is missed at the end of the run.
+// restart starts a process again. A failure is printed, and then found by the recovery check.
 func (x *fleet) restart(p *process) {
 	if err := x.start(p); err != nil {
 		_, _ = fmt.Fprintln(x.options.Out, err)
@@ -153,17 +153,17 @@
 }
 
 func (p *process) signal(s syscall.Signal) {
-	// A process that has ended needs no signal.
+	// An error means that the process has exited already.
 	_ = p.cmd.Process.Signal(s)
 }
 
-// wait waits for the end of a process, and kills it when its time is over. It reports whether
-// the process ended by itself. The log then has what it was doing.
-func (p *process) wait(most time.Duration) bool {
+// wait waits until the process exits, and reports whether it did within timeout. Otherwise
+// SIGQUIT makes it write its goroutine stacks to the log, and it is killed.
+func (p *process) wait(timeout time.Duration) bool {
 	select {
 	case <-p.exited:
 		return true
-	case <-time.After(most):
+	case <-time.After(timeout):
 	}
 	p.signal(syscall.SIGQUIT)
 	select {
@@ -175,13 +175,13 @@
 	return false
 }
 
-// awaitFaults waits until everything that was done to the processes is over.
+// awaitFaults waits until all process faults have ended.
 func (x *fleet) awaitFaults() {
 	x.faults.Wait()
 }
 
-// end kills what is left of the fleet (rule 4).
-func (x *fleet) end() {
+// killAll kills all processes of the fleet (rule 4).
+func (x *fleet) killAll() {
 	x.faults.Wait()
 	for _, p := range x.all() {
 		if p.cmd == nil {
@@ -193,7 +193,7 @@
 	}
 }
 
-// ready reports whether all entry hosts say so.
+// ready reports whether all entry hosts answer their readiness check with 200.
 func (x *fleet) ready() bool {
 	for _, p := range x.entries {
 		status, _, err := call(context.Background(), p.settings.ReadyAt, hingeplatform.Call{
@@ -207,18 +207,18 @@
 	return true
 }
 
-// callTime bounds one call of a control host, as its callers do.
-const callTime = time.Second
+// callTimeout bounds one call to a control host or a readiness check.
+const callTimeout = time.Second
 
 var client = &http.Client{
-	Timeout: callTime,
+	Timeout: callTimeout,
 	Transport: &http.Transport{
 		DisableKeepAlives: true,
 	},
 }
 
-func call(ctx context.Context, at string, c hingeplatform.Call) (int, []byte, error) {
-	q, err := http.NewRequestWithContext(ctx, c.Method, "http://"+at+c.Path, bytes.NewReader(c.Body))
+func call(ctx context.Context, address string, c hingeplatform.Call) (int, []byte, error) {
+	q, err := http.NewRequestWithContext(ctx, c.Method, "http://"+address+c.Path, bytes.NewReader(c.Body))
 	if err != nil {
 		return 0, nil, err
 	}
--- a/internal/soak/hingesoak/load.go
+++ b/internal/soak/hingesoak/load.go
@@ -12,30 +12,30 @@
 	"time"
 )
 
-// caller asks the entry hosts one request after the other, on connections that it keeps.
+// caller sends sequential requests to random entry hosts over persistent connections.
 type caller struct {
-	fleet  *fleet
-	book   *book
-	random *rand.Rand
-	name   string
-	asked  int
-	client *http.Client
+	fleet   *fleet
+	checker *checker
+	random  *rand.Rand
+	name    string
+	sent    int
+	client  *http.Client
 }
 
-// routesHost is the host name that all requests of the soak name.
-const routesHost = "soak.example"
+// requestHost is the Host header of all requests.
+const requestHost = "soak.example"
 
-// patience is how long a caller waits for an answer.
-const patience = 6 * time.Second
+// maxWait is the maximum time that a caller waits for a complete answer.
+const maxWait = 6 * time.Second
 
-func newCaller(f *fleet, b *book, seed uint64, n int) *caller {
+func newCaller(f *fleet, b *checker, seed uint64, n int) *caller {
 	return &caller{
-		fleet:  f,
-		book:   b,
-		random: rand.New(rand.NewPCG(seed, uint64(100+n))),
-		name:   fmt.Sprintf("caller-%d", n),
+		fleet:   f,
+		checker: b,
+		random:  rand.New(rand.NewPCG(seed, uint64(100+n))),
+		name:    fmt.Sprintf("caller-%d", n),
 		client: &http.Client{
-			Timeout:   patience,
+			Timeout:   maxWait,
 			Transport: &http.Transport{},
 		},
 	}
@@ -44,31 +44,31 @@
 func (c *caller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for ctx.Err() == nil {
-		c.once(ctx)
+		c.sendOne(ctx)
 		sleepUntil(ctx, time.Now().Add(time.Duration(c.random.IntN(60))*time.Millisecond))
 	}
 }
 
-// once asks one request, checks its answer, and reports whether it was answered.
-func (c *caller) once(ctx context.Context) bool {
-	c.asked++
-	id := fmt.Sprintf("%s-%d", c.name, c.asked)
+// sendOne sends one request, checks its answer, and reports whether it was complete and correct.
+func (c *caller) sendOne(ctx context.Context) bool {
+	c.sent++
+	id := fmt.Sprintf("%s-%d", c.name, c.sent)
 	path := []string{"/once/x", "/safe/x", "/safe/y", "/stream/x"}[c.random.IntN(4)]
-	at := c.fleet.entries[c.random.IntN(len(c.fleet.entries))].settings.CallersAt
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+path, strings.NewReader("body of "+id))
+	address := c.fleet.entries[c.random.IntN(len(c.fleet.entries))].settings.CallersAt
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+path, strings.NewReader("body of "+id))
 	if err != nil {
 		return false
 	}
-	// The standard client would send a request again by itself if it had a way to.
+	// Without GetBody, net/http can't resend the request on its own.
 	q.GetBody = nil
-	q.Host = routesHost
+	q.Host = requestHost
 	stream := strings.HasPrefix(path, "/stream/")
 	prompt := 0
 	if stream {
 		prompt = 500
 	}
-	wire.Ask(q.Header, id, int(patience.Milliseconds()), prompt)
-	c.book.asks(id, strings.HasPrefix(path, "/once/"))
+	wire.Ask(q.Header, id, int(maxWait.Milliseconds()), prompt)
+	c.checker.recordRequest(id, strings.HasPrefix(path, "/once/"))
 	a, err := c.client.Do(q)
 	if err != nil {
 		return false
@@ -78,48 +78,48 @@
 	}()
 	switch a.StatusCode {
 	case http.StatusOK:
-		return c.check(id, stream, a.Body)
+		return c.checkAnswer(id, stream, a.Body)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		c.book.refused(id, a.StatusCode)
-		c.refusedFor(id, a.StatusCode, a.Body)
+		c.checker.refused(id, a.StatusCode)
+		c.checkRefusal(id, a.StatusCode, a.Body)
 	case http.StatusNotFound:
-		c.book.broken("routes are known", id, "status 404")
+		c.checker.recordViolation("configured routes are known", id, "status 404")
 	}
 	_, _ = io.Copy(io.Discard, a.Body)
 	return false
 }
 
-// refusedFor checks why a request was refused: none of these ends servers.
-func (c *caller) refusedFor(id string, status int, body io.Reader) {
-	why, err := io.ReadAll(body)
-	if err == nil && isPoison(status, why) {
-		c.book.broken("refuses only what ends servers", id, tail(string(why)))
+// checkRefusal checks that a request that crashes no servers isn't refused as a poison request.
+func (c *caller) checkRefusal(id string, status int, body io.Reader) {
+	text, err := io.ReadAll(body)
+	if err == nil && isPoison(status, text) {
+		c.checker.recordViolation("only poison requests are refused as poison", id, tail(string(text)))
 	}
 }
 
-// check compares an answer with what the request has to get.
-func (c *caller) check(id string, stream bool, body io.Reader) bool {
+// checkAnswer compares an answer with the expected one, and reports whether it is complete.
+func (c *caller) checkAnswer(id string, stream bool, body io.Reader) bool {
 	b, err := io.ReadAll(bufio.NewReader(body))
 	want := answerTo(id)
 	if stream {
-		var all strings.Builder
+		var events strings.Builder
 		for i := 1; i <= streamEvents; i++ {
-			all.WriteString(event(id, i))
+			events.WriteString(event(id, i))
 		}
-		want = all.String()
+		want = events.String()
 	}
 	if err != nil {
-		// Cut short, and it shows. What came must still be the beginning of the answer.
+		// The answer was truncated with an error. The received part must still be correct.
 		if !strings.HasPrefix(want, string(b)) {
-			c.book.broken("the whole answer to its own request", id, fmt.Sprintf("began with %q", tail(string(b))))
+			c.checker.recordViolation("an answer is complete and its request's own", id, fmt.Sprintf("began with %q", tail(string(b))))
 		}
 		return false
 	}
 	if string(b) != want {
-		c.book.broken("the whole answer to its own request", id, fmt.Sprintf("got %q", tail(string(b))))
+		c.checker.recordViolation("an answer is complete and its request's own", id, fmt.Sprintf("got %q", tail(string(b))))
 		return false
 	}
-	c.book.answered()
+	c.checker.countAnswer()
 	return true
 }
 
@@ -129,78 +129,79 @@
 
 // operator changes the configuration and reads it back.
 type operator struct {
-	fleet   *fleet
-	book    *book
-	version atomic.Uint64
-	turn    atomic.Uint64
+	fleet    *fleet
+	checker  *checker
+	version  atomic.Uint64
+	sequence atomic.Uint64
 }
 
-func newOperator(f *fleet, b *book) *operator {
+func newOperator(f *fleet, b *checker) *operator {
 	return &operator{
-		fleet: f,
-		book:  b,
+		fleet:   f,
+		checker: b,
 	}
 }
 
-// run sends changes, each until it is accepted, as long as the context lasts.
+// run sends changes until the context is done, each up to 20 times until it is accepted.
 func (o *operator) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		for try := 0; try < 20 && ctx.Err() == nil && !o.send(ctx, o.version.Load()); try++ {
 			sleepUntil(ctx, time.Now().Add(100*time.Millisecond))
 		}
-		o.version.Add(uint64(1 + o.turn.Load()%3))
+		o.version.Add(uint64(1 + o.sequence.Load()%3))
 		sleepUntil(ctx, time.Now().Add(400*time.Millisecond))
 	}
 }
 
-// change sends the next version once.
-func (o *operator) change(ctx context.Context, step uint64) bool {
+// sendNext increases the version by step, sends it once and reports whether it was accepted.
+func (o *operator) sendNext(ctx context.Context, step uint64) bool {
 	return o.send(ctx, o.version.Add(step))
 }
 
 func (o *operator) send(ctx context.Context, v uint64) bool {
-	status, _, err := call(ctx, o.at(), wire.Put(v, routesHost, plainService, engineService))
+	status, _, err := call(ctx, o.nextControl(), wire.Put(v, requestHost, plainService, engineService))
 	if err != nil || status != http.StatusOK {
 		return false
 	}
-	o.book.accepted(v)
+	o.checker.recordAccepted(v)
 	return true
 }
 
-// at goes through the control hosts in turn.
-func (o *operator) at() string {
-	return o.fleet.controls[int(o.turn.Add(1))%len(o.fleet.controls)].settings.ControlAt
+// nextControl returns the address of the next control host in round-robin order.
+func (o *operator) nextControl() string {
+	return o.fleet.controls[int(o.sequence.Add(1))%len(o.fleet.controls)].settings.ControlAt
 }
 
-// read reads the configuration back while it changes.
+// read reads the configuration back periodically until the context is done.
 func (o *operator) read(ctx context.Context) {
 	for ctx.Err() == nil {
-		o.readAt(ctx, o.at())
+		o.readAt(ctx, o.nextControl())
 		sleepUntil(ctx, time.Now().Add(150*time.Millisecond))
 	}
 }
 
-// readAt checks one read; it gives false if the host didn't answer it.
-func (o *operator) readAt(ctx context.Context, at string) bool {
-	newest := o.book.newest()
-	status, body, err := call(ctx, at, wire.Get())
+// readAt reads from one control host and checks that the version isn't older than the
+// newest accepted one before the read. It returns false if the host didn't answer.
+func (o *operator) readAt(ctx context.Context, address string) bool {
+	newestVersion := o.checker.newestVersion()
+	status, body, err := call(ctx, address, wire.Get())
 	if err != nil || status != http.StatusOK {
 		return false
 	}
 	v, err := wire.Version(body)
-	if err != nil || v < newest {
-		o.book.broken("reads are never old", "", fmt.Sprintf("%s gives version %d after %d was accepted, %v", at, v, newest, err))
+	if err != nil || v < newestVersion {
+		o.checker.recordViolation("reads of the configuration are never stale", "", fmt.Sprintf("%s returns version %d after %d was accepted, %v", address, v, newestVersion, err))
 	}
 	return true
 }
 
-// readAll reads at every control host, once all is well.
+// readAll checks a read from every control host after recovery.
 func (o *operator) readAll(ctx context.Context) {
 	for _, p := range o.fleet.controls {
-		if !waitFor(ctx, recoverTime, func() bool {
+		if !waitFor(ctx, recoveryTimeout, func() bool {
 			return o.readAt(ctx, p.settings.ControlAt)
 		}) {
-			o.book.broken("recovers", "", p.name+" can't be read")
+			o.checker.recordViolation("the fleet recovers", "", p.name+" doesn't answer reads of the configuration")
 		}
 	}
 }
--- a/internal/soak/hingesoak/plan.go
+++ b/internal/soak/hingesoak/plan.go
@@ -9,60 +9,59 @@
 	"time"
 )
 
-// kind is a kind of fault.
 type kind string
 
-// The kinds of faults. A wipe kills a control host, which comes back with an empty disk; a
-// storm kills all control hosts at once and keeps their disks.
+// The kinds of faults. A wipe kills a control host and restarts it with an empty data
+// folder; a storm kills all control hosts at once and keeps their data.
 const (
-	kill   kind = "kill"
-	term   kind = "term"
-	freeze kind = "freeze"
-	wipe   kind = "wipe"
-	storm  kind = "storm"
-	hup    kind = "hup"
-	link   kind = "link"
+	kill            kind = "kill"
+	term            kind = "term"
+	freeze          kind = "freeze"
+	wipe            kind = "wipe"
+	killAllControls kind = "storm"
+	hup             kind = "hup"
+	link            kind = "link"
 )
 
 // fault is one entry of a plan.
 type fault struct {
 	at   time.Duration
 	kind kind
-	// control says that a control host is meant, else an entry host; index is which one, or
-	// which backend server.
-	control bool
-	index   int
-	lasts   time.Duration
-	mode    mode
+	// control selects the control hosts, else the entry hosts. index is the number of the
+	// host, or of the backend server for link.
+	control  bool
+	index    int
+	duration time.Duration
+	mode     mode
 }
 
 func (f fault) String() string {
-	who := "entry"
+	host := "entry"
 	if f.control {
-		who = "control"
+		host = "control"
 	}
 	if f.kind == link {
-		return fmt.Sprintf("link of server %d: %s for %v", f.index, f.mode, f.lasts)
+		return fmt.Sprintf("link of server %d: %s for %v", f.index, f.mode, f.duration)
 	}
-	return fmt.Sprintf("%s %s %d for %v", f.kind, who, f.index, f.lasts)
+	return fmt.Sprintf("%s %s %d for %v", f.kind, host, f.index, f.duration)
 }
 
-// plan draws the faults of a run (rules 1 and 2).
+// plan generates the faults of a run (rules 1 and 2).
 func plan(random *rand.Rand, o Options) []fault {
 	var out []fault
 	at := 500 * time.Millisecond
 	for at < o.Lasts {
 		f := fault{
-			at:      at,
-			kind:    []kind{kill, term, freeze, wipe, storm, hup, link, link, link}[random.IntN(9)],
-			control: random.IntN(2) == 0,
-			lasts:   time.Duration(200+random.IntN(3000)) * time.Millisecond,
+			at:       at,
+			kind:     []kind{kill, term, freeze, wipe, killAllControls, hup, link, link, link}[random.IntN(9)],
+			control:  random.IntN(2) == 0,
+			duration: time.Duration(200+random.IntN(3000)) * time.Millisecond,
 		}
 		switch {
 		case f.kind == link:
 			f.index = random.IntN(len(serverKinds))
 			f.mode = []mode{delay, reset, oneWay, silent}[random.IntN(4)]
-		case f.kind == wipe || f.kind == storm:
+		case f.kind == wipe || f.kind == killAllControls:
 			f.control = true
 			f.index = random.IntN(o.Controls)
 		case f.control:
@@ -76,34 +75,34 @@
 	return out
 }
 
-// inject begins a fault; it ends by itself.
+// inject starts a fault and returns; the fault ends after its duration.
 func (s *soak) inject(ctx context.Context, f fault) {
 	switch {
 	case f.kind == link:
-		s.servers[f.index].proxy.set(f.mode)
-		time.AfterFunc(f.lasts, func() {
-			s.servers[f.index].proxy.set(pass)
+		s.servers[f.index].proxy.setMode(f.mode)
+		time.AfterFunc(f.duration, func() {
+			s.servers[f.index].proxy.setMode(pass)
 		})
-	case f.kind == storm:
-		s.fleet.storm()
+	case f.kind == killAllControls:
+		s.fleet.killAllControls()
 	case f.control:
-		s.fleet.strikeControl(ctx, f)
+		s.fleet.injectControl(ctx, f)
 	default:
-		s.fleet.strike(s.fleet.entries[f.index], f)
+		s.fleet.injectProcess(s.fleet.entries[f.index], f)
 	}
 }
 
-// strikeControl loses one control host at a time. After a wipe the next loss waits
-// until the host that lost its disk is repaired.
-func (x *fleet) strikeControl(ctx context.Context, f fault) {
-	if !x.controlLost.TryLock() {
+// injectControl applies a fault to a control host, unless another one is still affected.
+// Further faults are skipped until the host has had repairTime to catch up.
+func (x *fleet) injectControl(ctx context.Context, f fault) {
+	if !x.controlDown.TryLock() {
 		return
 	}
 	p := x.controls[f.index]
-	x.strike(p, f)
+	x.injectProcess(p, f)
 	x.faults.Go(func() {
-		defer x.controlLost.Unlock()
-		pause := f.lasts + repairTime
+		defer x.controlDown.Unlock()
+		pause := f.duration + repairTime
 		t := time.NewTimer(pause)
 		defer t.Stop()
 		select {
@@ -113,53 +112,53 @@
 	})
 }
 
-// repairTime is how long a control host may take to hold everything again after it is back.
+// repairTime is the time for a restarted control host to restore its data.
 const repairTime = 4 * time.Second
 
-// bornTime is how long after its start a process gets no signal that it has to take: no program
-// can take one before its first instruction.
-const bornTime = 300 * time.Millisecond
+// signalDelay is the minimum age of a process for SIGHUP and SIGTERM, whose handlers
+// aren't installed before.
+const signalDelay = 300 * time.Millisecond
 
-// strike does one thing to one process.
-func (x *fleet) strike(p *process, f fault) {
+// injectProcess applies a fault to one process in the background.
+func (x *fleet) injectProcess(p *process, f fault) {
 	x.faults.Go(func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		switch f.kind {
 		case hup:
-			time.Sleep(time.Until(p.started.Add(bornTime)))
+			time.Sleep(time.Until(p.started.Add(signalDelay)))
 			p.signal(syscall.SIGHUP)
 		case freeze:
 			p.signal(syscall.SIGSTOP)
-			time.Sleep(f.lasts)
+			time.Sleep(f.duration)
 			p.signal(syscall.SIGCONT)
 		case term:
-			time.Sleep(time.Until(p.started.Add(bornTime)))
+			time.Sleep(time.Until(p.started.Add(signalDelay)))
 			p.signal(syscall.SIGTERM)
 			if !p.wait(p.settings.Grace) {
-				x.book.broken("ends within its grace", "", p.name)
+				x.checker.recordViolation("a process exits within its grace period", "", p.name)
 			}
 			x.restart(p)
 		default:
 			p.signal(syscall.SIGKILL)
 			p.wait(time.Second)
 			if f.kind == wipe {
-				// A failed removal shows as a host that is not repaired from nothing.
+				// After a failed removal the host restarts with its old data.
 				_ = os.RemoveAll(p.settings.Data)
 			}
-			time.Sleep(f.lasts)
+			time.Sleep(f.duration)
 			x.restart(p)
 		}
 	})
 }
 
-// storm kills all control hosts at the same moment.
-func (x *fleet) storm() {
-	if !x.controlLost.TryLock() {
+// killAllControls kills and restarts all control hosts at the same time.
+func (x *fleet) killAllControls() {
+	if !x.controlDown.TryLock() {
 		return
 	}
 	x.faults.Go(func() {
-		defer x.controlLost.Unlock()
+		defer x.controlDown.Unlock()
 		for _, p := range x.controls {
 			p.mu.Lock()
 			p.signal(syscall.SIGKILL)
--- a/internal/soak/hingesoak/poison.go
+++ b/internal/soak/hingesoak/poison.go
@@ -14,29 +14,29 @@
 	hingeplatform "github.com/swifthinge/swifthinge/platform"
 )
 
-// poisonPath is in the path of each poison request.
-const poisonPath = "/poison-"
+// poisonMarker is the part of the path that identifies a poison request.
+const poisonMarker = "/poison-"
 
-// poisoner sends one poison request again and again.
+// poisoner sends one poison request repeatedly.
 type poisoner struct {
-	fleet  *fleet
-	book   *book
-	random *rand.Rand
-	path   string
-	sent   int
-	client *http.Client
+	fleet   *fleet
+	checker *checker
+	random  *rand.Rand
+	path    string
+	sent    int
+	client  *http.Client
 }
 
-func newPoisoner(f *fleet, b *book, seed uint64, n int) *poisoner {
+func newPoisoner(f *fleet, b *checker, seed uint64, n int) *poisoner {
 	random := rand.New(rand.NewPCG(seed, uint64(500+n)))
 	route := []string{"/stream", "/safe", "/once"}[random.IntN(3)]
 	return &poisoner{
-		fleet:  f,
-		book:   b,
-		random: random,
-		path:   fmt.Sprint(route, poisonPath, n),
+		fleet:   f,
+		checker: b,
+		random:  random,
+		path:    fmt.Sprint(route, poisonMarker, n),
 		client: &http.Client{
-			Timeout: patience,
+			Timeout: maxWait,
 			Transport: &http.Transport{
 				DisableKeepAlives: true,
 			},
@@ -47,28 +47,28 @@
 func (p *poisoner) run(ctx context.Context) {
 	sleepUntil(ctx, time.Now().Add(time.Duration(p.random.IntN(2000))*time.Millisecond))
 	for ctx.Err() == nil {
-		p.once(ctx)
+		p.sendOne(ctx)
 		sleepUntil(ctx, time.Now().Add(time.Duration(50+p.random.IntN(400))*time.Millisecond))
 	}
 }
 
-// once sends the request, and reports whether it was refused for what it is.
-func (p *poisoner) once(ctx context.Context) bool {
+// sendOne sends the request, and reports whether it was refused as a poison request.
+func (p *poisoner) sendOne(ctx context.Context) bool {
 	p.sent++
-	at := p.fleet.entries[p.random.IntN(len(p.fleet.entries))].settings.CallersAt
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at+p.path, strings.NewReader("body of "+p.path))
+	address := p.fleet.entries[p.random.IntN(len(p.fleet.entries))].settings.CallersAt
+	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address+p.path, strings.NewReader("body of "+p.path))
 	if err != nil {
 		return false
 	}
 	q.GetBody = nil
-	q.Host = routesHost
+	q.Host = requestHost
 	prompt := 0
 	if strings.HasPrefix(p.path, "/stream") {
 		prompt = 500
 	}
 	id := fmt.Sprintf("%s-%d", p.path, p.sent)
-	wire.Ask(q.Header, id, int(patience.Milliseconds()), prompt)
-	p.book.asks(id, false)
+	wire.Ask(q.Header, id, int(maxWait.Milliseconds()), prompt)
+	p.checker.recordRequest(id, false)
 	a, err := p.client.Do(q)
 	if err != nil {
 		return false
@@ -76,24 +76,25 @@
 	defer func() {
 		_ = a.Body.Close()
 	}()
-	why, err := io.ReadAll(a.Body)
-	return err == nil && isPoison(a.StatusCode, why)
+	text, err := io.ReadAll(a.Body)
+	return err == nil && isPoison(a.StatusCode, text)
 }
 
-// isPoison reports whether an answer refuses a request because servers end under it.
+// isPoison reports whether an answer refuses a request as a poison request.
 func isPoison(status int, body []byte) bool {
 	return status == http.StatusServiceUnavailable &&
 		strings.Contains(string(body), fmt.Sprintf("(%d)", hingeverdict.CodePoison))
 }
 
-// poisonRoute is where control hosts give the list, beside their metrics.
-const poisonRoute = "/poison"
+// poisonListPath is the path of the poison list at the metrics endpoint of a control host.
+const poisonListPath = "/poison"
 
-// listed gives the prints that a control host refuses; false if it doesn't answer.
-func listed(ctx context.Context, p *process) ([]string, bool) {
-	_, body, err := call(ctx, metricsOf(p), hingeplatform.Call{
+// listedFingerprints returns the fingerprints on a control host's poison list, or false if
+// the host doesn't answer.
+func listedFingerprints(ctx context.Context, p *process) ([]string, bool) {
+	_, body, err := call(ctx, metricsAddress(p), hingeplatform.Call{
 		Method: http.MethodGet,
-		Path:   poisonRoute,
+		Path:   poisonListPath,
 	})
 	var list struct {
 		Records []struct {
@@ -110,32 +111,33 @@
 	return out, true
 }
 
-func metricsOf(p *process) string {
+func metricsAddress(p *process) string {
 	return fmt.Sprintf("%s:%d", p.settings.IP, p.settings.MetricsPort)
 }
 
-// checkLists checks that what has ended servers is refused when it comes again, once all is well, that each control host lists it then, and
-// that a request runs again once an operator has lifted it. One that wasn't known after its third end, since servers ended all the
-// time, may end another; how many is bounded all the same.
+// checkLists checks after recovery that poison requests are refused, that every control host lists
+// them, and that a request runs again after an operator has lifted its block. A request that wasn't
+// detected at its third crash, because of other crashes at the time, may crash further servers; their
+// number is bounded by maxLateCrashes.
 func (s *soak) checkLists(ctx context.Context) {
-	for _, path := range s.book.found() {
-		p := newPoisoner(s.fleet, s.book, s.options.Seed, 0)
+	for _, path := range s.checker.detectable() {
+		p := newPoisoner(s.fleet, s.checker, s.options.Seed, 0)
 		p.path = path
-		if !waitFor(ctx, recoverTime, func() bool {
-			return p.once(ctx)
+		if !waitFor(ctx, recoveryTimeout, func() bool {
+			return p.sendOne(ctx)
 		}) {
-			s.book.broken("refuses what ends servers", path, "it is let through once all is well")
+			s.checker.recordViolation("a poison request is refused after recovery", path, "it is still forwarded")
 		}
 	}
-	want := len(s.book.found())
+	want := len(s.checker.detectable())
 	for _, p := range s.fleet.controls {
 		n := 0
-		if !waitFor(ctx, recoverTime, func() bool {
-			prints, ok := listed(ctx, p)
-			n = len(prints)
+		if !waitFor(ctx, recoveryTimeout, func() bool {
+			fingerprints, ok := listedFingerprints(ctx, p)
+			n = len(fingerprints)
 			return ok && n >= want
 		}) {
-			s.book.broken("knows what ends servers", "", fmt.Sprintf("%s lists %d of %d requests", p.name, n, want))
+			s.checker.recordViolation("control hosts list poison requests", "", fmt.Sprintf("%s lists %d of %d requests", p.name, n, want))
 		}
 	}
 	if want > 0 {
@@ -144,22 +146,22 @@
 }
 
 func (s *soak) checkLift(ctx context.Context) {
-	prints, _ := listed(ctx, s.fleet.controls[0])
-	for _, print := range prints {
-		if status, _, err := call(ctx, metricsOf(s.fleet.controls[0]), hingeplatform.Call{
+	fingerprints, _ := listedFingerprints(ctx, s.fleet.controls[0])
+	for _, fingerprint := range fingerprints {
+		if status, _, err := call(ctx, metricsAddress(s.fleet.controls[0]), hingeplatform.Call{
 			Method: http.MethodDelete,
-			Path:   poisonRoute + "/" + print,
+			Path:   poisonListPath + "/" + fingerprint,
 		}); err != nil || status != http.StatusOK {
-			s.book.broken("lets a request run again", print, fmt.Sprintf("status %d, %v", status, err))
+			s.checker.recordViolation("a lifted request runs again", fingerprint, fmt.Sprintf("status %d, %v", status, err))
 		}
 	}
-	path, before := s.book.poisonFound()
-	p := newPoisoner(s.fleet, s.book, s.options.Seed, 0)
+	path, before := s.checker.pickLifted()
+	p := newPoisoner(s.fleet, s.checker, s.options.Seed, 0)
 	p.path = path
-	if !waitFor(ctx, recoverTime, func() bool {
-		p.once(ctx)
-		return s.book.endedUnder(path) > before
+	if !waitFor(ctx, recoveryTimeout, func() bool {
+		p.sendOne(ctx)
+		return s.checker.crashesOf(path) > before
 	}) {
-		s.book.broken("lets a request run again", path, "no server ended under it since it was lifted")
+		s.checker.recordViolation("a lifted request runs again", path, "no server crashed under it after it was lifted")
 	}
 }
--- a/internal/soak/hingesoak/server.go
+++ b/internal/soak/hingesoak/server.go
@@ -15,47 +15,47 @@
 	"github.com/rotisserie/eris"
 )
 
-// serverKinds are the stand-ins of a run; an empty stage is a replica of the plain service.
+// serverKinds lists the stages of a run's stand-ins; an empty stage is a replica of the plain service.
 var serverKinds = []string{"", "", "prefill", "prefill", "decode", "decode", "decode"}
 
 const (
 	plainService  = "app"
 	engineService = "model"
-	// streamEvents is the length of a stream, eventEvery the pause between its events.
-	streamEvents = 20
-	eventEvery   = 30 * time.Millisecond
+	// streamEvents is the number of events in a stream, eventInterval the pause between them.
+	streamEvents  = 20
+	eventInterval = 30 * time.Millisecond
 )
 
-// server is a stand-in of a backend server behind a proxy.
+// server is a stand-in for a backend server, reached through a proxy.
 type server struct {
-	id    string
-	stage string
-	book  *book
-	proxy *proxy
-	seq   atomic.Uint64
-	cache atomic.Uint64
-	// life counts its ends; while it is down nothing announces it.
-	life atomic.Uint64
-	down atomic.Bool
+	id      string
+	stage   string
+	checker *checker
+	proxy   *proxy
+	seq     atomic.Uint64
+	cache   atomic.Uint64
+	// restarts is part of the server's name. While down is set, no heartbeats are sent.
+	restarts atomic.Uint64
+	down     atomic.Bool
 }
 
-// name is the server's name in its present life.
+// name returns the server's name, which changes with each restart.
 func (x *server) name() string {
-	return fmt.Sprintf("%s.%d", x.id, x.life.Load())
+	return fmt.Sprintf("%s.%d", x.id, x.restarts.Load())
 }
 
-// downTime is how long a server that ended is away.
-const downTime = 2 * time.Second
+// restartDelay is the time between a crash and the restart of a server.
+const restartDelay = 2 * time.Second
 
-// end ends the server under a request; it is back by itself.
-func (x *server) end(path string) {
+// crash simulates a crash under the request with the path, and a restart after restartDelay.
+func (x *server) crash(path string) {
 	if !x.down.CompareAndSwap(false, true) {
 		return
 	}
-	x.book.ends(path, x.name())
-	x.proxy.shut()
-	time.AfterFunc(downTime, func() {
-		x.life.Add(1)
+	x.checker.recordCrash(path, x.name())
+	x.proxy.stopListening()
+	time.AfterFunc(restartDelay, func() {
+		x.restarts.Add(1)
 		x.proxy.reopen()
 		x.down.Store(false)
 	})
@@ -64,19 +64,19 @@
 func (s *soak) startServers(ctx context.Context) error {
 	for i, stage := range serverKinds {
 		x := &server{
-			id:    fmt.Sprint("server-", i),
-			stage: stage,
-			book:  s.book,
+			id:      fmt.Sprint("server-", i),
+			stage:   stage,
+			checker: s.checker,
 		}
 		l, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			return eris.Wrap(err, "stand-in")
+			return eris.Wrap(err, "open stand-in listener")
 		}
 		web := &http.Server{
 			Handler: x,
 		}
 		go func() {
-			// It ends with its listener.
+			// Serve returns when the server is closed.
 			_ = web.Serve(l)
 		}()
 		x.proxy, err = newProxy(l.Addr().String())
@@ -93,18 +93,18 @@
 	return nil
 }
 
-// announce tells control hosts of the server, as a server does: any one of them.
+// announce sends heartbeats to one control host, and fails over to the next if it doesn't answer.
 func (x *server) announce(ctx context.Context, f *fleet) {
-	at := int(x.seq.Load())
+	hostIndex := int(x.seq.Load())
 	for ctx.Err() == nil {
 		if x.down.Load() {
 			sleepUntil(ctx, time.Now().Add(20*time.Millisecond))
 			continue
 		}
 		c := wire.Heartbeat(x.name(), x.service(), x.proxy.address(), "zone-1", x.stage, x.seq.Add(1))
-		status, _, err := call(ctx, f.controls[at%len(f.controls)].settings.ControlAt, c)
+		status, _, err := call(ctx, f.controls[hostIndex%len(f.controls)].settings.ControlAt, c)
 		if err != nil || status != http.StatusOK {
-			at++
+			hostIndex++
 			continue
 		}
 		sleepUntil(ctx, time.Now().Add(time.Second))
@@ -118,36 +118,37 @@
 	return engineService
 }
 
-// ServeHTTP runs a request as a backend server does.
+// ServeHTTP runs a request and records the run. A poison request crashes the server, except
+// in the prefill stage.
 func (x *server) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	_, _ = io.Copy(io.Discard, q.Body)
-	told := wire.Told(q.Header)
-	if told.Server != "" && told.Server != x.name() {
+	info := wire.Told(q.Header)
+	if info.Server != "" && info.Server != x.name() {
 		w.WriteHeader(http.StatusMisdirectedRequest)
 		return
 	}
 	switch {
-	case told.ID == "":
-		// A report is asked for, or a KV cache freed; neither runs anything.
+	case info.ID == "":
+		// Load queries and calls that free KV cache run no request.
 		w.WriteHeader(http.StatusOK)
-	case strings.Contains(q.URL.Path, poisonPath) && !told.Prefill:
-		x.end(q.URL.Path)
-	case told.Prefill:
+	case strings.Contains(q.URL.Path, poisonMarker) && !info.Prefill:
+		x.crash(q.URL.Path)
+	case info.Prefill:
 		time.Sleep(20 * time.Millisecond)
-		wire.Answered(w.Header(), told.ID)
+		wire.Answered(w.Header(), info.ID)
 		_, _ = w.Write(wire.Exported(fmt.Sprint("cache-", x.cache.Add(1))))
 	case x.stage == "decode":
-		x.stream(w, q, told.ID, told.After)
+		x.stream(w, q, info.ID, info.After)
 	default:
-		x.book.ran(told.ID, x.id)
+		x.checker.recordRun(info.ID, x.id)
 		time.Sleep(10 * time.Millisecond)
-		wire.Answered(w.Header(), told.ID)
-		_, _ = io.WriteString(w, answerTo(told.ID))
+		wire.Answered(w.Header(), info.ID)
+		_, _ = io.WriteString(w, answerTo(info.ID))
 	}
 }
 
 func (x *server) stream(w http.ResponseWriter, q *http.Request, id, after string) {
-	x.book.ran(id, x.id)
+	x.checker.recordRun(id, x.id)
 	wire.Answered(w.Header(), id)
 	first, _ := strconv.Atoi(after)
 	for i := first + 1; i <= streamEvents; i++ {
@@ -156,7 +157,7 @@
 		}
 		_, _ = io.WriteString(w, event(id, i))
 		w.(http.Flusher).Flush()
-		time.Sleep(eventEvery)
+		time.Sleep(eventInterval)
 	}
 }
 
@@ -168,11 +169,11 @@
 	return fmt.Sprintf("id: %d\ndata: token %d of %s\n\n", i, i, id)
 }
 
-// mode is what a proxy does with connections.
+// mode is the fault that a proxy applies to its connections.
 type mode string
 
-// The modes of a proxy. One way, requests arrive and answers are lost; silent, nothing
-// passes and nothing is closed.
+// The modes of a proxy. With oneWay, requests arrive and answers are dropped; with silent,
+// all data is held back and no connection is closed.
 const (
 	pass   mode = "pass"
 	delay  mode = "delay"
@@ -181,29 +182,29 @@
 	silent mode = "silent"
 )
 
-// proxy stands before a stand-in.
+// proxy forwards connections to a stand-in and injects faults.
 type proxy struct {
-	at string
-	to string
-	// shutting guards the listener, which is closed while the server is down.
-	shutting sync.Mutex
-	listener net.Listener
-	closed   bool
-	mode     atomic.Pointer[mode]
-	conns    sync.Map
+	listenAddress string
+	target        string
+	// listenerMu guards listener and closed. The listener is closed while the server is down.
+	listenerMu sync.Mutex
+	listener   net.Listener
+	closed     bool
+	mode       atomic.Pointer[mode]
+	conns      sync.Map
 }
 
-func newProxy(to string) (*proxy, error) {
+func newProxy(target string) (*proxy, error) {
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, eris.Wrap(err, "proxy")
+		return nil, eris.Wrap(err, "open proxy listener")
 	}
 	p := &proxy{
-		at:       l.Addr().String(),
-		listener: l,
-		to:       to,
+		listenAddress: l.Addr().String(),
+		listener:      l,
+		target:        target,
 	}
-	p.set(pass)
+	p.setMode(pass)
 	go p.accept(l)
 	return p, nil
 }
@@ -218,10 +219,10 @@
 	}
 }
 
-// shut ends the server to the world: all its connections break, and its address refuses others.
-func (p *proxy) shut() {
-	p.shutting.Lock()
-	defer p.shutting.Unlock()
+// stopListening closes the listener and resets all connections, as after a crash of the server.
+func (p *proxy) stopListening() {
+	p.listenerMu.Lock()
+	defer p.listenerMu.Unlock()
 	_ = p.listener.Close()
 	p.conns.Range(func(c, _ any) bool {
 		abort(c.(net.Conn))
@@ -229,16 +230,16 @@
 	})
 }
 
-// reopen takes connections again, unless the run is over.
+// reopen listens on the same address again, unless the proxy is closed.
 func (p *proxy) reopen() {
-	p.shutting.Lock()
-	defer p.shutting.Unlock()
+	p.listenerMu.Lock()
+	defer p.listenerMu.Unlock()
 	if p.closed {
 		return
 	}
-	l, err := net.Listen("tcp4", p.at)
+	l, err := net.Listen("tcp4", p.listenAddress)
 	if err != nil {
-		// It stays away, which the run's end would show.
+		// The server stays down, which the recovery check finds.
 		return
 	}
 	p.listener = l
@@ -246,11 +247,11 @@
 }
 
 func (p *proxy) address() string {
-	return p.at
+	return p.listenAddress
 }
 
-// set changes the mode; connections that are open get it too.
-func (p *proxy) set(m mode) {
+// setMode changes the mode, which also applies to open connections.
+func (p *proxy) setMode(m mode) {
 	p.mode.Store(&m)
 	if m != reset {
 		return
@@ -261,7 +262,7 @@
 	})
 }
 
-// abort resets a connection.
+// abort closes a connection with a TCP reset.
 func abort(c net.Conn) {
 	if t, ok := c.(*net.TCPConn); ok {
 		_ = t.SetLinger(0)
@@ -270,11 +271,11 @@
 }
 
 func (p *proxy) close() {
-	p.shutting.Lock()
+	p.listenerMu.Lock()
 	p.closed = true
 	_ = p.listener.Close()
-	p.shutting.Unlock()
-	p.set(reset)
+	p.listenerMu.Unlock()
+	p.setMode(reset)
 }
 
 func (p *proxy) serve(c net.Conn) {
@@ -282,18 +283,18 @@
 		abort(c)
 		return
 	}
-	to, err := net.Dial("tcp4", p.to)
+	target, err := net.Dial("tcp4", p.target)
 	if err != nil {
 		abort(c)
 		return
 	}
 	p.conns.Store(c, nil)
 	defer p.conns.Delete(c)
-	go p.copy(to, c, false)
-	p.copy(c, to, true)
+	go p.copy(target, c, false)
+	p.copy(c, target, true)
 }
 
-// copy carries bytes one way as the mode says.
+// copy forwards bytes in one direction, subject to the mode.
 func (p *proxy) copy(to, from net.Conn, answers bool) {
 	defer func() {
 		_ = to.Close()
@@ -313,7 +314,7 @@
 		case delay:
 			time.Sleep(150 * time.Millisecond)
 		case oneWay:
-			// Bytes that were lost on the way never come, and nothing behind them does.
+			// After dropped bytes, nothing more is forwarded: a TCP stream has no gaps.
 			lost = lost || answers
 		}
 		if lost {
--- a/internal/soak/hingesoak/soak.go
+++ b/internal/soak/hingesoak/soak.go
@@ -1,20 +1,19 @@
-// Package hingesoak runs the real programs as separate processes on loopback addresses,
-// injects faults from outside them, and checks while it runs what callers, backend
-// servers and operators are promised.
+// Package hingesoak runs swifthinge-fleet as separate processes on loopback addresses,
+// injects faults from outside them, and checks the guarantees for callers, backend
+// servers and operators during the run.
 //
-//  1. The plan of faults is drawn from a seed and printed, so that a run can be played
-//     again. What the machine's own timing adds is not in it.
-//     The plan depends on the numbers of hosts too.
-//  2. Faults overlap. One control host is lost at a time, or all are killed at once with
-//     their disks kept: that is what three of them bear.
-//  3. Callers keep their connections until the process at the other end is gone.
-//  4. Only processes that the soak started are stopped, by their ids.
-//  5. A promise is judged by what callers, stand-ins and operators saw, never by logs.
-//  6. Connections to backend servers go through a proxy in the soak, which delays,
-//     resets, cuts one way or silences them. The links between the programs are
-//     disturbed by signals only.
-//  7. A poison request ends each server that runs it; the server is back after some seconds under another name. It comes again
-//     at any entry host, each time under a new id.
+//  1. The plan of faults is generated from a seed and the numbers of hosts, and printed,
+//     so that a run can be repeated. Scheduling on the machine is not reproduced.
+//  2. Faults overlap, within what three control hosts tolerate: either one control host
+//     fails at a time, or all are killed at once and keep their data.
+//  3. Callers keep their connections open until the process at the other end exits.
+//  4. Only processes that the run started are signalled, by process id.
+//  5. Guarantees are checked by what callers, stand-ins and operators observe, not by logs.
+//  6. Connections to backend servers pass a proxy, which delays, resets, blocks (in one
+//     direction) or silences them. Links between the processes are affected only by
+//     signals to the processes.
+//  7. A poison request crashes each server that runs it. The server restarts after a
+//     delay under another name. The request is resent to any entry host under a new id.
 package hingesoak
 
 import (
@@ -30,23 +29,25 @@
 	"github.com/rotisserie/eris"
 )
 
-// Options of a run.
+// Options configures a run.
 type Options struct {
-	// Program is the path of swifthinge-fleet, Folder where settings, data and logs go.
+	// Program is the path of swifthinge-fleet. Folder receives settings, data and logs;
+	// its earlier content is removed.
 	Program string
 	Folder  string
 	Seed    uint64
-	// Controls and Entries are how many hosts there are of each kind; zero is three.
+	// Controls and Entries are the numbers of control and entry hosts; zero means three.
 	Controls int
 	Entries  int
-	// Lasts is how long faults are injected.
+	// Lasts is the time during which faults are injected.
 	Lasts time.Duration
-	// Poison is how many requests end each server that runs them, and come again and again.
+	// Poison is the number of different poison requests, each sent repeatedly.
 	Poison int
 	Out    io.Writer
 }
 
-// Broken is a promise that was broken.
+// Broken is a violated guarantee. At is the time since the start of the run, ID the
+// request, if any.
 type Broken struct {
 	Promise string
 	At      time.Duration
@@ -54,113 +55,114 @@
 	Detail  string
 }
 
-// Report is what a run found.
+// Report has the counts and violations of a run.
 type Report struct {
 	Asked    int
 	Answered int
 	Refused  int
 	Changes  int
 	Faults   int
-	// Ended counts the servers that ended under poison requests.
+	// Ended counts the server crashes under poison requests.
 	Ended  int
 	Broken []Broken
 }
 
 const (
-	// usual is how many hosts of each kind a run has that doesn't say.
-	usual = 3
-	// callers is the least number of callers; in a larger fleet each entry host has one.
-	callers = 12
-	// startTime is how long the programs may take to be ready at first, recoverTime
+	// defaultHosts is the default number of hosts of each kind.
+	defaultHosts = 3
+	// minCallers is the minimum number of callers; a run has at least one per entry host.
+	minCallers = 12
+	// startTimeout bounds the time until the fleet is ready after its start, recoveryTimeout
 	// after the last fault.
-	startTime   = 15 * time.Second
-	recoverTime = 20 * time.Second
-	// settled is how many requests are sent at the end, of which all but a few are to be answered.
-	settled = 40
+	startTimeout    = 15 * time.Second
+	recoveryTimeout = 20 * time.Second
+	// finalRequests is the number of requests sent after recovery; 90 % of them must be answered.
+	finalRequests = 40
 )
 
 // soak is one run.
 type soak struct {
-	options Options
-	began   time.Time
-	random  *rand.Rand
-	fleet   *fleet
-	servers []*server
-	book    *book
-	// load are the callers and operators, which end before the programs do.
+	options   Options
+	startedAt time.Time
+	random    *rand.Rand
+	fleet     *fleet
+	servers   []*server
+	checker   *checker
+	// load tracks the callers and operators, which stop before the processes are killed.
 	load sync.WaitGroup
 }
 
-// Run plays one seed.
+// Run runs the faults of one seed and returns what was observed. The error is not nil
+// only if the run could not start.
 func Run(ctx context.Context, o Options) (Report, error) {
-	o.Controls = cmp.Or(o.Controls, usual)
-	o.Entries = cmp.Or(o.Entries, usual)
-	// Disks of an earlier run would keep a new system from being founded.
+	o.Controls = cmp.Or(o.Controls, defaultHosts)
+	o.Entries = cmp.Or(o.Entries, defaultHosts)
+	// Data of an earlier run would prevent the first start of a new system.
 	if err := os.RemoveAll(o.Folder); err != nil {
-		return Report{}, eris.Wrap(err, "folder of the soak")
+		return Report{}, eris.Wrap(err, "remove folder of an earlier run")
 	}
 	if err := os.MkdirAll(o.Folder, 0o700); err != nil {
-		return Report{}, eris.Wrap(err, "folder of the soak")
+		return Report{}, eris.Wrap(err, "create folder of the run")
 	}
 	s := &soak{
-		options: o,
-		began:   time.Now(),
-		random:  rand.New(rand.NewPCG(o.Seed, 7)),
-		book:    newBook(time.Now()),
+		options:   o,
+		startedAt: time.Now(),
+		random:    rand.New(rand.NewPCG(o.Seed, 7)),
+		checker:   newChecker(time.Now()),
 	}
 	s.fleet = newFleet(o)
-	s.fleet.book = s.book
-	defer s.fleet.end()
+	s.fleet.checker = s.checker
+	defer s.fleet.killAll()
 	if err := s.fleet.startAll(); err != nil {
 		return Report{}, err
 	}
-	inner, stop := context.WithCancel(ctx)
+	runCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	if err := s.startServers(inner); err != nil {
+	if err := s.startServers(runCtx); err != nil {
 		return Report{}, err
 	}
-	operator := newOperator(s.fleet, s.book)
-	if !waitFor(inner, startTime, func() bool {
-		return operator.change(inner, 1)
+	operator := newOperator(s.fleet, s.checker)
+	if !waitFor(runCtx, startTimeout, func() bool {
+		return operator.sendNext(runCtx, 1)
 	}) {
-		return Report{}, eris.New("no configuration was accepted at the start")
+		return Report{}, eris.New("control hosts accepted no configuration within the start timeout")
 	}
-	if !waitFor(inner, startTime, s.fleet.ready) {
-		return Report{}, eris.New("the entry hosts didn't become ready")
+	if !waitFor(runCtx, startTimeout, s.fleet.ready) {
+		return Report{}, eris.New("entry hosts were not ready within the start timeout")
 	}
-	s.play(inner, operator)
-	s.finish(inner, operator)
+	s.runLoad(runCtx, operator)
+	s.checkRecovery(runCtx, operator)
 	stop()
 	s.load.Wait()
-	return s.book.report(), nil
+	return s.checker.report(), nil
 }
 
-// play lets callers and operators act while faults come.
-func (s *soak) play(ctx context.Context, operator *operator) {
-	loaded, stop := context.WithCancel(ctx)
-	for i := range max(callers, s.options.Entries) {
+// runLoad runs callers and operators while it injects the faults of the plan.
+func (s *soak) runLoad(ctx context.Context, operator *operator) {
+	loadCtx, stop := context.WithCancel(ctx)
+	for i := range max(minCallers, s.options.Entries) {
 		s.load.Go(func() {
-			newCaller(s.fleet, s.book, s.options.Seed, i).run(loaded)
+			newCaller(s.fleet, s.checker, s.options.Seed, i).run(loadCtx)
 		})
 	}
 	for i := range s.options.Poison {
 		s.load.Go(func() {
-			newPoisoner(s.fleet, s.book, s.options.Seed, i).run(loaded)
+			newPoisoner(s.fleet, s.checker, s.options.Seed, i).run(loadCtx)
 		})
 	}
 	s.load.Go(func() {
-		operator.run(loaded)
+		operator.run(loadCtx)
 	})
 	s.load.Go(func() {
-		operator.read(loaded)
+		operator.read(loadCtx)
 	})
 	for _, f := range plan(s.random, s.options) {
-		at := s.began.Add(f.at)
+		at := s.startedAt.Add(f.at)
 		_, _ = fmt.Fprintf(s.options.Out, "%8.3f s %s\n", f.at.Seconds(), f)
 		if !sleepUntil(ctx, at) {
 			break
 		}
-		s.book.fault()
+		s.checker.countFault()
 		s.inject(ctx, f)
 	}
 	s.fleet.awaitFaults()
@@ -168,34 +170,34 @@
 	s.load.Wait()
 }
 
-// finish checks what must hold once everything is well again.
-func (s *soak) finish(ctx context.Context, operator *operator) {
+// checkRecovery removes all link faults, and checks readiness, answers, reads and poison lists.
+func (s *soak) checkRecovery(ctx context.Context, operator *operator) {
 	for _, x := range s.servers {
-		x.proxy.set(pass)
+		x.proxy.setMode(pass)
 	}
-	if !waitFor(ctx, recoverTime, func() bool {
-		return s.fleet.ready() && operator.change(ctx, 1)
+	if !waitFor(ctx, recoveryTimeout, func() bool {
+		return s.fleet.ready() && operator.sendNext(ctx, 1)
 	}) {
-		s.book.broken("recovers", "", "not all hosts are ready, or no change is accepted, 20 s after the last fault")
+		s.checker.recordViolation("the fleet recovers", "", "not all hosts are ready, or no change is accepted, 20 s after the last fault")
 		return
 	}
 	time.Sleep(2 * time.Second)
-	c := newCaller(s.fleet, s.book, s.options.Seed, callers)
-	good := 0
-	for range settled {
-		if c.once(ctx) {
-			good++
+	c := newCaller(s.fleet, s.checker, s.options.Seed, minCallers)
+	answered := 0
+	for range finalRequests {
+		if c.sendOne(ctx) {
+			answered++
 		}
 	}
-	if good < settled*9/10 {
-		s.book.broken("recovers", "", fmt.Sprintf("%d of %d requests are answered after the faults", good, settled))
+	if answered < finalRequests*9/10 {
+		s.checker.recordViolation("the fleet recovers", "", fmt.Sprintf("%d of %d requests are answered after the faults", answered, finalRequests))
 	}
 	operator.readAll(ctx)
 	s.checkLists(ctx)
 }
 
-func waitFor(ctx context.Context, most time.Duration, f func() bool) bool {
-	for end := time.Now().Add(most); time.Now().Before(end) && ctx.Err() == nil; {
+func waitFor(ctx context.Context, timeout time.Duration, f func() bool) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline) && ctx.Err() == nil; {
 		if f() {
 			return true
 		}
--- a/internal/soak/hingesoak/soak_test.go
+++ b/internal/soak/hingesoak/soak_test.go
@@ -11,27 +11,27 @@
 	"time"
 )
 
-// playTime is how long a seed's faults last here. By hand it is longer.
-const playTime = 6 * time.Second
+// seedDuration is the default time of faults for a seed of the test data.
+const seedDuration = 6 * time.Second
 
-// Hosts are killed, stopped, frozen and lose their disks one upon the other while
-// callers and operators go on. Each promise that breaks here is one that a user would see broken.
-func TestSeedsKeepThePromises(t *testing.T) {
-	playSeeds(t, "testdata/seeds.txt")
+// All guarantees must hold while hosts are killed, stopped, frozen and lose their data
+// under the load of callers and operators.
+func TestSeedsHoldGuarantees(t *testing.T) {
+	runSeeds(t, "testdata/seeds.txt")
 }
 
-// A request ends each server that runs it and comes again at every host, through the same faults: all servers end one after the
-// other, and with them everybody else's requests.
-func TestSeedsStopRequestsThatEndServers(t *testing.T) {
-	playSeeds(t, "testdata/poison.txt")
+// A poison request that is resent must be blocked despite the same faults. Otherwise it
+// crashes one server after the other, and fails other callers' requests.
+func TestSeedsBlockPoisonRequests(t *testing.T) {
+	runSeeds(t, "testdata/poison.txt")
 }
 
-func playSeeds(t *testing.T, file string) {
+func runSeeds(t *testing.T, file string) {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "swifthinge-fleet")
 	build := exec.Command("go", "build", "-buildvcs=false", "-o", program, "github.com/swifthinge/swifthinge/cmd/swifthinge-fleet")
 	if out, err := build.CombinedOutput(); err != nil {
-		t.Fatalf("%v: %s", err, out)
+		t.Fatalf("build of swifthinge-fleet: %v: %s", err, out)
 	}
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -53,13 +53,12 @@
 		}
 		t.Logf("seed %d: %+v", seed, r)
 		if len(r.Broken) > 0 || r.Answered == 0 {
-			t.Errorf("seed %d: answered %d, broken %+v\n%s", seed, r.Answered, r.Broken, out.String())
+			t.Errorf("seed %d: answered %d, violations %+v\n%s", seed, r.Answered, r.Broken, out.String())
 		}
 	}
 }
 
-// parseSeed reads a seed with what it needs beside it: the numbers of hosts and how long its faults last,
-// up to a colon that begins its cause.
+// parseSeed reads a line of the test data: a seed and its options, up to a colon that begins the reason for the seed.
 func parseSeed(line string) (Options, bool) {
 	text, _, _ := strings.Cut(line, ":")
 	words := strings.Fields(text)
@@ -72,7 +71,7 @@
 	}
 	o := Options{
 		Seed:  seed,
-		Lasts: playTime,
+		Lasts: seedDuration,
 	}
 	for _, w := range words[1:] {
 		name, value, _ := strings.Cut(w, "=")
