--- a/internal/load/hingeload/run.go
+++ b/internal/load/hingeload/run.go
@@ -47,9 +47,10 @@
 	startedAt time.Time
 }
 
-// Run sends all requests of the schedule and waits for the last answer, no
-// longer than the phases, the longest deadline and Options.Settle. If the context
-// is done before the schedule is, it returns the partial result with the error.
+// Run sends all requests of the schedule, waits for the last answer, at most
+// until the longest deadline and two seconds have passed, and then at most
+// Options.Settle for the stand-ins. If the context is done before the schedule
+// is, it returns the partial result with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if len(o.Hosts) == 0 {
 		return nil, eris.New("no entry hosts given")
--- a/internal/standin/hingestandin/counts.go
+++ b/internal/standin/hingestandin/counts.go
@@ -4,7 +4,7 @@
 
 // Counts are the counters of a stand-in, served at /standin/counts.
 type Counts struct {
-	// Requests counts all requests received, Runs those that were executed.
+	// Requests counts completions and service calls received, Runs those executed.
 	Requests int `json:"requests"`
 	Runs     int `json:"runs"`
 	// MostRunsOfAKey is the maximum number of runs under one Idempotency-Key.
