--- a/cmd/swifthinge-soak/main.go
+++ b/cmd/swifthinge-soak/main.go
@@ -75,23 +75,23 @@
 	for i := range c.Int("seeds") {
 		seed := c.Uint64("seed") + uint64(i)
 		r, err := hingesoak.Run(ctx, hingesoak.Options{
-			Program:  c.String("program"),
-			Folder:   filepath.Join(c.String("folder"), fmt.Sprint("seed-", seed)),
-			Seed:     seed,
-			Controls: c.Int("controls"),
-			Entries:  c.Int("entries"),
-			Lasts:    c.Duration("lasts"),
-			Poison:   c.Int("poison"),
-			Out:      os.Stdout,
+			Program:        c.String("program"),
+			Folder:         filepath.Join(c.String("folder"), fmt.Sprint("seed-", seed)),
+			Seed:           seed,
+			Controls:       c.Int("controls"),
+			Entries:        c.Int("entries"),
+			Duration:       c.Duration("lasts"),
+			PoisonRequests: c.Int("poison"),
+			Out:            os.Stdout,
 		})
 		if err != nil {
 			return fmt.Errorf("seed %d: %w", seed, err)
 		}
 		fmt.Printf("seed %d: requests %d, answered %d, refused %d, changes %d, faults %d, servers crashed %d, broken %d\n",
-			seed, r.Asked, r.Answered, r.Refused, r.Changes, r.Faults, r.Ended, len(r.Broken))
-		for _, b := range r.Broken {
+			seed, r.Sent, r.Answered, r.Refused, r.Changes, r.Faults, r.Crashes, len(r.Violations))
+		for _, b := range r.Violations {
 			broken = true
-			fmt.Printf("BROKEN %s at %v: request %q: %s\n", b.Promise, b.At, b.ID, b.Detail)
+			fmt.Printf("BROKEN %s at %v: request %q: %s\n", b.Guarantee, b.At, b.RequestID, b.Detail)
 		}
 	}
 	if broken {
--- a/internal/load/hingecompare/compare.go
+++ b/internal/load/hingecompare/compare.go
@@ -19,13 +19,13 @@
 
 // Options configures a comparison.
 type Options struct {
-	Firm hingemodel.Workload
+	Workload hingemodel.Workload
 	// Loads are multiples of the workload's peak rate.
 	Loads []float64
 	Seeds int
-	// Lasts is the simulated time of each run; the first two fifths are warm-up
+	// Duration is the simulated time of each run; the first two fifths are warm-up
 	// and aren't measured.
-	Lasts time.Duration
+	Duration time.Duration
 	// Progress is called before each policy is simulated at a load; nil disables it.
 	Progress func(policy string, load float64)
 }
@@ -39,7 +39,7 @@
 	// not used.
 	Goodput      float64 `json:"goodput"`
 	TokenGoodput float64 `json:"tokenGoodput"`
-	Wasted       float64 `json:"wasted"`
+	WastedShare  float64 `json:"wasted"`
 	// Refused and TimedOut are shares of the requests that arrived.
 	Refused  float64 `json:"refused"`
 	TimedOut float64 `json:"timedOut"`
@@ -134,15 +134,15 @@
 	for seed := range o.Seeds {
 		run := hingemodel.Run{
 			Cluster:  hingemodel.DefaultCluster(),
-			Workload: o.Firm,
+			Workload: o.Workload,
 			Seed:     uint64(seed + 1),
-			Warmup:   o.Lasts * 2 / 5,
+			Warmup:   o.Duration * 2 / 5,
 			Clients: hingemodel.ClientRetries{
 				Attempts: 1,
 			},
 			Phases: []hingemodel.Phase{
 				{
-					Duration: o.Lasts,
+					Duration: o.Duration,
 					Load:     load,
 				},
 			},
@@ -150,7 +150,7 @@
 		r := hingemodel.Simulate(run, c.newPolicy(run.Workload, run.Cluster, run.Seed))
 		p.Goodput += r.Goodput() / n
 		p.TokenGoodput += r.TokenGoodput() / n
-		p.Wasted += r.WastedShare() / n
+		p.WastedShare += r.WastedShare() / n
 		for _, class := range r.Classes {
 			arrived += class.Arrived
 			refused += class.Refused
--- a/internal/load/hingeload/client.go
+++ b/internal/load/hingeload/client.go
@@ -79,11 +79,11 @@
 	case Chat:
 		q.path = "/v1/chat/completions"
 		q.stream, q.chat = true, true
-		q.body = chatBody(m.Model, a.Text(run), a.Output)
+		q.body = chatBody(m.Model, a.PromptText(run), a.Output)
 	case Completion:
 		q.path = "/v1/completions"
 		q.stream = true
-		q.body = completionBody(m.Model, a.Text(run), a.Output)
+		q.body = completionBody(m.Model, a.PromptText(run), a.Output)
 	}
 	return q
 }
@@ -131,9 +131,9 @@
 func (a Arrival) expectedAnswer(q httpRequest, run string) string {
 	switch a.Class.Kind {
 	case Chat:
-		return hingestandin.Answer("user: "+a.Text(run)+"\n", a.Output)
+		return hingestandin.Answer("user: "+a.PromptText(run)+"\n", a.Output)
 	case Completion:
-		return hingestandin.Answer(a.Text(run), a.Output)
+		return hingestandin.Answer(a.PromptText(run), a.Output)
 	default:
 		return q.path + " " + q.body
 	}
--- a/internal/load/hingeload/fate.go
+++ b/internal/load/hingeload/fate.go
@@ -22,10 +22,10 @@
 		return ""
 	}
 	return [...]string{
-		Right:     "",
-		Truncated: "truncated",
-		Doubled:   "doubled",
-		Crossed:   "crossed",
+		Correct:      "",
+		Truncated:    "truncated",
+		Duplicated:   "doubled",
+		Misdelivered: "crossed",
 	}[f.finding]
 }
 
@@ -36,9 +36,9 @@
 	}
 	c := Case{
 		Class:    a.Class.Name,
-		What:     problem,
+		Problem:  problem,
 		Request:  f.reply.requestID,
-		Second:   a.At.Seconds(),
+		Second:   a.ScheduledAt.Seconds(),
 		Attempts: f.attempts,
 		Code:     f.reply.code,
 	}
--- a/internal/load/hingeload/judge.go
+++ b/internal/load/hingeload/judge.go
@@ -7,22 +7,22 @@
 
 // The findings.
 const (
-	// Right is the complete, expected answer.
-	Right Finding = iota
+	// Correct is the complete, expected answer.
+	Correct Finding = iota
 	// Truncated lacks tokens.
 	Truncated
-	// Doubled has duplicate tokens.
-	Doubled
-	// Crossed has tokens of another request's answer.
-	Crossed
+	// Duplicated has duplicate tokens.
+	Duplicated
+	// Misdelivered has tokens of another request's answer.
+	Misdelivered
 )
 
-// Judge compares an answer with the expected one token by token (rule 5).
+// ClassifyAnswer compares an answer with the expected one token by token (rule 5).
 // Tokens end with a space. Of several faults it returns the most severe:
 // Crossed, then Doubled, then Truncated.
-func Judge(want, got string) Finding {
+func ClassifyAnswer(want, got string) Finding {
 	if got == want {
-		return Right
+		return Correct
 	}
 	expected := make(map[string]int)
 	for token := range strings.SplitAfterSeq(want, " ") {
@@ -34,9 +34,9 @@
 		switch {
 		case token == "":
 		case !known:
-			return Crossed
+			return Misdelivered
 		case remaining == 0:
-			finding = Doubled
+			finding = Duplicated
 		}
 		expected[token]--
 		if remaining == 0 {
--- a/internal/load/hingeload/judge_test.go
+++ b/internal/load/hingeload/judge_test.go
@@ -15,26 +15,26 @@
 	other := hingestandin.Answer("other", 3)
 	token := func(i int) string { return hingestandin.Token("own", i) }
 	got := map[string]Finding{
-		"whole":           Judge(want, want),
-		"short":           Judge(want, token(0)+token(1)),
-		"empty":           Judge(want, ""),
-		"gap":             Judge(want, token(0)+token(2)),
-		"token twice":     Judge(want, token(0)+token(0)+token(1)+token(2)),
-		"all twice":       Judge(want, want+want),
-		"another's":       Judge(want, other),
-		"another's token": Judge(want, want+hingestandin.Token("other", 0)),
-		"broken token":    Judge(want, want[:len(want)-2]),
+		"whole":           ClassifyAnswer(want, want),
+		"short":           ClassifyAnswer(want, token(0)+token(1)),
+		"empty":           ClassifyAnswer(want, ""),
+		"gap":             ClassifyAnswer(want, token(0)+token(2)),
+		"token twice":     ClassifyAnswer(want, token(0)+token(0)+token(1)+token(2)),
+		"all twice":       ClassifyAnswer(want, want+want),
+		"another's":       ClassifyAnswer(want, other),
+		"another's token": ClassifyAnswer(want, want+hingestandin.Token("other", 0)),
+		"broken token":    ClassifyAnswer(want, want[:len(want)-2]),
 	}
 	if diff := cmp.Diff(map[string]Finding{
-		"whole":           Right,
+		"whole":           Correct,
 		"short":           Truncated,
 		"empty":           Truncated,
 		"gap":             Truncated,
-		"token twice":     Doubled,
-		"all twice":       Doubled,
-		"another's":       Crossed,
-		"another's token": Crossed,
-		"broken token":    Crossed,
+		"token twice":     Duplicated,
+		"all twice":       Duplicated,
+		"another's":       Misdelivered,
+		"another's token": Misdelivered,
+		"broken token":    Misdelivered,
 	}, got); diff != "" {
 		t.Error(diff)
 	}
@@ -45,29 +45,29 @@
 func TestDraw(t *testing.T) {
 	phases := []Phase{
 		{
-			Lasts: 10 * time.Second,
-			Rate:  100,
+			Duration: 10 * time.Second,
+			Rate:     100,
 		},
 		{
-			Lasts: time.Second,
-			Rate:  1000,
+			Duration: time.Second,
+			Rate:     1000,
 		},
 	}
-	first := Draw(7, Shellfish(), phases, 1e6)
-	if diff := cmp.Diff(first, Draw(7, Shellfish(), phases, 1e6)); diff != "" {
+	first := NewSchedule(7, Shellfish(), phases, 1e6)
+	if diff := cmp.Diff(first, NewSchedule(7, Shellfish(), phases, 1e6)); diff != "" {
 		t.Error(diff)
 	}
 	if len(first) < 1800 || len(first) > 2200 {
 		t.Errorf("%d arrivals, want about 2,000", len(first))
 	}
-	if got := len(Draw(7, Shellfish(), phases, 50)); got != 50 {
+	if got := len(NewSchedule(7, Shellfish(), phases, 50)); got != 50 {
 		t.Errorf("%d arrivals, want the limit of 50", got)
 	}
 	seen := make(map[string]bool)
 	for _, a := range first {
-		if a.Class.Kind != Call && seen[a.Text("r")] {
-			t.Fatalf("two requests have the prompt %.60q", a.Text("r"))
+		if a.Class.Kind != Call && seen[a.PromptText("r")] {
+			t.Fatalf("two requests have the prompt %.60q", a.PromptText("r"))
 		}
-		seen[a.Text("r")] = true
+		seen[a.PromptText("r")] = true
 	}
 }
--- a/internal/load/hingeload/result.go
+++ b/internal/load/hingeload/result.go
@@ -11,12 +11,12 @@
 
 // Result has the counts and latencies of a run.
 type Result struct {
-	Mix     string         `json:"mix"`
-	Seed    uint64         `json:"seed"`
-	Hosts   int            `json:"hosts"`
-	Judged  bool           `json:"judged"`
-	Seconds float64        `json:"seconds"`
-	Classes []*ClassResult `json:"classes"`
+	Mix      string         `json:"mix"`
+	Seed     uint64         `json:"seed"`
+	Hosts    int            `json:"hosts"`
+	Verified bool           `json:"judged"`
+	Seconds  float64        `json:"seconds"`
+	Classes  []*ClassResult `json:"classes"`
 	// OfferedPerSecond and InTargetPerSecond are indexed by the second of the scheduled arrival.
 	OfferedPerSecond  []int `json:"offeredPerSecond"`
 	InTargetPerSecond []int `json:"inTargetPerSecond"`
@@ -50,9 +50,9 @@
 	Lost      int `json:"lost"`
 	// Truncated, Doubled and Crossed count answers that ended as complete but
 	// had the wrong text.
-	Truncated int `json:"truncated"`
-	Doubled   int `json:"doubled"`
-	Crossed   int `json:"crossed"`
+	Truncated    int `json:"truncated"`
+	Duplicated   int `json:"doubled"`
+	Misdelivered int `json:"crossed"`
 	// Attempts and Refusals count over all attempts, Codes by the verdict code
 	// of refusals and errors.
 	Attempts     int         `json:"attempts"`
@@ -69,7 +69,7 @@
 // Case is one request that failed.
 type Case struct {
 	Class    string  `json:"class"`
-	What     string  `json:"what"`
+	Problem  string  `json:"what"`
 	Request  string  `json:"request"`
 	Second   float64 `json:"second"`
 	Attempts int     `json:"attempts"`
@@ -99,10 +99,10 @@
 	PrefillTokens hingeids.Tokens `json:"prefillTokens"`
 	WastedTokens  hingeids.Tokens `json:"wastedTokens"`
 	CachedTokens  hingeids.Tokens `json:"cachedTokens"`
-	// MostRunsOfAKey is the maximum over the stand-ins since their start. Held
+	// MaxRunsPerKey is the maximum over the stand-ins since their start. Held
 	// is the number of allocations still held at the end.
-	MostRunsOfAKey int `json:"mostRunsOfAKey"`
-	Held           int `json:"held"`
+	MaxRunsPerKey int `json:"mostRunsOfAKey"`
+	Held          int `json:"held"`
 	// SettledSeconds is the time from the last answer until Held was 0, or until
 	// Options.Settle had passed.
 	SettledSeconds float64 `json:"settledSeconds"`
@@ -110,22 +110,22 @@
 	Unread int `json:"unread"`
 }
 
-// Wasted returns the share of the prefill tokens from which no answer was decoded.
-func (c StandinCounts) Wasted() float64 {
+// WastedShare returns the share of the prefill tokens from which no answer was decoded.
+func (c StandinCounts) WastedShare() float64 {
 	if c.PrefillTokens == 0 {
 		return 0
 	}
 	return float64(c.WastedTokens) / float64(c.PrefillTokens)
 }
 
-// Bad counts violated guarantees: lost requests, truncated, doubled and crossed
+// Violations counts violated guarantees: lost requests, truncated, doubled and crossed
 // answers, and one if any key ran more than once.
-func (r *Result) Bad() int {
+func (r *Result) Violations() int {
 	n := 0
 	for _, c := range r.Classes {
-		n += c.Lost + c.Truncated + c.Doubled + c.Crossed
+		n += c.Lost + c.Truncated + c.Duplicated + c.Misdelivered
 	}
-	if r.Standins != nil && r.Standins.MostRunsOfAKey > 1 {
+	if r.Standins != nil && r.Standins.MaxRunsPerKey > 1 {
 		n++
 	}
 	return n
@@ -144,8 +144,8 @@
 		t.Uncertain += c.Uncertain
 		t.Lost += c.Lost
 		t.Truncated += c.Truncated
-		t.Doubled += c.Doubled
-		t.Crossed += c.Crossed
+		t.Duplicated += c.Duplicated
+		t.Misdelivered += c.Misdelivered
 		t.Attempts += c.Attempts
 		t.Refusals += c.Refusals
 	}
@@ -224,11 +224,11 @@
 		switch f.finding {
 		case Truncated:
 			c.Truncated++
-		case Doubled:
-			c.Doubled++
-		case Crossed:
-			c.Crossed++
-		case Right:
+		case Duplicated:
+			c.Duplicated++
+		case Misdelivered:
+			c.Misdelivered++
+		case Correct:
 			r.addComplete(a, c, f.reply, first)
 		}
 	}
@@ -249,7 +249,7 @@
 	}
 	if inTarget {
 		c.InTarget++
-		r.InTargetPerSecond[int(a.At/time.Second)]++
+		r.InTargetPerSecond[int(a.ScheduledAt/time.Second)]++
 	}
 }
 
@@ -258,7 +258,7 @@
 func (r *Result) recordSent(a Arrival, lag time.Duration, limit int) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.OfferedPerSecond[int(a.At/time.Second)]++
+	r.OfferedPerSecond[int(a.ScheduledAt/time.Second)]++
 	if r.open >= limit {
 		r.Unsent++
 		return false
--- a/internal/load/hingeload/run.go
+++ b/internal/load/hingeload/run.go
@@ -18,22 +18,22 @@
 type Options struct {
 	// Hosts are the addresses of the entry hosts' caller endpoints.
 	Hosts []string
-	// Judge compares every answer with the one that a stand-in gives.
-	Judge bool
+	// VerifyAnswers compares every answer with the one that a stand-in gives.
+	VerifyAnswers bool
 	// Standins are the addresses of stand-ins whose counters are read.
 	Standins []string
 	Mix      Mix
 	Phases   []Phase
 	Seed     uint64
-	// MostRequests bounds the requests of the run, MostOpen those open at once.
-	MostRequests, MostOpen int
-	// Attempts bounds the attempts of one request. AsTold is the share of
+	// MaxRequests bounds the requests of the run, MostOpen those open at once.
+	MaxRequests, MaxOpen int
+	// MaxAttempts bounds the attempts of one request. AsTold is the share of
 	// requests whose callers wait for Retry-After.
-	Attempts int
-	AsTold   float64
-	// Settle bounds the wait after the last answer until the stand-ins have
+	MaxAttempts     int
+	RetryAfterShare float64
+	// SettleTimeout bounds the wait after the last answer until the stand-ins have
 	// released all allocations.
-	Settle time.Duration
+	SettleTimeout time.Duration
 	// Progress is called about once a second from the sending goroutine; nil disables it.
 	Progress func(sent, open int, at time.Duration)
 }
@@ -55,7 +55,7 @@
 	if len(o.Hosts) == 0 {
 		return nil, eris.New("no entry hosts given")
 	}
-	schedule := Draw(o.Seed, o.Mix, o.Phases, o.MostRequests)
+	schedule := NewSchedule(o.Seed, o.Mix, o.Phases, o.MaxRequests)
 	if len(schedule) == 0 {
 		return nil, eris.New("the schedule is empty: rate, duration or the limit of requests is 0")
 	}
@@ -69,10 +69,10 @@
 	r.name = "run" + hingeids.RequestID{
 		Sequence: uint64(r.startedAt.UnixNano()),
 	}.String()
-	seconds := int(schedule[len(schedule)-1].At/time.Second) + 1
+	seconds := int(schedule[len(schedule)-1].ScheduledAt/time.Second) + 1
 	r.result.OfferedPerSecond = make([]int, seconds)
 	r.result.InTargetPerSecond = make([]int, seconds)
-	r.result.Seed, r.result.Hosts, r.result.Judged = o.Seed, len(o.Hosts), o.Judge
+	r.result.Seed, r.result.Hosts, r.result.Verified = o.Seed, len(o.Hosts), o.VerifyAnswers
 	before := r.counts(ctx)
 	err := r.send(ctx, schedule)
 	r.result.finish(time.Since(r.startedAt))
@@ -91,14 +91,14 @@
 		select {
 		case <-ctx.Done():
 			return eris.Wrap(ctx.Err(), "load run stopped before the end of its schedule")
-		case <-time.After(time.Until(r.startedAt.Add(a.At))):
+		case <-time.After(time.Until(r.startedAt.Add(a.ScheduledAt))):
 		}
-		if r.Progress != nil && a.At-lastProgress >= time.Second {
-			lastProgress = a.At
-			r.Progress(i, r.result.openCount(), a.At)
+		if r.Progress != nil && a.ScheduledAt-lastProgress >= time.Second {
+			lastProgress = a.ScheduledAt
+			r.Progress(i, r.result.openCount(), a.ScheduledAt)
 		}
-		scheduled := r.startedAt.Add(a.At)
-		if !r.result.recordSent(a, time.Since(scheduled), r.MostOpen) {
+		scheduled := r.startedAt.Add(a.ScheduledAt)
+		if !r.result.recordSent(a, time.Since(scheduled), r.MaxOpen) {
 			continue
 		}
 		open.Go(func() {
@@ -123,7 +123,7 @@
 // runRequest sends one request, with retries, until it has a final result.
 func (r *run) runRequest(ctx context.Context, a Arrival, scheduled time.Time) requestResult {
 	rng := rand.New(rand.NewPCG(r.Seed, uint64(a.Serial)))
-	honorsRetryAfter := rng.Float64() < r.AsTold
+	honorsRetryAfter := rng.Float64() < r.RetryAfterShare
 	q := a.httpRequest(r.Mix, r.name)
 	ctx, cancel := context.WithDeadline(ctx, scheduled.Add(a.Class.Deadline+deadlineGrace))
 	defer cancel()
@@ -142,7 +142,7 @@
 		}
 		mayHaveRun = mayHaveRun || f.outcome == incomplete || f.outcome == uncertain
 		wait, again := retry(a.Class, f.reply, honorsRetryAfter)
-		if !again || f.attempts == r.Attempts || time.Now().Add(wait).After(scheduled.Add(a.Class.Deadline)) {
+		if !again || f.attempts == r.MaxAttempts || time.Now().Add(wait).After(scheduled.Add(a.Class.Deadline)) {
 			break
 		}
 		time.Sleep(wait)
@@ -151,10 +151,10 @@
 	if f.outcome == refused && mayHaveRun {
 		f.outcome = uncertain
 	}
-	if f.outcome == answered && r.Judge {
-		f.finding = Judge(a.expectedAnswer(q, r.name), f.reply.text)
+	if f.outcome == answered && r.VerifyAnswers {
+		f.finding = ClassifyAnswer(a.expectedAnswer(q, r.name), f.reply.text)
 		if f.reply.runs > 1 {
-			f.finding = Doubled
+			f.finding = Duplicated
 		}
 	}
 	return f
@@ -237,7 +237,7 @@
 	for {
 		c := r.difference(before, r.counts(ctx))
 		c.SettledSeconds = time.Since(runEnd).Seconds()
-		if c.Held == 0 || time.Since(runEnd) > r.Settle || ctx.Err() != nil {
+		if c.Held == 0 || time.Since(runEnd) > r.SettleTimeout || ctx.Err() != nil {
 			return c
 		}
 		time.Sleep(settleInterval)
@@ -262,7 +262,7 @@
 		sum.PrefillTokens += a.PrefillTokens - b.PrefillTokens
 		sum.WastedTokens += a.WastedTokens - b.WastedTokens
 		sum.CachedTokens += a.CachedTokens - b.CachedTokens
-		sum.MostRunsOfAKey = max(sum.MostRunsOfAKey, a.MostRunsOfAKey)
+		sum.MaxRunsPerKey = max(sum.MaxRunsPerKey, a.MaxRunsPerKey)
 		sum.Held += a.Held
 	}
 	return sum
--- a/internal/load/hingeload/run_test.go
+++ b/internal/load/hingeload/run_test.go
@@ -114,29 +114,29 @@
 // options configures a run of three seconds with a burst in the second one.
 func options(hosts, standins []string) hingeload.Options {
 	return hingeload.Options{
-		Hosts:    hosts,
-		Judge:    true,
-		Standins: standins,
-		Mix:      hingeload.Shellfish().Scaled(0.1),
+		Hosts:         hosts,
+		VerifyAnswers: true,
+		Standins:      standins,
+		Mix:           hingeload.Shellfish().Scaled(0.1),
 		Phases: []hingeload.Phase{
 			{
-				Lasts: time.Second,
-				Rate:  20,
+				Duration: time.Second,
+				Rate:     20,
 			},
 			{
-				Lasts: time.Second,
-				Rate:  60,
+				Duration: time.Second,
+				Rate:     60,
 			},
 			{
-				Lasts: time.Second,
-				Rate:  20,
+				Duration: time.Second,
+				Rate:     20,
 			},
 		},
-		Seed:         1,
-		MostRequests: 1000,
-		MostOpen:     1000,
-		Attempts:     5,
-		AsTold:       1,
+		Seed:            1,
+		MaxRequests:     1000,
+		MaxOpen:         1000,
+		MaxAttempts:     5,
+		RetryAfterShare: 1,
 	}
 }
 
@@ -169,8 +169,8 @@
 		}
 	}
 	total := result.Total()
-	if result.Bad() > 0 || total.Answered == 0 || total.Sent != total.Answered+total.Refused+total.Uncertain {
-		t.Errorf("%d guarantees violated, %d sent, %d answered", result.Bad(), total.Sent, total.Answered)
+	if result.Violations() > 0 || total.Answered == 0 || total.Sent != total.Answered+total.Refused+total.Uncertain {
+		t.Errorf("%d guarantees violated, %d sent, %d answered", result.Violations(), total.Sent, total.Answered)
 	}
 	calls := 0
 	for _, c := range result.Classes[:2] {
@@ -188,12 +188,12 @@
 	t.Parallel()
 	running, addresses := startStandins(t, "127.0.0.1:1")
 	service := len(running) - 1
-	running[service].SetFault(hingestandin.CloseBefore, 1)
+	running[service].SetFault(hingestandin.CloseBeforeAnswer, 1)
 	o := options(addresses[service:], addresses[service:])
 	o.Phases = []hingeload.Phase{
 		{
-			Lasts: 500 * time.Millisecond,
-			Rate:  40,
+			Duration: 500 * time.Millisecond,
+			Rate:     40,
 		},
 	}
 	o.Mix.Classes = o.Mix.Classes[1:2]
@@ -201,8 +201,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if total := result.Total(); total.Doubled != 1 || result.Standins.MostRunsOfAKey != 2 {
-		t.Errorf("%d doubled, %d runs of a key", total.Doubled, result.Standins.MostRunsOfAKey)
+	if total := result.Total(); total.Duplicated != 1 || result.Standins.MaxRunsPerKey != 2 {
+		t.Errorf("%d doubled, %d runs of a key", total.Duplicated, result.Standins.MaxRunsPerKey)
 	}
 	o.Hosts = []string{"127.0.0.1:1"}
 	o.Mix.Classes[0].Deadline = 200 * time.Millisecond
@@ -210,7 +210,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if total := result.Total(); total.Lost != total.Sent || result.Bad() == 0 {
+	if total := result.Total(); total.Lost != total.Sent || result.Violations() == 0 {
 		t.Errorf("%d of %d lost without a reachable host", total.Lost, total.Sent)
 	}
 }
@@ -223,9 +223,9 @@
 		single := o
 		c.Deadline = 30 * time.Second
 		single.Mix.Classes = []hingeload.Class{c}
-		single.MostRequests = 1
-		single.Attempts = 1000
-		single.AsTold = 0
+		single.MaxRequests = 1
+		single.MaxAttempts = 1000
+		single.RetryAfterShare = 0
 		result, err := hingeload.Run(context.Background(), single)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/load/hingeload/schedule.go
+++ b/internal/load/hingeload/schedule.go
@@ -11,30 +11,30 @@
 
 // Phase is a part of the run with a constant rate, in arrivals per second.
 type Phase struct {
-	Lasts time.Duration
-	Rate  float64
+	Duration time.Duration
+	Rate     float64
 }
 
 // Arrival is one request of the schedule.
 type Arrival struct {
-	// At is the scheduled time since the start of the run.
-	At     time.Duration
-	Serial int
-	Class  *Class
-	Caller hingeids.CallerID
-	Prefix int
-	Prompt hingeids.Tokens
-	Output int
+	// ScheduledAt is the scheduled time since the start of the run.
+	ScheduledAt time.Duration
+	Serial      int
+	Class       *Class
+	Caller      hingeids.CallerID
+	Prefix      int
+	Prompt      hingeids.Tokens
+	Output      int
 }
 
-// Draw generates the schedule of a run with at most limit arrivals. It is
+// NewSchedule generates the schedule of a run with at most limit arrivals. It is
 // deterministic for a seed.
-func Draw(seed uint64, m Mix, phases []Phase, limit int) []Arrival {
+func NewSchedule(seed uint64, m Mix, phases []Phase, limit int) []Arrival {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	var list []Arrival
 	start := time.Duration(0)
 	for _, p := range phases {
-		end := start + p.Lasts
+		end := start + p.Duration
 		for at := start; p.Rate > 0; {
 			at += time.Duration(rng.ExpFloat64() / p.Rate * float64(time.Second))
 			if at >= end || len(list) == limit {
@@ -51,13 +51,13 @@
 	c := pickClass(rng, m.Classes)
 	own := float64(c.Prompt-c.PrefixTokens) * (0.5 + rng.Float64())
 	return Arrival{
-		At:     at,
-		Serial: serial,
-		Class:  c,
-		Caller: hingeids.CallerID(fmt.Sprintf("caller-%d", rng.IntN(max(m.Callers, 1)))),
-		Prefix: rng.IntN(max(c.Prefixes, 1)),
-		Prompt: c.PrefixTokens + hingeids.Tokens(own),
-		Output: int(float64(c.Output)*(0.5+rng.Float64())) + 1,
+		ScheduledAt: at,
+		Serial:      serial,
+		Class:       c,
+		Caller:      hingeids.CallerID(fmt.Sprintf("caller-%d", rng.IntN(max(m.Callers, 1)))),
+		Prefix:      rng.IntN(max(c.Prefixes, 1)),
+		Prompt:      c.PrefixTokens + hingeids.Tokens(own),
+		Output:      int(float64(c.Output)*(0.5+rng.Float64())) + 1,
 	}
 }
 
@@ -79,9 +79,9 @@
 // bytesPerToken is the prompt length that a stand-in counts as one token.
 const bytesPerToken = 4
 
-// Text returns the prompt: the shared prefix, then text that is unique to the
+// PromptText returns the prompt: the shared prefix, then text that is unique to the
 // request, so that its answer identifies it.
-func (a Arrival) Text(run string) string {
+func (a Arrival) PromptText(run string) string {
 	var b strings.Builder
 	fill(&b, fmt.Sprintf("%s prefix %d. ", a.Class.Name, a.Prefix), int(a.Class.PrefixTokens)*bytesPerToken)
 	own := fmt.Sprintf("%s request %d. ", run, a.Serial)
--- a/internal/load/hingeprogram/load.go
+++ b/internal/load/hingeprogram/load.go
@@ -141,16 +141,16 @@
 	side := (total - burst) / 2
 	return []hingeload.Phase{
 		{
-			Lasts: side,
-			Rate:  rate,
+			Duration: side,
+			Rate:     rate,
 		},
 		{
-			Lasts: burst,
-			Rate:  rate * c.Float("burst"),
+			Duration: burst,
+			Rate:     rate * c.Float("burst"),
 		},
 		{
-			Lasts: side,
-			Rate:  rate,
+			Duration: side,
+			Rate:     rate,
 		},
 	}, nil
 }
@@ -165,17 +165,17 @@
 		return err
 	}
 	result, err := hingeload.Run(ctx, hingeload.Options{
-		Hosts:        c.StringSlice("host"),
-		Judge:        len(c.StringSlice("standin")) > 0,
-		Standins:     c.StringSlice("standin"),
-		Mix:          mix,
-		Phases:       phases,
-		Seed:         c.Uint64("seed"),
-		MostRequests: c.Int("max-requests"),
-		MostOpen:     c.Int("max-open"),
-		Attempts:     c.Int("attempts"),
-		AsTold:       c.Float("as-told"),
-		Settle:       c.Duration("settle"),
+		Hosts:           c.StringSlice("host"),
+		VerifyAnswers:   len(c.StringSlice("standin")) > 0,
+		Standins:        c.StringSlice("standin"),
+		Mix:             mix,
+		Phases:          phases,
+		Seed:            c.Uint64("seed"),
+		MaxRequests:     c.Int("max-requests"),
+		MaxOpen:         c.Int("max-open"),
+		MaxAttempts:     c.Int("attempts"),
+		RetryAfterShare: c.Float("as-told"),
+		SettleTimeout:   c.Duration("settle"),
 		Progress: func(sent, open int, at time.Duration) {
 			p.progressf("%5.0f s: %d sent, %d open\n", at.Seconds(), sent, open)
 		},
@@ -191,8 +191,8 @@
 	}
 	t := result.Total()
 	p.printf("%d sent, %d answered, %d in target, %d refused, %d uncertain, %d lost, %d truncated, %d doubled, %d crossed; report in %s\n",
-		t.Sent, t.Answered, t.InTarget, t.Refused, t.Uncertain, t.Lost, t.Truncated, t.Doubled, t.Crossed, c.String("out"))
-	if bad := result.Bad(); bad > 0 {
+		t.Sent, t.Answered, t.InTarget, t.Refused, t.Uncertain, t.Lost, t.Truncated, t.Duplicated, t.Misdelivered, c.String("out"))
+	if bad := result.Violations(); bad > 0 {
 		return eris.Errorf("%d guarantees were violated", bad)
 	}
 	return nil
--- a/internal/load/hingeprogram/model.go
+++ b/internal/load/hingeprogram/model.go
@@ -76,10 +76,10 @@
 			c.Int("seeds"), c.Duration("duration"), maxDuration)
 	}
 	points, err := hingecompare.Compare(ctx, hingecompare.Options{
-		Firm:  workload,
-		Loads: c.FloatSlice("load"),
-		Seeds: c.Int("seeds"),
-		Lasts: c.Duration("duration"),
+		Workload: workload,
+		Loads:    c.FloatSlice("load"),
+		Seeds:    c.Int("seeds"),
+		Duration: c.Duration("duration"),
 		Progress: func(policy string, load float64) {
 			p.progressf("%s at %v\n", policy, load)
 		},
--- a/internal/load/hingereport/model.go
+++ b/internal/load/hingereport/model.go
@@ -30,7 +30,7 @@
 		loadFigure("tokenGoodput.png", "Output tokens within both targets, "+workload, "tokens/s", points,
 			func(p hingecompare.Point) float64 { return p.TokenGoodput }),
 		loadFigure("wasted.png", "Wasted prefill, "+workload, "share of prefill tokens", points,
-			func(p hingecompare.Point) float64 { return p.Wasted }),
+			func(p hingecompare.Point) float64 { return p.WastedShare }),
 	} {
 		if err := f.Write(folder); err != nil {
 			return err
@@ -70,7 +70,7 @@
 	b.WriteString("| policy | load | goodput | token goodput | wasted | refused | timed out |\n|---|---|---|---|---|---|---|\n")
 	for _, p := range points {
 		fmt.Fprintf(&b, "| %s | %.2f | %.1f | %.0f | %.4f | %.3f | %.3f |\n",
-			p.Policy, p.Load, p.Goodput, p.TokenGoodput, p.Wasted, p.Refused, p.TimedOut)
+			p.Policy, p.Load, p.Goodput, p.TokenGoodput, p.WastedShare, p.Refused, p.TimedOut)
 	}
 	b.WriteString("\n![Goodput](goodput.png)\n\n![Token goodput](tokenGoodput.png)\n\n![Wasted prefill](wasted.png)\n")
 	return b.String()
--- a/internal/load/hingereport/report.go
+++ b/internal/load/hingereport/report.go
@@ -32,7 +32,7 @@
 		Result *hingeload.Result `json:"result"`
 	}{
 		Header: h,
-		Bad:    r.Bad(),
+		Bad:    r.Violations(),
 		Result: r,
 	}); err != nil {
 		return err
@@ -74,7 +74,7 @@
 	b.WriteString("|---|---|---|---|---|---|---|---|---|---|---|---|\n")
 	for _, c := range append(r.Classes, &total) {
 		fmt.Fprintf(&b, "| %s | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d | %d |\n", c.Name, c.Sent, c.Answered,
-			c.InTarget, c.Refused, c.Uncertain, c.Lost, c.Truncated, c.Doubled, c.Crossed, c.Attempts, c.Refusals)
+			c.InTarget, c.Refused, c.Uncertain, c.Lost, c.Truncated, c.Duplicated, c.Misdelivered, c.Attempts, c.Refusals)
 	}
 	b.WriteString("\nTimes in ms; time to first token is counted from the scheduled arrival.\n\n")
 	b.WriteString("| class | | count | p50 | p90 | p99 | p99.9 | max |\n|---|---|---|---|---|---|---|---|\n")
@@ -101,7 +101,7 @@
 	b.WriteString("\n| class | what | request | second | attempts | code | detail |\n|---|---|---|---|---|---|---|\n")
 	for _, c := range r.Cases {
 		fmt.Fprintf(b, "| %s | %s | %s | %.1f | %d | %d | %s |\n",
-			c.Class, c.What, c.Request, c.Second, c.Attempts, c.Code, c.Detail)
+			c.Class, c.Problem, c.Request, c.Second, c.Attempts, c.Code, c.Detail)
 	}
 }
 
@@ -117,10 +117,10 @@
 // the counters of the stand-ins.
 func summaryText(r *hingeload.Result) string {
 	var b strings.Builder
-	if bad := r.Bad(); bad > 0 {
+	if bad := r.Violations(); bad > 0 {
 		fmt.Fprintf(&b, "**%d guarantees were violated**: see lost, truncated, doubled and crossed.\n\n", bad)
 	}
-	if !r.Judged {
+	if !r.Verified {
 		b.WriteString("The text of the answers was not verified, since no stand-ins were given.\n\n")
 	}
 	if r.Unsent > 0 {
@@ -129,7 +129,7 @@
 	if s := r.Standins; s != nil {
 		fmt.Fprintf(&b, "The stand-ins counted %d prefill tokens, %d of them wasted (%.2f%%), %d more from their prefix caches; "+
 			"%d runs, %d of them calls of plain services; at most %d runs of one key at one stand-in; %d allocations held %.1f s after the last answer; the counters of %d stand-ins could not be read.\n\n",
-			s.PrefillTokens, s.WastedTokens, 100*s.Wasted(), s.CachedTokens, s.Runs, s.CallRuns, s.MostRunsOfAKey, s.Held, s.SettledSeconds, s.Unread)
+			s.PrefillTokens, s.WastedTokens, 100*s.WastedShare(), s.CachedTokens, s.Runs, s.CallRuns, s.MaxRunsPerKey, s.Held, s.SettledSeconds, s.Unread)
 	}
 	return b.String()
 }
--- a/internal/serve/hingedemo/demo.go
+++ b/internal/serve/hingedemo/demo.go
@@ -155,7 +155,7 @@
 		}
 		runs := 0
 		for _, e := range r.fleet.engines {
-			runs += e.RunsOf(t.key())
+			runs += e.RunsOfKey(t.key())
 		}
 		if runs > 1 {
 			out.RanMoreThanOnce++
--- a/internal/serve/hingeserver/holds_test.go
+++ b/internal/serve/hingeserver/holds_test.go
@@ -149,9 +149,9 @@
 	maxHeld := 0
 	for id, s := range f.standins {
 		c := s.Counts()
-		maxHeld = max(maxHeld, c.MostHeld)
-		if c.Overfull > 0 {
-			t.Errorf("%s was sent %d requests beyond its slots", id, c.Overfull)
+		maxHeld = max(maxHeld, c.MaxHeld)
+		if c.SlotOverruns > 0 {
+			t.Errorf("%s was sent %d requests beyond its slots", id, c.SlotOverruns)
 		}
 	}
 	if maxHeld < 4 {
--- a/internal/serve/hingeserver/once_test.go
+++ b/internal/serve/hingeserver/once_test.go
@@ -36,7 +36,7 @@
 func (f *fleet) runs(key string) int {
 	n := 0
 	for _, s := range f.standins {
-		n += s.RunsOf(key)
+		n += s.RunsOfKey(key)
 	}
 	return n
 }
@@ -47,7 +47,7 @@
 	t.Parallel()
 	f := newServices(t)
 	for _, s := range f.standins {
-		s.SetFault(hingestandin.CloseBefore, 2)
+		s.SetFault(hingestandin.CloseBeforeAnswer, 2)
 	}
 	for n := range 12 {
 		key := fmt.Sprintf("lot-%d", n)
--- a/internal/serve/hingeserver/orders_test.go
+++ b/internal/serve/hingeserver/orders_test.go
@@ -88,7 +88,7 @@
 	awaitRole(string(hingeannounce.Both))
 	time.Sleep(2 * time.Second)
 	awaitRole(string(hingeannounce.Both))
-	if c := standin.Counts(); c.OldOrders > 0 || c.Orders == 0 {
-		t.Errorf("the engine received %d orders, %d of them from a replaced issuer", c.Orders, c.OldOrders)
+	if c := standin.Counts(); c.StaleOrders > 0 || c.Orders == 0 {
+		t.Errorf("the engine received %d orders, %d of them from a replaced issuer", c.Orders, c.StaleOrders)
 	}
 }
--- a/internal/serve/hingeserver/poisons_test.go
+++ b/internal/serve/hingeserver/poisons_test.go
@@ -18,7 +18,7 @@
 	n := 0
 	for _, e := range s.engines {
 		select {
-		case <-e.Ended():
+		case <-e.Crashed():
 			n++
 		default:
 		}
--- a/internal/serve/hingeserver/script_test.go
+++ b/internal/serve/hingeserver/script_test.go
@@ -177,7 +177,7 @@
 		case "gap":
 			o.TokenGap, _ = time.ParseDuration(value)
 		case "poison":
-			o.Poison = value
+			o.PoisonText = value
 		case "slow":
 			o.PrefillPerToken, _ = time.ParseDuration(value)
 		}
--- a/internal/soak/hingesoak/book.go
+++ b/internal/soak/hingesoak/book.go
@@ -60,7 +60,7 @@
 		p = &poisonRecord{}
 		b.poisons[path] = p
 	}
-	b.result.Ended++
+	b.result.Crashes++
 	p.crashes++
 	if p.crashes == detectionCrashes {
 		p.thirdCrashAt = time.Now()
@@ -82,11 +82,11 @@
 }
 
 func (b *checker) addViolation(guarantee, id, detail string) {
-	b.result.Broken = append(b.result.Broken, Broken{
-		Promise: guarantee,
-		At:      time.Since(b.startedAt),
-		ID:      id,
-		Detail:  detail,
+	b.result.Violations = append(b.result.Violations, Violation{
+		Guarantee: guarantee,
+		At:        time.Since(b.startedAt),
+		RequestID: id,
+		Detail:    detail,
 	})
 }
 
@@ -100,7 +100,7 @@
 func (b *checker) recordRequest(id string, atMostOnce bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.result.Asked++
+	b.result.Sent++
 	b.requests[id] = &requestRecord{
 		atMostOnce: atMostOnce,
 	}
--- a/internal/soak/hingesoak/plan.go
+++ b/internal/soak/hingesoak/plan.go
@@ -50,7 +50,7 @@
 func plan(random *rand.Rand, o Options) []fault {
 	var out []fault
 	at := 500 * time.Millisecond
-	for at < o.Lasts {
+	for at < o.Duration {
 		f := fault{
 			at:       at,
 			kind:     []kind{kill, term, freeze, wipe, killAllControls, hup, link, link, link}[random.IntN(9)],
--- a/internal/soak/hingesoak/soak.go
+++ b/internal/soak/hingesoak/soak.go
@@ -39,32 +39,32 @@
 	// Controls and Entries are the numbers of control and entry hosts; zero means three.
 	Controls int
 	Entries  int
-	// Lasts is the time during which faults are injected.
-	Lasts time.Duration
-	// Poison is the number of different poison requests, each sent repeatedly.
-	Poison int
-	Out    io.Writer
+	// Duration is the time during which faults are injected.
+	Duration time.Duration
+	// PoisonRequests is the number of different poison requests, each sent repeatedly.
+	PoisonRequests int
+	Out            io.Writer
 }
 
-// Broken is a violated guarantee. At is the time since the start of the run, ID the
+// Violation is a violated guarantee. At is the time since the start of the run, ID the
 // request, if any.
-type Broken struct {
-	Promise string
-	At      time.Duration
-	ID      string
-	Detail  string
+type Violation struct {
+	Guarantee string
+	At        time.Duration
+	RequestID string
+	Detail    string
 }
 
 // Report has the counts and violations of a run.
 type Report struct {
-	Asked    int
+	Sent     int
 	Answered int
 	Refused  int
 	Changes  int
 	Faults   int
-	// Ended counts the server crashes under poison requests.
-	Ended  int
-	Broken []Broken
+	// Crashes counts the server crashes under poison requests.
+	Crashes    int
+	Violations []Violation
 }
 
 const (
@@ -145,7 +145,7 @@
 			newCaller(s.fleet, s.checker, s.options.Seed, i).run(loadCtx)
 		})
 	}
-	for i := range s.options.Poison {
+	for i := range s.options.PoisonRequests {
 		s.load.Go(func() {
 			newPoisoner(s.fleet, s.checker, s.options.Seed, i).run(loadCtx)
 		})
--- a/internal/soak/hingesoak/soak_test.go
+++ b/internal/soak/hingesoak/soak_test.go
@@ -52,8 +52,8 @@
 			t.Fatalf("seed %d: %v\n%s", seed, err, out.String())
 		}
 		t.Logf("seed %d: %+v", seed, r)
-		if len(r.Broken) > 0 || r.Answered == 0 {
-			t.Errorf("seed %d: answered %d, violations %+v\n%s", seed, r.Answered, r.Broken, out.String())
+		if len(r.Violations) > 0 || r.Answered == 0 {
+			t.Errorf("seed %d: answered %d, violations %+v\n%s", seed, r.Answered, r.Violations, out.String())
 		}
 	}
 }
@@ -70,8 +70,8 @@
 		return Options{}, false
 	}
 	o := Options{
-		Seed:  seed,
-		Lasts: seedDuration,
+		Seed:     seed,
+		Duration: seedDuration,
 	}
 	for _, w := range words[1:] {
 		name, value, _ := strings.Cut(w, "=")
@@ -82,9 +82,9 @@
 		case "entries":
 			o.Entries = n
 		case "poison":
-			o.Poison = n
+			o.PoisonRequests = n
 		case "lasts":
-			o.Lasts, _ = time.ParseDuration(value)
+			o.Duration, _ = time.ParseDuration(value)
 		}
 	}
 	return o, true
--- a/internal/standin/hingestandin/counts.go
+++ b/internal/standin/hingestandin/counts.go
@@ -7,15 +7,15 @@
 	// Requests counts completions and service calls received, Runs those executed.
 	Requests int `json:"requests"`
 	Runs     int `json:"runs"`
-	// MostRunsOfAKey is the maximum number of runs under one Idempotency-Key.
-	MostRunsOfAKey int `json:"mostRunsOfAKey"`
+	// MaxRunsPerKey is the maximum number of runs under one Idempotency-Key.
+	MaxRunsPerKey int `json:"mostRunsOfAKey"`
 	// Held is the current number of generations, imports and KV cache exports.
 	Held int `json:"held"`
-	// Overfull counts requests to a decode engine that had no free slot or was
+	// SlotOverruns counts requests to a decode engine that had no free slot or was
 	// running the same request id.
-	Overfull int `json:"overfull"`
-	// MostHeld is the maximum number of generations held at once.
-	MostHeld int `json:"mostHeld"`
+	SlotOverruns int `json:"overfull"`
+	// MaxHeld is the maximum number of generations held at once.
+	MaxHeld int `json:"mostHeld"`
 	// PrefillTokens counts tokens prefilled, and WastedTokens those of them whose
 	// KV cache was freed without being imported.
 	PrefillTokens hingeids.Tokens `json:"prefillTokens"`
@@ -24,8 +24,8 @@
 	DecodedTokens hingeids.Tokens `json:"decodedTokens"`
 	Cancelled     int             `json:"cancelled"`
 	Orders        int             `json:"orders"`
-	// OldOrders counts orders executed although their fencing number was old.
-	OldOrders int `json:"oldOrders"`
+	// StaleOrders counts orders executed although their fencing number was old.
+	StaleOrders int `json:"oldOrders"`
 	// RefusedOrders counts orders refused because their fencing number was old.
 	RefusedOrders int `json:"refusedOrders"`
 }
@@ -37,13 +37,13 @@
 	c := s.counts
 	c.Held = len(s.running) + len(s.exports)
 	for _, n := range s.runs {
-		c.MostRunsOfAKey = max(c.MostRunsOfAKey, n)
+		c.MaxRunsPerKey = max(c.MaxRunsPerKey, n)
 	}
 	return c
 }
 
-// RunsOf returns the number of runs of service calls with the idempotency key.
-func (s *Server) RunsOf(key string) int {
+// RunsOfKey returns the number of runs of service calls with the idempotency key.
+func (s *Server) RunsOfKey(key string) int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.runs[key]
--- a/internal/standin/hingestandin/decode.go
+++ b/internal/standin/hingestandin/decode.go
@@ -65,7 +65,7 @@
 	s.updateCounts(func(c *Counts) {
 		c.Requests++
 	})
-	if s.faults.consume(Refuse) {
+	if s.faults.consume(RefuseRequest) {
 		replyError(ctx, fasthttp.StatusServiceUnavailable, "refused", false)
 		return
 	}
@@ -115,11 +115,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if _, duplicate := s.running[id]; duplicate || len(s.running) >= int(s.options.Slots) {
-		s.counts.Overfull++
+		s.counts.SlotOverruns++
 		return false
 	}
 	s.running[id] = g
-	s.counts.MostHeld = max(s.counts.MostHeld, len(s.running))
+	s.counts.MaxHeld = max(s.counts.MaxHeld, len(s.running))
 	return true
 }
 
@@ -242,7 +242,7 @@
 func (s *Server) stream(ctx *fasthttp.RequestCtx, id string, g *generation, from int) {
 	echo := id
 	digest := g.digest
-	if s.kind() != hingeannounce.Service && s.faults.consume(Foreign) {
+	if s.kind() != hingeannounce.Service && s.faults.consume(ForeignAnswer) {
 		echo = "another-request.1.1"
 		digest++
 	}
--- a/internal/standin/hingestandin/faults.go
+++ b/internal/standin/hingestandin/faults.go
@@ -19,18 +19,18 @@
 	Silent Fault = "silent"
 	// Late delays the answer by two seconds.
 	Late Fault = "late"
-	// Foreign answers with another request's id and text.
-	Foreign Fault = "foreign"
-	// CloseBefore runs a service call and closes the connection without an answer.
-	CloseBefore Fault = "closeBefore"
+	// ForeignAnswer answers with another request's id and text.
+	ForeignAnswer Fault = "foreign"
+	// CloseBeforeAnswer runs a service call and closes the connection without an answer.
+	CloseBeforeAnswer Fault = "closeBefore"
 	// CutStream closes the connection in the middle of a stream, without an end mark.
 	CutStream Fault = "cutStream"
 	// NoEndMark ends the HTTP response halfway through a stream, without an end mark.
 	NoEndMark Fault = "noEndMark"
-	// Refuse refuses a request before it runs.
-	Refuse Fault = "refuse"
-	// LoseCache evicts the exported KV cache immediately.
-	LoseCache Fault = "loseCache"
+	// RefuseRequest refuses a request before it runs.
+	RefuseRequest Fault = "refuse"
+	// EvictExport evicts the exported KV cache immediately.
+	EvictExport Fault = "loseCache"
 )
 
 // lateDelay is the delay of the fault Late.
--- a/internal/standin/hingestandin/orders.go
+++ b/internal/standin/hingestandin/orders.go
@@ -55,7 +55,7 @@
 			replyError(ctx, fasthttp.StatusConflict, "oldFence", false)
 			return
 		}
-		s.counts.OldOrders++
+		s.counts.StaleOrders++
 	}
 	s.engineState.fence = max(s.engineState.fence, o.Fence)
 	switch o.Kind {
--- a/internal/standin/hingestandin/prefill.go
+++ b/internal/standin/hingestandin/prefill.go
@@ -63,8 +63,8 @@
 func (s *Server) addExport(requestID string, tokens, cached hingeids.Tokens) string {
 	now := time.Now()
 	id := requestID + "/" + strconv.FormatInt(now.UnixNano(), 36)
-	lifetime := s.options.CacheLife
-	if s.faults.consume(LoseCache) {
+	lifetime := s.options.ExportLifetime
+	if s.faults.consume(EvictExport) {
 		lifetime = 0
 	}
 	s.mu.Lock()
--- a/internal/standin/hingestandin/service.go
+++ b/internal/standin/hingestandin/service.go
@@ -15,7 +15,7 @@
 	s.updateCounts(func(c *Counts) {
 		c.Requests++
 	})
-	if s.faults.consume(Refuse) {
+	if s.faults.consume(RefuseRequest) {
 		replyError(ctx, fasthttp.StatusServiceUnavailable, "refused", false)
 		return
 	}
@@ -30,7 +30,7 @@
 	switch {
 	case s.crashIfPoisoned(string(ctx.Path())):
 		return
-	case s.faults.consume(CloseBefore):
+	case s.faults.consume(CloseBeforeAnswer):
 		_ = ctx.Conn().Close()
 		return
 	case s.faults.consume(Late):
@@ -50,7 +50,7 @@
 		Echo:   string(ctx.PostBody()),
 		Runs:   runs,
 	})
-	if s.faults.consume(Foreign) {
+	if s.faults.consume(ForeignAnswer) {
 		ctx.Response.Header.Set("X-Request-Id", "another-request.1.1")
 	}
 }
--- a/internal/standin/hingestandin/standin.go
+++ b/internal/standin/hingestandin/standin.go
@@ -51,17 +51,17 @@
 	TokenGap time.Duration
 	// PrefillPerToken is the time to prefill one token that isn't cached.
 	PrefillPerToken time.Duration
-	// CacheLife is the time until exported KV cache is evicted.
-	CacheLife time.Duration
+	// ExportLifetime is the time until exported KV cache is evicted.
+	ExportLifetime time.Duration
 	// CacheBytesPerToken and LinkRate determine the time of a KV cache transfer.
 	CacheBytesPerToken hingeids.Bytes
 	LinkRate           hingeids.BytesPerSecond
 	ChecksFence        bool
 	// Heartbeat is the time between announcements.
 	Heartbeat time.Duration
-	// Poison crashes the stand-in when it runs a request that contains this text;
+	// PoisonText crashes the stand-in when it runs a request that contains this text;
 	// empty disables it.
-	Poison string
+	PoisonText string
 }
 
 // Defaults returns the options with default values in place of zero ones.
@@ -69,7 +69,7 @@
 	setDefault(&o.Slots, 20)
 	setDefault(&o.TokenGap, 10*time.Millisecond)
 	setDefault(&o.PrefillPerToken, 100*time.Microsecond)
-	setDefault(&o.CacheLife, 900*time.Millisecond)
+	setDefault(&o.ExportLifetime, 900*time.Millisecond)
 	setDefault(&o.CacheBytesPerToken, 128<<10)
 	setDefault(&o.LinkRate, 10<<30)
 	setDefault(&o.Heartbeat, 250*time.Millisecond)
@@ -194,7 +194,7 @@
 // crashIfPoisoned crashes the stand-in if the request contains the poison text,
 // and reports whether it did, after Run has stopped.
 func (s *Server) crashIfPoisoned(request string) bool {
-	if s.options.Poison == "" || !strings.Contains(request, s.options.Poison) {
+	if s.options.PoisonText == "" || !strings.Contains(request, s.options.PoisonText) {
 		return false
 	}
 	s.crashOnce.Do(func() {
@@ -204,8 +204,8 @@
 	return true
 }
 
-// Ended returns a channel that is closed when a poison request crashes the stand-in.
-func (s *Server) Ended() <-chan struct{} {
+// Crashed returns a channel that is closed when a poison request crashes the stand-in.
+func (s *Server) Crashed() <-chan struct{} {
 	return s.crashed
 }
 
--- a/internal/standin/hingestandin/wire.go
+++ b/internal/standin/hingestandin/wire.go
@@ -138,9 +138,9 @@
 	})
 }
 
-// HeldItem is a generation or an export that an engine holds for a request, as
+// Allocation is a generation or an export that an engine holds for a request, as
 // listed by /v1/held.
-type HeldItem struct {
+type Allocation struct {
 	RequestID string `json:"request_id"`
 	Kind      string `json:"kind"`
 	AgeMillis int64  `json:"age_ms"`
@@ -149,16 +149,16 @@
 func (s *Server) handleHeld(ctx *fasthttp.RequestCtx) {
 	now := time.Now()
 	s.mu.Lock()
-	items := make([]HeldItem, 0, len(s.running)+len(s.exports))
+	items := make([]Allocation, 0, len(s.running)+len(s.exports))
 	for id, g := range s.running {
-		items = append(items, HeldItem{
+		items = append(items, Allocation{
 			RequestID: id,
 			Kind:      "generation",
 			AgeMillis: now.Sub(g.started).Milliseconds(),
 		})
 	}
 	for _, e := range s.exports {
-		items = append(items, HeldItem{
+		items = append(items, Allocation{
 			RequestID: e.requestID,
 			Kind:      "export",
 			AgeMillis: now.Sub(e.createdAt).Milliseconds(),
@@ -167,7 +167,7 @@
 	s.mu.Unlock()
 	reply(ctx, fasthttp.StatusOK, struct {
 		Incarnation hingeids.Incarnation `json:"incarnation"`
-		Held        []HeldItem           `json:"held"`
+		Held        []Allocation         `json:"held"`
 	}{
 		Incarnation: s.incarnation,
 		Held:        items,
