--- a/internal/decide/hingeadmit/due.go
+++ b/internal/decide/hingeadmit/due.go
@@ -24,28 +24,28 @@
 	if target == 0 {
 		target = noTarget
 	}
-	for _, b := range l.drains {
-		if b.target == target {
-			return b
+	for _, d := range l.drains {
+		if d.target == target {
+			return d
 		}
 	}
 	if len(l.drains) >= maxTargets {
 		return l.drains[maxTargets-1]
 	}
-	b := &targetDrain{
+	d := &targetDrain{
 		target: target,
 	}
-	l.drains = append(l.drains, b)
-	return b
+	l.drains = append(l.drains, d)
+	return d
 }
 
 // recentDrain is the recent drain, in slots, by requests with targets shorter
 // than the given one, or by the whole level with allTargets.
 func (l *level) recentDrain(now time.Time, target time.Duration) float64 {
 	var sum float64
-	for _, b := range l.drains {
-		if target == allTargets || b.target < target {
-			sum += b.dequeued.recent(now)
+	for _, d := range l.drains {
+		if target == allTargets || d.target < target {
+			sum += d.dequeued.recent(now)
 		}
 	}
 	return sum
--- a/internal/decide/hingeadmit/expire.go
+++ b/internal/decide/hingeadmit/expire.go
@@ -58,8 +58,8 @@
 	heap.Fix(&q.expiring, it.expiryIndex)
 }
 
-// NextExpiry returns the time at which GiveUp must next be called, or the zero time
-// if no request waits.
+// NextExpiry returns the time at which Expire must next be called, or the zero
+// time if no request waits.
 func (q *Queue) NextExpiry() time.Time {
 	if len(q.expiring.list) == 0 {
 		return time.Time{}
--- a/internal/decide/hingeadmit/level.go
+++ b/internal/decide/hingeadmit/level.go
@@ -87,7 +87,7 @@
 	return min(dueBefore, fairWork*time.Duration(active))
 }
 
-// ownWait is how long a caller's new request waits behind the caller's own. A
+// ownWait is how long a new request waits behind those of the same caller. A
 // caller with a long queue gets the capacity that callers with few requests
 // leave. That is measured by the caller's drain, since the callers that wait
 // at one moment don't show how many will arrive.
--- a/internal/decide/hingeadmit/queue.go
+++ b/internal/decide/hingeadmit/queue.go
@@ -182,8 +182,8 @@
 	l := q.level(r.Priority)
 	q.push(now, l, r, f)
 	// Refund the charge for the attempt that failed.
-	if w := l.flows[r.Caller]; !w.eligible {
-		l.lowerTag(w, w.tag-r.Work.Seconds())
+	if callerFlow := l.flows[r.Caller]; !callerFlow.eligible {
+		l.lowerTag(callerFlow, callerFlow.tag-r.Work.Seconds())
 	}
 }
 
--- a/internal/decide/hingeadmit/queue_test.go
+++ b/internal/decide/hingeadmit/queue_test.go
@@ -240,11 +240,11 @@
 	if _, ok := q.Next(start, acceptNone); ok {
 		t.Fatal("dequeued although try rejected it")
 	}
-	wake := q.NextExpiry()
-	if wait := wake.Sub(start); wait > r.FirstToken {
+	expiry := q.NextExpiry()
+	if wait := expiry.Sub(start); wait > r.FirstToken {
 		t.Fatalf("expires only after %v, its target is %v", wait, r.FirstToken)
 	}
-	expired := q.Expire(wake)
+	expired := q.Expire(expiry)
 	if len(expired) != 1 {
 		t.Fatalf("%d requests expired, want 1", len(expired))
 	}
--- a/internal/decide/hingeadmit/request.go
+++ b/internal/decide/hingeadmit/request.go
@@ -26,8 +26,8 @@
 	Work time.Duration
 	// AnswerTime is the expected duration of the answer after its first token.
 	AnswerTime time.Duration
-	// JitterSeed is a number that differs between requests, such as a hash of the ID.
-	// It seeds the jitter of retry times.
+	// JitterSeed is a number that differs between requests, such as a hash of the
+	// ID. It seeds the jitter of retry times.
 	JitterSeed uint64
 }
 
--- a/internal/decide/hingebalance/balance.go
+++ b/internal/decide/hingebalance/balance.go
@@ -52,8 +52,8 @@
 	Zone hingeids.Zone
 	// Avoid lists replicas that have already failed the request.
 	Avoid []hingeids.ServerID
-	// MaxLatency is the time left to answer the request; replicas with a higher expected latency are
-	// not chosen. Zero means no limit.
+	// MaxLatency is the time left to answer the request. A replica with a higher expected latency
+	// is chosen only as a probe (rule 5). Zero means no limit.
 	MaxLatency time.Duration
 }
 
@@ -61,8 +61,8 @@
 type Outcome uint8
 
 // Answered means that the replica responded, with any status; Full that it refused the request for
-// lack of capacity; Failed that the response was missing or incomplete; Unreached that no
-// connection was established; Gone that another server now has the address; Unknown that the
+// lack of capacity; Failed that the response was missing or incomplete; ConnectFailed that no
+// connection was established; Replaced that another server now has the address; Unknown that the
 // outcome says nothing about the replica, for example because the caller disconnected.
 const (
 	Answered Outcome = iota
@@ -77,7 +77,7 @@
 type Result uint8
 
 // Chosen means that a replica was chosen; Busy that all eligible replicas are at their limit or too
-// slow; None that no replica is eligible.
+// slow; NoReplica that no replica is eligible.
 const (
 	Chosen Result = iota
 	Busy
@@ -199,7 +199,7 @@
 	ejected   []candidate
 }
 
-// New returns a Balance without observations.
+// New returns a Balancer without observations.
 func New(seed uint64) *Balancer {
 	return &Balancer{
 		random: rand.New(rand.NewPCG(seed, seed+1)),
@@ -228,27 +228,27 @@
 }
 
 // Choose picks a replica for a request. For each chosen replica, the caller must call either Done
-// or Expire once.
-func (b *Balancer) Choose(now time.Time, list []Replica, a Constraints) (Replica, Result) {
+// or Release once.
+func (b *Balancer) Choose(now time.Time, list []Replica, constraints Constraints) (Replica, Result) {
 	b.available, b.ejected = b.available[:0], b.ejected[:0]
 	found := NoReplica
 	for _, r := range list {
 		s := b.state(r.Server)
-		if s.replaced || slices.Contains(a.Avoid, r.Server) {
+		if s.replaced || slices.Contains(constraints.Avoid, r.Server) {
 			continue
 		}
-		fromZone := s.reachability(a.Zone)
+		fromZone := s.reachability(constraints.Zone)
 		if fromZone.unreachable() && now.Before(fromZone.ejected.until) {
 			continue
 		}
 		found = Busy
-		if s.open >= s.limit(r, b.turnaround) || a.MaxLatency > 0 && s.expectedLatency(now) > a.MaxLatency && !s.needsProbe(now) {
+		if s.open >= s.limit(r, b.turnaround) || constraints.MaxLatency > 0 && s.expectedLatency(now) > constraints.MaxLatency && !s.needsProbe(now) {
 			continue
 		}
 		c := candidate{
 			replica: r,
 			state:   s,
-			cost:    s.cost(now, r, a.Zone),
+			cost:    s.cost(now, r, constraints.Zone),
 			until:   hingeclock.Later(s.ejected.until, s.refusedUntil),
 		}
 		switch {
@@ -285,7 +285,8 @@
 	return max(s.latency, now.Sub(s.waitingSince))
 }
 
-// needsProbe implements rule 5. A silent replica is probed as early as an ejected one.
+// needsProbe implements rule 5. A replica whose last requests got no response is probed earlier,
+// after minEjection.
 func (s *state) needsProbe(now time.Time) bool {
 	unused := now.Sub(s.lastUsed)
 	return s.open == 0 && (unused > probeAfter || !s.waitingSince.IsZero() && unused > minEjection)
@@ -357,7 +358,7 @@
 	b.RecordOutcome(now, id, zone, o, elapsed)
 }
 
-// RecordOutcome records the outcome of a request whose replica was not chosen by this Balance.
+// RecordOutcome records the outcome of a request whose replica was not chosen by this Balancer.
 func (b *Balancer) RecordOutcome(now time.Time, id hingeids.ServerID, zone hingeids.Zone, o Outcome, elapsed time.Duration) {
 	s := b.state(id)
 	if o != ConnectFailed && o != Unknown {
--- a/internal/decide/hingebalance/balance_test.go
+++ b/internal/decide/hingebalance/balance_test.go
@@ -36,16 +36,16 @@
 
 // simulate sends a request every 20 ms for the given duration. It returns the share of requests
 // that each replica got, and the share that was answered within 100 ms.
-func simulate(p behavior, duration time.Duration) (shares map[hingeids.ServerID]float64, inTime float64) {
+func simulate(behave behavior, duration time.Duration) (shares map[hingeids.ServerID]float64, inTime float64) {
 	b := New(1)
 	random := rand.New(rand.NewPCG(2, 3))
 	counts := make(map[hingeids.ServerID]int)
 	sent, answeredInTime := 0, 0
 	type completion struct {
-		at   time.Time
-		id   hingeids.ServerID
-		o    Outcome
-		took time.Duration
+		at      time.Time
+		id      hingeids.ServerID
+		o       Outcome
+		elapsed time.Duration
 	}
 	var open []completion
 	for now := start; now.Sub(start) < duration; now = now.Add(20 * time.Millisecond) {
@@ -55,7 +55,7 @@
 				kept = append(kept, e)
 				continue
 			}
-			b.Done(now, e.id, fromCancale.Zone, e.o, e.took)
+			b.Done(now, e.id, fromCancale.Zone, e.o, e.elapsed)
 		}
 		open = kept
 		r, found := b.Choose(now, replicas(), fromCancale)
@@ -64,15 +64,15 @@
 		}
 		sent++
 		counts[r.Server]++
-		o, took := p(r.Server, random)
-		if o == Answered && took <= 100*time.Millisecond {
+		o, elapsed := behave(r.Server, random)
+		if o == Answered && elapsed <= 100*time.Millisecond {
 			answeredInTime++
 		}
 		open = append(open, completion{
-			at:   now.Add(took),
-			id:   r.Server,
-			o:    o,
-			took: took,
+			at:      now.Add(elapsed),
+			id:      r.Server,
+			o:       o,
+			elapsed: elapsed,
 		})
 	}
 	shares = make(map[hingeids.ServerID]float64)
@@ -127,10 +127,10 @@
 	random := rand.New(rand.NewPCG(5, 6))
 	list := replicas()[:2]
 	type completion struct {
-		at   time.Time
-		id   hingeids.ServerID
-		o    Outcome
-		took time.Duration
+		at      time.Time
+		id      hingeids.ServerID
+		o       Outcome
+		elapsed time.Duration
 	}
 	var open []completion
 	freeAt := make([]time.Time, 6)
@@ -141,13 +141,13 @@
 			if e.at.After(now) {
 				return false
 			}
-			b.Done(now, e.id, "", e.o, e.took)
+			b.Done(now, e.id, "", e.o, e.elapsed)
 			return true
 		})
 		r, _ := b.Choose(now, list, Constraints{})
 		e := completion{
-			id:   r.Server,
-			took: 30 * time.Millisecond,
+			id:      r.Server,
+			elapsed: 30 * time.Millisecond,
 		}
 		if r.Server == "app-1" {
 			slot := slices.MinFunc(freeAt, time.Time.Compare)
@@ -155,16 +155,16 @@
 			if slot.Before(now) {
 				slot = now
 			}
-			freeAt[at] = slot.Add(e.took)
-			e.took = freeAt[at].Sub(now)
+			freeAt[at] = slot.Add(e.elapsed)
+			e.elapsed = freeAt[at].Sub(now)
 		} else if random.Float64() < 0.3 {
 			e.o = Failed
 		}
-		e.at = now.Add(e.took)
+		e.at = now.Add(e.elapsed)
 		open = append(open, e)
 		if now.Sub(start) > 2*time.Second {
 			sent++
-			if e.o == Answered && e.took <= 150*time.Millisecond {
+			if e.o == Answered && e.elapsed <= 150*time.Millisecond {
 				answeredInTime++
 			}
 		}
--- a/internal/decide/hingebalance/limit.go
+++ b/internal/decide/hingebalance/limit.go
@@ -68,8 +68,8 @@
 	return len(s.zones) > 0
 }
 
-// SetTurnaround sets how long a slot is idle between the completion of a request and the start of the
-// next one.
+// SetTurnaround sets how long a slot is idle between the completion of a request and the start of
+// the next one.
 func (b *Balancer) SetTurnaround(d time.Duration) {
 	b.turnaround = d
 }
--- a/internal/decide/hingebaseline/baseline.go
+++ b/internal/decide/hingebaseline/baseline.go
@@ -48,42 +48,42 @@
 // chooser selects one of the n engines that start at first.
 type chooser func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID
 
-func newRouter(f hingemodel.Workload, c hingemodel.Cluster, seed uint64, choose chooser) *Router {
+func newRouter(w hingemodel.Workload, c hingemodel.Cluster, seed uint64, choose chooser) *Router {
 	return &Router{
-		prefills:     f.Prefill,
-		decodes:      f.Decode,
-		slots:        f.Decode * c.Slots,
+		prefills:     w.Prefill,
+		decodes:      w.Decode,
+		slots:        w.Decode * c.Slots,
 		choose:       choose,
 		passPriority: true,
 		inFlight:     make(map[*hingemodel.Request]bool),
-		reports:      make([]hingemodel.LoadReport, f.Prefill+f.Decode),
+		reports:      make([]hingemodel.LoadReport, w.Prefill+w.Decode),
 		rng:          rand.New(rand.NewPCG(seed, 3)),
 	}
 }
 
 // RoundRobin returns a baseline that uses engines in turn and ignores priorities.
-func RoundRobin(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
-	r := newRouter(f, c, seed, roundRobin)
+func RoundRobin(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
+	r := newRouter(w, c, seed, roundRobin)
 	r.passPriority = false
 	return r
 }
 
 // LeastLoad returns a baseline that uses the engine with the least load in its
 // latest report.
-func LeastLoad(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
-	return newRouter(f, c, seed, leastLoad)
+func LeastLoad(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
+	return newRouter(w, c, seed, leastLoad)
 }
 
 // TwoChoices returns a baseline that samples two engines and uses the one with
 // the lower reported load.
-func TwoChoices(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
-	return newRouter(f, c, seed, twoChoices)
+func TwoChoices(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
+	return newRouter(w, c, seed, twoChoices)
 }
 
 // PrefixAffinity returns a baseline that selects the prefill engine by the hash of
 // the prefix, and the decode engine as TwoChoices does.
-func PrefixAffinity(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
-	return newRouter(f, c, seed, func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID {
+func PrefixAffinity(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
+	return newRouter(w, c, seed, func(r *Router, q *hingemodel.Request, first, n int) hingemodel.EngineID {
 		if first > 0 {
 			return twoChoices(r, q, first, n)
 		}
@@ -92,8 +92,8 @@
 }
 
 // PriorityAffinity returns a PrefixAffinity baseline with a priority queue. Rule 6.
-func PriorityAffinity(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
-	r := PrefixAffinity(f, c, seed)
+func PriorityAffinity(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) *Router {
+	r := PrefixAffinity(w, c, seed)
 	r.queueByPriority = true
 	return r
 }
@@ -129,53 +129,53 @@
 }
 
 // HandleArrival queues the request, or refuses it if the queue is full. Rule 2.
-func (r *Router) HandleArrival(now time.Time, q *hingemodel.Request, o *hingemodel.Actions) {
+func (r *Router) HandleArrival(now time.Time, q *hingemodel.Request, actions *hingemodel.Actions) {
 	if len(r.queue) >= queueLimit {
-		o.Refuse(q, retryAfter)
+		actions.Refuse(q, retryAfter)
 		return
 	}
 	r.enqueue(q)
-	r.dispatch(now, o)
+	r.dispatch(now, actions)
 }
 
 // HandleEvent continues, requeues or removes a request. Rule 5.
-func (r *Router) HandleEvent(now time.Time, e hingemodel.Event, o *hingemodel.Actions) {
+func (r *Router) HandleEvent(now time.Time, e hingemodel.Event, actions *hingemodel.Actions) {
 	q := e.Request
 	switch e.Kind {
 	case hingemodel.PrefillDone:
-		o.Transfer(q, r.choose(r, q, r.prefills, r.decodes), r.priority(q))
+		actions.Transfer(q, r.choose(r, q, r.prefills, r.decodes), r.priority(q))
 	case hingemodel.Evicted:
-		o.Prefill(q, r.choose(r, q, 0, r.prefills), r.priority(q))
+		actions.Prefill(q, r.choose(r, q, 0, r.prefills), r.priority(q))
 	case hingemodel.Finished, hingemodel.Cancelled:
 		delete(r.inFlight, q)
 		r.dequeue(q)
-		r.dispatch(now, o)
+		r.dispatch(now, actions)
 	}
 }
 
 // HandleReport stores the latest report of an engine.
-func (r *Router) HandleReport(now time.Time, l hingemodel.LoadReport, o *hingemodel.Actions) {
+func (r *Router) HandleReport(now time.Time, l hingemodel.LoadReport, actions *hingemodel.Actions) {
 	r.reports[l.Engine] = l
-	r.dispatch(now, o)
+	r.dispatch(now, actions)
 }
 
 // Tick dispatches queued requests.
-func (r *Router) Tick(now time.Time, o *hingemodel.Actions) {
-	r.dispatch(now, o)
+func (r *Router) Tick(now time.Time, actions *hingemodel.Actions) {
+	r.dispatch(now, actions)
 }
 
 // dispatch starts queued requests while there are decode slots for them. Rules 1
 // and 2.
-func (r *Router) dispatch(now time.Time, o *hingemodel.Actions) {
+func (r *Router) dispatch(now time.Time, actions *hingemodel.Actions) {
 	for len(r.queue) > 0 && len(r.inFlight) < r.slots {
 		q := r.queue[0]
 		r.queue = r.queue[1:]
 		if now.Sub(q.Arrived) > q.Class.FirstToken {
-			o.Refuse(q, retryAfter)
+			actions.Refuse(q, retryAfter)
 			continue
 		}
 		r.inFlight[q] = true
-		o.Prefill(q, r.choose(r, q, 0, r.prefills), r.priority(q))
+		actions.Prefill(q, r.choose(r, q, 0, r.prefills), r.priority(q))
 	}
 }
 
--- a/internal/decide/hingefleet/assign.go
+++ b/internal/decide/hingefleet/assign.go
@@ -7,44 +7,44 @@
 )
 
 // assign assigns engines to a request, or returns false if none have capacity.
-func (f *Fleet) assign(now time.Time, w *StreamRequest) (Decision, bool) {
+func (f *Fleet) assign(now time.Time, req *StreamRequest) (Decision, bool) {
 	limit := onTimeShare
-	if !w.Moved && !w.Cached && !f.onTime(now, w) {
+	if !req.Moved && !req.Cached && !f.onTime(now, req) {
 		limit = lateShare
 	}
-	if f.ruledOut(now, w, limit) {
+	if f.ruledOut(now, req, limit) {
 		return Decision{}, false
 	}
-	r, found := f.candidate(now, w, limit, nil)
+	c, found := f.candidate(now, req, limit, nil)
 	if !found {
 		f.failedAttempts = append(f.failedAttempts, failedAttempt{
-			prompt:   w.PromptTokens,
-			expected: w.ExpectedTokens,
+			prompt:   req.PromptTokens,
+			expected: req.ExpectedTokens,
 			limit:    limit,
-			avoids:   len(w.Avoid) > 0,
+			avoids:   len(req.Avoid) > 0,
 		})
 		return Decision{}, false
 	}
-	g, firstToken, ok := f.planPrefill(now, w, r.engine)
+	a, firstToken, ok := f.planPrefill(now, req, c.engine)
 	if !ok {
-		if r, ok = f.decoderForPrompt(now, w, limit); !ok {
+		if c, ok = f.decoderForPrompt(now, req, limit); !ok {
 			return Decision{}, false
 		}
-		g = Assignment{
-			Decode: r.engine.Server,
+		a = Assignment{
+			Decode: c.engine.Server,
 		}
-		firstToken = now.Add(decodePrefillFactor*f.estimates.prefillTime(w.PromptTokens) + prefillOverhead)
+		firstToken = now.Add(decodePrefillFactor*f.estimates.prefillTime(req.PromptTokens) + prefillOverhead)
 	}
 	if limit == lateShare {
 		f.lateOutcomes.record(now, true)
 	}
-	f.record(now, w, r.engine, g, firstToken)
+	f.record(now, req, c.engine, a, firstToken)
 	return Decision{
-		ID:         w.ID,
-		Owner:      w.Owner,
-		Assignment: g,
-		Waited:     now.Sub(w.Arrived),
-		Peak:       int(100 * r.share),
+		ID:         req.ID,
+		Owner:      req.Owner,
+		Assignment: a,
+		Waited:     now.Sub(req.Arrived),
+		Peak:       int(100 * c.share),
 	}, true
 }
 
@@ -59,12 +59,12 @@
 // ruledOut reports whether the current step already failed to find capacity for a smaller request,
 // or a prefill engine for another one. When the fleet is saturated, hundreds of requests are
 // queued, and evaluating every engine for each of them would be too expensive.
-func (f *Fleet) ruledOut(now time.Time, w *StreamRequest, limit float64) bool {
-	if f.prefillSaturated && !w.Cached && len(w.Avoid) == 0 && !f.nearDeadline(now, w) {
+func (f *Fleet) ruledOut(now time.Time, req *StreamRequest, limit float64) bool {
+	if f.prefillSaturated && !req.Cached && len(req.Avoid) == 0 && !f.nearDeadline(now, req) {
 		return true
 	}
 	for _, a := range f.failedAttempts {
-		if !a.avoids && w.PromptTokens >= a.prompt && w.ExpectedTokens >= a.expected && limit <= a.limit {
+		if !a.avoids && req.PromptTokens >= a.prompt && req.ExpectedTokens >= a.expected && limit <= a.limit {
 			return true
 		}
 	}
@@ -72,33 +72,33 @@
 }
 
 // record enters an assignment into the state of its engines.
-func (f *Fleet) record(now time.Time, w *StreamRequest, decode *engine, g Assignment, firstToken time.Time) {
-	f.removeStream(w.ID)
+func (f *Fleet) record(now time.Time, req *StreamRequest, decode *engine, a Assignment, firstToken time.Time) {
+	f.removeStream(req.ID)
 	f.addStream(&stream{
-		id:           w.ID,
-		owner:        w.Owner,
-		prefill:      g.Prefill,
+		id:           req.ID,
+		owner:        req.Owner,
+		prefill:      a.Prefill,
 		decode:       decode.Server,
-		prompt:       w.PromptTokens,
-		expected:     w.ExpectedTokens,
+		prompt:       req.PromptTokens,
+		expected:     req.ExpectedTokens,
 		generatedAt:  firstToken,
 		assignedAt:   now,
-		prefillSince: prefillSinceOf(now, w, g),
+		prefillSince: prefillSinceOf(now, req, a),
 	})
 	decode.health.lastAssigned = now
-	if g.Prefill == "" && !w.Cached {
+	if a.Prefill == "" && !req.Cached {
 		decode.lastPrefill = now
 	}
-	if p := f.engines[g.Prefill]; p != nil {
+	if p := f.engines[a.Prefill]; p != nil {
 		p.health.lastAssigned = now
-		p.prefillQueue.add(now, w.ID, w.PromptTokens)
+		p.prefillQueue.add(now, req.ID, req.PromptTokens)
 	}
 }
 
 // prefillSinceOf returns the time from which the start of a stream is measured, or zero if it
 // doesn't start with a prefill on a prefill engine.
-func prefillSinceOf(now time.Time, w *StreamRequest, g Assignment) time.Time {
-	if w.Cached || w.Moved || g.Prefill == "" {
+func prefillSinceOf(now time.Time, req *StreamRequest, a Assignment) time.Time {
+	if req.Cached || req.Moved || a.Prefill == "" {
 		return time.Time{}
 	}
 	return now
@@ -106,45 +106,45 @@
 
 // planPrefill chooses the prefill engine for a decode engine and predicts when the first token is
 // generated. It returns false if no prefill engine is available in time.
-func (f *Fleet) planPrefill(now time.Time, w *StreamRequest, decode *engine) (Assignment, time.Time, bool) {
-	g := Assignment{
+func (f *Fleet) planPrefill(now time.Time, req *StreamRequest, decode *engine) (Assignment, time.Time, bool) {
+	a := Assignment{
 		Decode: decode.Server,
 	}
-	if w.Cached {
-		return g, now.Add(prefillOverhead), true
+	if req.Cached {
+		return a, now.Add(prefillOverhead), true
 	}
-	p, prefilledAt := f.fastestPrefill(now, w, decode.Zone)
+	p, prefilledAt := f.fastestPrefill(now, req, decode.Zone)
 	if p == nil {
 		return Assignment{}, time.Time{}, false
 	}
-	g.Prefill = p.Server
-	return g, prefilledAt.Add(prefillOverhead), true
+	a.Prefill = p.Server
+	return a, prefilledAt.Add(prefillOverhead), true
 }
 
 // decoderForPrompt returns a decode engine that prefills the prompt itself, if no prefill engine
 // can do so in time (rule 7). Unless the request is about to miss its target, the engine must have
 // capacity for a second stream of this size: prefilling pauses the engine's streams, so that they
 // hold their memory longer.
-func (f *Fleet) decoderForPrompt(now time.Time, w *StreamRequest, limit float64) (candidate, bool) {
-	urgent := f.nearDeadline(now, w) || !f.canPrefill(now, w)
-	r, found := f.candidate(now, w, limit, func(e *engine, share float64) bool {
-		return f.mayPrefill(now, w, e) && (urgent || f.estimates.prefillRate.samples > 0 && share+finalShare(w, e) <= limit)
+func (f *Fleet) decoderForPrompt(now time.Time, req *StreamRequest, limit float64) (candidate, bool) {
+	urgent := f.nearDeadline(now, req) || !f.canPrefill(now, req)
+	c, found := f.candidate(now, req, limit, func(e *engine, share float64) bool {
+		return f.mayPrefill(now, req, e) && (urgent || f.estimates.prefillRate.samples > 0 && share+finalShare(req, e) <= limit)
 	})
-	f.prefillSaturated = f.prefillSaturated || !found && !urgent && len(w.Avoid) == 0
-	return r, found
+	f.prefillSaturated = f.prefillSaturated || !found && !urgent && len(req.Avoid) == 0
+	return c, found
 }
 
 // finalShare returns the share of an engine's memory that a stream holds when it finishes.
-func finalShare(w *StreamRequest, e *engine) float64 {
-	return share(w.PromptTokens+w.ExpectedTokens, e)
+func finalShare(req *StreamRequest, e *engine) float64 {
+	return share(req.PromptTokens+req.ExpectedTokens, e)
 }
 
 // mayPrefill reports whether a decode engine may prefill a prompt beside its streams (rule 7).
-func (f *Fleet) mayPrefill(now time.Time, w *StreamRequest, decode *engine) bool {
+func (f *Fleet) mayPrefill(now time.Time, req *StreamRequest, decode *engine) bool {
 	if now.Sub(decode.lastPrefill) < decodePrefillRest*f.estimates.meanPrefillTime() {
 		return false
 	}
-	return w.MaxEventGap == 0 || f.pause(decode, f.estimates.prefillTime(w.PromptTokens)) < w.MaxEventGap || len(decode.streams) == 0
+	return req.MaxEventGap == 0 || f.pause(decode, f.estimates.prefillTime(req.PromptTokens)) < req.MaxEventGap || len(decode.streams) == 0
 }
 
 // pause returns the longest time between two events of an engine's streams while the engine
@@ -160,9 +160,9 @@
 }
 
 // nearDeadline reports whether a request can still meet its target if a decode engine prefills its
-// prompt, but only within nearDeadlineWindow.
-func (f *Fleet) nearDeadline(now time.Time, w *StreamRequest) bool {
-	needed := decodePrefillFactor*f.estimates.prefillTime(w.PromptTokens) + prefillOverhead
-	remaining := w.Arrived.Add(w.Target).Sub(now.Add(needed))
-	return !w.Moved && remaining > 0 && remaining < nearDeadlineWindow
+// prompt, but only if that engine is assigned within nearDeadlineWindow.
+func (f *Fleet) nearDeadline(now time.Time, req *StreamRequest) bool {
+	needed := decodePrefillFactor*f.estimates.prefillTime(req.PromptTokens) + prefillOverhead
+	remaining := req.Arrived.Add(req.Target).Sub(now.Add(needed))
+	return !req.Moved && remaining > 0 && remaining < nearDeadlineWindow
 }
--- a/internal/decide/hingefleet/assign_test.go
+++ b/internal/decide/hingefleet/assign_test.go
@@ -94,17 +94,17 @@
 	f := trainedFleet()
 	now := simStart
 	f.SetEngines(engines())
-	w := requestOf("a", now)
-	w.Cached = true
-	w.Avoid = []hingeids.ServerID{"decode-1"}
-	f.Enqueue(now, w)
+	req := requestOf("a", now)
+	req.Cached = true
+	req.Avoid = []hingeids.ServerID{"decode-1"}
+	f.Enqueue(now, req)
 	d := f.Step(now)
 	if len(d) != 1 || d[0].Assignment.Decode != "decode-2" || d[0].Assignment.Prefill != "" {
 		t.Fatalf("want decode-2 and no prefill engine: %+v", d)
 	}
-	w.ID = "b"
-	w.Avoid = []hingeids.ServerID{"decode-1", "decode-2"}
-	f.Enqueue(now, w)
+	req.ID = "b"
+	req.Avoid = []hingeids.ServerID{"decode-1", "decode-2"}
+	f.Enqueue(now, req)
 	if d := f.Step(now); len(d) != 1 || !d[0].Refused {
 		t.Fatalf("want an immediate refusal: %+v", d)
 	}
@@ -129,19 +129,19 @@
 	const requests = 45 // Streams in flight at the mean demand of ten a second.
 	for i := range requests {
 		now = now.Add(100 * time.Millisecond)
-		w := requestOf(StreamID(fmt.Sprint(i)), now)
-		w.Zone = hingeids.Zone(fmt.Sprint(random.IntN(3)))
-		f.Enqueue(now, w)
+		req := requestOf(StreamID(fmt.Sprint(i)), now)
+		req.Zone = hingeids.Zone(fmt.Sprint(random.IntN(3)))
+		f.Enqueue(now, req)
 		d := f.Step(now)
 		if len(d) != 1 || d[0].Refused {
 			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
-		if zones[d[0].Assignment.Decode] == w.Zone {
+		if zones[d[0].Assignment.Decode] == req.Zone {
 			inZone++
 		}
 		f.RecordOutcome(now.Add(90*time.Millisecond), OutcomeReport{
 			Server: d[0].Assignment.Prefill,
-			Stream: w.ID,
+			Stream: req.ID,
 		})
 	}
 	if inZone < requests*4/5 {
@@ -159,16 +159,16 @@
 	now := simStart
 	for i := range 45 {
 		now = now.Add(100 * time.Millisecond)
-		w := requestOf(StreamID(fmt.Sprint(i)), now)
-		w.Zone = "0"
-		f.Enqueue(now, w)
+		req := requestOf(StreamID(fmt.Sprint(i)), now)
+		req.Zone = "0"
+		f.Enqueue(now, req)
 		d := f.Step(now)
 		if len(d) != 1 || d[0].Refused {
 			t.Fatalf("stream %d isn't assigned: %+v", i, d)
 		}
 		f.RecordOutcome(now.Add(90*time.Millisecond), OutcomeReport{
 			Server: d[0].Assignment.Prefill,
-			Stream: w.ID,
+			Stream: req.ID,
 		})
 	}
 }
--- a/internal/decide/hingefleet/candidate.go
+++ b/internal/decide/hingefleet/candidate.go
@@ -31,19 +31,19 @@
 	rank  float64
 }
 
-// betterThan reports whether r ranks before other; the server ID breaks ties.
-func (r candidate) betterThan(other candidate) bool {
-	if r.rank != other.rank {
-		return r.rank < other.rank
+// betterThan reports whether c ranks before other; the server ID breaks ties.
+func (c candidate) betterThan(other candidate) bool {
+	if c.rank != other.rank {
+		return c.rank < other.rank
 	}
-	return r.engine.Server < other.engine.Server
+	return c.engine.Server < other.engine.Server
 }
 
 // candidate returns the best decode engine for a request whose predicted share stays within limit
 // (rules 2 and 6). The exact prediction is computed only for engines whose lower bound beats the
 // best engine so far. If accept isn't nil, it filters engines by their predicted share.
 func (f *Fleet) candidate(
-	now time.Time, w *StreamRequest, limit float64, accept func(e *engine, share float64) bool,
+	now time.Time, req *StreamRequest, limit float64, accept func(e *engine, share float64) bool,
 ) (candidate, bool) {
 	fastest := 0.0
 	for _, e := range f.decoders {
@@ -54,23 +54,23 @@
 		if !e.health.usable(now) || len(e.streams) >= int(e.Slots) {
 			continue
 		}
-		penalty := f.penalty(e, w, fastest)
-		r := candidate{
+		penalty := f.penalty(e, req, fastest)
+		c := candidate{
 			engine: e,
 		}
-		o := f.forecastOf(now, e)
-		r.share = share(o.lowerBound(w)+f.margin(e, o.squares, w), e)
-		r.rank = r.share + penalty
-		if r.share > limit || best.engine != nil && !r.betterThan(best) || f.unsuitable(now, e, w) {
+		fc := f.forecastOf(now, e)
+		c.share = share(fc.lowerBound(req)+f.margin(e, fc.squares, req), e)
+		c.rank = c.share + penalty
+		if c.share > limit || best.engine != nil && !c.betterThan(best) || f.unsuitable(now, e, req) {
 			continue
 		}
-		r.share = f.predictShare(now, e, o, w)
-		r.rank = r.share + penalty
-		if accept != nil && !accept(e, r.share) {
+		c.share = f.predictShare(now, e, fc, req)
+		c.rank = c.share + penalty
+		if accept != nil && !accept(e, c.share) {
 			continue
 		}
-		if r.share <= limit && (best.engine == nil || r.betterThan(best)) {
-			best = r
+		if c.share <= limit && (best.engine == nil || c.betterThan(best)) {
+			best = c
 		}
 	}
 	return best, best.engine != nil
@@ -80,9 +80,9 @@
 const slowPenalty = 100
 
 // penalty returns the rank penalty of an engine, as a share of its memory.
-func (f *Fleet) penalty(e *engine, w *StreamRequest, fastest float64) float64 {
+func (f *Fleet) penalty(e *engine, req *StreamRequest, fastest float64) float64 {
 	rank := 0.0
-	if e.Zone != w.Zone {
+	if e.Zone != req.Zone {
 		rank += crossZoneTolerance
 	}
 	if f.decodeRateOf(e) < slowFactor*fastest {
@@ -94,26 +94,26 @@
 // unsuitable reports whether a request must avoid an engine or couldn't finish there before its
 // deadline. The deadline isn't checked before decode rates are known, since they are learned only
 // from streams.
-func (f *Fleet) unsuitable(now time.Time, e *engine, w *StreamRequest) bool {
-	if slices.Contains(w.Avoid, e.Server) {
+func (f *Fleet) unsuitable(now time.Time, e *engine, req *StreamRequest) bool {
+	if slices.Contains(req.Avoid, e.Server) {
 		return true
 	}
-	duration := durationOf(float64(w.ExpectedTokens) / f.decodeRateOf(e))
-	return f.estimates.decodeRate.samples > 0 && now.Add(duration).After(w.Deadline)
+	duration := durationOf(float64(req.ExpectedTokens) / f.decodeRateOf(e))
+	return f.estimates.decodeRate.samples > 0 && now.Add(duration).After(req.Deadline)
 }
 
-func share(t hingeids.Tokens, e *engine) float64 {
-	return float64(t) / float64(max(e.Memory, 1))
+func share(n hingeids.Tokens, e *engine) float64 {
+	return float64(n) / float64(max(e.Memory, 1))
 }
 
 // predictShare returns the predicted peak of an engine with one more stream, as a share of its
 // memory.
-func (f *Fleet) predictShare(now time.Time, e *engine, o forecast, w *StreamRequest) float64 {
+func (f *Fleet) predictShare(now time.Time, e *engine, fc forecast, req *StreamRequest) float64 {
 	list := append(f.loads(now, e), load{
-		held:      w.PromptTokens,
-		remaining: w.ExpectedTokens,
+		held:      req.PromptTokens,
+		remaining: req.ExpectedTokens,
 	})
 	f.scratch = list
 	highest, _ := peak(list)
-	return share(highest+f.margin(e, o.squares, w), e)
+	return share(highest+f.margin(e, fc.squares, req), e)
 }
--- a/internal/decide/hingefleet/demand.go
+++ b/internal/decide/hingefleet/demand.go
@@ -9,8 +9,8 @@
 type Demand struct {
 	Prefill float64
 	Decode  float64
-	// PrefillOnDecoders reports whether decode engines can prefill prompts of the mean size without making
-	// their streams late.
+	// PrefillOnDecoders reports whether decode engines can prefill prompts of the mean size without
+	// making their streams late.
 	PrefillOnDecoders bool
 }
 
@@ -40,14 +40,14 @@
 	firstAt time.Time
 }
 
-func (d *demand) add(now time.Time, w StreamRequest) {
+func (d *demand) add(now time.Time, req StreamRequest) {
 	d.decay(now)
 	if d.firstAt.IsZero() {
 		d.firstAt = now
 	}
 	d.requests++
-	d.promptTokens += float64(w.PromptTokens)
-	d.decodeWork += (float64(w.PromptTokens) + float64(w.ExpectedTokens)/2) * float64(w.ExpectedTokens)
+	d.promptTokens += float64(req.PromptTokens)
+	d.decodeWork += (float64(req.PromptTokens) + float64(req.ExpectedTokens)/2) * float64(req.ExpectedTokens)
 }
 
 func (d *demand) decay(now time.Time) {
--- a/internal/decide/hingefleet/estimates.go
+++ b/internal/decide/hingefleet/estimates.go
@@ -94,43 +94,43 @@
 )
 
 // usualDecodeRate returns the decode rate assumed for an engine without samples.
-func (p *estimates) usualDecodeRate() float64 {
-	if p.minDecodeRate > 0 {
-		return p.decodeRate.valueOr(defaultRateFactor * p.minDecodeRate)
+func (e *estimates) usualDecodeRate() float64 {
+	if e.minDecodeRate > 0 {
+		return e.decodeRate.valueOr(defaultRateFactor * e.minDecodeRate)
 	}
-	return p.decodeRate.valueOr(defaultDecodeRate)
+	return e.decodeRate.valueOr(defaultDecodeRate)
 }
 
 // usualPrefillRate returns the prefill rate assumed for an engine without samples.
-func (p *estimates) usualPrefillRate() float64 {
-	return p.prefillRate.valueOr(defaultPrefillRate)
+func (e *estimates) usualPrefillRate() float64 {
+	return e.prefillRate.valueOr(defaultPrefillRate)
 }
 
-// prefillTime returns how long an engine of the usual rate prefills t tokens.
-func (p *estimates) prefillTime(t hingeids.Tokens) time.Duration {
-	return durationOf(float64(t) / p.usualPrefillRate())
+// prefillTime returns how long an engine of the usual rate needs to prefill n tokens.
+func (e *estimates) prefillTime(n hingeids.Tokens) time.Duration {
+	return durationOf(float64(n) / e.usualPrefillRate())
 }
 
 // meanPrefillTime returns the prefill time of a prompt of the mean length.
-func (p *estimates) meanPrefillTime() time.Duration {
-	return durationOf(p.promptTokens.valueOr(0) / p.usualPrefillRate())
+func (e *estimates) meanPrefillTime() time.Duration {
+	return durationOf(e.promptTokens.valueOr(0) / e.usualPrefillRate())
 }
 
 // hintError returns the root mean square of the relative error of hints.
-func (p *estimates) hintError() float64 {
-	return math.Sqrt(p.squaredHintError.valueOr(defaultHintError * defaultHintError))
+func (e *estimates) hintError() float64 {
+	return math.Sqrt(e.squaredHintError.valueOr(defaultHintError * defaultHintError))
 }
 
 // observeLength adds the length of a complete answer.
-func (p *estimates) observeLength(expected, generated hingeids.Tokens) {
+func (e *estimates) observeLength(expected, generated hingeids.Tokens) {
 	relativeError := float64(generated-expected) / float64(max(expected, 1))
 	relativeError = min(relativeError, maxHintError)
-	p.squaredHintError.add(relativeError*relativeError, fleetWeight)
+	e.squaredHintError.add(relativeError*relativeError, fleetWeight)
 }
 
 // timeToFirstEvent returns the expected time from a stream's assignment to its first event.
-func (p *estimates) timeToFirstEvent(prompt hingeids.Tokens) time.Duration {
-	return p.prefillTime(prompt) + durationOf(p.startOverhead.valueOr(prefillOverhead.Seconds()))
+func (e *estimates) timeToFirstEvent(prompt hingeids.Tokens) time.Duration {
+	return e.prefillTime(prompt) + durationOf(e.startOverhead.valueOr(prefillOverhead.Seconds()))
 }
 
 // observeStart adds a sample of startOverhead when the first event of a stream is reported.
--- a/internal/decide/hingefleet/estimates_test.go
+++ b/internal/decide/hingefleet/estimates_test.go
@@ -7,40 +7,40 @@
 
 // Guards against defaults that influence the estimate after the first sample.
 func TestFirstSampleReplacesDefault(t *testing.T) {
-	var p estimates
-	p.minDecodeRate = 50
-	if p.usualDecodeRate() != defaultRateFactor*p.minDecodeRate {
-		t.Fatalf("decode rate is %v without samples", p.usualDecodeRate())
+	var e estimates
+	e.minDecodeRate = 50
+	if e.usualDecodeRate() != defaultRateFactor*e.minDecodeRate {
+		t.Fatalf("decode rate is %v without samples", e.usualDecodeRate())
 	}
-	p.decodeRate.add(7, fleetWeight)
-	if p.usualDecodeRate() != 7 {
-		t.Fatalf("decode rate is %v after a sample of 7", p.usualDecodeRate())
+	e.decodeRate.add(7, fleetWeight)
+	if e.usualDecodeRate() != 7 {
+		t.Fatalf("decode rate is %v after a sample of 7", e.usualDecodeRate())
 	}
-	p.decodeRate.add(9, fleetWeight)
-	if p.usualDecodeRate() != 8 {
-		t.Fatalf("decode rate is %v after samples of 7 and 9", p.usualDecodeRate())
+	e.decodeRate.add(9, fleetWeight)
+	if e.usualDecodeRate() != 8 {
+		t.Fatalf("decode rate is %v after samples of 7 and 9", e.usualDecodeRate())
 	}
 	for range 200 {
-		p.decodeRate.add(100, fleetWeight)
+		e.decodeRate.add(100, fleetWeight)
 	}
-	if p.usualDecodeRate() < 99 {
-		t.Fatalf("decode rate is %v after 200 samples of 100", p.usualDecodeRate())
+	if e.usualDecodeRate() < 99 {
+		t.Fatalf("decode rate is %v after 200 samples of 100", e.usualDecodeRate())
 	}
 }
 
 // Guards against one slow prefill engine reducing the estimate for all, which would refuse streams
 // that the others can still serve in time.
 func TestSlowSamplesWeighLess(t *testing.T) {
-	var p estimates
+	var e estimates
 	for i := range 300 {
 		sample := 50000.0
 		if i%3 == 0 {
 			sample = 10000
 		}
-		p.prefillRate.addUpper(sample, prefillRateWeight)
+		e.prefillRate.addUpper(sample, prefillRateWeight)
 	}
-	if p.usualPrefillRate() < 40000 || p.usualPrefillRate() > 50000 {
-		t.Fatalf("prefill rate is %v after samples of 50,000 and, one in three, 10,000", p.usualPrefillRate())
+	if e.usualPrefillRate() < 40000 || e.usualPrefillRate() > 50000 {
+		t.Fatalf("prefill rate is %v after samples of 50,000 and, one in three, 10,000", e.usualPrefillRate())
 	}
 }
 
@@ -93,9 +93,9 @@
 			Generated: 500,
 		},
 	})
-	w := requestOf("w", now)
-	w.MaxEventGap = 200 * time.Millisecond
-	f.Enqueue(now, w)
+	req := requestOf("w", now)
+	req.MaxEventGap = 200 * time.Millisecond
+	f.Enqueue(now, req)
 	for _, d := range f.Step(now) {
 		if !d.Refused {
 			t.Fatalf("a decode engine with streams prefills a prompt: %+v", d)
@@ -111,9 +111,9 @@
 	list := engines()
 	f.SetEngines(list[:2])
 	for i := range 8 {
-		w := requestOf(StreamID(rune('a'+i)), now)
-		w.Arrived = now.Add(-1200 * time.Millisecond)
-		f.Enqueue(now, w)
+		req := requestOf(StreamID(rune('a'+i)), now)
+		req.Arrived = now.Add(-1200 * time.Millisecond)
+		f.Enqueue(now, req)
 	}
 	for _, d := range f.Step(now) {
 		if d.Refused {
--- a/internal/decide/hingefleet/fleet.go
+++ b/internal/decide/hingefleet/fleet.go
@@ -110,7 +110,7 @@
 	Decode  hingeids.ServerID
 }
 
-// Decision is the outcome of a Want: either an assignment or a refusal.
+// Decision is the result for one StreamRequest: either an assignment or a refusal.
 type Decision struct {
 	ID         StreamID
 	Owner      hingeids.HostID
--- a/internal/decide/hingefleet/fleet_test.go
+++ b/internal/decide/hingefleet/fleet_test.go
@@ -248,14 +248,14 @@
 	now := simStart
 	for range 200 {
 		now = now.Add(100 * time.Millisecond)
-		w := StreamRequest{
+		req := StreamRequest{
 			ID:             "x",
 			PromptTokens:   5500,
 			ExpectedTokens: 3000,
 			Arrived:        now,
 		}
-		f.Enqueue(now, w)
-		f.Enqueue(now.Add(newRequestAge), w)
+		f.Enqueue(now, req)
+		f.Enqueue(now.Add(newRequestAge), req)
 		f.queue = nil
 	}
 	// Ten requests a second: 55,000 prompt tokens, and 7,000 tokens held for two seconds each.
@@ -302,10 +302,10 @@
 	}
 	f.HandleReport(now, "entry-1", running)
 	for i := range waiting {
-		w := requestOf(StreamID(fmt.Sprint("waits", i)), now)
-		w.PromptTokens = simMemory
-		w.Moved = true
-		f.Enqueue(now, w)
+		req := requestOf(StreamID(fmt.Sprint("waits", i)), now)
+		req.PromptTokens = simMemory
+		req.Moved = true
+		f.Enqueue(now, req)
 	}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/decide/hingefleet/fuzz_test.go
+++ b/internal/decide/hingefleet/fuzz_test.go
@@ -36,7 +36,7 @@
 		})
 		now := time.Unix(1000, 0)
 		for i := range 5 {
-			w := StreamRequest{
+			req := StreamRequest{
 				ID:             StreamID(fmt.Sprint(i)),
 				Owner:          "entry",
 				PromptTokens:   5000,
@@ -47,23 +47,23 @@
 				Deadline:       now.Add(14 * time.Second),
 			}
 			if i%2 == 0 {
-				w.PromptTokens = hingeids.Tokens(prompt)
-				w.ExpectedTokens = hingeids.Tokens(expected)
-				w.Target = time.Duration(target)
-				w.MaxWait = time.Duration(maxWait)
-				w.Deadline = now.Add(time.Duration(remaining))
-				w.MaxEventGap = time.Duration(gap)
-				w.Moved = moved
-				w.Cached = cached
+				req.PromptTokens = hingeids.Tokens(prompt)
+				req.ExpectedTokens = hingeids.Tokens(expected)
+				req.Target = time.Duration(target)
+				req.MaxWait = time.Duration(maxWait)
+				req.Deadline = now.Add(time.Duration(remaining))
+				req.MaxEventGap = time.Duration(gap)
+				req.Moved = moved
+				req.Cached = cached
 			}
-			x.Enqueue(now, w)
+			x.Enqueue(now, req)
 			for _, d := range x.Step(now) {
 				x.HandleReport(now, "entry", []Progress{
 					{
 						ID:        d.ID,
 						Decode:    d.Assignment.Decode,
-						Prompt:    w.PromptTokens,
-						Expected:  w.ExpectedTokens,
+						Prompt:    req.PromptTokens,
+						Expected:  req.ExpectedTokens,
 						Generated: hingeids.Tokens(expected),
 					},
 				})
--- a/internal/decide/hingefleet/health.go
+++ b/internal/decide/hingefleet/health.go
@@ -29,9 +29,9 @@
 // Outcome is the result of a request to an engine.
 type Outcome uint8
 
-// Worked means that the request succeeded, Failed that the answer was missing or broken, and Full
-// that the engine refused for lack of capacity. Unreached means that the connection failed or
-// another server runs at the address, and Begun that an answer has started, whatever its result.
+// Succeeded means that the request succeeded, Failed that the answer was missing or broken, and Full
+// that the engine refused for lack of capacity. Unreachable means that the connection failed or
+// another server runs at the address, and Started that an answer has started, whatever its result.
 const (
 	Succeeded Outcome = iota
 	Failed
@@ -73,22 +73,22 @@
 }
 
 // RecordOutcome records the outcome of a stream at an engine. It ignores unknown engines.
-func (f *Fleet) RecordOutcome(now time.Time, n OutcomeReport) {
-	e := f.engines[n.Server]
+func (f *Fleet) RecordOutcome(now time.Time, r OutcomeReport) {
+	e := f.engines[r.Server]
 	if e == nil {
 		return
 	}
 	if e.Role == Prefill {
-		e.prefillQueue.done(now, n.Stream, n.Outcome == Succeeded)
+		e.prefillQueue.done(now, r.Stream, r.Outcome == Succeeded)
 	}
-	if s := f.streams[n.Stream]; s != nil && e.Role == Decode && n.Outcome == Succeeded && n.Generated > 0 {
-		f.estimates.observeLength(s.expected, n.Generated)
+	if s := f.streams[r.Stream]; s != nil && e.Role == Decode && r.Outcome == Succeeded && r.Generated > 0 {
+		f.estimates.observeLength(s.expected, r.Generated)
 		// The owner's next report would remove the stream too, but only later: on engines that
 		// answer within 100 ms, its slot would stay blocked half as long again.
-		f.removeStream(n.Stream)
+		f.removeStream(r.Stream)
 	}
-	e.health.record(now, n.Outcome)
-	switch n.Outcome {
+	e.health.record(now, r.Outcome)
+	switch r.Outcome {
 	case Succeeded, Started:
 		f.zoneAnswered(now, e.Zone)
 	case Unreachable:
--- a/internal/decide/hingefleet/health_test.go
+++ b/internal/decide/hingefleet/health_test.go
@@ -54,9 +54,9 @@
 	now = now.Add(minEjection)
 	assigned := func(ids ...StreamID) int {
 		for _, id := range ids {
-			w := requestOf(id, now)
-			w.Zone = "another"
-			f.Enqueue(now, w)
+			req := requestOf(id, now)
+			req.Zone = "another"
+			f.Enqueue(now, req)
 		}
 		n := 0
 		for _, d := range f.Step(now) {
--- a/internal/decide/hingefleet/lateoutcomes_test.go
+++ b/internal/decide/hingefleet/lateoutcomes_test.go
@@ -7,7 +7,7 @@
 
 // Guards against late requests that keep waiting under lasting overload, and against the outcome
 // of one burst affecting the next.
-func TestLateRequestsWaitOnlyWhileSomeArePlaced(t *testing.T) {
+func TestLateRequestsWaitOnlyWhileSomeAreAssigned(t *testing.T) {
 	var u lateOutcomes
 	now := simStart
 	if !u.mayWait(now) {
--- a/internal/decide/hingefleet/memory.go
+++ b/internal/decide/hingefleet/memory.go
@@ -79,24 +79,24 @@
 
 // lowerBound returns a lower bound for an engine's peak with one more stream. It is exact if that
 // stream is still running at the peak, which is usual when memory is short.
-func (o forecast) lowerBound(w *StreamRequest) hingeids.Tokens {
-	if w.ExpectedTokens >= o.untilPeak {
-		return o.peak + w.PromptTokens + o.untilPeak
+func (fc forecast) lowerBound(req *StreamRequest) hingeids.Tokens {
+	if req.ExpectedTokens >= fc.untilPeak {
+		return fc.peak + req.PromptTokens + fc.untilPeak
 	}
-	return o.peak
+	return fc.peak
 }
 
 // forecastOf returns an engine's forecast, recomputed if it has expired.
 func (f *Fleet) forecastOf(now time.Time, e *engine) forecast {
-	o := &e.forecast
-	if !o.valid || now.Sub(o.computedAt) > forecastTTL {
+	fc := &e.forecast
+	if !fc.valid || now.Sub(fc.computedAt) > forecastTTL {
 		list := f.loads(now, e)
-		o.peak, o.untilPeak = peak(list)
-		o.squares = sumSquares(e.streams)
-		o.computedAt = now
-		o.valid = true
+		fc.peak, fc.untilPeak = peak(list)
+		fc.squares = sumSquares(e.streams)
+		fc.computedAt = now
+		fc.valid = true
 	}
-	return *o
+	return *fc
 }
 
 // loads returns the loads of an engine's streams, in a buffer that the next call overwrites.
@@ -121,8 +121,8 @@
 // margin returns the memory kept free for answers of an engine's streams, with one more, that
 // exceed their hints. It grows with the square root of their number and with the error of past
 // hints, so it is small where hints are accurate or answers short.
-func (f *Fleet) margin(e *engine, squares float64, w *StreamRequest) hingeids.Tokens {
-	squares += float64(w.ExpectedTokens) * float64(w.ExpectedTokens)
+func (f *Fleet) margin(e *engine, squares float64, req *StreamRequest) hingeids.Tokens {
+	squares += float64(req.ExpectedTokens) * float64(req.ExpectedTokens)
 	margin := marginDeviations * f.estimates.hintError() * math.Sqrt(squares)
 	return hingeids.Tokens(min(margin, maxMarginShare*float64(e.Memory)))
 }
--- a/internal/decide/hingefleet/prefill.go
+++ b/internal/decide/hingefleet/prefill.go
@@ -11,19 +11,19 @@
 // engines in the zone of the decode engine, since transfers between zones take twice as long. It
 // returns nil if all engines have their maximum backlog: a prompt queued at an engine holds decode
 // memory and can't be overtaken by a more urgent one.
-func (f *Fleet) fastestPrefill(now time.Time, w *StreamRequest, zone hingeids.Zone) (*engine, time.Time) {
+func (f *Fleet) fastestPrefill(now time.Time, req *StreamRequest, zone hingeids.Zone) (*engine, time.Time) {
 	var best *engine
 	var bestAt time.Time
 	maxBacklog := f.maxBacklog()
 	for _, e := range f.prefillers {
-		if !e.health.usable(now) || slices.Contains(w.Avoid, e.Server) {
+		if !e.health.usable(now) || slices.Contains(req.Avoid, e.Server) {
 			continue
 		}
 		backlog := e.prefillQueue.backlog(now)
 		if backlog > maxBacklog {
 			continue
 		}
-		at := now.Add(backlog + e.prefillQueue.prefillTime(now, w.PromptTokens))
+		at := now.Add(backlog + e.prefillQueue.prefillTime(now, req.PromptTokens))
 		if e.Zone != zone {
 			at = at.Add(crossZonePenalty)
 		}
@@ -49,9 +49,9 @@
 
 // canPrefill reports whether any prefill engine is usable for the request, regardless of its
 // backlog.
-func (f *Fleet) canPrefill(now time.Time, w *StreamRequest) bool {
+func (f *Fleet) canPrefill(now time.Time, req *StreamRequest) bool {
 	for _, e := range f.prefillers {
-		if e.health.usable(now) && !slices.Contains(w.Avoid, e.Server) {
+		if e.health.usable(now) && !slices.Contains(req.Avoid, e.Server) {
 			return true
 		}
 	}
--- a/internal/decide/hingefleet/prefillqueue.go
+++ b/internal/decide/hingefleet/prefillqueue.go
@@ -64,9 +64,9 @@
 	}
 }
 
-func (q *prefillQueue) add(now time.Time, id StreamID, t hingeids.Tokens) {
+func (q *prefillQueue) add(now time.Time, id StreamID, n hingeids.Tokens) {
 	q.pending[id] = queuedPrompt{
-		tokens: t,
+		tokens: n,
 		since:  now,
 	}
 }
@@ -152,11 +152,11 @@
 			oldest, oldestID = p, id
 		}
 	}
-	at := now.Sub(hingeclock.Later(oldest.since, q.lastDone))
-	return q.prefillTime(now, sum) - min(at, q.prefillTime(now, oldest.tokens))
+	elapsed := now.Sub(hingeclock.Later(oldest.since, q.lastDone))
+	return q.prefillTime(now, sum) - min(elapsed, q.prefillTime(now, oldest.tokens))
 }
 
-// prefillTime returns how long the engine prefills t tokens.
-func (q *prefillQueue) prefillTime(now time.Time, t hingeids.Tokens) time.Duration {
-	return durationOf(float64(t) / q.rateAt(now))
+// prefillTime returns how long the engine needs to prefill n tokens.
+func (q *prefillQueue) prefillTime(now time.Time, n hingeids.Tokens) time.Duration {
+	return durationOf(float64(n) / q.rateAt(now))
 }
--- a/internal/decide/hingefleet/queue.go
+++ b/internal/decide/hingefleet/queue.go
@@ -21,29 +21,29 @@
 
 // Enqueue queues a request; Step decides on it. A request younger than newRequestAge also counts as
 // demand.
-func (f *Fleet) Enqueue(now time.Time, w StreamRequest) {
-	f.queue = append(f.queue, &w)
-	if now.Sub(w.Arrived) < newRequestAge && !w.Moved && !w.Cached {
-		f.observeRequest(w)
-		f.demand.add(now, w)
+func (f *Fleet) Enqueue(now time.Time, req StreamRequest) {
+	f.queue = append(f.queue, &req)
+	if now.Sub(req.Arrived) < newRequestAge && !req.Moved && !req.Cached {
+		f.observeRequest(req)
+		f.demand.add(now, req)
 		f.arrivals = append(f.arrivals, now)
 	}
 }
 
 // observeRequest updates the estimates from a new request.
-func (f *Fleet) observeRequest(w StreamRequest) {
-	f.estimates.promptTokens.add(float64(w.PromptTokens), fleetWeight)
-	f.estimates.maxEventGap = w.MaxEventGap
-	if w.MaxEventGap > 0 && len(f.decoders) > 0 {
-		f.estimates.minDecodeRate = float64(f.decoders[0].EventTokens) / w.MaxEventGap.Seconds()
+func (f *Fleet) observeRequest(req StreamRequest) {
+	f.estimates.promptTokens.add(float64(req.PromptTokens), fleetWeight)
+	f.estimates.maxEventGap = req.MaxEventGap
+	if req.MaxEventGap > 0 && len(f.decoders) > 0 {
+		f.estimates.minDecodeRate = float64(f.decoders[0].EventTokens) / req.MaxEventGap.Seconds()
 	}
 }
 
 // DrainQueue removes all requests from the queue and returns their IDs.
 func (f *Fleet) DrainQueue() []StreamID {
 	var out []StreamID
-	for _, w := range f.queue {
-		out = append(out, w.ID)
+	for _, req := range f.queue {
+		out = append(out, req.ID)
 	}
 	f.queue = nil
 	return out
@@ -66,10 +66,10 @@
 	rates := f.rates(now)
 	var out []Decision
 	kept := f.queue[:0]
-	for _, w := range f.queue {
-		d, decided := f.decide(now, w, len(kept), rates)
+	for _, req := range f.queue {
+		d, decided := f.decide(now, req, len(kept), rates)
 		if !decided {
-			kept = append(kept, w)
+			kept = append(kept, req)
 			continue
 		}
 		out = append(out, d)
@@ -81,11 +81,11 @@
 
 // sortQueue orders the queue by rules 3 and 4.
 func (f *Fleet) sortQueue(now time.Time) {
-	rank := func(w *StreamRequest) int {
+	rank := func(req *StreamRequest) int {
 		switch {
-		case w.Moved || w.Cached:
+		case req.Moved || req.Cached:
 			return 0
-		case f.onTime(now, w):
+		case f.onTime(now, req):
 			return 1
 		default:
 			return 2
@@ -97,18 +97,18 @@
 }
 
 // onTime reports whether a request that is assigned now can meet its target.
-func (f *Fleet) onTime(now time.Time, w *StreamRequest) bool {
-	return !now.Add(f.estimates.timeToFirstEvent(w.PromptTokens)).After(w.Arrived.Add(w.Target))
+func (f *Fleet) onTime(now time.Time, req *StreamRequest) bool {
+	return !now.Add(f.estimates.timeToFirstEvent(req.PromptTokens)).After(req.Arrived.Add(req.Target))
 }
 
 // maxTimeToStart returns the longest expected time from an assignment to the first event: the
 // maximum backlog, the request's own prefill and the overhead.
-func (f *Fleet) maxTimeToStart(w *StreamRequest) time.Duration {
-	return f.maxBacklog() + f.estimates.prefillTime(w.PromptTokens) + prefillOverhead
+func (f *Fleet) maxTimeToStart(req *StreamRequest) time.Duration {
+	return f.maxBacklog() + f.estimates.prefillTime(req.PromptTokens) + prefillOverhead
 }
 
-// prefillWait returns how long it takes until the prefill engines have finished as many prompts.
-// It replaces the wait for decode memory while prefill is the bottleneck.
+// prefillWait returns how long it takes until the prefill engines have finished the given number of
+// prompts. It replaces the wait for decode memory while prefill is the bottleneck.
 func (f *Fleet) prefillWait(now time.Time, prompts int) time.Duration {
 	rate := 0.0
 	for _, e := range f.prefillers {
@@ -119,16 +119,16 @@
 	return waitFor(float64(prompts)*f.estimates.promptTokens.valueOr(0), rate)
 }
 
-// decide assigns or refuses a request, or returns false to keep it queued behind as many others
-// (rule 5).
-func (f *Fleet) decide(now time.Time, w *StreamRequest, ahead int, r rates) (Decision, bool) {
-	if d, assigned := f.assign(now, w); assigned {
+// decide assigns or refuses a request, or returns false to keep it queued behind the given number of
+// others (rule 5).
+func (f *Fleet) decide(now time.Time, req *StreamRequest, ahead int, r rates) (Decision, bool) {
+	if d, assigned := f.assign(now, req); assigned {
 		return d, true
 	}
-	if w.Cached {
+	if req.Cached {
 		return Decision{
-			ID:      w.ID,
-			Owner:   w.Owner,
+			ID:      req.ID,
+			Owner:   req.Owner,
 			Refused: true,
 		}, true
 	}
@@ -136,29 +136,29 @@
 	if f.prefillSaturated {
 		wait = f.prefillWait(now, ahead+1)
 	}
-	if f.mayWait(now, w, ahead, wait, r) {
+	if f.mayWait(now, req, ahead, wait, r) {
 		return Decision{}, false
 	}
 	return Decision{
-		ID:         w.ID,
-		Owner:      w.Owner,
+		ID:         req.ID,
+		Owner:      req.Owner,
 		Refused:    true,
 		RetryAfter: f.retryAfter(now, wait, r),
 		Shortage:   f.shortage(now),
-		Waited:     now.Sub(w.Arrived),
+		Waited:     now.Sub(req.Arrived),
 	}, true
 }
 
-// mayWait reports whether an unassigned request remains queued behind as many others, given the
-// expected wait (rule 5).
-func (f *Fleet) mayWait(now time.Time, w *StreamRequest, ahead int, wait time.Duration, r rates) bool {
-	if f.onTime(now.Add(wait), w) {
+// mayWait reports whether an unassigned request remains queued behind the given number of others,
+// with the given expected wait (rule 5).
+func (f *Fleet) mayWait(now time.Time, req *StreamRequest, ahead int, wait time.Duration, r rates) bool {
+	if f.onTime(now.Add(wait), req) {
 		return true
 	}
-	giveUpAt := w.Arrived.Add(w.MaxWait - f.maxTimeToStart(w))
+	giveUpAt := req.Arrived.Add(req.MaxWait - f.maxTimeToStart(req))
 	inTime := now.Add(wait).Before(giveUpAt)
 	switch {
-	case w.Moved || f.isLearning(now):
+	case req.Moved || f.isLearning(now):
 		return now.Before(giveUpAt)
 	case f.prefillSaturated:
 		// Memory is available, and the prefill rate is steady, so the predicted wait is reliable.
@@ -168,7 +168,7 @@
 	case len(f.decoders) > 0 && f.lateOutcomes.mayWait(now) && inTime:
 		return true
 	}
-	if !inTime && now.Sub(w.Arrived) > w.Target {
+	if !inTime && now.Sub(req.Arrived) > req.Target {
 		f.lateOutcomes.record(now, false)
 	}
 	return false
--- a/internal/decide/hingefleet/range_test.go
+++ b/internal/decide/hingefleet/range_test.go
@@ -27,24 +27,24 @@
 	}
 }
 
-func (m *mostFree) offer(_ time.Time, w StreamRequest) { m.waiting = append(m.waiting, w) }
+func (m *mostFree) offer(_ time.Time, req StreamRequest) { m.waiting = append(m.waiting, req) }
 
 func (m *mostFree) step(now time.Time) []Decision {
 	var out []Decision
 	kept := m.waiting[:0]
-	for _, w := range m.waiting {
-		d, decided := m.place(now, w)
+	for _, req := range m.waiting {
+		d, decided := m.place(now, req)
 		if decided {
 			out = append(out, d)
 			continue
 		}
-		kept = append(kept, w)
+		kept = append(kept, req)
 	}
 	m.waiting = kept
 	return out
 }
 
-func (m *mostFree) place(now time.Time, w StreamRequest) (Decision, bool) {
+func (m *mostFree) place(now time.Time, req StreamRequest) (Decision, bool) {
 	var best *Engine
 	var prefillers []hingeids.ServerID
 	for i, e := range m.engines {
@@ -56,18 +56,18 @@
 			best = &m.engines[i]
 		}
 	}
-	size := w.PromptTokens + w.ExpectedTokens
+	size := req.PromptTokens + req.ExpectedTokens
 	if best == nil || best.Memory-m.used[best.Server] < size {
 		return Decision{
-			ID:      w.ID,
+			ID:      req.ID,
 			Refused: true,
-		}, now.Sub(w.Arrived) > w.Target
+		}, now.Sub(req.Arrived) > req.Target
 	}
 	m.used[best.Server] += size
 	m.counts[best.Server]++
 	m.nextPrefiller++
 	return Decision{
-		ID: w.ID,
+		ID: req.ID,
 		Assignment: Assignment{
 			Prefill: prefillers[m.nextPrefiller%len(prefillers)],
 			Decode:  best.Server,
--- a/internal/decide/hingefleet/rates.go
+++ b/internal/decide/hingefleet/rates.go
@@ -43,7 +43,7 @@
 	f.arrivals = f.arrivals[from:]
 }
 
-// wait returns how long it takes until as many streams have finished.
+// wait returns how long it takes until the given number of streams have finished.
 func (r rates) wait(streams int) time.Duration {
 	return waitFor(float64(streams), r.drain)
 }
@@ -85,8 +85,8 @@
 }
 
 // isDiscovering reports whether engines may exist that haven't been announced. After an outage of
-// all hosts they are announced one by one, and a lack of capacity at the first ones
-// doesn't mean saturation.
+// all hosts they are announced one by one, and a lack of capacity at the first ones doesn't mean
+// saturation.
 func (f *Fleet) isDiscovering(now time.Time) bool {
 	return !f.startedAt.IsZero() && now.Sub(f.startedAt) < discoveryTime
 }
--- a/internal/decide/hingefleet/sim_test.go
+++ b/internal/decide/hingefleet/sim_test.go
@@ -69,10 +69,10 @@
 
 // placer is a placement policy under test.
 type placer interface {
-	offer(now time.Time, w StreamRequest)
+	offer(now time.Time, req StreamRequest)
 	step(now time.Time) []Decision
 	report(now time.Time, list []Progress)
-	record(now time.Time, n OutcomeReport)
+	record(now time.Time, r OutcomeReport)
 }
 
 // fleetPlacer is the policy of this package.
@@ -80,10 +80,10 @@
 	*Fleet
 }
 
-func (o fleetPlacer) offer(now time.Time, w StreamRequest)  { o.Enqueue(now, w) }
-func (o fleetPlacer) step(now time.Time) []Decision         { return o.Step(now) }
-func (o fleetPlacer) report(now time.Time, list []Progress) { o.HandleReport(now, "entry", list) }
-func (o fleetPlacer) record(now time.Time, n OutcomeReport) { o.RecordOutcome(now, n) }
+func (o fleetPlacer) offer(now time.Time, req StreamRequest) { o.Enqueue(now, req) }
+func (o fleetPlacer) step(now time.Time) []Decision          { return o.Step(now) }
+func (o fleetPlacer) report(now time.Time, list []Progress)  { o.HandleReport(now, "entry", list) }
+func (o fleetPlacer) record(now time.Time, r OutcomeReport)  { o.RecordOutcome(now, r) }
 
 // leastStreams is the policy to compare with: it assigns a request at once to the engine with the
 // fewest streams, up to its slots, regardless of memory.
@@ -94,7 +94,7 @@
 	nextPrefiller int
 }
 
-func (l *leastStreams) offer(_ time.Time, w StreamRequest) { l.waiting = append(l.waiting, w) }
+func (l *leastStreams) offer(_ time.Time, req StreamRequest) { l.waiting = append(l.waiting, req) }
 
 func (l *leastStreams) step(time.Time) []Decision {
 	var out []Decision
@@ -104,7 +104,7 @@
 			prefillers = append(prefillers, e.Server)
 		}
 	}
-	for _, w := range l.waiting {
+	for _, req := range l.waiting {
 		best := hingeids.ServerID("")
 		for _, e := range l.engines {
 			if e.Role == Decode && l.counts[e.Server] < int(e.Slots) &&
@@ -114,7 +114,7 @@
 		}
 		l.nextPrefiller++
 		d := Decision{
-			ID:      w.ID,
+			ID:      req.ID,
 			Refused: best == "",
 			Assignment: Assignment{
 				Prefill: prefillers[l.nextPrefiller%len(prefillers)],
--- a/internal/decide/hingefleet/streams.go
+++ b/internal/decide/hingefleet/streams.go
@@ -41,18 +41,18 @@
 }
 
 func (f *Fleet) engineStreams(id hingeids.ServerID) *engineStreams {
-	b := f.streamsByEngine[id]
-	if b == nil {
-		b = &engineStreams{}
-		f.streamsByEngine[id] = b
+	es := f.streamsByEngine[id]
+	if es == nil {
+		es = &engineStreams{}
+		f.streamsByEngine[id] = es
 	}
-	return b
+	return es
 }
 
 // dropUnusedStreams deletes the empty entries of engines that were removed.
 func (f *Fleet) dropUnusedStreams() {
-	for id, b := range f.streamsByEngine {
-		if f.engines[id] == nil && len(b.streams) == 0 {
+	for id, es := range f.streamsByEngine {
+		if f.engines[id] == nil && len(es.streams) == 0 {
 			delete(f.streamsByEngine, id)
 		}
 	}
@@ -72,9 +72,9 @@
 	f.streams[s.id] = s
 	o := f.ownerOf(s.owner)
 	o.streams = append(o.streams, s)
-	b := f.engineStreams(s.decode)
-	b.streams = append(b.streams, s)
-	b.forecast.valid = false
+	es := f.engineStreams(s.decode)
+	es.streams = append(es.streams, s)
+	es.forecast.valid = false
 }
 
 // removeStream removes a stream and its pending prompt.
@@ -85,10 +85,10 @@
 	}
 	f.removePrompt(s)
 	delete(f.streams, id)
-	o, b := f.ownerOf(s.owner), f.engineStreams(s.decode)
+	o, es := f.ownerOf(s.owner), f.engineStreams(s.decode)
 	o.streams = withoutStream(o.streams, s)
-	b.streams = withoutStream(b.streams, s)
-	b.forecast.valid = false
+	es.streams = withoutStream(es.streams, s)
+	es.forecast.valid = false
 }
 
 func withoutStream(list []*stream, s *stream) []*stream {
@@ -158,8 +158,8 @@
 // Cancel removes a stream or queued request whose caller has disconnected.
 func (f *Fleet) Cancel(id StreamID) {
 	f.removeStream(id)
-	for i, w := range f.queue {
-		if w.ID == id {
+	for i, req := range f.queue {
+		if req.ID == id {
 			f.queue = append(f.queue[:i], f.queue[i+1:]...)
 			return
 		}
--- a/internal/decide/hingegate/bench_test.go
+++ b/internal/decide/hingegate/bench_test.go
@@ -40,29 +40,29 @@
 }
 
 func newRequestWithPrefix(n int) Request {
-	a := newRequest(n)
-	a.Caller = hingeids.CallerID(fmt.Sprint(n % 7300))
-	a.Placement.Prefix = make([]hingeplace.Block, 8)
-	for i := range a.Placement.Prefix {
-		a.Placement.Prefix[i] = hingeplace.Block{
+	r := newRequest(n)
+	r.Caller = hingeids.CallerID(fmt.Sprint(n % 7300))
+	r.Placement.Prefix = make([]hingeplace.Block, 8)
+	for i := range r.Placement.Prefix {
+		r.Placement.Prefix[i] = hingeplace.Block{
 			Hash:   uint64(n%50*100 + i),
 			Tokens: hingeids.Tokens(16 * (i + 1)),
 		}
 	}
-	return a
+	return r
 }
 
 // startRequest takes a request through the gate until its decode engine is
 // bound.
-func startRequest(g *Gate, a Request) {
-	a.Arrived = g.now()
-	a.Deadline = a.Arrived.Add(5 * time.Second)
-	d, err := g.Admit(context.Background(), a)
+func startRequest(g *Gate, r Request) {
+	r.Arrived = g.now()
+	r.Deadline = r.Arrived.Add(5 * time.Second)
+	d, err := g.Admit(context.Background(), r)
 	if err != nil {
 		panic(err)
 	}
 	if d.Action == hingeplace.Start {
-		if _, err := g.BindDecode(context.Background(), a.Placement.ID, 64); err != nil {
+		if _, err := g.BindDecode(context.Background(), r.Placement.ID, 64); err != nil {
 			panic(err)
 		}
 	}
@@ -83,9 +83,9 @@
 			b.ReportAllocs()
 			i := 0
 			for b.Loop() {
-				a := requests[i%len(requests)]
-				a.Placement.ID.Sequence = uint64(held + i)
-				startRequest(g, a)
+				r := requests[i%len(requests)]
+				r.Placement.ID.Sequence = uint64(held + i)
+				startRequest(g, r)
 				g.Finish(hingeids.RequestID{
 					Sequence: uint64(i),
 				}, 30)
@@ -190,8 +190,8 @@
 		held := engines * 2 / 3 * 15
 		n := 0
 		got := testing.AllocsPerRun(500, func() {
-			a := newRequestWithPrefix(held + n)
-			startRequest(g, a)
+			r := newRequestWithPrefix(held + n)
+			startRequest(g, r)
 			g.Finish(hingeids.RequestID{
 				Sequence: uint64(n),
 			}, 30)
--- a/internal/decide/hingegate/gate.go
+++ b/internal/decide/hingegate/gate.go
@@ -2,9 +2,9 @@
 // them: admission (hingeadmit) and placement (hingeplace) for the engines of one
 // model, under one lock.
 //
-//  1. A request's goroutine calls Enter, which blocks until the request is placed
-//     or refused. It calls Ready when the KV cache is ready and waits for its
-//     decode engine. It calls Leave when it finishes, whatever the outcome.
+//  1. A request's goroutine calls Admit, which blocks until the request is placed
+//     or refused. It calls BindDecode when the KV cache is ready and waits for its
+//     decode engine. It calls Finish at the end, whatever the outcome.
 //  2. Every change that may have freed capacity is followed at once, in the same
 //     goroutine, by an attempt to serve waiting requests: first slots for KV caches
 //     that are ready, then the queue.
@@ -32,7 +32,7 @@
 // first-token target.
 const pollInterval = 20 * time.Millisecond
 
-// Request describes a request to Enter.
+// Request describes a request to Admit.
 type Request struct {
 	Placement hingeplace.Request
 	// Caller, Arrived, FirstToken and Deadline are as in hingeadmit.Request.
@@ -40,21 +40,23 @@
 	Arrived    time.Time
 	FirstToken time.Duration
 	Deadline   time.Time
-	// Resubmitted is set if the request was accepted before and must be placed again.
+	// Resubmitted is set if the request was accepted before and must be placed
+	// again.
 	Resubmitted bool
 }
 
-// outcome is the result that a blocked Enter receives.
+// outcome is the result that a blocked Admit receives.
 type outcome struct {
 	decision hingeplace.Decision
 	err      *hingeverdict.Error
 }
 
-// waiter is a request between Enter and Leave.
+// waiter is a request between Admit and Finish.
 type waiter struct {
 	request Request
 	outcome chan outcome
-	// bound receives the decode engine; it is nil until Ready sets it.
+	// bound receives the decode engine. BindDecode and RetryBind set it; it is nil
+	// before, and again once the engine is bound.
 	bound chan hingeids.ServerID
 }
 
@@ -115,22 +117,22 @@
 
 // Admit blocks until the request is placed or refused. Its error is a
 // *hingeverdict.Error with the verdict NotRun; a refusal also has a retry
-// time. After an error the request has left the gate, and Leave need not be
+// time. After an error the request has left the gate, and Finish need not be
 // called.
-func (g *Gate) Admit(ctx context.Context, a Request) (hingeplace.Decision, error) {
+func (g *Gate) Admit(ctx context.Context, r Request) (hingeplace.Decision, error) {
 	w := &waiter{
-		request: a,
+		request: r,
 		outcome: make(chan outcome, 1),
 	}
 	g.update(func(now time.Time) { g.enqueue(now, w) })
 	select {
-	case p := <-w.outcome:
-		if p.err != nil {
-			return hingeplace.Decision{}, p.err
+	case o := <-w.outcome:
+		if o.err != nil {
+			return hingeplace.Decision{}, o.err
 		}
-		return p.decision, nil
+		return o.decision, nil
 	case <-ctx.Done():
-		g.Finish(a.Placement.ID, 0)
+		g.Finish(r.Placement.ID, 0)
 		return hingeplace.Decision{}, cancelled(ctx)
 	}
 }
@@ -154,11 +156,11 @@
 	g.waiters[r.ID] = w
 }
 
-// request returns the admission request and the forecast for a.
-func (g *Gate) request(now time.Time, a *Request) (hingeadmit.Request, hingeadmit.Forecast) {
-	p := &a.Placement
-	if a.FirstToken > 0 {
-		p.FirstTokenDeadline = a.Arrived.Add(a.FirstToken)
+// request returns the admission request and the forecast for r.
+func (g *Gate) request(now time.Time, r *Request) (hingeadmit.Request, hingeadmit.Forecast) {
+	p := &r.Placement
+	if r.FirstToken > 0 {
+		p.FirstTokenDeadline = r.Arrived.Add(r.FirstToken)
 	}
 	firstToken, tokenGap, slots := g.view.Forecast(now, p)
 	forecast := hingeadmit.Forecast{
@@ -168,13 +170,13 @@
 	}
 	admission := hingeadmit.Request{
 		ID:         p.ID,
-		Caller:     a.Caller,
+		Caller:     r.Caller,
 		Priority:   p.Priority,
 		CanWait:    p.CanWait,
-		Arrived:    a.Arrived,
-		FirstToken: a.FirstToken,
+		Arrived:    r.Arrived,
+		FirstToken: r.FirstToken,
 		TokenGap:   p.TokenGap,
-		Deadline:   a.Deadline,
+		Deadline:   r.Deadline,
 		Work:       g.view.SlotCost(p),
 		AnswerTime: g.view.SlotTime(p),
 		JitterSeed: uint64(p.ID.Incarnation) ^ p.ID.Sequence,
@@ -225,10 +227,10 @@
 	return true
 }
 
-// BindDecode reports that the KV cache of a request is ready and blocks until its
-// decode engine is bound. found is the number of prompt tokens that the prefill
-// engine had cached. Its error is a *hingeverdict.Error and means that ctx is
-// done; the request remains in the gate until Leave.
+// BindDecode reports that the KV cache of a request is ready and blocks until
+// its decode engine is bound. found is the number of prompt tokens that the
+// prefill engine had cached. Its error is a *hingeverdict.Error and means that
+// ctx is done; the request remains in the gate until Finish.
 func (g *Gate) BindDecode(ctx context.Context, id hingeids.RequestID, found hingeids.Tokens) (hingeids.ServerID, error) {
 	bound := make(chan hingeids.ServerID, 1)
 	g.update(func(now time.Time) {
@@ -240,8 +242,9 @@
 	return waitBound(ctx, bound)
 }
 
-// RetryBind reports that the allocator of the decode engine refused the slot that
-// Ready returned, and waits for another. Its error is as for Ready.
+// RetryBind reports that the allocator of the decode engine refused the slot
+// that BindDecode returned, and waits for another. Its error is as for
+// BindDecode.
 func (g *Gate) RetryBind(ctx context.Context, id hingeids.RequestID, s hingeids.ServerID) (hingeids.ServerID, error) {
 	bound := make(chan hingeids.ServerID, 1)
 	g.update(func(now time.Time) {
@@ -258,8 +261,8 @@
 	return waitBound(ctx, bound)
 }
 
-// AlternativeEngine returns a second engine at which a request bound by Ready or Full may
-// wait for a slot.
+// AlternativeEngine returns a second engine at which a request bound by
+// BindDecode or RetryBind may wait for a slot.
 func (g *Gate) AlternativeEngine(id hingeids.RequestID) (hingeids.ServerID, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -282,8 +285,8 @@
 
 // Finish reports that a request has finished with the given number of output
 // tokens, or with 0 if it was cancelled, failed or evicted. It releases
-// everything that the request held. To place the request again, call Enter
-// with Again set.
+// everything that the request held. To place the request again, call Admit
+// with Resubmitted set.
 func (g *Gate) Finish(id hingeids.RequestID, output hingeids.Tokens) {
 	g.update(func(now time.Time) {
 		g.queue.Cancel(id)
@@ -311,11 +314,11 @@
 }
 
 // record records an event of a request in the queue.
-func (g *Gate) record(now time.Time, n hingeevents.Number, a *Request, err *hingeverdict.Error) {
+func (g *Gate) record(now time.Time, n hingeevents.Number, r *Request, err *hingeverdict.Error) {
 	f := hingeevents.Fields{
-		Request: a.Placement.ID,
-		Caller:  a.Caller,
-		Elapsed: now.Sub(a.Arrived),
+		Request: r.Placement.ID,
+		Caller:  r.Caller,
+		Elapsed: now.Sub(r.Arrived),
 	}
 	if err != nil {
 		f.Detail = err.Error()
--- a/internal/decide/hingegate/gate_test.go
+++ b/internal/decide/hingegate/gate_test.go
@@ -60,15 +60,15 @@
 }
 
 // serveRequest calls the gate in the order of the request path.
-func serveRequest(ctx context.Context, g *Gate, a Request) error {
-	d, err := g.Admit(ctx, a)
+func serveRequest(ctx context.Context, g *Gate, r Request) error {
+	d, err := g.Admit(ctx, r)
 	if err != nil {
 		return err
 	}
-	defer g.Finish(a.Placement.ID, 30)
+	defer g.Finish(r.Placement.ID, 30)
 	if d.Action == hingeplace.Start {
 		time.Sleep(40 * time.Millisecond)
-		if _, err := g.BindDecode(ctx, a.Placement.ID, 0); err != nil {
+		if _, err := g.BindDecode(ctx, r.Placement.ID, 0); err != nil {
 			return err
 		}
 	}
@@ -76,7 +76,7 @@
 	return nil
 }
 
-// Under overload every Enter must return, with a placement or with a refusal
+// Under overload every Admit must return, with a placement or with a refusal
 // that has a retry time and comes before the target has passed.
 func TestEveryRequestIsPlacedOrRefusedInTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -177,16 +177,16 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		g := newGate(ctx)
-		a := newRequest(1)
-		if _, err := g.Admit(ctx, a); err != nil {
+		r := newRequest(1)
+		if _, err := g.Admit(ctx, r); err != nil {
 			t.Fatal(err)
 		}
-		s, err := g.BindDecode(ctx, a.Placement.ID, 0)
+		s, err := g.BindDecode(ctx, r.Placement.ID, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
 		began := time.Now()
-		again, err := g.RetryBind(ctx, a.Placement.ID, s)
+		again, err := g.RetryBind(ctx, r.Placement.ID, s)
 		if err != nil || again != s {
 			t.Fatalf("bound to %q: %v", again, err)
 		}
--- a/internal/decide/hingemodel/model.go
+++ b/internal/decide/hingemodel/model.go
@@ -2,20 +2,20 @@
 // scheduling policies are measured. A run uses one goroutine and simulated time,
 // and is deterministic for a seed.
 //
-//  1. A decode engine holds up to Slots requests. Its token gap is GapBase plus
-//     GapPerRequest for each request held; all its requests decode at the same
-//     rate.
+//  1. A decode engine holds up to Slots requests. Its token gap is TokenGapBase
+//     plus TokenGapPerRequest for each request held; all its requests decode at
+//     the same rate.
 //  2. A prefill engine works on one request at a time, by priority and then in
 //     order of arrival; a request of higher priority preempts a lower one. Cached
-//     prefix tokens cost nothing. The prefix cache holds PrefixCache tokens and
-//     evicts the least recently used prefix.
-//  3. A finished KV cache stays at the prefill engine for KeepCache. If its
+//     prefix tokens cost nothing. The prefix cache holds PrefixCacheTokens tokens
+//     and evicts the least recently used prefix.
+//  3. A finished KV cache stays at the prefill engine for CacheRetention. If its
 //     transfer hasn't begun by then, it is evicted and its prefill is wasted.
 //  4. A transfer needs a free decode slot, which it holds from its start, and uses
 //     the prefill engine's link. A link carries one transfer at a time.
 //  5. Prefill at a decode engine holds a slot, runs at half speed, and halves the
 //     engine's decode rate while it lasts.
-//  6. Load reports arrive ReportLag after they are measured. So do cache events,
+//  6. Load reports arrive ReportDelay after they are measured. So do cache events,
 //     of which one in ten is lost. Token gaps arrive without delay, because the
 //     streams pass through the policy's own process.
 //  7. A refused caller may retry, either after the given delay or at once. A
@@ -37,7 +37,8 @@
 type Cluster struct {
 	// Slots is the number of slots of each decode engine.
 	Slots int
-	// TokenGapBase and GapPerRequest determine the token gap of a decode engine. Rule 1.
+	// TokenGapBase and TokenGapPerRequest determine the token gap of a decode
+	// engine. Rule 1.
 	TokenGapBase       time.Duration
 	TokenGapPerRequest time.Duration
 	// PrefillRate and LinkRate are in tokens per second.
@@ -47,7 +48,7 @@
 	CacheRetention time.Duration
 	// PrefixCacheTokens is the capacity of the prefix cache of each prefill engine.
 	PrefixCacheTokens hingeids.Tokens
-	// ReportInterval is the interval of load reports, ReportLag their delay.
+	// ReportInterval is the interval of load reports, ReportDelay their delay.
 	ReportInterval time.Duration
 	ReportDelay    time.Duration
 }
@@ -86,8 +87,8 @@
 
 // ClientRetries configures how refused callers retry.
 type ClientRetries struct {
-	// RetryAfterShare is the share of refused requests that are retried after the given
-	// delay. The others are retried at once.
+	// RetryAfterShare is the share of refused requests that are retried after the
+	// given delay. The others are retried at once.
 	RetryAfterShare float64
 	// Attempts is the maximum number of attempts for one request; 1 means no retry.
 	Attempts int
@@ -154,7 +155,7 @@
 }
 
 // Simulate simulates a run with a policy and returns the result. Engines 0 to
-// Firm.Prefill-1 are prefill engines, the others are decode engines.
+// Workload.Prefill-1 are prefill engines, the others are decode engines.
 func Simulate(r Run, p Policy) *Result {
 	m := &model{
 		run:    r,
--- a/internal/decide/hingemodel/policy.go
+++ b/internal/decide/hingemodel/policy.go
@@ -8,16 +8,17 @@
 
 // Policy is the scheduling policy under test. It receives what the request path of
 // an entry host sees: arrivals, events of requests and engines, and delayed load
-// reports. The methods add their actions to o. They aren't called concurrently.
+// reports. The methods add their actions to the last argument. They aren't called
+// concurrently.
 type Policy interface {
 	// HandleArrival handles a new request.
-	HandleArrival(now time.Time, r *Request, o *Actions)
+	HandleArrival(now time.Time, r *Request, actions *Actions)
 	// HandleEvent handles an event of a request or an engine.
-	HandleEvent(now time.Time, e Event, o *Actions)
-	// HandleReport handles a load report, which was measured ReportLag ago.
-	HandleReport(now time.Time, r LoadReport, o *Actions)
-	// Tick is called every TickEvery.
-	Tick(now time.Time, o *Actions)
+	HandleEvent(now time.Time, e Event, actions *Actions)
+	// HandleReport handles a load report, which was measured ReportDelay ago.
+	HandleReport(now time.Time, r LoadReport, actions *Actions)
+	// Tick is called every TickInterval.
+	Tick(now time.Time, actions *Actions)
 }
 
 // EngineID is the index of an engine: prefill engines come first, then decode
@@ -77,12 +78,12 @@
 	Evicted
 	// DecodeStarted: the caller received the first token.
 	DecodeStarted
-	// Finished: the caller received the whole answer. Gap is its mean token gap,
-	// Output its number of tokens.
+	// Finished: the caller received the whole answer. Event.TokenGap is its mean,
+	// Output the number of output tokens.
 	Finished
 	// Cancelled: the caller's deadline passed.
 	Cancelled
-	// TokenGap: Gap is the current token gap of an engine's open streams.
+	// TokenGap: Event.TokenGap is the current token gap of an engine's open streams.
 	TokenGap
 	// PrefixStored and PrefixDropped: the engine's prefix cache changed. They
 	// arrive late, and some are lost.
@@ -141,8 +142,8 @@
 }
 
 // Refuse refuses the request and asks the caller to retry after the delay.
-func (o *Actions) Refuse(r *Request, after time.Duration) {
-	o.pending = append(o.pending, action{
+func (actions *Actions) Refuse(r *Request, after time.Duration) {
+	actions.pending = append(actions.pending, action{
 		kind:    refuse,
 		request: r,
 		after:   after,
@@ -151,8 +152,8 @@
 
 // Prefill sends the request to a prefill engine, which works on the highest
 // priority first.
-func (o *Actions) Prefill(r *Request, e EngineID, priority int) {
-	o.pending = append(o.pending, action{
+func (actions *Actions) Prefill(r *Request, e EngineID, priority int) {
+	actions.pending = append(actions.pending, action{
 		kind:     prefill,
 		request:  r,
 		engine:   e,
@@ -162,8 +163,8 @@
 
 // Local sends the request to a decode engine that also prefills it. At a full
 // engine the request waits for a slot.
-func (o *Actions) Local(r *Request, e EngineID) {
-	o.pending = append(o.pending, action{
+func (actions *Actions) Local(r *Request, e EngineID) {
+	actions.pending = append(actions.pending, action{
 		kind:    local,
 		request: r,
 		engine:  e,
@@ -172,8 +173,8 @@
 
 // Transfer sends the request's KV cache to a decode engine. At a full engine the
 // request waits for a slot, and its KV cache may be evicted meanwhile.
-func (o *Actions) Transfer(r *Request, e EngineID, priority int) {
-	o.pending = append(o.pending, action{
+func (actions *Actions) Transfer(r *Request, e EngineID, priority int) {
+	actions.pending = append(actions.pending, action{
 		kind:     transfer,
 		request:  r,
 		engine:   e,
--- a/internal/decide/hingemodel/result.go
+++ b/internal/decide/hingemodel/result.go
@@ -30,7 +30,8 @@
 	// CancelledTokens are the parts of it that were wasted by evictions, and by
 	// deadlines and refusals.
 	PrefillTokens, EvictedTokens, CancelledTokens float64
-	// FullEngineRequests counts requests sent to a decode engine without a free slot.
+	// FullEngineRequests counts requests sent to a decode engine without a free
+	// slot.
 	FullEngineRequests int
 	// Retries counts attempts after the first.
 	Retries int
--- a/internal/decide/hingemodel/workload.go
+++ b/internal/decide/hingemodel/workload.go
@@ -30,8 +30,8 @@
 	Skew     float64
 }
 
-// Workload is a workload: the request classes of one installation, with the number of
-// its engines and callers.
+// Workload holds the request classes of one installation, with the numbers of its
+// engines and callers.
 type Workload struct {
 	Name    string
 	Classes []Class
@@ -123,30 +123,30 @@
 
 // Skewed returns a copy in which classes with many prefixes have longer and less
 // evenly popular ones, so that the amount of prefill depends on cache hits.
-func (f Workload) Skewed() Workload {
-	f.Name += "-skewed"
-	f.Classes = append([]Class(nil), f.Classes...)
-	for i := range f.Classes {
-		c := &f.Classes[i]
+func (w Workload) Skewed() Workload {
+	w.Name += "-skewed"
+	w.Classes = append([]Class(nil), w.Classes...)
+	for i := range w.Classes {
+		c := &w.Classes[i]
 		if c.Prefixes < 10 {
 			continue
 		}
 		c.PrefixTokens = c.Prompt * 8 / 10
 		c.Skew = 1.2
 	}
-	return f
+	return w
 }
 
 // PeakRate returns the number of requests per second that saturates either the
 // decode slots or the prefill engines, at a prefix cache hit rate of 0.9.
-func (f Workload) PeakRate(c Cluster) float64 {
+func (w Workload) PeakRate(c Cluster) float64 {
 	var slotSeconds, prefillTokens float64
-	for _, k := range f.Classes {
+	for _, k := range w.Classes {
 		slotSeconds += k.Share * float64(k.Output) * c.tokenGap(c.Slots).Seconds()
 		prefillTokens += k.Share * (float64(k.Prompt) - 0.9*float64(k.PrefixTokens))
 	}
-	decode := float64(f.Decode*c.Slots) / slotSeconds
-	return min(decode, float64(f.Prefill)*c.PrefillRate/prefillTokens)
+	decode := float64(w.Decode*c.Slots) / slotSeconds
+	return min(decode, float64(w.Prefill)*c.PrefillRate/prefillTokens)
 }
 
 // Phase is a part of a run with a constant arrival rate.
@@ -166,16 +166,16 @@
 	callers  []hingeids.CallerID
 }
 
-func newSource(seed uint64, f Workload) *source {
+func newSource(seed uint64, w Workload) *source {
 	s := &source{
 		rng:      rand.New(rand.NewPCG(seed, 1)),
-		workload: f,
-		callers:  make([]hingeids.CallerID, f.Callers),
+		workload: w,
+		callers:  make([]hingeids.CallerID, w.Callers),
 	}
 	for i := range s.callers {
 		s.callers[i] = hingeids.CallerID(fmt.Sprintf("caller-%d", i))
 	}
-	for _, c := range f.Classes {
+	for _, c := range w.Classes {
 		s.zipf = append(s.zipf, zipfTable(c.Prefixes, c.Skew))
 	}
 	return s
--- a/internal/decide/hingeplace/flight.go
+++ b/internal/decide/hingeplace/flight.go
@@ -122,8 +122,8 @@
 	}
 }
 
-// ReadyRequests returns the requests whose KV cache is ready and that have no slot, in
-// the order in which they bind: by priority, then by waiting time.
+// ReadyRequests returns the requests whose KV cache is ready and that have no
+// slot, in the order in which they bind: by priority, then by waiting time.
 func (v *View) ReadyRequests() []hingeids.RequestID {
 	var waiting []*inflightRequest
 	for _, f := range v.unbound {
@@ -192,9 +192,9 @@
 	v.unbound = append(v.unbound, f)
 }
 
-// AlternativeEngine returns the second-best engine for a bound request. A slot that is
-// free by the reports may be in use by now, so a request waits for a slot at
-// two engines; see docs/design/04-slots-and-holds.md.
+// AlternativeEngine returns the second-best engine for a bound request. A slot
+// that is free by the reports may be in use by now, so a request waits for a
+// slot at two engines; see docs/design/04-slots-and-holds.md.
 func (v *View) AlternativeEngine(now time.Time, id hingeids.RequestID) (hingeids.ServerID, bool) {
 	f := v.inflight[id]
 	if f == nil || f.decode == nil {
@@ -267,9 +267,9 @@
 	return append(list[:0], list[len(list)/2:]...)
 }
 
-// HandleCompletion records that a request has finished with the given number of output
-// tokens, or with 0 if it was cancelled or failed. It releases everything that
-// the request held.
+// HandleCompletion records that a request has finished with the given number of
+// output tokens, or with 0 if it was cancelled or failed. It releases everything
+// that the request held.
 func (v *View) HandleCompletion(now time.Time, id hingeids.RequestID, output hingeids.Tokens) {
 	f := v.inflight[id]
 	if f == nil {
@@ -288,15 +288,15 @@
 	}
 }
 
-// HandleEviction records that the KV cache was evicted: the request must be placed
-// again.
+// HandleEviction records that the KV cache was evicted: the request must be
+// placed again.
 func (v *View) HandleEviction(now time.Time, id hingeids.RequestID) {
 	v.HandleCompletion(now, id, 0)
 }
 
-// SlotCost is the cost of a request as slot time: the time for which it would hold
-// a decode slot, or its share of the total prefill capacity, converted to slot
-// time, if that is more. Decode slots and prefill are alternately the
+// SlotCost is the cost of a request as slot time: the time for which it would
+// hold a decode slot, or its share of the total prefill capacity, converted to
+// slot time, if that is more. Decode slots and prefill are alternately the
 // bottleneck, and the scarcer one determines the cost.
 func (v *View) SlotCost(r *Request) time.Duration {
 	v.index.mark(r.Prefix)
@@ -319,8 +319,8 @@
 	return max(hold, seconds(float64(r.Prompt-min(hit, r.Prompt))/rate*slots))
 }
 
-// SlotTime is how long a request is expected to hold a decode slot at the engines'
-// present load.
+// SlotTime is how long a request is expected to hold a decode slot at the
+// engines' present load.
 func (v *View) SlotTime(r *Request) time.Duration {
 	var gap time.Duration
 	n := 0
--- a/internal/decide/hingeplace/index.go
+++ b/internal/decide/hingeplace/index.go
@@ -17,8 +17,8 @@
 	Tokens hingeids.Tokens
 }
 
-// HashBlocks divides a prompt into blocks and hashes each leading part of it. It
-// returns at most maxBlocks blocks, so that a very long prompt doesn't flood
+// HashBlocks divides a prompt into blocks and hashes each leading part of it.
+// It returns at most maxBlocks blocks, so that a very long prompt doesn't flood
 // the index, and none for a prompt shorter than one block.
 func HashBlocks(prompt []byte, bytesPerToken, blockTokens, maxBlocks int) []Block {
 	size := bytesPerToken * blockTokens
@@ -131,8 +131,8 @@
 	}
 }
 
-// HandleCacheEvent handles a cache event of an engine: it stored the block, or dropped
-// it.
+// HandleCacheEvent handles a cache event of an engine: it stored the block, or
+// dropped it.
 func (v *View) HandleCacheEvent(s hingeids.ServerID, b Block, stored bool) {
 	e := v.byID[s]
 	if e == nil {
--- a/internal/decide/hingeplace/lengths.go
+++ b/internal/decide/hingeplace/lengths.go
@@ -141,13 +141,13 @@
 	return sum
 }
 
-func (n *releaseForecast) within(s float64) float64 {
+func (f *releaseForecast) within(s float64) float64 {
 	start, previous := 0.0, 0.0
 	for i, h := range horizons {
 		if s <= h {
-			return previous + (n.expected[i]-previous)*(s-start)/(h-start)
+			return previous + (f.expected[i]-previous)*(s-start)/(h-start)
 		}
-		start, previous = h, n.expected[i]
+		start, previous = h, f.expected[i]
 	}
 	return previous
 }
--- a/internal/decide/hingeplace/place.go
+++ b/internal/decide/hingeplace/place.go
@@ -40,7 +40,7 @@
 }
 
 // Place decides the next step for a request. It doesn't change the view: call
-// Began when the decision is carried out.
+// HandleStart when the decision is carried out.
 //
 // Cached prefix, prefill queue, link and decode slot are considered together,
 // since each is at times the bottleneck. Separate balancers for prefill and
--- a/internal/decide/hingeplace/speed.go
+++ b/internal/decide/hingeplace/speed.go
@@ -50,8 +50,8 @@
 	return time.Duration(float64(nominal) * e.slowdown.gap)
 }
 
-// HandleTokenGap records the token gap measured on an engine's open streams, about
-// twice a second. Rule 6.
+// HandleTokenGap records the token gap measured on an engine's open streams,
+// about twice a second. Rule 6.
 func (v *View) HandleTokenGap(now time.Time, s hingeids.ServerID, observed time.Duration) {
 	e := v.byID[s]
 	if e == nil {
--- a/internal/decide/hingeplace/view.go
+++ b/internal/decide/hingeplace/view.go
@@ -61,8 +61,8 @@
 	GapBase       time.Duration
 	GapPerRequest time.Duration
 	PrefillRate   float64
-	// CacheRetention is the minimum time for which an engine retains a finished KV
-	// cache.
+	// CacheRetention is the minimum time for which an engine retains a finished
+	// KV cache.
 	CacheRetention time.Duration
 	// CacheBytesPerToken is the size of the KV cache per prompt token.
 	CacheBytesPerToken hingeids.Bytes
@@ -73,13 +73,13 @@
 	// entry host's queue instead can still be sent elsewhere or cancelled at no
 	// cost.
 	MaxPrefillWait time.Duration
-	// MaxLocalPrompt is the longest prompt that may be prefilled on a decode engine
-	// while there are prefill engines.
+	// MaxLocalPrompt is the longest prompt that may be prefilled on a decode
+	// engine while there are prefill engines.
 	MaxLocalPrompt hingeids.Tokens
 	// DefaultOutput is the expected output length of a class without samples.
 	DefaultOutput hingeids.Tokens
-	// MaxPrefixEntries bounds the entries in the index of cached prefixes, over all
-	// engines.
+	// MaxPrefixEntries bounds the entries in the index of cached prefixes, over
+	// all engines.
 	MaxPrefixEntries int
 }
 
@@ -113,7 +113,7 @@
 	CanWait  bool
 	Prompt   hingeids.Tokens
 	// Prefix holds the hashes of the prompt's leading blocks, as returned by
-	// Chain.
+	// HashBlocks.
 	Prefix   []Block
 	TokenGap time.Duration
 	// FirstTokenDeadline is the deadline of the first token; zero is none.
@@ -203,8 +203,8 @@
 	v.config.CacheBytesPerToken = cacheBytes
 }
 
-// HandleAnnouncement handles an engine's announcement. measuredAt is when its load was
-// measured, by the receiver's clock, and is earlier than now. Rule 1.
+// HandleAnnouncement handles an engine's announcement. measuredAt is when its
+// load was measured, by the receiver's clock, and is earlier than now. Rule 1.
 func (v *View) HandleAnnouncement(now, measuredAt time.Time, a hingeannounce.Announcement) {
 	e := v.byID[a.Server]
 	if e != nil && e.incarnation > a.Incarnation {
@@ -266,9 +266,9 @@
 
 func finishedAfter(t time.Time, list []finished) []finished {
 	kept := list[:0]
-	for _, p := range list {
-		if p.end.After(t) {
-			kept = append(kept, p)
+	for _, f := range list {
+		if f.end.After(t) {
+			kept = append(kept, f)
 		}
 	}
 	return kept
@@ -291,8 +291,8 @@
 	return sum
 }
 
-// RemoveEngine removes an engine that has left or failed. The caller must finish or
-// resend the requests that it holds.
+// RemoveEngine removes an engine that has left or failed. The caller must finish
+// or resend the requests that it holds.
 func (v *View) RemoveEngine(s hingeids.ServerID) {
 	e := v.byID[s]
 	if e == nil {
@@ -309,8 +309,8 @@
 	}
 }
 
-// HandleSlotRefusal records that an engine's allocator refused a slot. The engine is
-// treated as full for fullDuration.
+// HandleSlotRefusal records that an engine's allocator refused a slot. The
+// engine is treated as full for fullDuration.
 func (v *View) HandleSlotRefusal(now time.Time, s hingeids.ServerID) {
 	if e := v.byID[s]; e != nil {
 		e.fullUntil = now.Add(fullDuration)
--- a/internal/decide/hingepoison/detector.go
+++ b/internal/decide/hingepoison/detector.go
@@ -45,7 +45,7 @@
 	unseenCrashes = 0.5
 	// maxChance is the probability of a coincidence from which on a request isn't refused.
 	maxChance = 1e-8
-	// minHeld is the resolution of Had.
+	// minHeld is the resolution of Crash.Held.
 	minHeld = 5 * time.Millisecond
 	// probeTimeout is how long a probe may take before the next is allowed.
 	probeTimeout = 30 * time.Second
@@ -62,7 +62,7 @@
 	Server      hingeids.ServerID    `cbor:"2,keyasint"`
 	Service     hingeids.Service     `cbor:"3,keyasint"`
 	Caller      hingeids.CallerID    `cbor:"4,keyasint,omitempty"`
-	// Ago is the time since the crash, Had how long the server had the request by then.
+	// Ago is the time since the crash, Held how long the server had held the request by then.
 	Ago  time.Duration `cbor:"5,keyasint"`
 	Held time.Duration `cbor:"6,keyasint"`
 }
@@ -73,7 +73,7 @@
 	Ago         time.Duration        `cbor:"2,keyasint"`
 }
 
-// Decision is the result of Judge.
+// Decision is the result of Evaluate.
 type Decision struct {
 	// Refused says that the request must not run, RetryAfter when the caller may retry.
 	Refused    bool
@@ -82,7 +82,7 @@
 	Settling bool
 	// Suspect says that a completion of the request has to be reported.
 	Suspect bool
-	// Detected says that the request has to be added to the list, Tried that it runs as a probe although it is listed.
+	// Detected says that the request has to be added to the list, Probe that it runs as a probe although it is listed.
 	Detected bool
 	Probe    bool
 }
@@ -92,7 +92,7 @@
 	Record Record
 	// Wait is the time until the next probe; zero or less if it is allowed now.
 	Wait time.Duration
-	// Blocked says that the list has the request as refused.
+	// Blocked says that the request is refused by its record in the list.
 	Blocked bool
 	// Lifted says that an operator lifted the block, LiftedAgo how long ago.
 	Lifted    bool
@@ -112,7 +112,7 @@
 	probedAt time.Time
 }
 
-// crash is the time of a crash and how long the server had the request by then.
+// crash is the time of a crash and how long the server had held the request by then.
 type crash struct {
 	at   time.Time
 	held time.Duration
@@ -137,66 +137,66 @@
 }
 
 // HandleCrash records a crash that a host observed, and reports whether it wasn't known yet.
-func (b *Detector) HandleCrash(now time.Time, e Crash) bool {
-	at := now.Add(-e.Ago)
-	if e.Fingerprint == 0 || e.Ago > suspectTTL {
+func (d *Detector) HandleCrash(now time.Time, c Crash) bool {
+	at := now.Add(-c.Ago)
+	if c.Fingerprint == 0 || c.Ago > suspectTTL {
 		return false
 	}
-	s := b.suspects[e.Fingerprint]
+	s := d.suspects[c.Fingerprint]
 	if s == nil {
 		s = &suspect{
 			crashes: make(map[hingeids.ServerID]crash),
 		}
-		b.suspects[e.Fingerprint] = s
+		d.suspects[c.Fingerprint] = s
 	}
-	if _, known := s.crashes[e.Server]; known || !at.After(s.completedAt) {
+	if _, known := s.crashes[c.Server]; known || !at.After(s.completedAt) {
 		return false
 	}
-	s.service = e.Service
-	s.caller = e.Caller
-	s.crashes[e.Server] = crash{
+	s.service = c.Service
+	s.caller = c.Caller
+	s.crashes[c.Server] = crash{
 		at:   at,
-		held: e.Held,
+		held: c.Held,
 	}
-	b.recordRecent(e.Service, e.Server, at)
+	d.recordRecent(c.Service, c.Server, at)
 	if at.After(s.lastCrash) {
 		s.lastCrash = at
 	}
-	b.onServer[e.Server] = append(b.onServer[e.Server], e.Fingerprint)
-	b.bound()
+	d.onServer[c.Server] = append(d.onServer[c.Server], c.Fingerprint)
+	d.bound()
 	return true
 }
 
 // HandleCompletion records a completion and drops the earlier crashes of the request (rule 4).
-func (b *Detector) HandleCompletion(now time.Time, p Completion) {
-	s := b.suspects[p.Fingerprint]
-	at := now.Add(-p.Ago)
+func (d *Detector) HandleCompletion(now time.Time, c Completion) {
+	s := d.suspects[c.Fingerprint]
+	at := now.Add(-c.Ago)
 	if s == nil || !at.After(s.completedAt) {
 		return
 	}
 	s.completedAt = at
 	for id, x := range s.crashes {
 		if !x.at.After(at) {
-			b.remove(p.Fingerprint, s, id)
+			d.remove(c.Fingerprint, s, id)
 		}
 	}
 }
 
 // recordRecent records the crash of a server for the crash rate of its service.
-func (b *Detector) recordRecent(service hingeids.Service, id hingeids.ServerID, at time.Time) {
-	r := b.recent[service]
+func (d *Detector) recordRecent(service hingeids.Service, id hingeids.ServerID, at time.Time) {
+	r := d.recent[service]
 	if r == nil {
 		r = make(map[hingeids.ServerID]time.Time)
-		b.recent[service] = r
+		d.recent[service] = r
 	}
 	if !r[id].After(at) {
 		r[id] = at
 	}
 }
 
-// Evaluate decides on a request. servers counts the servers of its service; it is called only after enough crashes, since counting thousands is
-// slow.
-func (b *Detector) Evaluate(now time.Time, p hingeids.Fingerprint, l Listed, servers func() int) Decision {
+// Evaluate decides on a request. servers counts the servers of its service; it is called only after enough crashes, since counting
+// thousands is slow.
+func (d *Detector) Evaluate(now time.Time, fp hingeids.Fingerprint, l Listed, servers func() int) Decision {
 	switch {
 	case l.Blocked && l.Wait > 0:
 		return Decision{
@@ -204,42 +204,42 @@
 			RetryAfter: l.Wait,
 		}
 	case l.Blocked:
-		return b.probe(now, p)
+		return d.probe(now, fp)
 	}
 	if l.Lifted {
-		b.HandleCompletion(now, Completion{
-			Fingerprint: p,
+		d.HandleCompletion(now, Completion{
+			Fingerprint: fp,
 			Ago:         l.LiftedAgo,
 		})
 	}
-	s := b.suspects[p]
+	s := d.suspects[fp]
 	if s == nil || len(s.crashes) == 0 {
 		return Decision{}
 	}
-	count, chance := b.evidence(now, p, s, servers)
+	count, chance := d.evidence(now, fp, s, servers)
 	if count < minCrashes || chance >= maxChance {
 		return Decision{
 			Suspect: true,
 		}
 	}
-	settles := now.Sub(s.lastCrash) < SettleTime
+	settling := now.Sub(s.lastCrash) < SettleTime
 	return Decision{
 		Refused:    true,
 		RetryAfter: minWait,
-		Settling:   settles,
-		Detected:   !settles,
+		Settling:   settling,
+		Detected:   !settling,
 	}
 }
 
 // evidence returns the number of crashes that no other request explains, and the probability that they are a coincidence (rule 3).
-func (b *Detector) evidence(now time.Time, p hingeids.Fingerprint, s *suspect, servers func() int) (int, float64) {
+func (d *Detector) evidence(now time.Time, fp hingeids.Fingerprint, s *suspect, servers func() int) (int, float64) {
 	count, chance := 0, 1.0
 	if len(s.crashes) < minCrashes {
 		return count, chance
 	}
-	rate := b.rate(now, s, servers())
+	rate := d.rate(now, s, servers())
 	for id, x := range s.crashes {
-		if b.explainedByOther(p, s, id) {
+		if d.explainedByOther(fp, s, id) {
 			continue
 		}
 		count++
@@ -249,16 +249,16 @@
 }
 
 // explainedByOther reports whether the crashed server had another request with more crashes.
-func (b *Detector) explainedByOther(p hingeids.Fingerprint, s *suspect, id hingeids.ServerID) bool {
-	return slices.ContainsFunc(b.onServer[id], func(q hingeids.Fingerprint) bool {
-		return q != p && len(b.suspects[q].crashes) > len(s.crashes)
+func (d *Detector) explainedByOther(fp hingeids.Fingerprint, s *suspect, id hingeids.ServerID) bool {
+	return slices.ContainsFunc(d.onServer[id], func(other hingeids.Fingerprint) bool {
+		return other != fp && len(d.suspects[other].crashes) > len(s.crashes)
 	})
 }
 
 // rate returns the crashes per server and second that don't involve the request, over rateWindow or shortWindow, whichever is higher.
-func (b *Detector) rate(now time.Time, s *suspect, servers int) float64 {
+func (d *Detector) rate(now time.Time, s *suspect, servers int) float64 {
 	long, short := unseenCrashes, 0.0
-	for id, at := range b.recent[s.service] {
+	for id, at := range d.recent[s.service] {
 		if _, own := s.crashes[id]; own || now.Sub(at) >= rateWindow {
 			continue
 		}
@@ -270,15 +270,15 @@
 	return max(long/rateWindow.Seconds(), short/shortWindow.Seconds()) / float64(max(servers, 1))
 }
 
-// probe decides on a listed request whose wait is over (rule 5). Only one attempt may run at a time.
-func (b *Detector) probe(now time.Time, p hingeids.Fingerprint) Decision {
-	s := b.suspects[p]
+// probe decides on a listed request whose wait is over (rule 5). Only one probe may run at a time.
+func (d *Detector) probe(now time.Time, fp hingeids.Fingerprint) Decision {
+	s := d.suspects[fp]
 	if s == nil {
 		s = &suspect{
 			crashes:   make(map[hingeids.ServerID]crash),
 			lastCrash: now,
 		}
-		b.suspects[p] = s
+		d.suspects[fp] = s
 	}
 	if !s.probedAt.IsZero() && now.Sub(s.probedAt) < probeTimeout {
 		return Decision{
@@ -293,21 +293,21 @@
 	}
 }
 
-// FailedProbe returns the updated record of a listed request if the crash, which Tell reported as new, happened during its probe.
-func (b *Detector) FailedProbe(now, today time.Time, e Crash, l Listed) (Record, bool) {
-	s := b.suspects[e.Fingerprint]
-	if !l.Blocked || s == nil || s.probedAt.IsZero() || now.Add(-e.Ago).Before(s.probedAt) {
+// FailedProbe returns the updated record of a listed request if a crash for which HandleCrash returned true happened during its probe.
+func (d *Detector) FailedProbe(now, today time.Time, c Crash, l Listed) (Record, bool) {
+	s := d.suspects[c.Fingerprint]
+	if !l.Blocked || s == nil || s.probedAt.IsZero() || now.Add(-c.Ago).Before(s.probedAt) {
 		return Record{}, false
 	}
-	return l.Record.afterFailedProbe(today, e.Server), true
+	return l.Record.afterFailedProbe(today, c.Server), true
 }
 
-// NewRecord returns the list record of a refused request that Judge reported as found. today is the wall-clock time, since the record is shared
-// between hosts; now is the clock of the detector.
-func (b *Detector) NewRecord(now, today time.Time, p hingeids.Fingerprint) Record {
-	s := b.suspects[p]
+// NewRecord returns the list record of a refused request for which Evaluate set Detected. today is the wall-clock time, since the record
+// is shared between hosts; now is the clock of the detector.
+func (d *Detector) NewRecord(now, today time.Time, fp hingeids.Fingerprint) Record {
+	s := d.suspects[fp]
 	r := Record{
-		Fingerprint: p,
+		Fingerprint: fp,
 		Service:     s.service,
 		Caller:      s.caller,
 		Since:       today.UnixMilli(),
@@ -318,22 +318,22 @@
 		r.First = min(r.First, today.Add(x.at.Sub(now)).UnixMilli())
 	}
 	slices.Sort(r.Servers)
-	r.Doubtful = b.isDoubtful(p, s)
+	r.Doubtful = d.isDoubtful(fp, s)
 	r.Crashes = len(r.Servers)
 	r.Servers = r.Servers[:min(len(r.Servers), maxServers)]
 	return r
 }
 
 // isDoubtful reports whether another request was at all the same crashes (rule 5).
-func (b *Detector) isDoubtful(p hingeids.Fingerprint, s *suspect) bool {
+func (d *Detector) isDoubtful(fp hingeids.Fingerprint, s *suspect) bool {
 	shared := make(map[hingeids.Fingerprint]int)
 	for id := range s.crashes {
-		for _, q := range b.onServer[id] {
-			shared[q]++
+		for _, other := range d.onServer[id] {
+			shared[other]++
 		}
 	}
-	for q, n := range shared {
-		if q != p && n >= len(s.crashes) {
+	for other, n := range shared {
+		if other != fp && n >= len(s.crashes) {
 			return true
 		}
 	}
@@ -341,13 +341,13 @@
 }
 
 // RemoveExpired removes expired state. It is called periodically.
-func (b *Detector) RemoveExpired(now time.Time) {
-	for p, s := range b.suspects {
+func (d *Detector) RemoveExpired(now time.Time) {
+	for fp, s := range d.suspects {
 		if now.Sub(s.lastCrash) > suspectTTL {
-			b.forget(p)
+			d.forget(fp)
 		}
 	}
-	for _, r := range b.recent {
+	for _, r := range d.recent {
 		maps.DeleteFunc(r, func(_ hingeids.ServerID, at time.Time) bool {
 			return now.Sub(at) >= rateWindow
 		})
@@ -355,41 +355,41 @@
 }
 
 // Len returns the number of recorded requests.
-func (b *Detector) Len() int {
-	return len(b.suspects)
+func (d *Detector) Len() int {
+	return len(d.suspects)
 }
 
 // bound enforces maxSuspects (rule 6). It removes a quarter at once to amortize the sorting.
-func (b *Detector) bound() {
-	if len(b.suspects) <= maxSuspects {
+func (d *Detector) bound() {
+	if len(d.suspects) <= maxSuspects {
 		return
 	}
-	order := slices.SortedFunc(maps.Keys(b.suspects), func(p, q hingeids.Fingerprint) int {
-		x, y := b.suspects[p], b.suspects[q]
-		return cmp.Or(cmp.Compare(len(x.crashes), len(y.crashes)), x.lastCrash.Compare(y.lastCrash), cmp.Compare(p, q))
+	order := slices.SortedFunc(maps.Keys(d.suspects), func(fp, other hingeids.Fingerprint) int {
+		x, y := d.suspects[fp], d.suspects[other]
+		return cmp.Or(cmp.Compare(len(x.crashes), len(y.crashes)), x.lastCrash.Compare(y.lastCrash), cmp.Compare(fp, other))
 	})
-	for _, p := range order[:maxSuspects/4] {
-		b.forget(p)
+	for _, fp := range order[:maxSuspects/4] {
+		d.forget(fp)
 	}
 }
 
-func (b *Detector) forget(p hingeids.Fingerprint) {
-	s := b.suspects[p]
+func (d *Detector) forget(fp hingeids.Fingerprint) {
+	s := d.suspects[fp]
 	for id := range s.crashes {
-		b.remove(p, s, id)
+		d.remove(fp, s, id)
 	}
-	delete(b.suspects, p)
+	delete(d.suspects, fp)
 }
 
 // remove deletes a crash of a request.
-func (b *Detector) remove(p hingeids.Fingerprint, s *suspect, id hingeids.ServerID) {
+func (d *Detector) remove(fp hingeids.Fingerprint, s *suspect, id hingeids.ServerID) {
 	delete(s.crashes, id)
-	rest := slices.DeleteFunc(b.onServer[id], func(q hingeids.Fingerprint) bool {
-		return q == p
+	rest := slices.DeleteFunc(d.onServer[id], func(other hingeids.Fingerprint) bool {
+		return other == fp
 	})
 	if len(rest) == 0 {
-		delete(b.onServer, id)
+		delete(d.onServer, id)
 		return
 	}
-	b.onServer[id] = rest
+	d.onServer[id] = rest
 }
--- a/internal/decide/hingepoison/detector_test.go
+++ b/internal/decide/hingepoison/detector_test.go
@@ -15,23 +15,23 @@
 // servers counts the servers of the tested service.
 func servers() int { return 9 }
 
-func newCrash(p hingeids.Fingerprint, server string, had time.Duration) Crash {
+func newCrash(fp hingeids.Fingerprint, server string, held time.Duration) Crash {
 	return Crash{
-		Fingerprint: p,
+		Fingerprint: fp,
 		Server:      hingeids.ServerID(server),
 		Service:     "model",
-		Held:        had,
+		Held:        held,
 	}
 }
 
 // crashServers reports n crashes under a request, a second apart, with other requests on the same servers. It returns the time after the last.
-func crashServers(b *Detector, now time.Time, p hingeids.Fingerprint, n int, others ...hingeids.Fingerprint) time.Time {
+func crashServers(d *Detector, now time.Time, fp hingeids.Fingerprint, n int, others ...hingeids.Fingerprint) time.Time {
 	for i := range n {
-		id := fmt.Sprintf("engine-%d-%d", p, i)
-		for _, q := range others {
-			b.HandleCrash(now, newCrash(q, id, 2*time.Second))
+		id := fmt.Sprintf("engine-%d-%d", fp, i)
+		for _, other := range others {
+			d.HandleCrash(now, newCrash(other, id, 2*time.Second))
 		}
-		b.HandleCrash(now, newCrash(p, id, 100*time.Millisecond))
+		d.HandleCrash(now, newCrash(fp, id, 100*time.Millisecond))
 		now = now.Add(time.Second)
 	}
 	return now
@@ -39,97 +39,97 @@
 
 // A crash that is reported twice must not count twice, or a request would be refused after two crashes.
 func TestCrashReportedTwiceCountsOnce(t *testing.T) {
-	b := NewDetector()
-	now := crashServers(b, begin, 7, 2)
-	if b.HandleCrash(now, newCrash(7, "engine-7-1", 100*time.Millisecond)) {
+	d := NewDetector()
+	now := crashServers(d, begin, 7, 2)
+	if d.HandleCrash(now, newCrash(7, "engine-7-1", 100*time.Millisecond)) {
 		t.Error("a crash that was reported before counts as new")
 	}
-	if j := b.Evaluate(now, 7, Listed{}, servers); j.Refused || !j.Suspect {
-		t.Errorf("after two crashes: %+v", j)
+	if decision := d.Evaluate(now, 7, Listed{}, servers); decision.Refused || !decision.Suspect {
+		t.Errorf("after two crashes: %+v", decision)
 	}
-	now = crashServers(b, now, 7, 3)
-	if j := b.Evaluate(now, 7, Listed{}, servers); !j.Refused {
-		t.Errorf("after three crashes: %+v", j)
+	now = crashServers(d, now, 7, 3)
+	if decision := d.Evaluate(now, 7, Listed{}, servers); !decision.Refused {
+		t.Errorf("after three crashes: %+v", decision)
 	}
 }
 
 // A stream that is retried on the same engines as a poison request is at as many crashes. It must not be refused for them.
 func TestCoincidentRequestsAreNotRefused(t *testing.T) {
-	b := NewDetector()
-	now := crashServers(b, begin, 7, 2, 8)
+	d := NewDetector()
+	now := crashServers(d, begin, 7, 2, 8)
 	// One crash more under the cause alone explains those that both were at.
-	for i, p := range []hingeids.Fingerprint{7, 7, 8} {
-		b.HandleCrash(now, newCrash(p, fmt.Sprint("other-", i), 100*time.Millisecond))
+	for i, fp := range []hingeids.Fingerprint{7, 7, 8} {
+		d.HandleCrash(now, newCrash(fp, fmt.Sprint("other-", i), 100*time.Millisecond))
 	}
 	now = now.Add(time.Second)
-	if j := b.Evaluate(now, 7, Listed{}, servers); !j.Refused {
-		t.Errorf("the cause of the crashes: %+v", j)
+	if decision := d.Evaluate(now, 7, Listed{}, servers); !decision.Refused {
+		t.Errorf("the cause of the crashes: %+v", decision)
 	}
-	if j := b.Evaluate(now, 8, Listed{}, servers); j.Refused {
-		t.Errorf("a request on the same servers: %+v", j)
+	if decision := d.Evaluate(now, 8, Listed{}, servers); decision.Refused {
+		t.Errorf("a request on the same servers: %+v", decision)
 	}
 }
 
 // Where engines crash often for other reasons, a long stream that was at three crashes must not be refused, but a request under which they
 // crash at once must be.
 func TestMoreCrashesAreNeededWhereServersCrashOften(t *testing.T) {
-	b := NewDetector()
+	d := NewDetector()
 	now := begin
 	for i := range 40 {
-		b.HandleCrash(now, newCrash(hingeids.Fingerprint(100+i), fmt.Sprint("bad-", i), time.Second))
+		d.HandleCrash(now, newCrash(hingeids.Fingerprint(100+i), fmt.Sprint("bad-", i), time.Second))
 		now = now.Add(200 * time.Millisecond)
 	}
 	for i := range 3 {
-		b.HandleCrash(now, newCrash(7, fmt.Sprint("long-", i), 3*time.Second))
-		b.HandleCrash(now, newCrash(8, fmt.Sprint("short-", i), 20*time.Millisecond))
+		d.HandleCrash(now, newCrash(7, fmt.Sprint("long-", i), 3*time.Second))
+		d.HandleCrash(now, newCrash(8, fmt.Sprint("short-", i), 20*time.Millisecond))
 	}
 	now = now.Add(time.Second)
 	many := func() int { return 300 }
-	if j := b.Evaluate(now, 7, Listed{}, many); j.Refused {
-		t.Errorf("a long stream: %+v", j)
+	if decision := d.Evaluate(now, 7, Listed{}, many); decision.Refused {
+		t.Errorf("a long stream: %+v", decision)
 	}
-	if j := b.Evaluate(now, 8, Listed{}, many); !j.Refused {
-		t.Errorf("a request under which servers crash at once: %+v", j)
+	if decision := d.Evaluate(now, 8, Listed{}, many); !decision.Refused {
+		t.Errorf("a request under which servers crash at once: %+v", decision)
 	}
 }
 
 // A completion clears a request of earlier crashes, also of those that are reported after it.
 func TestCompletionClearsEarlierCrashes(t *testing.T) {
-	b := NewDetector()
-	now := crashServers(b, begin, 7, 2)
-	b.HandleCompletion(now, Completion{
+	d := NewDetector()
+	now := crashServers(d, begin, 7, 2)
+	d.HandleCompletion(now, Completion{
 		Fingerprint: 7,
 	})
-	now = crashServers(b, now.Add(time.Second), 9, 1, 7)
+	now = crashServers(d, now.Add(time.Second), 9, 1, 7)
 	// A host reports a crash from before the completion only now.
-	b.HandleCrash(now, Crash{
+	d.HandleCrash(now, Crash{
 		Fingerprint: 7,
 		Server:      "engine-late",
 		Service:     "model",
 		Ago:         10 * time.Second,
 	})
-	b.HandleCrash(now, newCrash(7, "engine-new", 100*time.Millisecond))
-	if j := b.Evaluate(now, 7, Listed{}, servers); j.Refused {
-		t.Errorf("after two crashes since the completion: %+v", j)
+	d.HandleCrash(now, newCrash(7, "engine-new", 100*time.Millisecond))
+	if decision := d.Evaluate(now, 7, Listed{}, servers); decision.Refused {
+		t.Errorf("after two crashes since the completion: %+v", decision)
 	}
 }
 
 // The requests on thousands of engines that lose power must not evict the one request with several crashes.
 func TestRequestsWithMostCrashesAreKept(t *testing.T) {
-	b := NewDetector()
-	now := crashServers(b, begin, 7, 3)
+	d := NewDetector()
+	now := crashServers(d, begin, 7, 3)
 	for i := range 2 * maxSuspects {
-		b.HandleCrash(now, newCrash(hingeids.Fingerprint(1000+i), fmt.Sprint("dark-", i/20), time.Second))
+		d.HandleCrash(now, newCrash(hingeids.Fingerprint(1000+i), fmt.Sprint("dark-", i/20), time.Second))
 	}
-	if b.Len() > maxSuspects {
-		t.Errorf("%d requests are kept, more than maxSuspects", b.Len())
+	if d.Len() > maxSuspects {
+		t.Errorf("%d requests are kept, more than maxSuspects", d.Len())
 	}
-	if n := len(b.suspects[7].crashes); n != 3 {
+	if n := len(d.suspects[7].crashes); n != 3 {
 		t.Errorf("%d crashes of the cause are kept, want 3", n)
 	}
-	b.RemoveExpired(now.Add(2 * suspectTTL))
-	if b.Len() != 0 || len(b.onServer) != 0 || len(b.recent["model"]) != 0 {
-		t.Errorf("%d requests, %d servers and %d crashes remain after expiry", b.Len(), len(b.onServer), len(b.recent["model"]))
+	d.RemoveExpired(now.Add(2 * suspectTTL))
+	if d.Len() != 0 || len(d.onServer) != 0 || len(d.recent["model"]) != 0 {
+		t.Errorf("%d requests, %d servers and %d crashes remain after expiry", d.Len(), len(d.onServer), len(d.recent["model"]))
 	}
 }
 
@@ -139,30 +139,30 @@
 	l.AddCrash(begin, newCrash(7, "engine-1", time.Second))
 	l.AddCompletion(begin, 9)
 	report := func(to hingeids.HostID) (int, int) {
-		ends, passes := l.Unreported(begin.Add(time.Second), to)
-		l.MarkReported(to, len(ends), len(passes))
-		return len(ends), len(passes)
+		crashes, completions := l.Unreported(begin.Add(time.Second), to)
+		l.MarkReported(to, len(crashes), len(completions))
+		return len(crashes), len(completions)
 	}
 	var got [][2]int
 	for _, to := range []hingeids.HostID{"control-1", "control-1", "control-2", "control-2", "control-1"} {
-		ends, passes := report(to)
-		got = append(got, [2]int{ends, passes})
+		crashes, completions := report(to)
+		got = append(got, [2]int{crashes, completions})
 	}
 	if diff := cmp.Diff([][2]int{{1, 1}, {0, 0}, {1, 1}, {0, 0}, {1, 1}}, got); diff != "" {
 		t.Error(diff)
 	}
 	l.AddCrash(begin, newCrash(7, "engine-2", time.Second))
-	if ends, _ := l.Unreported(begin.Add(time.Second), "control-1"); len(ends) != 1 || ends[0].Ago != time.Second {
-		t.Errorf("%+v", ends)
+	if crashes, _ := l.Unreported(begin.Add(time.Second), "control-1"); len(crashes) != 1 || crashes[0].Ago != time.Second {
+		t.Errorf("%+v", crashes)
 	}
 	for i := range 3 * maxKept {
 		l.AddCrash(begin, newCrash(hingeids.Fingerprint(i+1), "engine-3", time.Second))
 	}
-	if ends, _ := l.Unreported(begin, "control-3"); len(ends) != maxKept {
-		t.Errorf("%d crashes are kept, want maxKept", len(ends))
+	if crashes, _ := l.Unreported(begin, "control-3"); len(crashes) != maxKept {
+		t.Errorf("%d crashes are kept, want maxKept", len(crashes))
 	}
-	if ends, passes := l.Unreported(begin.Add(2*suspectTTL), "control-4"); len(ends)+len(passes) != 0 {
-		t.Errorf("%d crashes and %d completions remain after expiry", len(ends), len(passes))
+	if crashes, completions := l.Unreported(begin.Add(2*suspectTTL), "control-4"); len(crashes)+len(completions) != 0 {
+		t.Errorf("%d crashes and %d completions remain after expiry", len(crashes), len(completions))
 	}
 }
 
@@ -170,9 +170,9 @@
 // failed one doubles the wait.
 func TestRefusedRequestIsProbedAfterAWait(t *testing.T) {
 	today := time.Unix(1_700_000_000, 0)
-	b := NewDetector()
-	now := crashServers(b, begin, 7, 3)
-	certain := b.NewRecord(now, today, 7)
+	d := NewDetector()
+	now := crashServers(d, begin, 7, 3)
+	certain := d.NewRecord(now, today, 7)
 	both := NewDetector()
 	now = crashServers(both, begin, 7, 3, 8)
 	doubtful := both.NewRecord(now, today, 7)
@@ -187,18 +187,18 @@
 		Record:  certain,
 		Blocked: true,
 	}
-	if j := b.Evaluate(now, 7, listed, servers); !j.Probe || j.Refused {
-		t.Errorf("after the wait: %+v", j)
+	if decision := d.Evaluate(now, 7, listed, servers); !decision.Probe || decision.Refused {
+		t.Errorf("after the wait: %+v", decision)
 	}
-	if j := b.Evaluate(now.Add(time.Second), 7, listed, servers); j.Probe || !j.Refused {
-		t.Errorf("during a probe: %+v", j)
+	if decision := d.Evaluate(now.Add(time.Second), 7, listed, servers); decision.Probe || !decision.Refused {
+		t.Errorf("during a probe: %+v", decision)
 	}
-	if r, failed := b.FailedProbe(now.Add(time.Second), today, newCrash(7, "engine-5", 0), listed); !failed || r.FailedProbes != 1 {
+	if r, failed := d.FailedProbe(now.Add(time.Second), today, newCrash(7, "engine-5", 0), listed); !failed || r.FailedProbes != 1 {
 		t.Errorf("a crash during the probe isn't recorded as a failed probe: %+v", r)
 	}
 	late := newCrash(7, "engine-5", 0)
 	late.Ago = time.Minute
-	if _, failed := b.FailedProbe(now.Add(time.Second), today, late, listed); failed {
+	if _, failed := d.FailedProbe(now.Add(time.Second), today, late, listed); failed {
 		t.Error("a crash from before the probe counts as a failed probe")
 	}
 	// A wall clock that was set back must not prolong the wait.
@@ -226,7 +226,7 @@
 	}
 }
 
-func BenchmarkJudge(b *testing.B) {
+func BenchmarkEvaluate(b *testing.B) {
 	k := NewDetector()
 	now := crashServers(k, begin, 7, 3, 8, 9, 10)
 	for i := range maxSuspects / 2 {
--- a/internal/decide/hingepoison/ledger.go
+++ b/internal/decide/hingepoison/ledger.go
@@ -28,45 +28,45 @@
 	value T
 }
 
-func (s *reportLog[T]) add(now time.Time, value T) {
-	s.facts = append(s.facts, fact[T]{
+func (l *reportLog[T]) add(now time.Time, value T) {
+	l.facts = append(l.facts, fact[T]{
 		at:    now,
 		value: value,
 	})
-	s.drop(len(s.facts) - maxKept)
+	l.drop(len(l.facts) - maxKept)
 }
 
 // drop removes the n oldest facts.
-func (s *reportLog[T]) drop(n int) {
+func (l *reportLog[T]) drop(n int) {
 	if n <= 0 {
 		return
 	}
-	s.facts = s.facts[n:]
-	s.reported = max(s.reported-n, 0)
+	l.facts = l.facts[n:]
+	l.reported = max(l.reported-n, 0)
 }
 
 // unreported removes facts older than suspectTTL and returns the remaining ones that the placer hasn't accepted.
-func (s *reportLog[T]) unreported(now time.Time) []fact[T] {
+func (l *reportLog[T]) unreported(now time.Time) []fact[T] {
 	expired := 0
-	for expired < len(s.facts) && now.Sub(s.facts[expired].at) > suspectTTL {
+	for expired < len(l.facts) && now.Sub(l.facts[expired].at) > suspectTTL {
 		expired++
 	}
-	s.drop(expired)
-	return s.facts[s.reported:]
+	l.drop(expired)
+	return l.facts[l.reported:]
 }
 
-func (s *reportLog[T]) markReported(n int) {
-	s.reported = min(s.reported+n, len(s.facts))
+func (l *reportLog[T]) markReported(n int) {
+	l.reported = min(l.reported+n, len(l.facts))
 }
 
 // AddCrash records a crash that this host observed.
-func (l *Ledger) AddCrash(now time.Time, e Crash) {
-	l.crashes.add(now, e)
+func (l *Ledger) AddCrash(now time.Time, c Crash) {
+	l.crashes.add(now, c)
 }
 
 // AddCompletion records the completion of a suspected request.
-func (l *Ledger) AddCompletion(now time.Time, p hingeids.Fingerprint) {
-	l.completions.add(now, p)
+func (l *Ledger) AddCompletion(now time.Time, fp hingeids.Fingerprint) {
+	l.completions.add(now, fp)
 }
 
 // Unreported returns the facts that the placer hasn't accepted yet; that is all of them if the placer has changed.
@@ -77,9 +77,9 @@
 	}
 	var crashes []Crash
 	for _, f := range l.crashes.unreported(now) {
-		e := f.value
-		e.Ago += now.Sub(f.at)
-		crashes = append(crashes, e)
+		c := f.value
+		c.Ago += now.Sub(f.at)
+		crashes = append(crashes, c)
 	}
 	var completions []Completion
 	for _, f := range l.completions.unreported(now) {
@@ -91,7 +91,8 @@
 	return crashes, completions
 }
 
-// MarkReported records that the placer accepted that many of the facts from Untold. It does nothing if the placer has changed since.
+// MarkReported records that the placer accepted the given numbers of the facts that Unreported returned. It does nothing if the placer has
+// changed since.
 func (l *Ledger) MarkReported(placer hingeids.HostID, crashes, completions int) {
 	if placer != l.placer {
 		return
--- a/internal/decide/hingepoison/list.go
+++ b/internal/decide/hingepoison/list.go
@@ -21,7 +21,7 @@
 	Fingerprint hingeids.Fingerprint `cbor:"1,keyasint"`
 	Service     hingeids.Service     `cbor:"2,keyasint"`
 	Caller      hingeids.CallerID    `cbor:"3,keyasint,omitempty"`
-	// Servers names up to maxServers of the crashed servers, Ended is the number of crashes.
+	// Servers names up to maxServers of the crashed servers, Crashes is the number of crashes.
 	Servers []hingeids.ServerID `cbor:"4,keyasint,omitempty"`
 	Crashes int                 `cbor:"5,keyasint"`
 	// First is the time of the first crash, Since that of the refusal or the last failed probe, in Unix milliseconds.
@@ -37,9 +37,9 @@
 }
 
 // Lift returns the record that lifts the block of a request.
-func Lift(today time.Time, p hingeids.Fingerprint) Record {
+func Lift(today time.Time, fp hingeids.Fingerprint) Record {
 	return Record{
-		Fingerprint: p,
+		Fingerprint: fp,
 		Since:       today.UnixMilli(),
 		Lifted:      today.UnixMilli(),
 	}
@@ -80,8 +80,8 @@
 }
 
 // Find returns the record of a request, also if it is lifted.
-func (l *List) Find(p hingeids.Fingerprint) (Record, bool) {
-	i, found := l.search(p)
+func (l *List) Find(fp hingeids.Fingerprint) (Record, bool) {
+	i, found := l.search(fp)
 	if !found {
 		return Record{}, false
 	}
@@ -89,10 +89,10 @@
 }
 
 // At returns the state of a request at a wall-clock time.
-func (l *List) At(today time.Time, p hingeids.Fingerprint) Listed {
-	r, there := l.Find(p)
+func (l *List) At(today time.Time, fp hingeids.Fingerprint) Listed {
+	r, found := l.Find(fp)
 	switch {
-	case !there:
+	case !found:
 		return Listed{}
 	case r.Lifted > 0:
 		return Listed{
@@ -114,9 +114,9 @@
 	})
 }
 
-func (l *List) search(p hingeids.Fingerprint) (int, bool) {
-	return slices.BinarySearchFunc(l.Records, p, func(r Record, p hingeids.Fingerprint) int {
-		return cmp.Compare(r.Fingerprint, p)
+func (l *List) search(fp hingeids.Fingerprint) (int, bool) {
+	return slices.BinarySearchFunc(l.Records, fp, func(r Record, fp hingeids.Fingerprint) int {
+		return cmp.Compare(r.Fingerprint, fp)
 	})
 }
 
--- a/internal/decide/hingepoison/sim_test.go
+++ b/internal/decide/hingepoison/sim_test.go
@@ -109,25 +109,25 @@
 	fingerprints uint64
 }
 
-func simulate(d scenario) result {
+func simulate(sc scenario) result {
 	s := &sim{
-		scenario:  d,
-		random:    rand.New(rand.NewPCG(d.seed, 3)),
+		scenario:  sc,
+		random:    rand.New(rand.NewPCG(sc.seed, 3)),
 		arrivals:  make(map[time.Duration][]*simStream),
 		refused:   make(map[hingeids.Fingerprint]bool),
 		crashesOf: make(map[hingeids.Fingerprint]int),
 	}
-	for range d.engines {
+	for range sc.engines {
 		s.engine = append(s.engine, &simEngine{})
 	}
-	for range d.hosts {
+	for range sc.hosts {
 		b := NewDetector()
 		b.RemoveExpired(s.time())
 		s.detectors = append(s.detectors, b)
 		s.ledgers = append(s.ledgers, &Ledger{})
 	}
-	for p := range d.poisons {
-		for range d.callers {
+	for p := range sc.poisons {
+		for range sc.callers {
 			s.resend(&simStream{
 				fingerprint: hingeids.Fingerprint(1_000_000_000 + p),
 				poison:      true,
@@ -222,53 +222,53 @@
 	for h, l := range s.ledgers {
 		l.ResetReported()
 		crashes, completions := l.Unreported(s.time(), "placer")
-		for _, e := range crashes {
+		for _, c := range crashes {
 			s.facts = append(s.facts, simFact{
 				at:    s.now + reportDelay,
 				host:  h,
-				crash: e,
+				crash: c,
 			})
 		}
-		for _, p := range completions {
+		for _, completed := range completions {
 			s.facts = append(s.facts, simFact{
 				at:         s.now + reportDelay,
 				host:       h,
-				completion: p,
+				completion: completed,
 			})
 		}
 	}
 }
 
 func (s *sim) deliver(f simFact) {
-	b := s.detector(f.host)
+	d := s.detector(f.host)
 	if f.crash.Fingerprint != 0 {
-		b.HandleCrash(s.time(), f.crash)
+		d.HandleCrash(s.time(), f.crash)
 	}
 	if f.completion.Fingerprint != 0 {
-		b.HandleCompletion(s.time(), f.completion)
+		d.HandleCompletion(s.time(), f.completion)
 	}
 }
 
 // evaluate decides by the strategy whether a stream may run.
 func (s *sim) evaluate(x *simStream) Decision {
-	b := s.detector(x.host)
+	d := s.detector(x.host)
 	switch s.strategy {
 	case noCounting:
 		return Decision{}
 	case crashCount, perHost:
-		if known := b.suspects[x.fingerprint]; known != nil && len(known.crashes) >= minCrashes {
+		if known := d.suspects[x.fingerprint]; known != nil && len(known.crashes) >= minCrashes {
 			return Decision{
 				Refused: true,
 			}
 		}
 		return Decision{}
 	}
-	return b.Evaluate(s.time(), x.fingerprint, Listed{}, s.count)
+	return d.Evaluate(s.time(), x.fingerprint, Listed{}, s.count)
 }
 
 func (s *sim) place(x *simStream) {
-	j := s.evaluate(x)
-	if j.Refused {
+	decision := s.evaluate(x)
+	if decision.Refused {
 		if x.poison {
 			if !s.refused[x.fingerprint] {
 				s.refused[x.fingerprint] = true
@@ -353,22 +353,22 @@
 	if e.downUntil > s.now {
 		return
 	}
-	if p, ok := cause.(hingeids.Fingerprint); ok {
-		s.crashesOf[p]++
+	if fp, ok := cause.(hingeids.Fingerprint); ok {
+		s.crashesOf[fp]++
 	}
 	streams := e.streams
 	e.streams = nil
 	for _, x := range streams {
-		f := Crash{
+		c := Crash{
 			Fingerprint: x.fingerprint,
 			Server:      e.id(i),
 			Held:        s.now - x.startedAt,
 		}
-		s.ledgers[x.host].AddCrash(s.time(), f)
+		s.ledgers[x.host].AddCrash(s.time(), c)
 		s.facts = append(s.facts, simFact{
 			at:    s.now + reportDelay,
 			host:  x.host,
-			crash: f,
+			crash: c,
 		})
 	}
 	e.incarnation++
@@ -482,7 +482,7 @@
 				worst := 0
 				const runs = 20
 				for seed := range uint64(runs) {
-					d := scenario{
+					sc := scenario{
 						strategy:   strategy(w),
 						seed:       seed,
 						hosts:      size.hosts,
@@ -494,9 +494,9 @@
 						rackEvery:  8 * time.Second,
 					}
 					if poisons > 0 {
-						d.rackEvery = 0
+						sc.rackEvery = 0
 					}
-					r := simulate(d)
+					r := simulate(sc)
 					sum.crashed += r.crashed
 					worst = max(worst, r.crashed)
 					sum.excess += r.excess
--- a/internal/decide/hingepolicy/curve_test.go
+++ b/internal/decide/hingepolicy/curve_test.go
@@ -21,13 +21,13 @@
 // that count only goodput to those that count only waste. -draw plots the curve.
 func TestTradeOffCurve(t *testing.T) {
 	t.Parallel()
-	f := hingemodel.Shellfish().Skewed()
+	workload := hingemodel.Shellfish().Skewed()
 	weights := []float64{0, 0.2, 0.4, 0.6, 0.8, 0.95, 1}
 	got := make([]sums, len(weights))
 	var all sync.WaitGroup
 	for i, w := range weights {
 		all.Go(func() {
-			got[i] = playPolicy(f, hingeplace.Weights{
+			got[i] = simulatePolicy(workload, hingeplace.Weights{
 				Goodput:       1 - w,
 				WastedPrefill: w,
 			}, 1.3)
--- a/internal/decide/hingepolicy/hosts.go
+++ b/internal/decide/hingepolicy/hosts.go
@@ -50,11 +50,11 @@
 }
 
 // NewHosts returns n entry hosts.
-func NewHosts(n int, f hingemodel.Workload, c hingemodel.Cluster, w hingeplace.Weights) *Hosts {
+func NewHosts(n int, workload hingemodel.Workload, c hingemodel.Cluster, w hingeplace.Weights) *Hosts {
 	h := &Hosts{}
 	shared := newAllocator(c.Slots)
 	for range n {
-		p := New(f, c, w)
+		p := New(workload, c, w)
 		p.allocator = shared
 		h.hosts = append(h.hosts, p)
 	}
@@ -67,32 +67,32 @@
 }
 
 // HandleArrival passes the request to its host.
-func (h *Hosts) HandleArrival(now time.Time, q *hingemodel.Request, o *hingemodel.Actions) {
-	h.hostOf(q).HandleArrival(now, q, o)
+func (h *Hosts) HandleArrival(now time.Time, q *hingemodel.Request, actions *hingemodel.Actions) {
+	h.hostOf(q).HandleArrival(now, q, actions)
 }
 
-// HandleEvent passes an event of a request to its host, and an event of an engine to
-// all hosts.
-func (h *Hosts) HandleEvent(now time.Time, e hingemodel.Event, o *hingemodel.Actions) {
+// HandleEvent passes an event of a request to its host, and an event of an engine
+// to all hosts.
+func (h *Hosts) HandleEvent(now time.Time, e hingemodel.Event, actions *hingemodel.Actions) {
 	if e.Request != nil {
-		h.hostOf(e.Request).HandleEvent(now, e, o)
+		h.hostOf(e.Request).HandleEvent(now, e, actions)
 		return
 	}
 	for _, p := range h.hosts {
-		p.HandleEvent(now, e, o)
+		p.HandleEvent(now, e, actions)
 	}
 }
 
 // HandleReport passes the report to all hosts.
-func (h *Hosts) HandleReport(now time.Time, r hingemodel.LoadReport, o *hingemodel.Actions) {
+func (h *Hosts) HandleReport(now time.Time, r hingemodel.LoadReport, actions *hingemodel.Actions) {
 	for _, p := range h.hosts {
-		p.HandleReport(now, r, o)
+		p.HandleReport(now, r, actions)
 	}
 }
 
 // Tick calls Tick of all hosts.
-func (h *Hosts) Tick(now time.Time, o *hingemodel.Actions) {
+func (h *Hosts) Tick(now time.Time, actions *hingemodel.Actions) {
 	for _, p := range h.hosts {
-		p.Tick(now, o)
+		p.Tick(now, actions)
 	}
 }
--- a/internal/decide/hingepolicy/loads_test.go
+++ b/internal/decide/hingepolicy/loads_test.go
@@ -11,22 +11,22 @@
 
 // mix is a workload with its weights.
 type mix struct {
-	firm    hingemodel.Workload
-	weights hingeplace.Weights
+	workload hingemodel.Workload
+	weights  hingeplace.Weights
 }
 
 var mixes = []mix{
 	{
-		firm:    hingemodel.Shellfish(),
-		weights: goodputFirst,
+		workload: hingemodel.Shellfish(),
+		weights:  goodputFirst,
 	},
 	{
-		firm:    hingemodel.Shellfish().Skewed(),
-		weights: goodputFirst,
+		workload: hingemodel.Shellfish().Skewed(),
+		weights:  goodputFirst,
 	},
 	{
-		firm:    hingemodel.Streaming(),
-		weights: wastedFirst,
+		workload: hingemodel.Streaming(),
+		weights:  wastedFirst,
 	},
 }
 
@@ -34,10 +34,10 @@
 const seeds = 2
 
 // steady returns a run with a constant load and a warm-up.
-func steady(f hingemodel.Workload, load float64, seed uint64) hingemodel.Run {
+func steady(workload hingemodel.Workload, load float64, seed uint64) hingemodel.Run {
 	return hingemodel.Run{
 		Cluster:  hingemodel.DefaultCluster(),
-		Workload: f,
+		Workload: workload,
 		Seed:     seed,
 		Warmup:   40 * time.Second,
 		Clients: hingemodel.ClientRetries{
@@ -52,22 +52,22 @@
 	}
 }
 
-// playPolicy returns the figures of the policy under a constant load.
-func playPolicy(f hingemodel.Workload, w hingeplace.Weights, load float64) sums {
+// simulatePolicy returns the figures of the policy under a constant load.
+func simulatePolicy(workload hingemodel.Workload, w hingeplace.Weights, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
-		r := steady(f, load, uint64(seed+1))
-		out.add(hingemodel.Simulate(r, New(f, r.Cluster, w)), seeds)
+		r := steady(workload, load, uint64(seed+1))
+		out.add(hingemodel.Simulate(r, New(workload, r.Cluster, w)), seeds)
 	}
 	return out
 }
 
-// playBaseline returns the figures of a baseline under a constant load.
-func playBaseline(f hingemodel.Workload, baseline newBaselineFunc, load float64) sums {
+// simulateBaseline returns the figures of a baseline under a constant load.
+func simulateBaseline(workload hingemodel.Workload, baseline newBaselineFunc, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
-		r := steady(f, load, uint64(seed+1))
-		out.add(hingemodel.Simulate(r, baseline(f, r.Cluster, r.Seed)), seeds)
+		r := steady(workload, load, uint64(seed+1))
+		out.add(hingemodel.Simulate(r, baseline(workload, r.Cluster, r.Seed)), seeds)
 	}
 	return out
 }
@@ -77,16 +77,16 @@
 func TestGoodputOverLoads(t *testing.T) {
 	t.Parallel()
 	for _, m := range mixes {
-		t.Run(m.firm.Name, func(t *testing.T) {
+		t.Run(m.workload.Name, func(t *testing.T) {
 			t.Parallel()
 			peak, tokenPeak := 0.0, 0.0
 			for _, load := range []float64{0.7, 1, 1.3, 2} {
-				got := playPolicy(m.firm, m.weights, load)
+				got := simulatePolicy(m.workload, m.weights, load)
 				best, all := 0.0, 0.0
 				line := fmt.Sprintf("load %.1f: ours %.1f (%.0f tokens, wasted %.2f%%)",
 					load, got["goodput"], got["tokenGoodput"], 100*got["wasted"])
 				for _, b := range baselines {
-					other := playBaseline(m.firm, b.make, load)
+					other := simulateBaseline(m.workload, b.make, load)
 					line += fmt.Sprintf(", %s %.1f (%.0f, %.2f%%)",
 						b.name, other["goodput"], other["tokenGoodput"], 100*other["wasted"])
 					all = max(all, other["goodput"])
@@ -101,7 +101,7 @@
 				if got["goodput"] < 0.99*all {
 					t.Errorf("load %v: goodput is below 0.99 of the best baseline's", load)
 				}
-				if load == 1.3 && m.firm.Name == "shellfish-skewed" && got["goodput"] < 1.5*best {
+				if load == 1.3 && m.workload.Name == "shellfish-skewed" && got["goodput"] < 1.5*best {
 					t.Errorf("load 1.3 with skewed prefixes: goodput is below 1.5 times the best standard baseline's")
 				}
 				peak, tokenPeak = max(peak, got["goodput"]), max(tokenPeak, got["tokenGoodput"])
@@ -123,10 +123,10 @@
 func TestWastedPrefillUnderTheStreamingWeights(t *testing.T) {
 	t.Parallel()
 	for _, m := range mixes {
-		t.Run(m.firm.Name, func(t *testing.T) {
+		t.Run(m.workload.Name, func(t *testing.T) {
 			t.Parallel()
 			for load, bound := range map[float64]float64{0.9: 0.01, 2: 0.03} {
-				got := playPolicy(m.firm, wastedFirst, load)
+				got := simulatePolicy(m.workload, wastedFirst, load)
 				t.Logf("load %v: wasted %.4f of the prefill by evictions and cancellations", load, got["wasted"])
 				if got["wasted"] >= bound {
 					t.Errorf("load %v: wasted %.4f of the prefill, want less than %v", load, got["wasted"], bound)
@@ -141,13 +141,13 @@
 func TestRecoveryAfterABurst(t *testing.T) {
 	t.Parallel()
 	const runs = 2
-	for asTold, attempts := range map[float64]int{0: 20, 1: 4} {
-		t.Run(fmt.Sprint("asTold", asTold), func(t *testing.T) {
+	for retryAfterShare, attempts := range map[float64]int{0: 20, 1: 4} {
+		t.Run(fmt.Sprint("asTold", retryAfterShare), func(t *testing.T) {
 			t.Parallel()
 			var before, after float64
 			for seed := range runs {
 				r := steady(hingemodel.Shellfish(), 1, uint64(seed+1))
-				r.Clients.RetryAfterShare, r.Clients.Attempts = asTold, attempts
+				r.Clients.RetryAfterShare, r.Clients.Attempts = retryAfterShare, attempts
 				r.Phases = []hingemodel.Phase{
 					{
 						Duration: 30 * time.Second,
@@ -188,14 +188,14 @@
 func TestSeveralHostsAgainstOne(t *testing.T) {
 	t.Parallel()
 	for _, m := range mixes {
-		t.Run(m.firm.Name, func(t *testing.T) {
+		t.Run(m.workload.Name, func(t *testing.T) {
 			t.Parallel()
 			for _, load := range []float64{1.3, 2} {
-				one := playPolicy(m.firm, m.weights, load)
+				one := simulatePolicy(m.workload, m.weights, load)
 				three := make(sums)
 				for seed := range seeds {
-					r := steady(m.firm, load, uint64(seed+1))
-					three.add(hingemodel.Simulate(r, NewHosts(3, m.firm, r.Cluster, m.weights)), seeds)
+					r := steady(m.workload, load, uint64(seed+1))
+					three.add(hingemodel.Simulate(r, NewHosts(3, m.workload, r.Cluster, m.weights)), seeds)
 				}
 				for _, figure := range []string{"goodput", "tokenGoodput", "wasted", "quay.inTarget", "dossier.unanswered", "eulogy.unanswered", "dossier.answered", "eulogy.answered"} {
 					t.Logf("load %v: %s with one host %.4f, with three %.4f", load, figure, one[figure], three[figure])
--- a/internal/decide/hingepolicy/policy.go
+++ b/internal/decide/hingepolicy/policy.go
@@ -24,7 +24,7 @@
 // Policy is the policy of one entry host. It implements hingemodel.Policy and
 // isn't safe for concurrent use.
 type Policy struct {
-	firm              hingemodel.Workload
+	workload          hingemodel.Workload
 	cluster           hingemodel.Cluster
 	queue             *hingeadmit.Queue
 	view              *hingeplace.View
@@ -34,7 +34,7 @@
 }
 
 // New returns a policy of one entry host with the given weights.
-func New(f hingemodel.Workload, c hingemodel.Cluster, w hingeplace.Weights) *Policy {
+func New(wl hingemodel.Workload, c hingemodel.Cluster, w hingeplace.Weights) *Policy {
 	p := hingeplace.Defaults()
 	p.Weights = w
 	p.CacheBytesPerToken = 1
@@ -42,7 +42,7 @@
 		return hingeids.BytesPerSecond(c.LinkRate)
 	}
 	policy := &Policy{
-		firm:              f,
+		workload:          wl,
 		cluster:           c,
 		queue:             hingeadmit.New(hingeadmit.Defaults()),
 		view:              hingeplace.NewView(p),
@@ -63,7 +63,7 @@
 }
 
 // HandleArrival offers a new request to the queue. Rule 1.
-func (p *Policy) HandleArrival(now time.Time, q *hingemodel.Request, o *hingemodel.Actions) {
+func (p *Policy) HandleArrival(now time.Time, q *hingemodel.Request, actions *hingemodel.Actions) {
 	r := &hingeplace.Request{
 		ID:                 q.ID,
 		Class:              q.Class.Name,
@@ -81,12 +81,12 @@
 	}
 	admit, forecast := p.admissionRequest(now, q, r)
 	if refused := p.queue.Offer(now, admit, forecast); refused != nil {
-		o.Refuse(q, refused.RetryAfter)
+		actions.Refuse(q, refused.RetryAfter)
 		return
 	}
 	p.requests[q.ID] = q
 	p.placementRequests[q.ID] = r
-	p.dispatch(now, o)
+	p.dispatch(now, actions)
 }
 
 // admissionRequest returns the arguments of the admission queue for a request.
@@ -116,7 +116,7 @@
 }
 
 // HandleEvent updates the state of the request or the engine and dispatches.
-func (p *Policy) HandleEvent(now time.Time, e hingemodel.Event, o *hingemodel.Actions) {
+func (p *Policy) HandleEvent(now time.Time, e hingemodel.Event, actions *hingemodel.Actions) {
 	switch e.Kind {
 	case hingemodel.PrefillDone:
 		p.view.HandlePrefillDone(now, e.Request.ID, e.Cached)
@@ -139,7 +139,7 @@
 			Tokens: e.Tokens,
 		}, e.Kind == hingemodel.PrefixStored)
 	}
-	p.dispatch(now, o)
+	p.dispatch(now, actions)
 }
 
 // requeueEvicted requeues a request whose KV cache was evicted. Rule 4.
@@ -155,7 +155,7 @@
 }
 
 // HandleReport passes a load report to the placement as an announcement.
-func (p *Policy) HandleReport(now time.Time, r hingemodel.LoadReport, o *hingemodel.Actions) {
+func (p *Policy) HandleReport(now time.Time, r hingemodel.LoadReport, actions *hingemodel.Actions) {
 	a := hingeannounce.Announcement{
 		Server:      serverOf(r.Engine),
 		Incarnation: 1,
@@ -167,27 +167,27 @@
 			QueuedTokens: r.QueuedTokens,
 		},
 	}
-	if int(r.Engine) < p.firm.Prefill {
+	if int(r.Engine) < p.workload.Prefill {
 		a.Kind = hingeannounce.Prefill
 	}
 	p.view.HandleAnnouncement(now, r.MeasuredAt, a)
-	p.dispatch(now, o)
+	p.dispatch(now, actions)
 }
 
 // Tick refuses requests that have waited too long, and dispatches.
-func (p *Policy) Tick(now time.Time, o *hingemodel.Actions) {
-	p.dispatch(now, o)
+func (p *Policy) Tick(now time.Time, actions *hingemodel.Actions) {
+	p.dispatch(now, actions)
 }
 
 // dispatch refuses requests that have waited too long, then assigns free capacity.
 // Rules 2 and 3.
-func (p *Policy) dispatch(now time.Time, o *hingemodel.Actions) {
-	for _, g := range p.queue.Expire(now) {
-		o.Refuse(p.requests[g.Request.ID], g.Err.RetryAfter)
-		p.remove(g.Request.ID)
+func (p *Policy) dispatch(now time.Time, actions *hingemodel.Actions) {
+	for _, expired := range p.queue.Expire(now) {
+		actions.Refuse(p.requests[expired.Request.ID], expired.Err.RetryAfter)
+		p.remove(expired.Request.ID)
 	}
 	for _, id := range p.view.ReadyRequests() {
-		p.bindSlot(now, id, o)
+		p.bindSlot(now, id, actions)
 	}
 	for {
 		var d hingeplace.Decision
@@ -198,21 +198,21 @@
 		if !ok {
 			return
 		}
-		p.start(now, p.placementRequests[next.ID], d, o)
+		p.start(now, p.placementRequests[next.ID], d, actions)
 	}
 }
 
 // bindSlot transfers a ready KV cache to an engine with a free slot. If another
 // host has taken the slot, the allocator refuses it and another engine is tried.
 // Rule 3.
-func (p *Policy) bindSlot(now time.Time, id hingeids.RequestID, o *hingemodel.Actions) {
+func (p *Policy) bindSlot(now time.Time, id hingeids.RequestID, actions *hingemodel.Actions) {
 	for {
 		s, ok := p.view.Bind(now, id)
 		if !ok {
 			return
 		}
 		if p.acquireSlot(now, id, s) {
-			o.Transfer(p.requests[id], engineOf(s), p.requests[id].Class.Priority)
+			actions.Transfer(p.requests[id], engineOf(s), p.requests[id].Class.Priority)
 			return
 		}
 		p.view.Unbind(now, id)
@@ -229,11 +229,11 @@
 	return false
 }
 
-func (p *Policy) start(now time.Time, r *hingeplace.Request, d hingeplace.Decision, o *hingemodel.Actions) {
+func (p *Policy) start(now time.Time, r *hingeplace.Request, d hingeplace.Decision, actions *hingemodel.Actions) {
 	p.view.HandleStart(now, r, d)
 	if d.Action == hingeplace.Local {
-		o.Local(p.requests[r.ID], engineOf(d.Decode))
+		actions.Local(p.requests[r.ID], engineOf(d.Decode))
 		return
 	}
-	o.Prefill(p.requests[r.ID], engineOf(d.Prefill), r.Priority)
+	actions.Prefill(p.requests[r.ID], engineOf(d.Prefill), r.Priority)
 }
--- a/internal/decide/hingepolicy/script_test.go
+++ b/internal/decide/hingepolicy/script_test.go
@@ -63,20 +63,20 @@
 }
 
 func (s *script) run(seed uint64) (hingemodel.Run, hingeplace.Weights) {
-	f, w := hingemodel.Shellfish(), goodputFirst
+	workload, w := hingemodel.Shellfish(), goodputFirst
 	if s.Firm == "streaming" {
-		f, w = hingemodel.Streaming(), wastedFirst
+		workload, w = hingemodel.Streaming(), wastedFirst
 	}
 	if s.Skewed {
-		f = f.Skewed()
+		workload = workload.Skewed()
 	}
-	f.GreedyShare = s.Greedy
+	workload.GreedyShare = s.Greedy
 	if s.Long > 0 {
-		setLong(f.Classes, s.Long)
+		setLong(workload.Classes, s.Long)
 	}
 	r := hingemodel.Run{
 		Cluster:  hingemodel.DefaultCluster(),
-		Workload: f,
+		Workload: workload,
 		Seed:     seed,
 		Warmup:   duration(s.Measure),
 		Clients: hingemodel.ClientRetries{
@@ -154,7 +154,7 @@
 	}
 }
 
-func (s *script) play() sums {
+func (s *script) simulate() sums {
 	out := make(sums)
 	n := max(1, s.Seeds)
 	for seed := range n {
@@ -204,7 +204,7 @@
 			if err := toml.Unmarshal(a.Files[0].Data, &s); err != nil {
 				t.Fatal(err)
 			}
-			check(t, s.play(), string(a.Files[1].Data))
+			check(t, s.simulate(), string(a.Files[1].Data))
 		})
 	}
 }
--- a/internal/decide/hingequeue/queue.go
+++ b/internal/decide/hingequeue/queue.go
@@ -10,10 +10,10 @@
 //  1. A request gets a replica once one has capacity for it (hingebalance rule 6). Until then it
 //     waits here and not in the queue of a replica: the first replica with capacity gets the most
 //     urgent request.
-//  2. Requests that can still be answered in time go first, by priority and then by due time. Late
-//     answers are worth a fraction of those in time, so late requests only get the remaining
+//  2. Requests that can still be answered in time go first, by priority and then by soft deadline.
+//     Late answers are worth a fraction of those in time, so late requests only get the remaining
 //     capacity. A retry by a caller that was refused before is recognized by its shorter maximum
-//     wait (patience.go); its due time counts from the caller's first attempt.
+//     wait (maxwait.go); its soft deadline counts from the caller's first attempt.
 //  3. A request is refused at once if the requests ahead of it take longer than its caller waits,
 //     and the refusal says when to retry. A request that can no longer be answered in time waits
 //     only if the replicas answer more requests than arrive.
@@ -69,9 +69,9 @@
 }
 
 const (
-	// latencyMargin is the multiple of the expected latency that must remain until the due time of
-	// a request when it starts. Latencies are spread by half of their mean, so one answer in thirty
-	// takes longer.
+	// latencyMargin is the multiple of the expected latency that must remain until the soft
+	// deadline of a request when it starts. Latencies are spread by half of their mean, so one
+	// answer in thirty takes longer.
 	latencyMargin = 2
 	// spareShare is the share of the replicas' answer rate that must exceed the arrival rate for
 	// late requests to wait.
@@ -108,10 +108,10 @@
 
 // Queue is the queue of one service. It is not safe for concurrent use.
 type Queue struct {
-	balance  *hingebalance.Balancer
+	balancer *hingebalance.Balancer
 	replicas []hingebalance.Replica
-	// onTime holds requests that can still be answered in time, by priority and due time; late the
-	// others, in the order in which they became late.
+	// onTime holds requests that can still be answered in time, by priority and soft deadline; late
+	// the others, in the order in which they became late.
 	onTime   []CallRequest
 	late     []CallRequest
 	calls    map[CallID]call
@@ -128,7 +128,7 @@
 // New returns an empty queue.
 func New(seed uint64) *Queue {
 	return &Queue{
-		balance:    hingebalance.New(seed),
+		balancer:   hingebalance.New(seed),
 		calls:      make(map[CallID]call),
 		turnaround: initialTurnaround,
 	}
@@ -140,7 +140,7 @@
 		return
 	}
 	q.replicas = list
-	q.balance.Retain(list)
+	q.balancer.Retain(list)
 }
 
 // sameList reports whether two lists share their memory. Each change of the fleet makes a new list.
@@ -149,22 +149,22 @@
 }
 
 // Enqueue adds a request to the queue. Step decides on it.
-func (q *Queue) Enqueue(now time.Time, w CallRequest) {
+func (q *Queue) Enqueue(now time.Time, r CallRequest) {
 	q.arrivals.add(now)
-	if w.SoftDeadline.IsZero() {
-		w.SoftDeadline = w.Deadline
+	if r.SoftDeadline.IsZero() {
+		r.SoftDeadline = r.Deadline
 	}
-	w.SoftDeadline = w.SoftDeadline.Add(-q.maxWaits.elapsed(now, w.SoftDeadline.Sub(now), w.MaxWait))
-	at, _ := slices.BinarySearchFunc(q.onTime, w, func(x, w CallRequest) int {
-		return cmp.Or(cmp.Compare(x.Priority, w.Priority), x.SoftDeadline.Compare(w.SoftDeadline), -1)
+	r.SoftDeadline = r.SoftDeadline.Add(-q.maxWaits.elapsed(now, r.SoftDeadline.Sub(now), r.MaxWait))
+	at, _ := slices.BinarySearchFunc(q.onTime, r, func(x, r CallRequest) int {
+		return cmp.Or(cmp.Compare(x.Priority, r.Priority), x.SoftDeadline.Compare(r.SoftDeadline), -1)
 	})
-	q.onTime = slices.Insert(q.onTime, at, w)
+	q.onTime = slices.Insert(q.onTime, at, r)
 }
 
 // Cancel removes a request from the queue.
 func (q *Queue) Cancel(id CallID) {
-	matches := func(w CallRequest) bool {
-		return w.ID == id
+	matches := func(r CallRequest) bool {
+		return r.ID == id
 	}
 	q.onTime = slices.DeleteFunc(q.onTime, matches)
 	q.late = slices.DeleteFunc(q.late, matches)
@@ -173,8 +173,8 @@
 // RemoveAll empties the queue and returns the ids of the removed requests.
 func (q *Queue) RemoveAll() []CallID {
 	var out []CallID
-	for _, w := range slices.Concat(q.onTime, q.late) {
-		out = append(out, w.ID)
+	for _, r := range slices.Concat(q.onTime, q.late) {
+		out = append(out, r.ID)
 	}
 	q.onTime, q.late = nil, nil
 	return out
@@ -191,19 +191,20 @@
 	return len(q.onTime) + len(q.late)
 }
 
-// RecordCompletion records the completion of a request, also of one whose replica another queue has chosen.
-func (q *Queue) RecordCompletion(now time.Time, e Completion) {
-	if c, ok := q.calls[e.ID]; ok {
-		delete(q.calls, e.ID)
-		q.balance.Release(c.server)
-		if e.Outcome == hingebalance.Answered {
-			sample := max(now.Sub(c.placedAt)-e.Elapsed, 0)
+// RecordCompletion records the completion of a request, also of one whose replica another queue has
+// chosen.
+func (q *Queue) RecordCompletion(now time.Time, completion Completion) {
+	if c, ok := q.calls[completion.ID]; ok {
+		delete(q.calls, completion.ID)
+		q.balancer.Release(c.server)
+		if completion.Outcome == hingebalance.Answered {
+			sample := max(now.Sub(c.placedAt)-completion.Elapsed, 0)
 			q.turnaround += time.Duration(turnaroundWeight * float64(sample-q.turnaround))
-			q.balance.SetTurnaround(q.turnaround)
+			q.balancer.SetTurnaround(q.turnaround)
 		}
 	}
-	if e.Outcome != hingebalance.Unknown {
-		q.balance.RecordOutcome(now, e.Server, e.Zone, e.Outcome, e.Elapsed)
+	if completion.Outcome != hingebalance.Unknown {
+		q.balancer.RecordOutcome(now, completion.Server, completion.Zone, completion.Outcome, completion.Elapsed)
 	}
 }
 
@@ -213,7 +214,7 @@
 	if q.Waiting() == 0 {
 		return nil
 	}
-	latency := q.balance.MinLatency(q.replicas)
+	latency := q.balancer.MinLatency(q.replicas)
 	q.demoteLate(now, latency)
 	var out []Decision
 	q.onTime, out = q.place(now, q.onTime, true, out)
@@ -229,12 +230,12 @@
 // demoteLate moves requests that can no longer be answered in time to the late ones (rule 2).
 func (q *Queue) demoteLate(now time.Time, latency time.Duration) {
 	kept := q.onTime[:0]
-	for _, w := range q.onTime {
-		if now.Add(latency).After(w.SoftDeadline) {
-			q.late = append(q.late, w)
+	for _, r := range q.onTime {
+		if now.Add(latency).After(r.SoftDeadline) {
+			q.late = append(q.late, r)
 			continue
 		}
-		kept = append(kept, w)
+		kept = append(kept, r)
 	}
 	q.onTime = kept
 }
@@ -243,32 +244,32 @@
 // requests that still wait.
 func (q *Queue) place(now time.Time, list []CallRequest, inTime bool, out []Decision) ([]CallRequest, []Decision) {
 	kept := list[:0]
-	for i, w := range list {
+	for i, req := range list {
 		constraints := hingebalance.Constraints{
-			Zone:       w.Zone,
-			Avoid:      w.Avoid,
-			MaxLatency: w.Deadline.Sub(now),
+			Zone:       req.Zone,
+			Avoid:      req.Avoid,
+			MaxLatency: req.Deadline.Sub(now),
 		}
 		if inTime {
-			constraints.MaxLatency = w.SoftDeadline.Sub(now)
+			constraints.MaxLatency = req.SoftDeadline.Sub(now)
 		}
-		r, found := q.balance.Choose(now, q.replicas, constraints)
+		r, found := q.balancer.Choose(now, q.replicas, constraints)
 		switch found {
 		case hingebalance.Chosen:
-			q.calls[w.ID] = call{
+			q.calls[req.ID] = call{
 				server:    r.Server,
 				placedAt:  now,
-				expiresAt: now.Add(max(completionTimeoutFactor*q.balance.Latency(r.Server), minCompletionTimeout)),
+				expiresAt: now.Add(max(completionTimeoutFactor*q.balancer.Latency(r.Server), minCompletionTimeout)),
 			}
 			out = append(out, Decision{
-				ID:     w.ID,
+				ID:     req.ID,
 				Server: r.Server,
 			})
 		case hingebalance.NoReplica:
-			out = append(out, refusal(w, minRetryAfter))
+			out = append(out, refusal(req, minRetryAfter))
 		case hingebalance.Busy:
-			kept = append(kept, w)
-			if len(w.Avoid) == 0 {
+			kept = append(kept, req)
+			if len(req.Avoid) == 0 {
 				// This request could use any replica, so the rest of the list finds no capacity
 				// either.
 				return append(kept, list[i+1:]...), out
@@ -280,25 +281,25 @@
 
 // refuse implements rule 3.
 func (q *Queue) refuse(now time.Time, latency time.Duration, out []Decision) []Decision {
-	rate := q.balance.Rate(now, q.replicas)
+	rate := q.balancer.Rate(now, q.replicas)
 	spare := rate - q.arrivals.perSecond(now)
 	kept := q.onTime[:0]
-	for _, w := range q.onTime {
-		if start := now.Add(drainTime(len(kept)+1, rate)); start.Add(latencyMargin * latency).After(w.SoftDeadline) {
-			q.late = append(q.late, w)
+	for _, r := range q.onTime {
+		if start := now.Add(drainTime(len(kept)+1, rate)); start.Add(latencyMargin * latency).After(r.SoftDeadline) {
+			q.late = append(q.late, r)
 			continue
 		}
-		kept = append(kept, w)
+		kept = append(kept, r)
 	}
 	q.onTime = kept
 	late := q.late[:0]
-	for _, w := range q.late {
+	for _, r := range q.late {
 		wait := drainTime(len(kept)+len(late)+1, spare)
-		if spare < spareShare*rate || now.Add(wait+latencyMargin*latency).After(w.Deadline) {
-			out = append(out, refusal(w, wait))
+		if spare < spareShare*rate || now.Add(wait+latencyMargin*latency).After(r.Deadline) {
+			out = append(out, refusal(r, wait))
 			continue
 		}
-		late = append(late, w)
+		late = append(late, r)
 	}
 	q.late = late
 	return out
@@ -313,9 +314,9 @@
 	return min(time.Duration(float64(n)/rate*float64(time.Second)), maxRetryAfter)
 }
 
-func refusal(w CallRequest, wait time.Duration) Decision {
+func refusal(r CallRequest, wait time.Duration) Decision {
 	return Decision{
-		ID:         w.ID,
+		ID:         r.ID,
 		Refused:    true,
 		RetryAfter: max(wait, minRetryAfter),
 	}
@@ -330,7 +331,7 @@
 	for id, c := range q.calls {
 		if now.After(c.expiresAt) {
 			delete(q.calls, id)
-			q.balance.Release(c.server)
+			q.balancer.Release(c.server)
 		}
 	}
 }
--- a/internal/decide/hingequeue/queue_test.go
+++ b/internal/decide/hingequeue/queue_test.go
@@ -174,22 +174,22 @@
 
 func parseRequest(now time.Time, id CallID, words []string) CallRequest {
 	o := options(words)
-	w := CallRequest{
+	r := CallRequest{
 		ID:           id,
 		Zone:         hingeids.Zone(o["from"]),
 		SoftDeadline: now.Add(milliseconds(o["due"])),
 		Deadline:     now.Add(milliseconds(o["left"])),
 	}
 	if p := o["patience"]; p != "" {
-		w.MaxWait = milliseconds(p)
+		r.MaxWait = milliseconds(p)
 	}
 	if p := o["priority"]; p != "" {
-		w.Priority, _ = strconv.Atoi(p)
+		r.Priority, _ = strconv.Atoi(p)
 	}
 	if a := o["avoid"]; a != "" {
 		for _, id := range strings.Split(a, ",") {
-			w.Avoid = append(w.Avoid, hingeids.ServerID(id))
+			r.Avoid = append(r.Avoid, hingeids.ServerID(id))
 		}
 	}
-	return w
+	return r
 }
--- a/internal/decide/hingequeue/sim_test.go
+++ b/internal/decide/hingequeue/sim_test.go
@@ -115,7 +115,7 @@
 // later.
 type chooser interface {
 	choose(now time.Time, s *sim, r *request)
-	completed(now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration)
+	completed(now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, elapsed time.Duration)
 }
 
 func simulate(l load, c chooser) counts {
@@ -244,8 +244,8 @@
 	return time.Duration(x * b.slow * float64(work) / 1.04)
 }
 
-func (s *sim) complete(now time.Time, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration) {
-	s.chooser.completed(now, s, r, id, o, took)
+func (s *sim) complete(now time.Time, r *request, id hingeids.ServerID, o hingebalance.Outcome, elapsed time.Duration) {
+	s.chooser.completed(now, s, r, id, o, elapsed)
 	switch {
 	case o == hingebalance.Full && r.attempts < 2:
 		s.chooser.choose(now, s, r)
@@ -286,9 +286,9 @@
 }
 
 func (c *localChooser) completed(
-	now time.Time, _ *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration,
+	now time.Time, _ *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, elapsed time.Duration,
 ) {
-	c.hosts[r.host].Done(now, id, "", o, took)
+	c.hosts[r.host].Done(now, id, "", o, elapsed)
 }
 
 // reportChooser has each host choose by the last periodic report of all requests in flight, and by
@@ -398,16 +398,16 @@
 }
 
 func (q *queueChooser) completed(
-	now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, took time.Duration,
+	now time.Time, s *sim, r *request, id hingeids.ServerID, o hingebalance.Outcome, elapsed time.Duration,
 ) {
-	e := Completion{
+	completion := Completion{
 		ID:      CallID(fmt.Sprint(r.number, "/", r.attempts-1)),
 		Server:  id,
 		Outcome: o,
-		Elapsed: took,
+		Elapsed: elapsed,
 	}
 	s.schedule(now, q.delay, func(now time.Time) {
-		q.queue.RecordCompletion(now, e)
+		q.queue.RecordCompletion(now, completion)
 		q.step(now, s)
 	})
 }
--- a/internal/decide/hingequota/account.go
+++ b/internal/decide/hingequota/account.go
@@ -12,7 +12,7 @@
 // usage is the counted usage of one request.
 type usage struct {
 	id ChargeID
-	// at is in nanoseconds since Book.Begin.
+	// at is in nanoseconds since Limiter.Start.
 	at   int64
 	cost hingeids.QuotaUnits
 	// cumulative is the sum of this entry and all earlier ones, including those that have left the window.
@@ -56,7 +56,7 @@
 	return a.requested.value(now) * lookahead.Seconds() / decayTime.Seconds()
 }
 
-// usedBefore returns the usage in the window from before at.
+// usedBefore returns the usage in the window from before the given time.
 func (a *account) usedBefore(at int64) hingeids.QuotaUnits {
 	rest := a.usages[a.first:]
 	i := sort.Search(len(rest), func(i int) bool {
--- a/internal/decide/hingequota/decay.go
+++ b/internal/decide/hingequota/decay.go
@@ -14,11 +14,11 @@
 	at  time.Time
 }
 
-func (f *decayingSum) add(now time.Time, n float64) {
-	f.sum = f.value(now) + n
-	f.at = now
+func (d *decayingSum) add(now time.Time, n float64) {
+	d.sum = d.value(now) + n
+	d.at = now
 }
 
-func (f *decayingSum) value(now time.Time) float64 {
-	return f.sum * math.Exp(-now.Sub(f.at).Seconds()/decayTime.Seconds())
+func (d *decayingSum) value(now time.Time) float64 {
+	return d.sum * math.Exp(-now.Sub(d.at).Seconds()/decayTime.Seconds())
 }
--- a/internal/decide/hingequota/ledger.go
+++ b/internal/decide/hingequota/ledger.go
@@ -30,9 +30,9 @@
 }
 
 // NewLedger returns the ledger of a process that starts now.
-func NewLedger(now time.Time, t Params) *Ledger {
+func NewLedger(now time.Time, p Params) *Ledger {
 	return &Ledger{
-		window:    t.Window,
+		window:    p.Window,
 		since:     now,
 		nearLimit: make(map[hingeids.CallerID]limitReport),
 	}
@@ -76,10 +76,10 @@
 func (l *Ledger) Usages(now time.Time) ([]Usage, time.Duration) {
 	l.expire(now)
 	out := make([]Usage, 0, len(l.entries))
-	for _, u := range l.entries {
+	for _, e := range l.entries {
 		out = append(out, Usage{
-			Charge: u.charge,
-			Age:    now.Sub(u.at),
+			Charge: e.charge,
+			Age:    now.Sub(e.at),
 		})
 	}
 	return out, now.Sub(l.since)
@@ -88,9 +88,9 @@
 // used returns a customer's usage since a time.
 func (l *Ledger) used(c hingeids.CallerID, since time.Time) hingeids.QuotaUnits {
 	var sum hingeids.QuotaUnits
-	for _, u := range l.entries {
-		if u.charge.Customer == c && !u.at.Before(since) {
-			sum += u.charge.Cost
+	for _, e := range l.entries {
+		if e.charge.Customer == c && !e.at.Before(since) {
+			sum += e.charge.Cost
 		}
 	}
 	return sum
@@ -101,14 +101,14 @@
 	if all {
 		l.completeAt = now
 	}
-	for _, t := range list {
-		l.nearLimit[t.Customer] = limitReport{
-			share: t.Share,
+	for _, n := range list {
+		l.nearLimit[n.Customer] = limitReport{
+			share: n.Share,
 			at:    now,
 		}
 	}
-	for c, t := range l.nearLimit {
-		if now.Sub(t.at) > l.window {
+	for c, n := range l.nearLimit {
+		if now.Sub(n.at) > l.window {
 			delete(l.nearLimit, c)
 		}
 	}
@@ -124,14 +124,14 @@
 	if now.Sub(l.completeAt) > nearLimitTTL {
 		return 0
 	}
-	if t, known := l.nearLimit[c]; known && now.Sub(t.at) <= l.window {
-		return t.share
+	if r, known := l.nearLimit[c]; known && now.Sub(r.at) <= l.window {
+		return r.share
 	}
 	return 1
 }
 
 // MayBeNearLimit reports whether a customer may be near its limit, by the last list from the placer.
 func (l *Ledger) MayBeNearLimit(now time.Time, c hingeids.CallerID) bool {
-	t, known := l.nearLimit[c]
-	return now.Sub(l.completeAt) > nearLimitTTL || known && now.Sub(t.at) <= l.window
+	r, known := l.nearLimit[c]
+	return now.Sub(l.completeAt) > nearLimitTTL || known && now.Sub(r.at) <= l.window
 }
--- a/internal/decide/hingequota/limiter.go
+++ b/internal/decide/hingequota/limiter.go
@@ -44,9 +44,10 @@
 
 // Limiter counts usage and decides on requests for all hosts that query it. It is not safe for concurrent use.
 type Limiter struct {
-	terms Params
-	hosts hosts
-	// startedAt is the time of Begin. leads says that the leader owns the limiter, which may then admit up to the whole of each quota.
+	params Params
+	hosts  hosts
+	// startedAt is the time of the last call of Start. leads says that the leader owns the limiter, which may then admit up to the whole of
+	// each quota.
 	startedAt time.Time
 	leads     bool
 	accounts  map[hingeids.CallerID]*account
@@ -63,237 +64,237 @@
 	nearLimit map[hingeids.CallerID]time.Time
 }
 
-// NewLimiter returns a limiter that isn't counting yet; see Begin.
-func NewLimiter(t Params) *Limiter {
+// NewLimiter returns a limiter that isn't counting yet; see Start.
+func NewLimiter(p Params) *Limiter {
 	return &Limiter{
-		terms: t,
+		params: p,
 	}
 }
 
 // Start discards all usage and starts counting, as the leader or as a substitute that receives no leader's messages.
-func (b *Limiter) Start(now time.Time, leads bool) {
-	b.startedAt = now
-	b.leads = leads
-	b.accounts = make(map[hingeids.CallerID]*account)
-	b.reporters = make(map[hingeids.HostID]*reporter)
-	b.nearLimit = make(map[hingeids.CallerID]time.Time)
-	b.reported = 0
-	b.history = 0
-	b.partitioned = 0
+func (l *Limiter) Start(now time.Time, leads bool) {
+	l.startedAt = now
+	l.leads = leads
+	l.accounts = make(map[hingeids.CallerID]*account)
+	l.reporters = make(map[hingeids.HostID]*reporter)
+	l.nearLimit = make(map[hingeids.CallerID]time.Time)
+	l.reported = 0
+	l.history = 0
+	l.partitioned = 0
 }
 
 // Stop stops counting and discards all usage.
-func (b *Limiter) Stop() {
-	b.accounts, b.reporters, b.nearLimit = nil, nil, nil
+func (l *Limiter) Stop() {
+	l.accounts, l.reporters, l.nearLimit = nil, nil, nil
 }
 
 // Started reports whether the limiter is counting, as the leader or as a substitute.
-func (b *Limiter) Started(leads bool) bool {
-	return b.accounts != nil && b.leads == leads
+func (l *Limiter) Started(leads bool) bool {
+	return l.accounts != nil && l.leads == leads
 }
 
-// Observe records a message from a host and reports whether the host has to report all its usage (Tell).
-func (b *Limiter) Observe(now time.Time, h hingeids.HostID) (needsReport bool) {
-	o := b.reporters[h]
-	if o == nil {
-		o = &reporter{
+// Observe records a message from a host and reports whether the host has to report all its usage (HandleReport).
+func (l *Limiter) Observe(now time.Time, h hingeids.HostID) (needsReport bool) {
+	r := l.reporters[h]
+	if r == nil {
+		r = &reporter{
 			lastSeen: now,
 		}
-		b.reporters[h] = o
+		l.reporters[h] = r
 		return true
 	}
-	// A host without usage in the window reports by itself what it has admitted alone since.
-	if now.Sub(o.lastSeen) > silentAfter && o.lastSeen.Sub(o.lastUsage) <= b.terms.Window {
-		o.complete = false
+	// A host without usage in the window reports by itself what it has admitted without a placer since.
+	if now.Sub(r.lastSeen) > silentAfter && r.lastSeen.Sub(r.lastUsage) <= l.params.Window {
+		r.complete = false
 	}
-	o.lastSeen = now
-	return !o.complete
+	r.lastSeen = now
+	return !r.complete
 }
 
 // HandleReport accepts a host's report of all its usage within the window, oldest first. history is how far back the report goes.
-func (b *Limiter) HandleReport(now time.Time, h hingeids.HostID, usages []Usage, history time.Duration) {
-	b.Observe(now, h)
+func (l *Limiter) HandleReport(now time.Time, h hingeids.HostID, usages []Usage, history time.Duration) {
+	l.Observe(now, h)
 	byCustomer := make(map[hingeids.CallerID][]usage)
 	for _, u := range usages {
-		if u.Charge.Free() || u.Age > b.terms.Window {
+		if u.Charge.Free() || u.Age > l.params.Window {
 			continue
 		}
 		byCustomer[u.Charge.Customer] = append(byCustomer[u.Charge.Customer], usage{
 			id:       u.Charge.ID,
-			at:       b.since(now) - int64(u.Age),
+			at:       l.since(now) - int64(u.Age),
 			cost:     u.Charge.Cost,
 			reporter: h,
 		})
 	}
 	if len(usages) > 0 {
-		b.reporters[h].lastUsage = now.Add(-usages[len(usages)-1].Age)
+		l.reporters[h].lastUsage = now.Add(-usages[len(usages)-1].Age)
 	}
 	for c, list := range byCustomer {
-		a := b.account(c)
+		a := l.account(c)
 		sum := a.merge(list)
-		if !b.leads {
+		if !l.leads {
 			a.baseline += sum
 		}
 	}
-	o := b.reporters[h]
-	if !o.complete {
-		o.complete = true
-		b.clearSilent(h)
-		b.countPartitioned(now)
+	r := l.reporters[h]
+	if !r.complete {
+		r.complete = true
+		l.clearSilent(h)
+		l.countPartitioned(now)
 	}
-	if !o.everReported {
-		o.everReported = true
-		b.history += min(history, b.terms.Window)
-		b.reported++
+	if !r.everReported {
+		r.everReported = true
+		l.history += min(history, l.params.Window)
+		l.reported++
 	}
 }
 
 // clearSilent removes the usage retained for a host while it was silent.
-func (b *Limiter) clearSilent(h hingeids.HostID) {
-	for _, a := range b.accounts {
+func (l *Limiter) clearSilent(h hingeids.HostID) {
+	for _, a := range l.accounts {
 		a.clearSilent(h)
 	}
 }
 
 // since converts a time to that of usage.at.
-func (b *Limiter) since(now time.Time) int64 {
-	return int64(now.Sub(b.startedAt))
+func (l *Limiter) since(now time.Time) int64 {
+	return int64(now.Sub(l.startedAt))
 }
 
-func (b *Limiter) account(c hingeids.CallerID) *account {
-	a := b.accounts[c]
+func (l *Limiter) account(c hingeids.CallerID) *account {
+	a := l.accounts[c]
 	if a == nil {
 		a = &account{}
-		b.accounts[c] = a
+		l.accounts[c] = a
 	}
 	return a
 }
 
 // Admit decides on a request; hosts is the number of hosts known now, and maxWait how long the caller waits at most. The cost of an
 // admitted request is pending until Settle.
-func (b *Limiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, maxWait time.Duration) Decision {
+func (l *Limiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, maxWait time.Duration) Decision {
 	if c.Free() || !q.Limited() {
 		return Decision{
 			Admitted: true,
 		}
 	}
-	a := b.account(c.Customer)
-	b.expire(now, a)
-	quota := b.terms.quota(q)
-	hosts = b.hosts.count(now, hosts)
+	a := l.account(c.Customer)
+	l.expire(now, a)
+	quota := l.params.quota(q)
+	hosts = l.hosts.count(now, hosts)
 	a.scale(quota)
-	limit := b.limit(now, c, a, quota, hosts)
+	limit := l.limit(now, c, a, quota, hosts)
 	a.requested.add(now, float64(c.Cost))
 	if a.used()+c.Cost <= limit {
 		a.pending += c.Cost
 		a.admitted.add(now, float64(c.Cost))
-		b.recordNearLimit(now, c.Customer, a, quota)
+		l.recordNearLimit(now, c.Customer, a, quota)
 		return Decision{
 			Admitted: true,
 		}
 	}
 	if a.used()+c.Cost <= quota {
 		return Decision{
-			RetryAfter: b.knownAfter(now, c, a, quota, a.used()+c.Cost-limit, hosts),
+			RetryAfter: l.knownAfter(now, c, a, quota, a.used()+c.Cost-limit, hosts),
 		}
 	}
-	b.nearLimit[c.Customer] = now
+	l.nearLimit[c.Customer] = now
 	return Decision{
 		Over:       true,
-		RetryAfter: b.retryAfter(now, a, c.Cost, limit, maxWait),
+		RetryAfter: l.retryAfter(now, a, c.Cost, limit, maxWait),
 	}
 }
 
 // limit returns the usage up to which the charge is admitted.
-func (b *Limiter) limit(now time.Time, c Charge, a *account, quota hingeids.QuotaUnits, hosts int) hingeids.QuotaUnits {
-	if now.Sub(b.startedAt) < graceTime && !c.NearLimit {
+func (l *Limiter) limit(now time.Time, c Charge, a *account, quota hingeids.QuotaUnits, hosts int) hingeids.QuotaUnits {
+	if now.Sub(l.startedAt) < graceTime && !c.NearLimit {
 		return quota
 	}
-	margin := float64(b.terms.margin(quota))
-	if !b.leads {
-		share := min(float64(len(b.reporters))/float64(max(hosts, 1)), 1)
+	margin := float64(l.params.margin(quota))
+	if !l.leads {
+		share := min(float64(len(l.reporters))/float64(max(hosts, 1)), 1)
 		budget := max(a.baseline, hingeids.QuotaUnits(share*float64(quota)))
-		if now.Sub(b.startedAt) > partitionTime {
+		if now.Sub(l.startedAt) > partitionTime {
 			budget = 0
 		}
 		return min(budget+hingeids.QuotaUnits(share*partitionMarginShare*margin), quota)
 	}
-	missing, forgotten := b.unknown(now, hosts)
-	if missing+forgotten < maxUnknown && b.partitioned == 0 && b.stable(now) {
+	missing, forgotten := l.unknown(now, hosts)
+	if missing+forgotten < maxUnknown && l.partitioned == 0 && l.stable(now) {
 		return quota + hingeids.QuotaUnits(leaderMarginShare*margin)
 	}
 	unknown := max((missing+forgotten)*float64(quota)-unknownMarginShare*margin, 0)
-	silent := max(b.partitionedShare(hosts)*float64(quota)-float64(a.silentSum), 0)
+	silent := max(l.partitionedShare(hosts)*float64(quota)-float64(a.silentSum), 0)
 	return quota - hingeids.QuotaUnits(unknown+silent)
 }
 
 // stable reports whether a whole window has passed since the last change of placer and the last partition.
-func (b *Limiter) stable(now time.Time) bool {
-	return now.Sub(hingeclock.Later(b.startedAt, b.partitionedAt)) > b.terms.Window
+func (l *Limiter) stable(now time.Time) bool {
+	return now.Sub(hingeclock.Later(l.startedAt, l.partitionedAt)) > l.params.Window
 }
 
 // partitionedShare returns the share of all hosts that are probably partitioned (rule 4).
-func (b *Limiter) partitionedShare(hosts int) float64 {
-	return float64(b.partitioned) / float64(max(hosts, len(b.reporters), 1))
+func (l *Limiter) partitionedShare(hosts int) float64 {
+	return float64(l.partitioned) / float64(max(hosts, len(l.reporters), 1))
 }
 
 // countPartitioned counts the hosts that are probably partitioned. It takes time linear in the hosts and runs a few times a second.
-func (b *Limiter) countPartitioned(now time.Time) {
-	b.partitioned = 0
-	for _, o := range b.reporters {
-		if o.partitioned(now, b.terms.Window) {
-			b.partitioned++
+func (l *Limiter) countPartitioned(now time.Time) {
+	l.partitioned = 0
+	for _, r := range l.reporters {
+		if r.partitioned(now, l.params.Window) {
+			l.partitioned++
 		}
 	}
-	if b.partitioned > 0 {
-		b.partitionedAt = now
+	if l.partitioned > 0 {
+		l.partitionedAt = now
 	}
 }
 
 // unknown returns the shares of the window's usage that aren't reported (rule 3): missing is that of hosts without a report, which may still
 // grow; forgotten is that of hosts which started within the window, and expires.
-func (b *Limiter) unknown(now time.Time, hosts int) (missing, forgotten float64) {
-	all := float64(max(hosts, b.reported, 1))
-	missing = 1 - float64(b.reported)/all
-	return missing, b.forgottenShare(hosts) * (1 - b.forgottenExpired(now))
+func (l *Limiter) unknown(now time.Time, hosts int) (missing, forgotten float64) {
+	all := float64(max(hosts, l.reported, 1))
+	missing = 1 - float64(l.reported)/all
+	return missing, l.forgottenShare(hosts) * (1 - l.forgottenExpired(now))
 }
 
 // forgottenShare returns the share of a window's usage that hosts had no record of when they reported.
-func (b *Limiter) forgottenShare(hosts int) float64 {
-	all := float64(max(hosts, b.reported, 1))
-	return (float64(b.reported) - b.history.Seconds()/b.terms.Window.Seconds()) / all
+func (l *Limiter) forgottenShare(hosts int) float64 {
+	all := float64(max(hosts, l.reported, 1))
+	return (float64(l.reported) - l.history.Seconds()/l.params.Window.Seconds()) / all
 }
 
 // forgottenExpired returns the share of the forgotten usage that has left the window.
-func (b *Limiter) forgottenExpired(now time.Time) float64 {
-	elapsed := now.Sub(b.startedAt).Seconds() / b.terms.Window.Seconds()
+func (l *Limiter) forgottenExpired(now time.Time) float64 {
+	elapsed := now.Sub(l.startedAt).Seconds() / l.params.Window.Seconds()
 	return max(min(elapsed, 1)-forgottenHold, 0) / (1 - forgottenHold)
 }
 
 // forgottenExpiredAt returns the time at which a share of the forgotten usage has left the window.
-func (b *Limiter) forgottenExpiredAt(share float64) time.Time {
+func (l *Limiter) forgottenExpiredAt(share float64) time.Time {
 	elapsed := forgottenHold + (1-forgottenHold)*min(share, 1)
-	return b.startedAt.Add(time.Duration(elapsed * float64(b.terms.Window)))
+	return l.startedAt.Add(time.Duration(elapsed * float64(l.params.Window)))
 }
 
 // knownAfter returns the retry delay of a request that is refused only because of unknown usage. Forgotten usage is assumed to leave the
 // window at a constant rate, and callers refused earlier fit first.
-func (b *Limiter) knownAfter(now time.Time, c Charge, a *account, quota, shortfall hingeids.QuotaUnits, hosts int) time.Duration {
-	all := b.forgottenShare(hosts) * float64(quota)
-	if !b.leads || all <= 0 || b.forgottenExpired(now) >= 1 {
+func (l *Limiter) knownAfter(now time.Time, c Charge, a *account, quota, shortfall hingeids.QuotaUnits, hosts int) time.Duration {
+	all := l.forgottenShare(hosts) * float64(quota)
+	if !l.leads || all <= 0 || l.forgottenExpired(now) >= 1 {
 		return unknownRetryAfter
 	}
-	a.reservedForgotten = max(b.forgottenExpired(now)+float64(shortfall)/all, a.reservedForgotten+float64(c.Cost)/all)
-	return max(b.forgottenExpiredAt(a.reservedForgotten).Sub(now), minRetryAfter)
+	a.reservedForgotten = max(l.forgottenExpired(now)+float64(shortfall)/all, a.reservedForgotten+float64(c.Cost)/all)
+	return max(l.forgottenExpiredAt(a.reservedForgotten).Sub(now), minRetryAfter)
 }
 
 // retryAfter returns the delay until the request fits (rule 7). It reserves nothing for a caller that can't wait that long.
-func (b *Limiter) retryAfter(now time.Time, a *account, cost, limit hingeids.QuotaUnits, maxWait time.Duration) time.Duration {
+func (l *Limiter) retryAfter(now time.Time, a *account, cost, limit hingeids.QuotaUnits, maxWait time.Duration) time.Duration {
 	at, target, found := a.freeAt(a.used()+cost-limit, cost)
 	if !found {
-		return b.terms.Window
+		return l.params.Window
 	}
-	after := time.Duration(at-b.since(now)) + b.terms.Window
+	after := time.Duration(at-l.since(now)) + l.params.Window
 	if after < maxWait {
 		a.reserved = target
 	}
@@ -301,23 +302,23 @@
 }
 
 // Settle ends the pending state of an admitted request: it is counted if it was placed on a server, and dropped otherwise.
-func (b *Limiter) Settle(now time.Time, h hingeids.HostID, c Charge, placed bool) {
-	if c.Free() || b.accounts == nil {
+func (l *Limiter) Settle(now time.Time, h hingeids.HostID, c Charge, placed bool) {
+	if c.Free() || l.accounts == nil {
 		return
 	}
-	a := b.accounts[c.Customer]
+	a := l.accounts[c.Customer]
 	if a == nil || a.pending < c.Cost {
-		// It was admitted under an unlimited quota or before the last Begin.
+		// It was admitted under an unlimited quota or before the last call of Start.
 		return
 	}
 	a.pending -= c.Cost
-	if o := b.reporters[h]; o != nil && placed {
-		o.lastUsage = now
+	if r := l.reporters[h]; r != nil && placed {
+		r.lastUsage = now
 	}
 	if placed {
 		a.add(usage{
 			id:       c.ID,
-			at:       b.since(now),
+			at:       l.since(now),
 			cost:     c.Cost,
 			reporter: h,
 		})
@@ -325,78 +326,78 @@
 }
 
 // Return cancels the charge of a request that was placed on a server but did not run.
-func (b *Limiter) Return(c Charge) {
-	if a := b.accounts[c.Customer]; a != nil {
+func (l *Limiter) Return(c Charge) {
+	if a := l.accounts[c.Customer]; a != nil {
 		a.remove(c.ID)
 	}
 }
 
 // expire removes usage that has left the window.
-func (b *Limiter) expire(now time.Time, a *account) {
-	a.expire(b.since(now)-int64(b.terms.Window), func(h hingeids.HostID) bool {
-		o := b.reporters[h]
-		return o != nil && o.silent(now)
+func (l *Limiter) expire(now time.Time, a *account) {
+	a.expire(l.since(now)-int64(l.params.Window), func(h hingeids.HostID) bool {
+		r := l.reporters[h]
+		return r != nil && r.silent(now)
 	})
 }
 
-func (b *Limiter) recordNearLimit(now time.Time, c hingeids.CallerID, a *account, quota hingeids.QuotaUnits) {
+func (l *Limiter) recordNearLimit(now time.Time, c hingeids.CallerID, a *account, quota hingeids.QuotaUnits) {
 	used := float64(a.used())
 	// After a change of placer or a power loss callers retry all at once, so that the recent rate is no estimate.
-	settled := now.Sub(b.startedAt) > b.terms.Window
+	settled := now.Sub(l.startedAt) > l.params.Window
 	if used > nearLimitShare*float64(quota) || settled && used+a.expectedSoon(now) > float64(quota) {
-		b.nearLimit[c] = now
+		l.nearLimit[c] = now
 	}
 }
 
-// NearLimit returns the customers near their limits, sorted, and whether enough hosts have reported for the list to be complete. During graceTime
-// it returns none: what is admitted then depends on the shares that hosts received earlier, and shares computed from it would add sampling
-// errors.
-func (b *Limiter) NearLimit(now time.Time, hosts int) (list []NearLimit, all bool) {
-	if now.Sub(b.startedAt) < graceTime {
+// NearLimit returns the customers near their limits, sorted, and whether enough hosts have reported for the list to be complete. During
+// graceTime it returns none: what is admitted then depends on the shares that hosts received earlier, and shares computed from it would
+// add sampling errors.
+func (l *Limiter) NearLimit(now time.Time, hosts int) (list []NearLimit, all bool) {
+	if now.Sub(l.startedAt) < graceTime {
 		return nil, false
 	}
-	out := make([]NearLimit, 0, len(b.nearLimit))
-	for c := range b.nearLimit {
-		t := NearLimit{
+	out := make([]NearLimit, 0, len(l.nearLimit))
+	for c := range l.nearLimit {
+		n := NearLimit{
 			Customer: c,
 			Share:    1,
 		}
-		if a := b.accounts[c]; a != nil && a.requested.value(now) > 0 {
-			t.Share = min(a.admitted.value(now)/a.requested.value(now), b.fitsSoon(now, a)/a.expectedSoon(now))
+		if a := l.accounts[c]; a != nil && a.requested.value(now) > 0 {
+			n.Share = min(a.admitted.value(now)/a.requested.value(now), l.fitsSoon(now, a)/a.expectedSoon(now))
 		}
-		out = append(out, t)
+		out = append(out, n)
 	}
 	slices.SortFunc(out, func(x, y NearLimit) int {
 		return cmp.Compare(x.Customer, y.Customer)
 	})
-	missing, forgotten := b.unknown(now, b.hosts.count(now, hosts))
+	missing, forgotten := l.unknown(now, l.hosts.count(now, hosts))
 	return out, missing+forgotten < maxUnknownComplete
 }
 
 // fitsSoon returns the units of a customer's requests that will fit within the lookahead.
-func (b *Limiter) fitsSoon(now time.Time, a *account) float64 {
-	expiring := a.usedBefore(b.since(now) - int64(b.terms.Window) + int64(lookahead))
+func (l *Limiter) fitsSoon(now time.Time, a *account) float64 {
+	expiring := a.usedBefore(l.since(now) - int64(l.params.Window) + int64(lookahead))
 	return max(float64(a.quota-a.used()+expiring), 0)
 }
 
 // RemoveExpired removes expired state. The placer calls it a few times a second.
-func (b *Limiter) RemoveExpired(now time.Time) {
-	for h, o := range b.reporters {
-		if now.Sub(o.lastSeen) > forgetAfter {
-			delete(b.reporters, h)
-			b.clearSilent(h)
+func (l *Limiter) RemoveExpired(now time.Time) {
+	for h, r := range l.reporters {
+		if now.Sub(r.lastSeen) > forgetAfter {
+			delete(l.reporters, h)
+			l.clearSilent(h)
 		}
 	}
-	b.countPartitioned(now)
-	for c, at := range b.nearLimit {
-		if now.Sub(at) > b.terms.Window {
-			delete(b.nearLimit, c)
+	l.countPartitioned(now)
+	for c, at := range l.nearLimit {
+		if now.Sub(at) > l.params.Window {
+			delete(l.nearLimit, c)
 		}
 	}
-	for c, a := range b.accounts {
-		b.expire(now, a)
+	for c, a := range l.accounts {
+		l.expire(now, a)
 		if a.used() == 0 && a.baseline == 0 {
-			delete(b.accounts, c)
+			delete(l.accounts, c)
 		}
 	}
 }
--- a/internal/decide/hingequota/limiter_test.go
+++ b/internal/decide/hingequota/limiter_test.go
@@ -19,17 +19,17 @@
 	Burst: 10,
 }
 
-// noMarginTerms have no margin.
-var noMarginTerms = Params{
+// noMarginParams have no margin.
+var noMarginParams = Params{
 	Window: 8 * time.Second,
 }
 
 // leaderLimiter returns a leader's limiter that has been counting for an hour.
 func leaderLimiter() *Limiter {
-	b := NewLimiter(noMarginTerms)
-	b.Start(start.Add(-time.Hour), true)
-	b.HandleReport(start, "host-1", nil, time.Hour)
-	return b
+	l := NewLimiter(noMarginParams)
+	l.Start(start.Add(-time.Hour), true)
+	l.HandleReport(start, "host-1", nil, time.Hour)
+	return l
 }
 
 func charge(id int, cost hingeids.QuotaUnits) Charge {
@@ -41,23 +41,23 @@
 }
 
 // use submits a request of host-1 and places it if it is admitted.
-func (b *Limiter) use(now time.Time, c Charge, q hingecustomers.Quota) Decision {
-	if b.Observe(now, "host-1") {
-		b.HandleReport(now, "host-1", nil, time.Hour)
+func (l *Limiter) use(now time.Time, c Charge, q hingecustomers.Quota) Decision {
+	if l.Observe(now, "host-1") {
+		l.HandleReport(now, "host-1", nil, time.Hour)
 	}
-	v := b.Admit(now, c, q, 1, time.Minute)
-	if v.Admitted {
-		b.Settle(now, "host-1", c, true)
+	d := l.Admit(now, c, q, 1, time.Minute)
+	if d.Admitted {
+		l.Settle(now, "host-1", c, true)
 	}
-	return v
+	return d
 }
 
 // An idle customer may use its whole window at once. A token bucket would limit it to its burst and rate.
-func TestQuietCustomerMayUseItsWindowAtOnce(t *testing.T) {
-	b := leaderLimiter()
+func TestIdleCustomerMayUseItsWindowAtOnce(t *testing.T) {
+	l := leaderLimiter()
 	admitted := 0
 	for i := range 100 {
-		if b.use(start, charge(i, 1), tenASecond).Admitted {
+		if l.use(start, charge(i, 1), tenASecond).Admitted {
 			admitted++
 		}
 	}
@@ -69,69 +69,69 @@
 // A caller that retries after its RetryAfter must be admitted, and of several refused callers each must get a later time than the one
 // before.
 func TestRetryAfterIsKept(t *testing.T) {
-	b := leaderLimiter()
+	l := leaderLimiter()
 	for i := range 9 {
-		b.use(start.Add(time.Duration(i)*time.Second/2), charge(i, 10), tenASecond)
+		l.use(start.Add(time.Duration(i)*time.Second/2), charge(i, 10), tenASecond)
 	}
 	now := start.Add(5 * time.Second)
 	var delays []time.Duration
 	for i := range 3 {
-		v := b.use(now, charge(10+i, 10), tenASecond)
-		if v.Admitted || !v.Over {
-			t.Fatalf("request %d: %+v", i, v)
+		d := l.use(now, charge(10+i, 10), tenASecond)
+		if d.Admitted || !d.Over {
+			t.Fatalf("request %d: %+v", i, d)
 		}
-		delays = append(delays, v.RetryAfter)
+		delays = append(delays, d.RetryAfter)
 	}
 	want := []time.Duration{3 * time.Second, 3500 * time.Millisecond, 4 * time.Second}
 	if diff := cmp.Diff(want, delays); diff != "" {
 		t.Fatal(diff)
 	}
 	for i, after := range delays {
-		if v := b.use(now.Add(after+time.Millisecond), charge(20+i, 10), tenASecond); !v.Admitted {
-			t.Errorf("request %d, retried after %v: %+v", i, after, v)
+		if d := l.use(now.Add(after+time.Millisecond), charge(20+i, 10), tenASecond); !d.Admitted {
+			t.Errorf("request %d, retried after %v: %+v", i, after, d)
 		}
 	}
 }
 
 // A caller that can't wait for its RetryAfter won't retry. Capacity reserved for it would only delay later callers.
 func TestNoCapacityIsReservedForCallersThatCannotWait(t *testing.T) {
-	b := leaderLimiter()
-	b.use(start, charge(1, 90), tenASecond)
+	l := leaderLimiter()
+	l.use(start, charge(1, 90), tenASecond)
 	now := start.Add(time.Second)
-	b.HandleReport(now, "host-1", nil, time.Hour)
+	l.HandleReport(now, "host-1", nil, time.Hour)
 	for i := range 5 {
-		if v := b.Admit(now, charge(2+i, 10), tenASecond, 1, time.Second); v.RetryAfter != 7*time.Second {
-			t.Fatalf("request %d: RetryAfter %v, want 7s", i, v.RetryAfter)
+		if d := l.Admit(now, charge(2+i, 10), tenASecond, 1, time.Second); d.RetryAfter != 7*time.Second {
+			t.Fatalf("request %d: RetryAfter %v, want 7s", i, d.RetryAfter)
 		}
 	}
 }
 
 // Requests whose engine fails before they run, and requests refused for lack of a server, must not count against the quota.
 func TestRequestsThatDidNotRunDoNotCount(t *testing.T) {
-	b := leaderLimiter()
-	b.use(start, charge(1, 60), tenASecond)
-	b.use(start, charge(2, 30), tenASecond)
-	if b.use(start, charge(3, 20), tenASecond).Admitted {
+	l := leaderLimiter()
+	l.use(start, charge(1, 60), tenASecond)
+	l.use(start, charge(2, 30), tenASecond)
+	if l.use(start, charge(3, 20), tenASecond).Admitted {
 		t.Fatal("a request beyond the quota was admitted")
 	}
-	b.Return(charge(2, 30))
-	if !b.Admit(start, charge(4, 20), tenASecond, 1, time.Minute).Admitted {
+	l.Return(charge(2, 30))
+	if !l.Admit(start, charge(4, 20), tenASecond, 1, time.Minute).Admitted {
 		t.Fatal("a returned charge still counts")
 	}
-	if b.Admit(start, charge(5, 20), tenASecond, 1, time.Minute).Admitted {
+	if l.Admit(start, charge(5, 20), tenASecond, 1, time.Minute).Admitted {
 		t.Fatal("a pending charge doesn't count")
 	}
-	b.Settle(start, "host-1", charge(4, 20), false)
-	if !b.use(start, charge(6, 20), tenASecond).Admitted {
+	l.Settle(start, "host-1", charge(4, 20), false)
+	if !l.use(start, charge(6, 20), tenASecond).Admitted {
 		t.Fatal("the charge of a request that wasn't placed still counts")
 	}
 }
 
 // A lowered quota must apply at once, and usage within the previous quota must not block the customer for a whole window.
 func TestLoweredQuotaAppliesAtOnceWithoutBlocking(t *testing.T) {
-	b := leaderLimiter()
+	l := leaderLimiter()
 	for i := range 16 {
-		b.use(start.Add(time.Duration(i)*time.Second/2), charge(i, 4), tenASecond)
+		l.use(start.Add(time.Duration(i)*time.Second/2), charge(i, 4), tenASecond)
 	}
 	lower := hingecustomers.Quota{
 		Rate:  3,
@@ -140,19 +140,19 @@
 	admitted := hingeids.QuotaUnits(0)
 	now := start.Add(8 * time.Second)
 	for i := range 80 {
-		if b.use(now.Add(time.Duration(i)*100*time.Millisecond), charge(100+i, 1), lower).Admitted {
+		if l.use(now.Add(time.Duration(i)*100*time.Millisecond), charge(100+i, 1), lower).Admitted {
 			admitted++
 		}
 	}
-	if quota := noMarginTerms.quota(lower); admitted > quota || admitted < quota/2 {
+	if quota := noMarginParams.quota(lower); admitted > quota || admitted < quota/2 {
 		t.Fatalf("%d units in the window after a change to %d", admitted, quota)
 	}
 }
 
 // Retried reports, and full reports that include charges counted already, must not count a charge twice.
 func TestUsageReportedTwiceCountsOnce(t *testing.T) {
-	b := leaderLimiter()
-	b.use(start, charge(1, 40), tenASecond)
+	l := leaderLimiter()
+	l.use(start, charge(1, 40), tenASecond)
 	usages := []Usage{
 		{
 			Charge: charge(1, 40),
@@ -165,51 +165,51 @@
 	}
 	now := start.Add(time.Second)
 	for range 3 {
-		b.HandleReport(now, "host-1", usages, time.Hour)
+		l.HandleReport(now, "host-1", usages, time.Hour)
 	}
-	if !b.use(now, charge(3, 10), tenASecond).Admitted || b.use(now, charge(4, 10), tenASecond).Admitted {
+	if !l.use(now, charge(3, 10), tenASecond).Admitted || l.use(now, charge(4, 10), tenASecond).Admitted {
 		t.Fatal("want 10 units free beside two charges of 40")
 	}
 }
 
 // After all hosts have lost their usage records, a caller that retries after its RetryAfter must be admitted.
 func TestRetryAfterIsKeptAfterAPowerLoss(t *testing.T) {
-	b := NewLimiter(noMarginTerms)
-	b.Start(start, true)
-	b.HandleReport(start, "host-1", nil, 0)
+	l := NewLimiter(noMarginParams)
+	l.Start(start, true)
+	l.HandleReport(start, "host-1", nil, 0)
 	var delays []time.Duration
 	for i := range 3 {
 		c := charge(i, 10)
 		c.NearLimit = true
-		v := b.use(start, c, tenASecond)
-		if v.Admitted || v.Over {
-			t.Fatalf("request %d: %+v", i, v)
+		d := l.use(start, c, tenASecond)
+		if d.Admitted || d.Over {
+			t.Fatalf("request %d: %+v", i, d)
 		}
-		delays = append(delays, v.RetryAfter)
+		delays = append(delays, d.RetryAfter)
 	}
 	for i, after := range delays {
 		c := charge(100+i, 10)
 		c.NearLimit = true
-		if v := b.use(start.Add(after+10*time.Millisecond), c, tenASecond); !v.Admitted {
-			t.Errorf("retried after %v: %+v", after, v)
+		if d := l.use(start.Add(after+10*time.Millisecond), c, tenASecond); !d.Admitted {
+			t.Errorf("retried after %v: %+v", after, d)
 		}
 	}
 }
 
 // Idle hosts are silent for seconds at a time. Requesting a full report after each pause would double the leader's load.
 func TestNoReportIsRequestedFromIdleHosts(t *testing.T) {
-	b := leaderLimiter()
+	l := leaderLimiter()
 	requests := 0
 	for i := range 20 {
-		if b.Observe(start.Add(time.Duration(i)*2*time.Second), "host-1") {
+		if l.Observe(start.Add(time.Duration(i)*2*time.Second), "host-1") {
 			requests++
 		}
 	}
 	if requests != 0 {
 		t.Fatalf("%d reports were requested from a host without usage", requests)
 	}
-	b.use(start.Add(40*time.Second), charge(1, 10), tenASecond)
-	if !b.Observe(start.Add(43*time.Second), "host-1") {
+	l.use(start.Add(40*time.Second), charge(1, 10), tenASecond)
+	if !l.Observe(start.Add(43*time.Second), "host-1") {
 		t.Fatal("no report was requested from a host that fell silent with usage in the window")
 	}
 }
@@ -218,9 +218,9 @@
 // also stop using the share withheld for it once the leader has forgotten its hosts.
 func TestBothSidesOfALongPartitionStayWithinTheMargin(t *testing.T) {
 	const all, cut = 60, 20
-	leader, substitute := NewLimiter(modelTerms), NewLimiter(modelTerms)
+	leader, substitute := NewLimiter(modelParams), NewLimiter(modelParams)
 	q := modelQuota(18000)
-	bound := modelTerms.quota(q) + modelTerms.margin(modelTerms.quota(q))
+	bound := modelParams.quota(q) + modelParams.margin(modelParams.quota(q))
 	begin := start.Add(-time.Minute)
 	leader.Start(begin, true)
 	substitute.Start(start, false)
@@ -262,7 +262,7 @@
 			}
 		}
 		var sum hingeids.QuotaUnits
-		for i := len(used) - 1; i >= 0 && at-used[i].at <= modelTerms.Window; i-- {
+		for i := len(used) - 1; i >= 0 && at-used[i].at <= modelParams.Window; i-- {
 			sum += used[i].cost
 		}
 		if sum > bound {
--- a/internal/decide/hingequota/local.go
+++ b/internal/decide/hingequota/local.go
@@ -7,11 +7,11 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// LocalLimiter decides for an entry host that no placer answers. It applies rule 5 to a single host, except that with many hosts an even share of
-// the margin is smaller than one stream. A request that doesn't fit into the remaining share is therefore admitted with a probability
-// of the remaining share over its cost, so that all hosts together admit about what fits. It is not safe for concurrent use.
+// LocalLimiter decides for an entry host that no placer answers. It applies rule 5 to a single host, except that with many hosts an even
+// share of the margin is smaller than one stream. A request that doesn't fit into the remaining share is therefore admitted with a
+// probability of the remaining share over its cost, so that all hosts together admit about what fits. It is not safe for concurrent use.
 type LocalLimiter struct {
-	terms  Params
+	params Params
 	ledger *Ledger
 	hosts  hosts
 	// since is the time of the first request that no placer answered, zero while one answers.
@@ -20,10 +20,10 @@
 	baseline map[hingeids.CallerID]hingeids.QuotaUnits
 }
 
-// NewLocalLimiter returns the decider of the host that owns the ledger, to which admitted requests are added.
-func NewLocalLimiter(t Params, l *Ledger) *LocalLimiter {
+// NewLocalLimiter returns the limiter of the host that owns the ledger, to which admitted requests are added.
+func NewLocalLimiter(p Params, l *Ledger) *LocalLimiter {
 	return &LocalLimiter{
-		terms:  t,
+		params: p,
 		ledger: l,
 	}
 }
@@ -34,8 +34,8 @@
 	l.baseline = nil
 }
 
-// Admit decides on a request and adds an admitted one to the ledger. hosts is the number of hosts known now, sample a random number in [0, 1)
-// for this request.
+// Admit decides on a request and adds an admitted one to the ledger. hosts is the number of hosts known now, sample a random number in
+// [0, 1) for this request.
 func (l *LocalLimiter) Admit(now time.Time, c Charge, q hingecustomers.Quota, hosts int, sample float64) Decision {
 	if c.Free() || !q.Limited() {
 		return Decision{
@@ -62,10 +62,10 @@
 		return sample < l.ledger.share(now, c.Customer)
 	}
 	l.ledger.expire(now)
-	quota := l.terms.quota(q)
+	quota := l.params.quota(q)
 	share := float64(quota) / float64(max(hosts, 1))
-	margin := partitionMarginShare * float64(l.terms.margin(quota)) / float64(max(hosts, 1))
-	used := l.ledger.used(c.Customer, now.Add(-l.terms.Window))
+	margin := partitionMarginShare * float64(l.params.margin(quota)) / float64(max(hosts, 1))
+	used := l.ledger.used(c.Customer, now.Add(-l.params.Window))
 	base := max(float64(l.baselineOf(c.Customer)), share)
 	if now.Sub(l.since) > partitionTime {
 		base = 0
@@ -79,9 +79,9 @@
 func (l *LocalLimiter) baselineOf(c hingeids.CallerID) hingeids.QuotaUnits {
 	b, known := l.baseline[c]
 	if !known {
-		for _, u := range l.ledger.entries {
-			if u.charge.Customer == c && u.at.Before(l.since) {
-				b += u.charge.Cost
+		for _, e := range l.ledger.entries {
+			if e.charge.Customer == c && e.at.Before(l.since) {
+				b += e.charge.Cost
 			}
 		}
 		l.baseline[c] = b
--- a/internal/decide/hingequota/params.go
+++ b/internal/decide/hingequota/params.go
@@ -43,20 +43,20 @@
 	Slack hingeids.QuotaUnits
 }
 
-// DefaultTerms are the defaults.
+// DefaultTerms are the default parameters.
 var DefaultTerms = Params{
 	Window: 8 * time.Second,
 	Over:   0.1,
 }
 
 // quota returns the units that a customer may use in a window.
-func (t Params) quota(q hingecustomers.Quota) hingeids.QuotaUnits {
-	return hingeids.QuotaUnits(q.Rate*t.Window.Seconds()) + q.Burst
+func (p Params) quota(q hingecustomers.Quota) hingeids.QuotaUnits {
+	return hingeids.QuotaUnits(q.Rate*p.Window.Seconds()) + q.Burst
 }
 
 // margin returns the units that may be used beyond the quota during failures.
-func (t Params) margin(quota hingeids.QuotaUnits) hingeids.QuotaUnits {
-	return hingeids.QuotaUnits(t.Over*float64(quota)) + t.Slack
+func (p Params) margin(quota hingeids.QuotaUnits) hingeids.QuotaUnits {
+	return hingeids.QuotaUnits(p.Over*float64(quota)) + p.Slack
 }
 
 // ChargeID identifies a request's charge on all hosts, so that repeated reports count once.
@@ -89,7 +89,7 @@
 	Age    time.Duration `cbor:"2,keyasint,omitempty"`
 }
 
-// Decision is the result of Admit.
+// Decision is the result of Limiter.Admit or LocalLimiter.Admit.
 type Decision struct {
 	Admitted bool
 	// Over says that the customer has used its quota. A refusal without it is due to unreported usage.
