--- a/internal/decide/hingequota/sim_test.go
+++ b/internal/decide/hingequota/sim_test.go
@@ -26,7 +26,7 @@
 type setup struct {
 	hosts     int
 	customers int
-	terms     Params
+	params    Params
 	quota     hingecustomers.Quota
 }
 
@@ -43,7 +43,7 @@
 // modelRates are the rates of small and large customers, with margins of a half and an eighth of the quota.
 var modelRates = []float64{18000, 236000}
 
-var modelTerms = Params{
+var modelParams = Params{
 	Window: 8 * time.Second,
 	Over:   0.1,
 	Slack:  73000,
@@ -55,18 +55,18 @@
 	buckets map[string]*bucket
 }
 
-func (w *hostShares) admit(now time.Time, host int, c Charge, _ bool) bool {
+func (h *hostShares) admit(now time.Time, host int, c Charge, _ bool) bool {
 	key := fmt.Sprint(host, c.Customer)
-	b := w.buckets[key]
-	share := 1 / float64(w.hosts)
+	b := h.buckets[key]
+	share := 1 / float64(h.hosts)
 	if b == nil {
 		b = &bucket{
-			rate:     share * w.quota.Rate,
-			capacity: share * float64(w.quota.Burst),
-			tokens:   share * float64(w.quota.Burst),
+			rate:     share * h.quota.Rate,
+			capacity: share * float64(h.quota.Burst),
+			tokens:   share * float64(h.quota.Burst),
 			at:       now,
 		}
-		w.buckets[key] = b
+		h.buckets[key] = b
 	}
 	return b.spend(now, float64(c.Cost))
 }
@@ -97,29 +97,29 @@
 	buckets map[hingeids.CallerID]*bucket
 }
 
-func (w *placerBucket) admit(now time.Time, _ int, c Charge, cut bool) bool {
+func (p *placerBucket) admit(now time.Time, _ int, c Charge, cut bool) bool {
 	if cut {
 		return true
 	}
-	b := w.buckets[c.Customer]
+	b := p.buckets[c.Customer]
 	if b == nil {
 		b = &bucket{
-			rate:     w.quota.Rate,
-			capacity: float64(w.quota.Burst),
-			tokens:   float64(w.quota.Burst),
+			rate:     p.quota.Rate,
+			capacity: float64(p.quota.Burst),
+			tokens:   float64(p.quota.Burst),
 			at:       now,
 		}
-		w.buckets[c.Customer] = b
+		p.buckets[c.Customer] = b
 	}
 	return b.spend(now, float64(c.Cost))
 }
 
-func (w *placerBucket) leader(time.Time, bool) { clear(w.buckets) }
+func (p *placerBucket) leader(time.Time, bool) { clear(p.buckets) }
 
 func (*placerBucket) tick(time.Time, func(int) bool) {}
 
-// fleet uses the types of this package as the fleet does: the leader's Book, a substitute's Book for partitioned hosts, and a Lone for
-// each host that neither answers.
+// fleet uses the types of this package as the fleet does: the leader's Limiter, a substitute's Limiter for partitioned hosts, and a
+// LocalLimiter for each host that neither answers.
 type fleet struct {
 	setup
 	// zonePlacer says that partitioned hosts have a placer of their own.
@@ -136,8 +136,8 @@
 	random  *rand.Rand
 	// leaderlessUntil is the time until which no leader answers.
 	leaderlessUntil time.Time
-	// zones are the placers of zones, which place while there is no leader; without any, hosts decide alone. leaderlessSince is when
-	// the last leader was lost.
+	// zones are the placers of zones, which place while there is no leader; without any, each host uses its LocalLimiter.
+	// leaderlessSince is when the last leader was lost.
 	zones           []*Limiter
 	leaderlessSince time.Time
 	// reportsEvery is the number of ticks between reports of a host; zero means that it reports at every tick. ticks counts them.
@@ -146,59 +146,59 @@
 }
 
 func newFleet(s setup, now time.Time, zonePlacer bool) *fleet {
-	w := &fleet{
+	f := &fleet{
 		setup:         s,
 		zonePlacer:    zonePlacer,
-		leaderLimiter: NewLimiter(s.terms),
-		substitute:    NewLimiter(s.terms),
+		leaderLimiter: NewLimiter(s.params),
+		substitute:    NewLimiter(s.params),
 		random:        rand.New(rand.NewPCG(1, 2)),
 	}
-	w.leaderLimiter.Start(now, true)
-	w.restart(now)
-	return w
+	f.leaderLimiter.Start(now, true)
+	f.restart(now)
+	return f
 }
 
 // restart simulates a restart of all hosts.
-func (w *fleet) restart(now time.Time) {
-	w.ledgers, w.local, w.needsReport = nil, nil, make([]bool, w.hosts)
-	w.wasCut = make([]bool, w.hosts)
-	w.changed = make([]bool, w.hosts)
-	for i := range w.hosts {
-		l := NewLedger(now, w.terms)
-		w.ledgers = append(w.ledgers, l)
-		w.local = append(w.local, NewLocalLimiter(w.terms, l))
-		w.needsReport[i] = true
+func (f *fleet) restart(now time.Time) {
+	f.ledgers, f.local, f.needsReport = nil, nil, make([]bool, f.hosts)
+	f.wasCut = make([]bool, f.hosts)
+	f.changed = make([]bool, f.hosts)
+	for i := range f.hosts {
+		l := NewLedger(now, f.params)
+		f.ledgers = append(f.ledgers, l)
+		f.local = append(f.local, NewLocalLimiter(f.params, l))
+		f.needsReport[i] = true
 	}
 }
 
 func host(i int) hingeids.HostID { return hingeids.HostID(fmt.Sprint("host-", i)) }
 
-func (w *fleet) admit(now time.Time, i int, c Charge, cut bool) bool {
-	sample := w.random.Float64()
-	c.NearLimit = w.ledgers[i].MayBeNearLimit(now, c.Customer)
-	limiter := w.leaderLimiter
+func (f *fleet) admit(now time.Time, i int, c Charge, cut bool) bool {
+	sample := f.random.Float64()
+	c.NearLimit = f.ledgers[i].MayBeNearLimit(now, c.Customer)
+	limiter := f.leaderLimiter
 	switch {
-	case now.Before(w.leaderlessUntil) && now.Sub(w.leaderlessSince) > noticeTime && len(w.zones) > 0:
-		limiter = w.zones[i%len(w.zones)]
+	case now.Before(f.leaderlessUntil) && now.Sub(f.leaderlessSince) > noticeTime && len(f.zones) > 0:
+		limiter = f.zones[i%len(f.zones)]
 		if !limiter.Started(false) {
 			limiter.Start(now, false)
 		}
-		w.report(now, i, limiter)
-	case now.Before(w.leaderlessUntil), cut && !w.zonePlacer:
-		ok := w.local[i].Admit(now, c, w.quota, w.hosts, sample).Admitted
-		w.needsReport[i] = w.needsReport[i] || ok
+		f.report(now, i, limiter)
+	case now.Before(f.leaderlessUntil), cut && !f.zonePlacer:
+		ok := f.local[i].Admit(now, c, f.quota, f.hosts, sample).Admitted
+		f.needsReport[i] = f.needsReport[i] || ok
 		return ok
 	case cut:
-		limiter = w.substitute
+		limiter = f.substitute
 	}
-	w.local[i].PlacerAnswered()
-	w.needsReport[i] = limiter.Observe(now, host(i)) || w.needsReport[i]
-	if !limiter.Admit(now, c, w.quota, w.hosts, 5*time.Second).Admitted {
+	f.local[i].PlacerAnswered()
+	f.needsReport[i] = limiter.Observe(now, host(i)) || f.needsReport[i]
+	if !limiter.Admit(now, c, f.quota, f.hosts, 5*time.Second).Admitted {
 		return false
 	}
 	limiter.Settle(now, host(i), c, true)
-	w.ledgers[i].Add(now, c)
-	w.changed[i] = true
+	f.ledgers[i].Add(now, c)
+	f.changed[i] = true
 	return true
 }
 
@@ -211,74 +211,74 @@
 )
 
 // report sends the usage of a host to a placer that needs it.
-func (w *fleet) report(now time.Time, i int, limiter *Limiter) {
+func (f *fleet) report(now time.Time, i int, limiter *Limiter) {
 	if limiter.Observe(now, host(i)) {
-		usages, history := w.ledgers[i].Usages(now)
+		usages, history := f.ledgers[i].Usages(now)
 		limiter.HandleReport(now, host(i), usages, history)
 	}
 }
 
-func (w *fleet) leader(now time.Time, lost bool) {
-	w.leaderlessSince = now
-	w.leaderlessUntil = now.Add(electionTime)
-	for _, z := range w.zones {
+func (f *fleet) leader(now time.Time, lost bool) {
+	f.leaderlessSince = now
+	f.leaderlessUntil = now.Add(electionTime)
+	for _, z := range f.zones {
 		z.Stop()
 	}
-	w.leaderLimiter.Stop()
+	f.leaderLimiter.Stop()
 	// A host reports to each new placer, even without usage.
-	for i := range w.needsReport {
-		w.needsReport[i] = true
+	for i := range f.needsReport {
+		f.needsReport[i] = true
 	}
 	if lost {
-		w.leaderlessUntil = now
-		w.restart(now)
-		w.leaderLimiter.Start(now, true)
+		f.leaderlessUntil = now
+		f.restart(now)
+		f.leaderLimiter.Start(now, true)
 	}
 }
 
-func (w *fleet) tick(now time.Time, cut func(int) bool) {
-	if now.Before(w.leaderlessUntil) {
+func (f *fleet) tick(now time.Time, cut func(int) bool) {
+	if now.Before(f.leaderlessUntil) {
 		return
 	}
-	if !w.leaderLimiter.Started(true) {
-		w.leaderLimiter.Start(now, true)
+	if !f.leaderLimiter.Started(true) {
+		f.leaderLimiter.Start(now, true)
 	}
 	anyCut := false
-	w.ticks++
-	for i := range w.hosts {
-		limiter := w.leaderLimiter
-		if cut(i) != w.wasCut[i] {
-			w.wasCut[i] = cut(i)
-			w.needsReport[i] = true
+	f.ticks++
+	for i := range f.hosts {
+		limiter := f.leaderLimiter
+		if cut(i) != f.wasCut[i] {
+			f.wasCut[i] = cut(i)
+			f.needsReport[i] = true
 		}
 		if cut(i) {
 			anyCut = true
-			if !w.zonePlacer {
+			if !f.zonePlacer {
 				continue
 			}
-			if !w.substitute.Started(false) {
-				w.substitute.Start(now, false)
+			if !f.substitute.Started(false) {
+				f.substitute.Start(now, false)
 			}
-			limiter = w.substitute
+			limiter = f.substitute
 		}
-		if w.ledgers[i].Empty(now) && !w.needsReport[i] || w.reportsEvery > 0 && (w.ticks+i)%w.reportsEvery != 0 && !w.changed[i] {
+		if f.ledgers[i].Empty(now) && !f.needsReport[i] || f.reportsEvery > 0 && (f.ticks+i)%f.reportsEvery != 0 && !f.changed[i] {
 			continue
 		}
-		w.changed[i] = false
-		if limiter.Observe(now, host(i)) || w.needsReport[i] {
-			usages, history := w.ledgers[i].Usages(now)
+		f.changed[i] = false
+		if limiter.Observe(now, host(i)) || f.needsReport[i] {
+			usages, history := f.ledgers[i].Usages(now)
 			limiter.HandleReport(now, host(i), usages, history)
-			w.needsReport[i] = false
+			f.needsReport[i] = false
 		}
-		tight, all := limiter.NearLimit(now, w.hosts)
-		w.ledgers[i].SetNearLimit(now, tight, all)
+		nearLimit, all := limiter.NearLimit(now, f.hosts)
+		f.ledgers[i].SetNearLimit(now, nearLimit, all)
 	}
 	if !anyCut {
-		w.substitute.Stop()
-	} else if w.substitute.Started(false) {
-		w.substitute.RemoveExpired(now)
+		f.substitute.Stop()
+	} else if f.substitute.Started(false) {
+		f.substitute.RemoveExpired(now)
 	}
-	w.leaderLimiter.RemoveExpired(now)
+	f.leaderLimiter.RemoveExpired(now)
 }
 
 // scenario is a sequence of faults and load changes.
@@ -316,15 +316,15 @@
 )
 
 // simulate runs a scenario. Customers send streams and plain requests at random times to random hosts.
-func simulate(s setup, t scenario, w strategy, seed uint64) result {
+func simulate(s setup, sc scenario, w strategy, seed uint64) result {
 	random := rand.New(rand.NewPCG(seed, 7))
 	runs := make([]customerRun, s.customers)
-	partitionedHosts := int(t.partitionedShare * float64(s.hosts))
-	lost := t.stateLost
-	leaders := slices.Clone(t.leaderChanges)
+	partitionedHosts := int(sc.partitionedShare * float64(s.hosts))
+	lost := sc.stateLost
+	leaders := slices.Clone(sc.leaderChanges)
 	isCut := func(at time.Duration) func(int) bool {
-		inCut := t.partitionedShare > 0 && (at >= t.partitionAt && at < t.partitionAt+t.partitionTime ||
-			t.twice && at >= t.partitionAt+2*t.partitionTime && at < t.partitionAt+3*t.partitionTime)
+		inCut := sc.partitionedShare > 0 && (at >= sc.partitionAt && at < sc.partitionAt+sc.partitionTime ||
+			sc.twice && at >= sc.partitionAt+2*sc.partitionTime && at < sc.partitionAt+3*sc.partitionTime)
 		return func(i int) bool {
 			return inCut && i < partitionedHosts
 		}
@@ -347,8 +347,8 @@
 		}
 		for c := range s.customers {
 			rate := usualLoad * s.quota.Rate
-			if c == 0 && t.overload > 0 && at >= t.overloadAt {
-				rate *= t.overload
+			if c == 0 && sc.overload > 0 && at >= sc.overloadAt {
+				rate *= sc.overload
 			}
 			// One request in seven is a stream, the others are plain requests.
 			for _, kind := range []struct {
@@ -397,11 +397,11 @@
 }
 
 func (d *customerRun) record(s setup, at time.Duration, cost hingeids.QuotaUnits, admitted bool) {
-	for d.first < len(d.admitted) && at-d.admitted[d.first].at > s.terms.Window {
+	for d.first < len(d.admitted) && at-d.admitted[d.first].at > s.params.Window {
 		d.sum -= d.admitted[d.first].cost
 		d.first++
 	}
-	isBelow := d.sum+cost <= s.terms.quota(s.quota)
+	isBelow := d.sum+cost <= s.params.quota(s.quota)
 	if admitted || isBelow {
 		d.below += cost
 	}
@@ -421,7 +421,7 @@
 func sum(s setup, runs []customerRun) result {
 	var r result
 	var refused, total hingeids.QuotaUnits
-	bound := float64(s.terms.quota(s.quota) + s.terms.margin(s.terms.quota(s.quota)))
+	bound := float64(s.params.quota(s.quota) + s.params.margin(s.params.quota(s.quota)))
 	for c, d := range runs {
 		if c > 0 {
 			refused += d.refused
@@ -532,10 +532,10 @@
 }
 
 // No failure may let a customer exceed its quota and margin over all hosts, and customers below their quotas must rarely be refused. Hosts
-// that decide alone refuse more, so scenarios with such hosts are left out of the second check.
+// that use their LocalLimiter refuse more, so scenarios with such hosts are left out of the second check.
 func TestQuotaHoldsOverAllHostsWhateverFails(t *testing.T) {
 	for _, s := range sizes {
-		s.terms = modelTerms
+		s.params = modelParams
 		for _, rate := range modelRates {
 			s.quota = modelQuota(rate)
 			if rate > 100000 {
@@ -543,7 +543,7 @@
 			}
 			below := 0.0
 			for _, x := range scenarios {
-				r := simulate(s, x, newFleet(s, simStart.Add(-2*s.terms.Window), x.zonePlacer), 1)
+				r := simulate(s, x, newFleet(s, simStart.Add(-2*s.params.Window), x.zonePlacer), 1)
 				checkBound(t, s, x, r)
 				if x.partitionedShare == 0 || x.zonePlacer {
 					below += r.refusedBelow / float64(len(scenarios)-1)
@@ -561,12 +561,12 @@
 func TestQuotaHoldsWhenThePlacerFailsAfterALoadIncrease(t *testing.T) {
 	for _, s := range []setup{sizes[0], sizes[1], sizes[3]} {
 		s.customers = 2
-		s.terms = modelTerms
+		s.params = modelParams
 		for _, rate := range modelRates {
 			s.quota = modelQuota(rate)
 			for after := time.Duration(0); after <= 4*time.Second; after += 200 * time.Millisecond {
 				for seed := range uint64(4) {
-					// Without a leader, hosts decide alone or query the control hosts of their zones.
+					// Without a leader, hosts use their LocalLimiter or query the control hosts of their zones.
 					zones := 6 * int(seed%2)
 					x := scenario{
 						name:          fmt.Sprint("the placer fails ", after, " after the overload starts"),
@@ -574,12 +574,12 @@
 						overloadAt:    10 * time.Second,
 						leaderChanges: []time.Duration{10*time.Second + after},
 					}
-					w := newFleet(s, simStart.Add(-2*s.terms.Window), false)
-					w.reportsEvery = 5
+					f := newFleet(s, simStart.Add(-2*s.params.Window), false)
+					f.reportsEvery = 5
 					for range zones {
-						w.zones = append(w.zones, NewLimiter(s.terms))
+						f.zones = append(f.zones, NewLimiter(s.params))
 					}
-					checkBound(t, s, x, simulate(s, x, w, seed))
+					checkBound(t, s, x, simulate(s, x, f, seed))
 				}
 			}
 		}
@@ -598,10 +598,10 @@
 func TestQuotaOfALargeCustomerHoldsForManySeeds(t *testing.T) {
 	s := sizes[1]
 	s.customers = 2
-	s.terms, s.quota = modelTerms, modelQuota(236000)
+	s.params, s.quota = modelParams, modelQuota(236000)
 	for _, x := range scenarios {
 		for seed := range uint64(5) {
-			checkBound(t, s, x, simulate(s, x, newFleet(s, simStart.Add(-2*s.terms.Window), x.zonePlacer), seed))
+			checkBound(t, s, x, simulate(s, x, newFleet(s, simStart.Add(-2*s.params.Window), x.zonePlacer), seed))
 		}
 	}
 }
@@ -613,7 +613,7 @@
 	}
 	for _, s := range sizes {
 		for _, rate := range modelRates {
-			s.terms, s.quota = modelTerms, modelQuota(rate)
+			s.params, s.quota = modelParams, modelQuota(rate)
 			for _, x := range scenarios {
 				for name, w := range map[string]strategy{
 					"share per host": &hostShares{
@@ -624,7 +624,7 @@
 						setup:   s,
 						buckets: make(map[hingeids.CallerID]*bucket),
 					},
-					"limiter": newFleet(s, simStart.Add(-2*s.terms.Window), x.zonePlacer),
+					"limiter": newFleet(s, simStart.Add(-2*s.params.Window), x.zonePlacer),
 				} {
 					r := simulate(s, x, w, 1)
 					fmt.Printf("| %d | %g | %s | %s | %.3f | %.2f |\n", s.hosts, rate, x.name, name, r.refusedBelow, r.highest)
--- a/internal/decide/hingeretry/retry.go
+++ b/internal/decide/hingeretry/retry.go
@@ -29,9 +29,9 @@
 // Action is the next step for a failed request.
 type Action uint8
 
-// Answer returns the error to the caller; Resume continues the stream at the same engine; Transfer
-// sends the KV cache, which is still held, to another decode engine; Repeat places the request
-// again, with its prompt and the tokens already sent.
+// ReturnError returns the error to the caller; Resume continues the stream at the same engine;
+// Transfer sends the KV cache, which is still held, to another decode engine; Retry places the
+// request again, with its prompt and the tokens already sent.
 const (
 	ReturnError Action = iota
 	Resume
@@ -53,14 +53,14 @@
 	// Attempts counts the attempts, including the failed one, and Resumes how often this attempt
 	// was resumed.
 	Attempts, Resumes int
-	// ExtraMessages is the number of messages to servers that a retry adds beyond those every request is
-	// allowed.
+	// ExtraMessages is the number of messages to servers that a retry adds beyond those every
+	// request is allowed.
 	ExtraMessages int
 	NeverRepeat   bool
 	// SentTokens counts the tokens that the caller has received.
 	SentTokens hingeids.Tokens
-	// SameInstance reports whether the engine is available as the instance that accepted the request,
-	// and can resume streams.
+	// SameInstance reports whether the engine is available as the instance that accepted the
+	// request, and can resume streams.
 	SameInstance bool
 	// CacheUntil is the time until which the KV cache is held, zero if there is none; TransferTime
 	// is the duration of its transfer.
@@ -76,7 +76,7 @@
 	Action Action
 	// NextToken is the index of the next token that the caller needs.
 	NextToken hingeids.Tokens
-	// Err is the error for the caller, set only with Answer.
+	// Err is the error for the caller, set only with ReturnError.
 	Err *hingeverdict.Error
 }
 
@@ -96,10 +96,10 @@
 		}
 	}
 	if !mayRetry(f) || f.Attempts >= maxAttempts || now.Add(f.RetryTime).After(f.Deadline) {
-		return answer(f)
+		return returnError(f)
 	}
 	if !b.Spend(now, f.ExtraMessages) {
-		return answer(f)
+		return returnError(f)
 	}
 	next := Retry
 	if now.Add(f.TransferTime).Before(f.CacheUntil) {
@@ -130,8 +130,8 @@
 	return b
 }
 
-// answer implements rule 5.
-func answer(f Failure) Decision {
+// returnError implements rule 5.
+func returnError(f Failure) Decision {
 	e := *f.Err
 	e.Verdict = worst(f.EarlierVerdict, f.Err.Verdict)
 	if e.Cause == nil {
@@ -150,8 +150,8 @@
 	// SentAt is when the request was sent, Expected the predicted time to its first token.
 	SentAt   time.Time
 	Expected time.Duration
-	// FirstTokenTarget is the target time of the first token, HedgeTime the predicted time to the first
-	// token of a second attempt.
+	// FirstTokenTarget is the target time of the first token, HedgeTime the predicted time to the
+	// first token of a second attempt.
 	FirstTokenTarget time.Time
 	HedgeTime        time.Duration
 	Attempts         int
@@ -162,11 +162,11 @@
 
 // Hedge implements rule 6 and reports whether to start a second attempt. It helps if one engine is
 // slow or silent; if all are slow, the budget bounds the load that hedges add.
-func Hedge(now time.Time, w PendingRequest, b *Budget) bool {
-	if w.NeverRepeat || w.Attempts > 1 || now.Sub(w.SentAt) < hedgeFactor*w.Expected {
+func Hedge(now time.Time, r PendingRequest, b *Budget) bool {
+	if r.NeverRepeat || r.Attempts > 1 || now.Sub(r.SentAt) < hedgeFactor*r.Expected {
 		return false
 	}
-	if now.Add(w.HedgeTime).After(w.FirstTokenTarget) {
+	if now.Add(r.HedgeTime).After(r.FirstTokenTarget) {
 		return false
 	}
 	return b.Spend(now, 1)
--- a/internal/decide/hingeshift/shift.go
+++ b/internal/decide/hingeshift/shift.go
@@ -14,11 +14,11 @@
 //     change itself. The gain must be twice the cost. If the engine's present role can spare it,
 //     the cost is a small part of that, and all such engines change at once.
 //  4. Hysteresis: a role change must be worth its cost for HoldFor without interruption, and at
-//     least Rest must pass between two changes. A demand that oscillates within a minute changes no
-//     role.
+//     least Cooldown must pass between two changes. A demand that oscillates within a minute changes
+//     no role.
 //  5. Each role keeps at least one engine. Engines change one at a time; in a large pool, further
-//     engines change together with the first one if the demand requires them (More), because thirty
-//     consecutive changes would take longer than the demand lasts.
+//     engines change together with the first one if the demand requires them (DecideNext), because
+//     thirty consecutive changes would take longer than the demand lasts.
 //  6. Among engines with the same cost, one from the zone with most engines of its role changes, so
 //     that a zone that is partitioned from the others keeps engines of both roles.
 //
@@ -36,7 +36,7 @@
 type Config struct {
 	// ChangeTime is how long a drained engine takes to change its role.
 	ChangeTime time.Duration
-	// HoldFor and Rest are the durations of rule 4.
+	// HoldFor and Cooldown are the durations of rule 4.
 	HoldFor, Cooldown time.Duration
 	// MaxDemandDuration is the maximum expected duration of a demand.
 	MaxDemandDuration time.Duration
@@ -65,10 +65,11 @@
 // Demand is the demand on each role, in engines.
 type Demand struct {
 	Prefill, Decode float64
-	// DecodePrefillCost is the number of decode engines that replace one prefill engine; zero if decode
-	// engines can't prefill.
+	// DecodePrefillCost is the number of decode engines that replace one prefill engine; zero if
+	// decode engines can't prefill.
 	DecodePrefillCost float64
-	// Current is the present demand, if Prefill and Decode include a reserve; nil if unknown.
+	// Current is the present demand without a reserve, which Prefill and Decode may include; nil if
+	// unknown.
 	Current *Load
 }
 
@@ -96,7 +97,7 @@
 	lastDemandDuration time.Duration
 }
 
-// New returns a Shifter without observations.
+// New returns a Planner without observations.
 func New(c Config) *Planner {
 	return &Planner{
 		config: c,
@@ -105,46 +106,46 @@
 
 // Observe updates the hysteresis without deciding, for a caller that may not change roles yet. It
 // returns the role that one more engine would help, and the gain in engines.
-func (s *Planner) Observe(now time.Time, engines []Engine, d Demand) (hingeannounce.Kind, float64) {
+func (p *Planner) Observe(now time.Time, engines []Engine, d Demand) (hingeannounce.Kind, float64) {
 	to, gain := bestChange(engines, d)
-	if to != s.target {
-		s.target, s.targetSince = to, now
+	if to != p.target {
+		p.target, p.targetSince = to, now
 	}
 	return to, gain
 }
 
 // Decide returns the role change to start now, if there is one. The caller calls it about once a
 // second, drains the engine and then changes its role.
-func (s *Planner) Decide(now time.Time, engines []Engine, d Demand) (RoleChange, bool) {
-	to, gain := s.Observe(now, engines, d)
-	if to == "" || now.Sub(s.targetSince) < s.config.HoldFor {
+func (p *Planner) Decide(now time.Time, engines []Engine, d Demand) (RoleChange, bool) {
+	to, gain := p.Observe(now, engines, d)
+	if to == "" || now.Sub(p.targetSince) < p.config.HoldFor {
 		return RoleChange{}, false
 	}
-	if !s.lastChange.IsZero() && now.Sub(s.lastChange) < s.config.Cooldown {
+	if !p.lastChange.IsZero() && now.Sub(p.lastChange) < p.config.Cooldown {
 		return RoleChange{}, false
 	}
 	e := cheapest(engines, to)
-	demandDuration := min(now.Sub(s.targetSince), s.config.MaxDemandDuration)
-	if gain*demandDuration.Seconds() < 2*s.cost(engines, e, to, d).Seconds() {
+	demandDuration := min(now.Sub(p.targetSince), p.config.MaxDemandDuration)
+	if gain*demandDuration.Seconds() < 2*p.cost(engines, e, to, d).Seconds() {
 		return RoleChange{}, false
 	}
-	s.lastChange, s.targetSince = now, now
-	s.lastTarget, s.lastDemandDuration = to, demandDuration
+	p.lastChange, p.targetSince = now, now
+	p.lastTarget, p.lastDemandDuration = to, demandDuration
 	return RoleChange{
 		Server: e.Server,
 		To:     to,
 	}, true
 }
 
-// DecideNext returns a further role change to make together with the last one. The engines must be given
-// as they are after that.
-func (s *Planner) DecideNext(engines []Engine, d Demand) (RoleChange, bool) {
+// DecideNext returns a further role change to make together with the last one. The engines must be
+// given as they are after that.
+func (p *Planner) DecideNext(engines []Engine, d Demand) (RoleChange, bool) {
 	to, gain := bestChange(engines, d)
-	if to == "" || to != s.lastTarget {
+	if to == "" || to != p.lastTarget {
 		return RoleChange{}, false
 	}
 	e := cheapest(engines, to)
-	if gain*s.lastDemandDuration.Seconds() < 2*s.cost(engines, e, to, d).Seconds() {
+	if gain*p.lastDemandDuration.Seconds() < 2*p.cost(engines, e, to, d).Seconds() {
 		return RoleChange{}, false
 	}
 	return RoleChange{
@@ -154,12 +155,12 @@
 }
 
 // spareCostFactor is the part of the cost that counts for an engine that its role can spare, since
-// the change may fail or the demand may turn.
+// the change may fail or the demand may be reversed.
 const spareCostFactor = 0.05
 
 // cost implements rule 3.
-func (s *Planner) cost(engines []Engine, e Engine, to hingeannounce.Kind, d Demand) time.Duration {
-	cost := e.Drain + s.config.ChangeTime
+func (p *Planner) cost(engines []Engine, e Engine, to hingeannounce.Kind, d Demand) time.Duration {
+	cost := e.Drain + p.config.ChangeTime
 	if CanSpare(engines, to, d) {
 		cost = time.Duration(spareCostFactor * float64(cost))
 	}
@@ -167,8 +168,8 @@
 }
 
 // CanSpare reports whether the other role, which an engine would leave for the given one, can do
-// without the engine at the present demand. Requests that the given role has no capacity for don't
-// count.
+// without the engine at the present demand. Requests for which the given role has no capacity don't
+// count, since the other role wouldn't serve them either.
 func CanSpare(engines []Engine, to hingeannounce.Kind, d Demand) bool {
 	if d.Current == nil {
 		return false
@@ -232,8 +233,8 @@
 	if d.DecodePrefillCost == 0 {
 		return p / d.Prefill
 	}
-	// Decode engines prefill the remaining prompts: share x Decode + ReadCost x (share x Prefill -
-	// p) = e.
+	// Decode engines prefill the remaining prompts: share x Decode + DecodePrefillCost x
+	// (share x Prefill - p) = e.
 	return min((e+d.DecodePrefillCost*p)/(d.Decode+d.DecodePrefillCost*d.Prefill), 1)
 }
 
--- a/internal/decide/hingeshift/shift_test.go
+++ b/internal/decide/hingeshift/shift_test.go
@@ -31,17 +31,17 @@
 
 // simulate calls Decide once a second, applies the role changes and returns them.
 func simulate(engines []Engine, duration time.Duration, demand func(t time.Duration) Demand) []string {
-	s := New(Defaults())
+	p := New(Defaults())
 	var out []string
 	for t := time.Duration(0); t < duration; t += time.Second {
-		shift, ok := s.Decide(start.Add(t), engines, demand(t))
+		change, ok := p.Decide(start.Add(t), engines, demand(t))
 		if !ok {
 			continue
 		}
-		out = append(out, fmt.Sprintf("%s to %s", shift.Server, shift.To))
+		out = append(out, fmt.Sprintf("%s to %s", change.Server, change.To))
 		for i := range engines {
-			if engines[i].Server == shift.Server {
-				engines[i].Kind = shift.To
+			if engines[i].Server == change.Server {
+				engines[i].Kind = change.To
 			}
 		}
 	}
@@ -177,25 +177,25 @@
 			Decode:  3.5,
 		},
 	}
-	s := New(Config{
+	p := New(Config{
 		ChangeTime:        6 * time.Second,
 		HoldFor:           time.Second,
 		Cooldown:          9 * time.Second,
 		MaxDemandDuration: time.Minute,
 	})
 	changed := 0
-	shift, ok := RoleChange{}, false
+	change, ok := RoleChange{}, false
 	for t := time.Duration(0); t <= 2*time.Second && !ok; t += 500 * time.Millisecond {
-		shift, ok = s.Decide(start.Add(t), engines, d)
+		change, ok = p.Decide(start.Add(t), engines, d)
 	}
-	for ok && CanSpare(engines, shift.To, d) {
+	for ok && CanSpare(engines, change.To, d) {
 		changed++
 		for i := range engines {
-			if engines[i].Server == shift.Server {
-				engines[i].Kind = shift.To
+			if engines[i].Server == change.Server {
+				engines[i].Kind = change.To
 			}
 		}
-		shift, ok = s.DecideNext(engines, d)
+		change, ok = p.DecideNext(engines, d)
 	}
 	if changed != 2 {
 		t.Fatalf("%d engines changed at once, want 2", changed)
