--- a/internal/membership/hingemembers/probe.go
+++ b/internal/membership/hingemembers/probe.go
@@ -12,7 +12,7 @@
 	// roundHistory is the number of rounds after which an acknowledgement is ignored.
 	roundHistory = 64
 	// fullProbePeers is the largest number of peers of which all are probed each round; of
-	// more, probesPerRound are. Both limit a member's traffic, see spread.go.
+	// more, probesPerRound are. Both limit a member's traffic, see gossip.go.
 	fullProbePeers = 8
 	probesPerRound = 4
 	// maxOverdueProbes limits the additional probes a round to peers that don't answer.
