--- a/internal/membership/hingeannounce/announce_test.go
+++ b/internal/membership/hingeannounce/announce_test.go
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestParseSaysWhyItRefuses(t *testing.T) {
+func TestParseErrorHasReason(t *testing.T) {
 	cases := map[Reason]func(a *Announcement){
 		ReasonName:         func(a *Announcement) { a.Server = "" },
 		ReasonIncarnation:  func(a *Announcement) { a.Incarnation = 0 },
@@ -101,11 +101,11 @@
 	table.Apply(start, engine(1, 7), 0)
 	table.Apply(start, engine(2, 1), 0)
 	if got := table.Apply(start, engine(1, 8), 0); got != Stale {
-		t.Errorf("older incarnation: outcome %d, want Old", got)
+		t.Errorf("older incarnation: outcome %d, want Stale", got)
 	}
 	later := start.Add(time.Minute)
 	if got := table.Apply(later, engine(2, 1), 0); got != Stale {
-		t.Errorf("repeated announcement: outcome %d, want Old", got)
+		t.Errorf("repeated announcement: outcome %d, want Stale", got)
 	}
 	table.Apply(later, engine(2, 2), 50*time.Second)
 	if _, usable := table.View(later).Find("engine-1"); usable {
--- a/internal/membership/hingeannounce/directory.go
+++ b/internal/membership/hingeannounce/directory.go
@@ -53,31 +53,31 @@
 // Receive applies an announcement that this host received from the server itself. The host
 // becomes the server's owner. It reports whether followers have to be notified.
 func (d *Directory) Receive(now time.Time, a Announcement) bool {
-	k := d.records[a.Server]
-	if k == nil {
+	e := d.records[a.Server]
+	if e == nil {
 		d.add(now, Record{
 			Announcement: a,
 			Owner:        d.self,
 		})
 		return true
 	}
-	if !newer(a, k.record.Announcement) {
-		return d.applyLeaving(k, a)
+	if !newer(a, e.record.Announcement) {
+		return d.applyLeaving(e, a)
 	}
-	next := k.record
+	next := e.record
 	a.Leaving = a.Leaving || next.leavingAs(a.Incarnation)
 	unchanged := sameServer(a, next.Announcement) && next.Owner == d.self && !next.Silent
-	d.startInstance(k, a.Incarnation)
+	d.startInstance(e, a.Incarnation)
 	if next.Owner == d.self {
-		k.intervals.Observe(max(now.Sub(k.lastSeen), 0))
+		e.intervals.Observe(max(now.Sub(e.lastSeen), 0))
 	}
-	k.lastSeen = now
-	k.record = Record{
+	e.lastSeen = now
+	e.record = Record{
 		Announcement: a,
 		Owner:        d.self,
 	}
 	if !unchanged {
-		d.recordChange(k)
+		d.recordChange(e)
 	}
 	return !unchanged
 }
@@ -89,29 +89,29 @@
 
 // startInstance resets what belongs to the previous incarnation of a server if i is a
 // newer one: the revision at which it became known and its heartbeat intervals.
-func (d *Directory) startInstance(k *directoryEntry, i hingeids.Incarnation) {
-	if i <= k.record.Announcement.Incarnation {
+func (d *Directory) startInstance(e *directoryEntry, i hingeids.Incarnation) {
+	if i <= e.record.Announcement.Incarnation {
 		return
 	}
-	k.firstRevision = d.revision + 1
-	k.intervals = IntervalEstimator{}
+	e.firstRevision = d.revision + 1
+	e.intervals = IntervalEstimator{}
 }
 
 // MarkLeaving records that a server leaves for good and reports whether that is new. An
 // incarnation of 0 means the one that is known. A server that isn't known yet is recorded
 // too, since its heartbeats may still arrive.
 func (d *Directory) MarkLeaving(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) bool {
-	k := d.records[id]
-	if k != nil && i == 0 {
-		i = k.record.Announcement.Incarnation
+	e := d.records[id]
+	if e != nil && i == 0 {
+		i = e.record.Announcement.Incarnation
 	}
 	departure := Announcement{
 		Server:      id,
 		Incarnation: max(i, 1),
 		Leaving:     true,
 	}
-	if k != nil && departure.Incarnation <= k.record.Announcement.Incarnation {
-		return d.applyLeaving(k, departure)
+	if e != nil && departure.Incarnation <= e.record.Announcement.Incarnation {
+		return d.applyLeaving(e, departure)
 	}
 	d.add(now, Record{
 		Announcement: departure,
@@ -123,19 +123,19 @@
 // Merge merges a record received from another host and reports whether it changed
 // anything.
 func (d *Directory) Merge(now time.Time, r Record) bool {
-	k := d.records[r.Announcement.Server]
-	if k == nil {
+	e := d.records[r.Announcement.Server]
+	if e == nil {
 		d.add(now, r)
 		return true
 	}
-	current := k.record
+	current := e.record
 	switch {
 	case newer(current.Announcement, r.Announcement):
-		return d.applyLeaving(k, r.Announcement)
+		return d.applyLeaving(e, r.Announcement)
 	case newer(r.Announcement, current.Announcement):
 		r.Announcement.Leaving = r.Announcement.Leaving || current.leavingAs(r.Announcement.Incarnation)
-		d.startInstance(k, r.Announcement.Incarnation)
-		k.lastSeen = now
+		d.startInstance(e, r.Announcement.Incarnation)
+		e.lastSeen = now
 	default:
 		// Both records are of the same heartbeat: a silence or a leaving found since is
 		// kept.
@@ -144,54 +144,54 @@
 		r.Owner = max(r.Owner, current.Owner)
 	}
 	unchanged := sameServer(r.Announcement, current.Announcement) && r.Owner == current.Owner && r.Silent == current.Silent
-	k.record = r
+	e.record = r
 	if !unchanged {
-		d.recordChange(k)
+		d.recordChange(e)
 	}
 	return !unchanged
 }
 
 // applyLeaving applies the leaving flag of an announcement that is not newer (rule 3), and
 // reports whether that changed anything.
-func (d *Directory) applyLeaving(k *directoryEntry, a Announcement) bool {
-	current := &k.record.Announcement
+func (d *Directory) applyLeaving(e *directoryEntry, a Announcement) bool {
+	current := &e.record.Announcement
 	if a.Incarnation != current.Incarnation || !a.Leaving || current.Leaving {
 		return false
 	}
 	current.Leaving = true
-	d.recordChange(k)
+	d.recordChange(e)
 	return true
 }
 
 func (d *Directory) add(now time.Time, r Record) {
-	k := &directoryEntry{
+	e := &directoryEntry{
 		record:   r,
 		lastSeen: now,
 	}
-	d.records[r.Announcement.Server] = k
-	d.recordChange(k)
-	k.firstRevision = k.revision
+	d.records[r.Announcement.Server] = e
+	d.recordChange(e)
+	e.firstRevision = e.revision
 }
 
-func (d *Directory) recordChange(k *directoryEntry) {
+func (d *Directory) recordChange(e *directoryEntry) {
 	d.revision++
-	k.revision = d.revision
+	e.revision = d.revision
 }
 
 // Step marks the servers that this host owns and that have become silent (rule 9), and
 // removes expired tombstones. It reports whether followers have to be notified.
 func (d *Directory) Step(now time.Time) bool {
 	changed := false
-	for id, k := range d.records {
-		inactive := k.record.Announcement.Leaving || k.record.Silent
-		if inactive && now.Sub(k.lastSeen) > tombstoneTTL {
+	for id, e := range d.records {
+		inactive := e.record.Announcement.Leaving || e.record.Silent
+		if inactive && now.Sub(e.lastSeen) > tombstoneTTL {
 			delete(d.records, id)
 			continue
 		}
-		maxSilence := deadFactor * k.intervals.Bound(minSilenceBound, maxSilenceBound)
-		if !inactive && k.record.Owner == d.self && now.Sub(k.lastSeen) > maxSilence {
-			k.record.Silent = true
-			d.recordChange(k)
+		maxSilence := deadFactor * e.intervals.Bound(minSilenceBound, maxSilenceBound)
+		if !inactive && e.record.Owner == d.self && now.Sub(e.lastSeen) > maxSilence {
+			e.record.Silent = true
+			d.recordChange(e)
 			changed = true
 		}
 	}
@@ -208,17 +208,17 @@
 // last.
 func (d *Directory) Since(revision uint64) []Record {
 	var list []*directoryEntry
-	for _, k := range d.records {
-		if k.revision > revision {
-			list = append(list, k)
+	for _, e := range d.records {
+		if e.revision > revision {
+			list = append(list, e)
 		}
 	}
 	slices.SortFunc(list, func(a, b *directoryEntry) int {
 		return cmp.Compare(a.firstRevision, b.firstRevision)
 	})
 	out := make([]Record, 0, len(list))
-	for _, k := range list {
-		out = append(out, k.record)
+	for _, e := range list {
+		out = append(out, e.record)
 	}
 	return out
 }
--- a/internal/membership/hingeannounce/instances_test.go
+++ b/internal/membership/hingeannounce/instances_test.go
@@ -32,9 +32,13 @@
 	}
 }
 
-// runScript runs lines of "hear INCARNATION SEQUENCE [leaving]" (from the server), "told
-// INCARNATION SEQUENCE [leaving]" (from another host), "leave INCARNATION" (0 if
-// unspecified), "pass MS" and "is INCARNATION usable|gone".
+// runScript runs the steps of a script, one on each line:
+//
+//	hear INCARNATION SEQUENCE [leaving]  an announcement from the server
+//	told INCARNATION SEQUENCE [leaving]  a record from another host
+//	leave INCARNATION                    the server leaves; 0 if it sent no incarnation
+//	pass MS                              time passes
+//	is INCARNATION usable|gone           checks the record
 func runScript(t *testing.T, steps string) {
 	d := NewDirectory("control-1")
 	now := startTime
--- a/internal/membership/hingeannounce/intervals.go
+++ b/internal/membership/hingeannounce/intervals.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// IntervalEstimator estimates from the heartbeat intervals observed so far how long a server may be
-// silent: a smoothed mean and a smoothed deviation, as TCP computes its retransmission
+// IntervalEstimator estimates from the heartbeat intervals observed so far how long a server
+// may be silent: a smoothed mean and a smoothed deviation, as TCP computes its retransmission
 // timeout. The zero value has no observations.
 type IntervalEstimator struct {
 	mean      time.Duration
@@ -22,25 +22,25 @@
 )
 
 // Observe adds the interval between two heartbeats.
-func (g *IntervalEstimator) Observe(interval time.Duration) {
-	if g.mean == 0 {
-		g.mean = interval
-		g.deviation = interval / 2
+func (e *IntervalEstimator) Observe(interval time.Duration) {
+	if e.mean == 0 {
+		e.mean = interval
+		e.deviation = interval / 2
 		return
 	}
-	change := (interval - g.mean).Abs() - g.deviation
+	change := (interval - e.mean).Abs() - e.deviation
 	if change > 0 {
-		g.deviation += change / riseWeight
+		e.deviation += change / riseWeight
 	} else {
-		g.deviation += change / fallWeight
+		e.deviation += change / fallWeight
 	}
-	g.mean += (interval - g.mean) / meanWeight
+	e.mean += (interval - e.mean) / meanWeight
 }
 
-// Bound returns the longest expected interval, limited to between least and most. The
+// Bound returns the longest expected interval, limited to between lower and upper. The
 // lower limit keeps a short delay after very regular heartbeats from counting as a
 // failure; the upper limit ensures that a dead server is detected even if its heartbeats
 // were slow.
-func (g IntervalEstimator) Bound(lower, upper time.Duration) time.Duration {
-	return min(max(g.mean+deviations*g.deviation, lower), upper)
+func (e IntervalEstimator) Bound(lower, upper time.Duration) time.Duration {
+	return min(max(e.mean+deviations*e.deviation, lower), upper)
 }
--- a/internal/membership/hingeannounce/parse.go
+++ b/internal/membership/hingeannounce/parse.go
@@ -21,7 +21,7 @@
 // Reason is the machine-readable cause of a rejected announcement.
 type Reason string
 
-// The reasons for which Parse and Check reject an announcement.
+// The reasons for which Parse and Validate reject an announcement.
 const (
 	ReasonTooLarge     Reason = "tooLarge"
 	ReasonNotJSON      Reason = "notJSON"
--- a/internal/membership/hingeannounce/table.go
+++ b/internal/membership/hingeannounce/table.go
@@ -28,7 +28,7 @@
 // Outcome is the effect of an announcement on a Table.
 type Outcome uint8
 
-// The outcomes: Old changed nothing, Fresh was a heartbeat without other changes, Changed
+// The outcomes: Stale changed nothing, Refreshed was a heartbeat without other changes, Changed
 // altered the server's state or description (new, restarted, leaving, alive again, another
 // role).
 const (
--- a/internal/membership/hingefollow/follow.go
+++ b/internal/membership/hingefollow/follow.go
@@ -20,7 +20,7 @@
 //  6. Only the first of the polled control hosts sends new configurations. The others send
 //     the version, and the configuration on the next poll if it hasn't arrived by then.
 //  7. A change of servers has to be sent to hundreds of followers. A control host
-//     batches such changes for about as long as the responses take it, so that a series
+//     batches such changes for about as long as it takes to send the responses, so that a series
 //     of changes (a healed partition, a cold start) doesn't keep it from
 //     placing requests. Followers with the same state get the same encoded response. A new leader
 //     or configuration is sent without batching.
@@ -116,7 +116,7 @@
 	ControlHosts []memberInfo           `cbor:"6,keyasint,omitempty"`
 	// Version is the version of the newest configuration, also if Document is nil.
 	Version hingeversion.Version `cbor:"12,keyasint,omitempty"`
-	// FollowerSet are the entry hosts that follow the control host; it is sent only to control hosts. Entries counts the entry
+	// FollowerSet are the entry hosts that follow the control host; it is sent only to control hosts. EntryHosts counts the entry
 	// hosts of all control hosts.
 	FollowerSet     FollowerSet   `cbor:"15,keyasint,omitempty"`
 	EntryHosts      int           `cbor:"7,keyasint,omitempty"`
@@ -150,7 +150,7 @@
 type ControlHost struct {
 	Host hingeids.HostID
 	Zone hingeids.Zone
-	// HasLeader is set if it heard a leader at its last response. HeardAt is the time of that response, zero before the first.
+	// HasLeader is set if it heard a leader at its last response. LastSeen is the time of that response, zero before the first.
 	HasLeader bool
 	LastSeen  time.Time
 	// FollowerSet are the entry hosts that follow it.
@@ -236,16 +236,16 @@
 // poll sends long polls to one control host until the context is done.
 func (f *Follower) poll(ctx context.Context, id hingeids.HostID, h *host) {
 	for ctx.Err() == nil {
-		a, err := f.pollOnce(ctx, id, h)
+		resp, err := f.pollOnce(ctx, id, h)
 		now := f.settings.Clock()
 		if err != nil {
 			hingeclock.Sleep(ctx, retryDelay)
 			continue
 		}
-		f.apply(now, h, a)
-		if f.documentMissing(a.Version) {
+		f.apply(now, h, resp)
+		if f.documentMissing(resp.Version) {
 			hingeclock.Sleep(ctx, documentWait)
-			f.setDocumentLate(h, f.documentMissing(a.Version))
+			f.setDocumentLate(h, f.documentMissing(resp.Version))
 		}
 	}
 }
@@ -290,49 +290,49 @@
 	if err != nil {
 		return followResponse{}, err
 	}
-	var a followResponse
-	return a, eris.Wrap(cbor.Unmarshal(b, &a), "decode a control host's response")
+	var resp followResponse
+	return resp, eris.Wrap(cbor.Unmarshal(b, &resp), "decode a control host's response")
 }
 
 // apply merges a response into the state (rule 2).
-func (f *Follower) apply(now time.Time, h *host, a followResponse) {
-	if len(a.Records) > 0 {
-		f.settings.OnRecords(now, a.Records)
+func (f *Follower) apply(now time.Time, h *host, resp followResponse) {
+	if len(resp.Records) > 0 {
+		f.settings.OnRecords(now, resp.Records)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	h.lastSeen = now
-	h.incarnation = a.Incarnation
-	h.change = a.Change
-	h.zone = a.Zone
+	h.incarnation = resp.Incarnation
+	h.change = resp.Change
+	h.zone = resp.Zone
 	h.documentLate = false
-	h.hasLeader = a.HasLeader
-	h.followers = a.FollowerSet
+	h.hasLeader = resp.HasLeader
+	h.followers = resp.FollowerSet
 	next := *f.state.Load()
-	if a.Document != nil && a.Document.Version > next.Document.Version {
-		next.Document = *a.Document
+	if resp.Document != nil && resp.Document.Version > next.Document.Version {
+		next.Document = *resp.Document
 	}
-	if a.PoisonRequests != nil && a.PoisonRequests.Revision > next.PoisonRequests.Revision {
-		next.PoisonRequests = *a.PoisonRequests
+	if resp.PoisonRequests != nil && resp.PoisonRequests.Revision > next.PoisonRequests.Revision {
+		next.PoisonRequests = *resp.PoisonRequests
 	}
 	// A control host that hears no leader may have an outdated list of members.
-	if a.HasLeader {
+	if resp.HasLeader {
 		next.LastSeen = now
-		if a.EntryHosts > 0 {
-			next.EntryHosts = a.EntryHosts
+		if resp.EntryHosts > 0 {
+			next.EntryHosts = resp.EntryHosts
 		}
-		for _, c := range a.ControlHosts {
+		for _, c := range resp.ControlHosts {
 			f.markNamed(now, c.Host)
 			if h := f.hosts[c.Host]; h != nil && c.Zone != "" {
 				h.zone = c.Zone
 			}
 		}
 	}
-	if a.Leader != "" && a.Term >= next.Term {
-		next.Leader = a.Leader
-		next.Term = a.Term
+	if resp.Leader != "" && resp.Term >= next.Term {
+		next.Leader = resp.Leader
+		next.Term = resp.Term
 	}
-	next.Ready = next.Ready || a.NewestConfirmed && next.Document.Version > 0
+	next.Ready = next.Ready || resp.NewestConfirmed && next.Document.Version > 0
 	next.ControlHosts = f.controlHosts()
 	f.state.Store(&next)
 }
--- a/internal/membership/hingefollow/follow_test.go
+++ b/internal/membership/hingefollow/follow_test.go
@@ -24,7 +24,7 @@
 	documents hingeboard.Cell[hingeversion.Document]
 	poisons   hingeboard.Cell[hingepoison.List]
 	mu        sync.Mutex
-	standing  GroupStatus
+	status    GroupStatus
 	// noLeader makes Read fail.
 	noLeader bool
 }
@@ -36,13 +36,13 @@
 func (o *origin) GroupStatus() GroupStatus {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.standing
+	return o.status
 }
 
-func (o *origin) setStanding(s GroupStatus) {
+func (o *origin) setStatus(s GroupStatus) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	o.standing = s
+	o.status = s
 }
 
 // directory holds the server records that a follower received.
@@ -138,7 +138,7 @@
 func (x *cluster) start(h hingeids.HostID, incarnation hingeids.Incarnation) *testControl {
 	c := &testControl{
 		origin: &origin{
-			standing: GroupStatus{
+			status: GroupStatus{
 				Leader:    "control-1",
 				Term:      1,
 				Members:   []hingeids.HostID{"control-1", "control-2"},
@@ -221,7 +221,7 @@
 	withCluster(t, func(t *testing.T, x *cluster) {
 		partitioned := x.hosts["control-1"]
 		partitioned.noLeader = true
-		partitioned.setStanding(GroupStatus{})
+		partitioned.setStatus(GroupStatus{})
 		partitioned.accept(1)
 		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
@@ -410,7 +410,7 @@
 		f, _ := x.startFollower("entry-1", "control-1")
 		time.Sleep(3 * time.Second)
 		x.network.Remove("control-1")
-		x.hosts["control-2"].setStanding(GroupStatus{
+		x.hosts["control-2"].setStatus(GroupStatus{
 			Leader:    "control-2",
 			Term:      2,
 			Members:   []hingeids.HostID{"control-2"},
@@ -477,7 +477,7 @@
 		time.Sleep(3 * time.Second)
 		x.hosts["control-1"].source.HandleAnnouncement(time.Now(), announcement("server"))
 		time.Sleep(time.Millisecond)
-		x.hosts["control-1"].setStanding(GroupStatus{
+		x.hosts["control-1"].setStatus(GroupStatus{
 			Leader:    "control-2",
 			Term:      2,
 			HasLeader: true,
@@ -520,7 +520,7 @@
 	})
 }
 
-// Guards against rejecting a key that was added a moment ago: Newest must fetch the newer configuration through a control host
+// Guards against rejecting a key that was added a moment ago: NewestVersion must fetch the newer configuration through a control host
 // with a leader, and must confirm nothing without a leader.
 func TestNewestVersionIsConfirmedByTheLeader(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
--- a/internal/membership/hingefollow/followerset.go
+++ b/internal/membership/hingefollow/followerset.go
@@ -23,25 +23,25 @@
 }
 
 // Add adds an entry host to the set.
-func (a FollowerSet) Add(h hingeids.HostID) {
+func (s FollowerSet) Add(h hingeids.HostID) {
 	bit := xxhash.Sum64String(string(h)) % followerSetBits
-	a[bit/8] |= 1 << (bit % 8)
+	s[bit/8] |= 1 << (bit % 8)
 }
 
 // Join adds all hosts of another set. It ignores a set of another size, which comes from a different build.
-func (a FollowerSet) Join(o FollowerSet) {
-	if len(o) != len(a) {
+func (s FollowerSet) Join(o FollowerSet) {
+	if len(o) != len(s) {
 		return
 	}
 	for i, b := range o {
-		a[i] |= b
+		s[i] |= b
 	}
 }
 
 // Count estimates the number of hosts in the set. It corrects for hosts whose hashes share a bit.
-func (a FollowerSet) Count() int {
+func (s FollowerSet) Count() int {
 	set := 0
-	for _, b := range a {
+	for _, b := range s {
 		set += bits.OnesCount8(b)
 	}
 	zeroBits := max(followerSetBits-set, 1)
--- a/internal/membership/hingefollow/hosts.go
+++ b/internal/membership/hingefollow/hosts.go
@@ -32,7 +32,7 @@
 	polling      bool
 }
 
-// refreshHosts starts to poll the best control hosts, stops polling the others and removes hosts that are gone (rules 1 and 3).
+// refreshHosts starts to poll the best control hosts, stops polling the others and removes those that are unnamed and unresponsive (rules 1 and 3).
 func (f *Follower) refreshHosts(ctx context.Context, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/membership/hingefollow/newest.go
+++ b/internal/membership/hingefollow/newest.go
@@ -27,7 +27,7 @@
 }
 
 // NewestVersion returns the version of the newest configuration accepted before the call, to within versionQueryMaxAge. The follower
-// holds that configuration when Newest returns. It returns false if no control host confirmed one (rule 8).
+// holds that configuration when NewestVersion returns. It returns false if no control host confirmed one (rule 8).
 func (f *Follower) NewestVersion(ctx context.Context) (hingeversion.Version, bool) {
 	q := f.currentQuery(f.settings.Clock())
 	select {
@@ -106,11 +106,11 @@
 		Single:        true,
 	}
 	f.mu.Unlock()
-	a, err := f.call(ctx, id, q)
+	resp, err := f.call(ctx, id, q)
 	if err != nil {
 		// The next control host is queried.
 		return false
 	}
-	f.apply(f.settings.Clock(), h, a)
-	return a.NewestConfirmed && f.state.Load().Document.Version >= a.Version
+	f.apply(f.settings.Clock(), h, resp)
+	return resp.NewestConfirmed && f.state.Load().Document.Version >= resp.Version
 }
--- a/internal/membership/hingefollow/source.go
+++ b/internal/membership/hingefollow/source.go
@@ -197,17 +197,17 @@
 
 // respond returns a cached response to a follower with the same state, or a new one.
 func (s *Source) respond(q followRequest, confirmed bool) ([]byte, error) {
-	standing := s.origin.GroupStatus()
+	status := s.origin.GroupStatus()
 	k := responseKey{
 		since:              q.Change,
 		heldVersion:        q.Version,
 		version:            s.origin.Documents().Load().Version,
 		heldPoisonRevision: q.PoisonRequests,
 		poisonRevision:     s.origin.PoisonRequests().Load().Revision,
-		leader:             standing.Leader,
-		term:               standing.Term,
+		leader:             status.Leader,
+		term:               status.Term,
 		versionOnly:        q.VersionOnly,
-		hasLeader:          standing.HasLeader,
+		hasLeader:          status.HasLeader,
 		confirmed:          confirmed,
 		entryHost:          q.EntryHost,
 	}
@@ -219,9 +219,9 @@
 	if found && now.Sub(old.createdAt) < responseCacheTime {
 		return old.body, nil
 	}
-	a := s.followResponse(q)
-	a.NewestConfirmed = confirmed
-	b, err := cbor.Marshal(a)
+	resp := s.followResponse(q)
+	resp.NewestConfirmed = confirmed
+	b, err := cbor.Marshal(resp)
 	if err != nil {
 		return nil, eris.Wrap(err, "encode a response to a follower")
 	}
@@ -250,33 +250,33 @@
 }
 
 func (s *Source) followResponse(q followRequest) followResponse {
-	standing := s.origin.GroupStatus()
-	a := followResponse{
+	status := s.origin.GroupStatus()
+	resp := followResponse{
 		Incarnation:  s.self,
-		Leader:       standing.Leader,
-		Term:         standing.Term,
-		ControlHosts: s.memberInfo(standing.Members),
-		HasLeader:    standing.HasLeader,
-		Zone:         standing.Zone,
+		Leader:       status.Leader,
+		Term:         status.Term,
+		ControlHosts: s.memberInfo(status.Members),
+		HasLeader:    status.HasLeader,
+		Zone:         status.Zone,
 	}
 	d := s.origin.Documents().Load()
-	a.Version = d.Version
+	resp.Version = d.Version
 	if d.Version > q.Version && !q.VersionOnly {
-		a.Document = d
+		resp.Document = d
 	}
 	if l := s.origin.PoisonRequests().Load(); l.Revision > q.PoisonRequests {
-		a.PoisonRequests = l
+		resp.PoisonRequests = l
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	a.Change = s.directory.Change()
-	a.Records = s.directory.Since(q.Change)
+	resp.Change = s.directory.Change()
+	resp.Records = s.directory.Since(q.Change)
 	own := s.followerSet()
 	if !q.EntryHost {
-		a.FollowerSet = own
+		resp.FollowerSet = own
 	}
-	a.EntryHosts = s.countEntryHosts(own)
-	return a
+	resp.EntryHosts = s.countEntryHosts(own)
+	return resp
 }
 
 // EntryHosts returns the number of entry hosts that follow this or another control host.
@@ -299,8 +299,8 @@
 func (s *Source) countEntryHosts(own FollowerSet) int {
 	all := NewFollowerSet()
 	all.Join(own)
-	for _, a := range s.peers.FollowerSets() {
-		all.Join(a)
+	for _, set := range s.peers.FollowerSets() {
+		all.Join(set)
 	}
 	return all.Count()
 }
--- a/internal/membership/hingemembers/bench_test.go
+++ b/internal/membership/hingemembers/bench_test.go
@@ -97,10 +97,10 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkStanding measures the share of the time in which members hold a valid lease
+// BenchmarkLeases measures the share of the time in which members hold a valid lease
 // (rule 7) without failures, in three zones with one voter each, by the number of hosts in
 // a zone.
-func BenchmarkStanding(b *testing.B) {
+func BenchmarkLeases(b *testing.B) {
 	for _, inZone := range []int{2, 3, 6, 12, 31} {
 		b.Run(fmt.Sprintf("hostsInZone=%d", inZone), func(b *testing.B) {
 			for range b.N {
--- a/internal/membership/hingemembers/driver_test.go
+++ b/internal/membership/hingemembers/driver_test.go
@@ -13,7 +13,7 @@
 )
 
 // Three hosts run on a fake network: a server announced to one becomes usable at all, a
-// host declared ended gets a new instance after OnOver, and no goroutine is left at the
+// host declared ended gets a new instance after OnDeclaredEnded, and no goroutine is left at the
 // end.
 func TestDriversFindEachOther(t *testing.T) {
 	defer goleak.VerifyNone(t)
@@ -29,9 +29,9 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	group, ctx := errgroup.WithContext(ctx)
-	over := make(chan hingeids.Instance, 1)
+	declaredEnded := make(chan hingeids.Instance, 1)
 	all := make(map[hingeids.HostID]*Members)
-	record := make(Registry)
+	registry := make(Registry)
 	for _, n := range names {
 		m := New(Config{
 			StateConfig: StateConfig{
@@ -45,11 +45,11 @@
 			},
 			Link: network.Link(n),
 			OnDeclaredEnded: func(ended hingeids.Instance) {
-				over <- ended
+				declaredEnded <- ended
 			},
 		})
 		all[n] = m
-		record[n] = RegistryEntry{
+		registry[n] = RegistryEntry{
 			Incarnation: 1,
 		}
 		group.Go(func() error {
@@ -57,7 +57,7 @@
 		})
 	}
 	for _, m := range all {
-		m.SetRegistry(record)
+		m.SetRegistry(registry)
 	}
 	all["a"].Announce(announcement(1))
 	for _, m := range all {
@@ -73,7 +73,7 @@
 		},
 	}
 	all["a"].SetRegistry(ended)
-	<-over
+	<-declaredEnded
 	waitFor(t, all["b"], func(v *View) bool {
 		h, _ := v.Find("a")
 		return h.Instance.Incarnation > 1 && h.State == Alive
--- a/internal/membership/hingemembers/facts.go
+++ b/internal/membership/hingemembers/facts.go
@@ -33,8 +33,8 @@
 	return out
 }
 
-// FailureVote is a failure vote: the instance By has promised never to renew the lease of
-// the instance Against.
+// FailureVote is the promise of the instance By never to renew the lease of the instance
+// Against (rule 8).
 type FailureVote struct {
 	By      hingeids.Instance `cbor:"1,keyasint"`
 	Against hingeids.Instance `cbor:"2,keyasint"`
@@ -51,15 +51,15 @@
 type Registry map[hingeids.HostID]RegistryEntry
 
 // Has reports whether an instance is in the registry and has not ended.
-func (r Registry) Has(l hingeids.Instance) bool {
-	return r[l.Host] == RegistryEntry{
-		Incarnation: l.Incarnation,
+func (r Registry) Has(instance hingeids.Instance) bool {
+	return r[instance.Host] == RegistryEntry{
+		Incarnation: instance.Incarnation,
 	}
 }
 
 // HasEnded reports whether an instance has ended according to the registry, which marks it
 // as ended or has a newer one of the same host.
-func (r Registry) HasEnded(l hingeids.Instance) bool {
-	got := r[l.Host]
-	return got.Incarnation > l.Incarnation || got.Incarnation == l.Incarnation && got.Ended
+func (r Registry) HasEnded(instance hingeids.Instance) bool {
+	got := r[instance.Host]
+	return got.Incarnation > instance.Incarnation || got.Incarnation == instance.Incarnation && got.Ended
 }
--- a/internal/membership/hingemembers/gossip.go
+++ b/internal/membership/hingemembers/gossip.go
@@ -111,13 +111,13 @@
 	s.queue.urgent = s.queue.urgent || urgent
 }
 
-func (s *State) queueVote(a FailureVote) {
+func (s *State) queueVote(v FailureVote) {
 	key := factKey{
-		vote: a,
+		vote: v,
 	}
 	s.queue.items[key] = &queuedFact{
 		key:       key,
-		size:      len(encode(a)),
+		size:      len(encode(v)),
 		remaining: s.lastingFactSends(),
 	}
 	s.queue.urgent = true
--- a/internal/membership/hingemembers/lease.go
+++ b/internal/membership/hingemembers/lease.go
@@ -8,8 +8,8 @@
 )
 
 // instanceLease is the duration of the lease of rule 7. It outlasts seven lost probes, and
-// a dead host's slots stay idle for about as long. The granter waits longer by one part in
-// clockMarginDivisor: the clock rates of both hosts may be wrong by a twentieth.
+// a dead host's slots stay idle for about as long. The host that renewed it waits longer by
+// one part in clockMarginDivisor: the clock rates of both hosts may be wrong by a twentieth.
 const (
 	instanceLease      = 1500 * time.Millisecond
 	clockMarginDivisor = 10
@@ -19,15 +19,15 @@
 )
 
 // mayRenew reports whether this host may renew an instance's lease (rules 8 and 9).
-func (s *State) mayRenew(l hingeids.Instance) bool {
-	return s.registry.Has(s.instance) && !s.registry.HasEnded(l) && !s.hasVoted(l)
+func (s *State) mayRenew(instance hingeids.Instance) bool {
+	return s.registry.Has(s.instance) && !s.registry.HasEnded(instance) && !s.hasVoted(instance)
 }
 
 // hasVoted reports whether any instance of this host has cast a failure vote against an
 // instance.
 func (s *State) hasVoted(against hingeids.Instance) bool {
-	for a := range s.votes {
-		if a.Against == against && a.By.Host == s.instance.Host {
+	for v := range s.votes {
+		if v.Against == against && v.By.Host == s.instance.Host {
 			return true
 		}
 	}
@@ -58,8 +58,8 @@
 // zoneHasVoted reports whether a host of the peer's own zone has cast a failure vote
 // against it.
 func (s *State) zoneHasVoted(p *peer) bool {
-	for a := range s.votes {
-		if a.Against == p.fact.Instance && s.zoneOf(a.By.Host) == p.Zone {
+	for v := range s.votes {
+		if v.Against == p.fact.Instance && s.zoneOf(v.By.Host) == p.Zone {
 			return true
 		}
 	}
@@ -76,13 +76,13 @@
 	return ""
 }
 
-func (s *State) mergeVote(a FailureVote) {
-	if s.votes[a] || s.superseded(a.Against) {
+func (s *State) mergeVote(v FailureVote) {
+	if s.votes[v] || s.superseded(v.Against) {
 		return
 	}
-	s.votes[a] = true
+	s.votes[v] = true
 	s.markChanged()
-	s.queueVote(a)
+	s.queueVote(v)
 	for old := range s.votes {
 		if s.superseded(old.Against) {
 			delete(s.votes, old) // Bounds their number: an ended instance gets no lease anyway.
@@ -93,8 +93,8 @@
 // superseded reports whether the registry has a newer instance of the host. The votes
 // against an instance that has only ended are kept, since a host with an older registry
 // may still request its lease.
-func (s *State) superseded(l hingeids.Instance) bool {
-	return s.registry[l.Host].Incarnation > l.Incarnation
+func (s *State) superseded(instance hingeids.Instance) bool {
+	return s.registry[instance.Host].Incarnation > instance.Incarnation
 }
 
 // Expired returns the instances that have expired or have ended themselves. They may be
@@ -112,14 +112,14 @@
 
 func (s *State) hasExpired(p *peer) bool {
 	voters, zone := 0, false
-	for a := range s.votes {
-		if a.Against != p.fact.Instance || !s.registry.Has(a.By) {
+	for v := range s.votes {
+		if v.Against != p.fact.Instance || !s.registry.Has(v.By) {
 			continue
 		}
-		if s.isVoter(a.By.Host) {
+		if s.isVoter(v.By.Host) {
 			voters++
 		}
-		zone = zone || s.zoneOf(a.By.Host) == p.Zone
+		zone = zone || s.zoneOf(v.By.Host) == p.Zone
 	}
 	return zone && voters >= s.majority()
 }
--- a/internal/membership/hingemembers/members.go
+++ b/internal/membership/hingemembers/members.go
@@ -133,7 +133,7 @@
 	}
 }
 
-// Step runs what is due, and returns when it has to run again. The loop calls it.
+// Step runs the scheduled work, and returns when it has to run again. The loop calls it.
 func (m *Members) Step(now time.Time) time.Time {
 	send, next := m.state.Step(now)
 	m.send(send)
@@ -150,9 +150,9 @@
 	return next
 }
 
-func (m *Members) endInstance(l hingeids.Instance) {
+func (m *Members) endInstance(ended hingeids.Instance) {
 	if m.config.OnDeclaredEnded != nil {
-		m.config.OnDeclaredEnded(l)
+		m.config.OnDeclaredEnded(ended)
 	}
 	m.loop.Post(func(now time.Time) {
 		m.state.StartInstance(now)
--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -107,14 +107,14 @@
 	})
 }
 
-func (s *simulation) setRegistry(l hingeids.Instance, over bool) {
+func (s *simulation) setRegistry(instance hingeids.Instance, ended bool) {
 	next := make(Registry)
 	for k, v := range s.registry {
 		next[k] = v
 	}
-	next[l.Host] = RegistryEntry{
-		Incarnation: l.Incarnation,
-		Ended:       over,
+	next[instance.Host] = RegistryEntry{
+		Incarnation: instance.Incarnation,
+		Ended:       ended,
 	}
 	s.registry = next
 	for _, h := range s.hosts {
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -209,7 +209,7 @@
 }
 
 // DeclaredEnded reports whether others have declared this host's instance ended. Its
-// callers must get a final response before NewLife is called.
+// callers must get a final response before StartInstance is called.
 func (s *State) DeclaredEnded() bool {
 	if s.selfEnded {
 		return false
@@ -243,8 +243,8 @@
 			t.Hosts = append(t.Hosts, p.fact)
 		}
 	}
-	for a := range s.votes {
-		t.FailureVotes = append(t.FailureVotes, a)
+	for v := range s.votes {
+		t.FailureVotes = append(t.FailureVotes, v)
 	}
 	slices.SortFunc(t.FailureVotes, compareVotes)
 	return t
--- a/internal/membership/hingeworld/world.go
+++ b/internal/membership/hingeworld/world.go
@@ -34,7 +34,7 @@
 // Build returns the view for a table, which may be nil, and for the records of servers in
 // the order in which they became known.
 func Build(t *hingeroutes.Table, records []hingeannounce.Record) *ClusterView {
-	w := &ClusterView{
+	v := &ClusterView{
 		table:          t,
 		replicas:       make(map[hingeids.Service][]hingebalance.Replica),
 		engines:        make(map[hingeids.Service][]hingefleet.Engine),
@@ -43,22 +43,22 @@
 	}
 	for _, r := range records {
 		if !r.Usable() {
-			w.removedServers[r.Announcement.Server.WithIncarnation(r.Announcement.Incarnation)] = true
+			v.removedServers[r.Announcement.Server.WithIncarnation(r.Announcement.Incarnation)] = true
 		}
 	}
 	for _, r := range usable(t, records) {
 		a := r.Announcement
 		a.Server = a.Server.WithIncarnation(a.Incarnation)
-		w.add(a)
+		v.add(a)
 	}
-	w.version = w.versionString()
-	return w
+	v.version = v.versionString()
+	return v
 }
 
 // usable returns the records of usable servers, sorted by ID. If two of them have the same
 // address, the one that became known last gets it: the other has crashed, and it is marked
-// as silent only later, or never if one of its heartbeats was delayed. Such late news must
-// not take the address from its successor. A server that matches no service can't claim an
+// as silent only later, or never if one of its heartbeats was delayed. Such a delayed
+// heartbeat must not take the address from its successor. A server that matches no service can't claim an
 // address, since anybody may announce one.
 func usable(t *hingeroutes.Table, records []hingeannounce.Record) []hingeannounce.Record {
 	byAddress := make(map[string]hingeannounce.Record, len(records))
@@ -82,27 +82,27 @@
 	return ok && (s.Engine != nil) == (roleOf(a.Kind) != 0)
 }
 
-func (w *ClusterView) add(a hingeannounce.Announcement) {
-	w.addresses[a.Server] = a.Address
-	w.digest ^= xxhash.Sum64String(string(a.Server) + "/" + string(a.Kind))
+func (v *ClusterView) add(a hingeannounce.Announcement) {
+	v.addresses[a.Server] = a.Address
+	v.digest ^= xxhash.Sum64String(string(a.Server) + "/" + string(a.Kind))
 	if role := roleOf(a.Kind); role != 0 {
-		w.addEngine(a, role)
+		v.addEngine(a, role)
 		return
 	}
-	w.addReplica(a)
+	v.addReplica(a)
 }
 
-func (w *ClusterView) addReplica(a hingeannounce.Announcement) {
+func (v *ClusterView) addReplica(a hingeannounce.Announcement) {
 	r := hingebalance.Replica{
 		Server:  a.Server,
 		Address: a.Address,
 		Zone:    a.Zone,
 		Slots:   a.Slots,
 	}
-	if w.table != nil {
-		r.MaxConnections = w.table.Services[a.Service].Connections
+	if v.table != nil {
+		r.MaxConnections = v.table.Services[a.Service].Connections
 	}
-	w.replicas[a.Service] = append(w.replicas[a.Service], r)
+	v.replicas[a.Service] = append(v.replicas[a.Service], r)
 }
 
 func roleOf(k hingeannounce.Kind) hingefleet.Role {
@@ -115,46 +115,46 @@
 	return 0
 }
 
-func (w *ClusterView) addEngine(a hingeannounce.Announcement, role hingefleet.Role) {
+func (v *ClusterView) addEngine(a hingeannounce.Announcement, role hingefleet.Role) {
 	e := hingefleet.Engine{
 		Server: a.Server,
 		Zone:   a.Zone,
 		Role:   role,
 		Slots:  a.Slots,
 	}
-	if w.table != nil {
-		if s := w.table.Services[a.Service]; s.Engine != nil {
+	if v.table != nil {
+		if s := v.table.Services[a.Service]; s.Engine != nil {
 			e.Memory = s.Engine.Memory
 			e.EventTokens = s.Engine.EventTokens
 			e.Slots = s.Engine.Slots
 		}
 	}
-	w.engines[a.Service] = append(w.engines[a.Service], e)
+	v.engines[a.Service] = append(v.engines[a.Service], e)
 	if role == hingefleet.Decode {
 		// A request to a model service without a prompt may go to any decode engine.
-		w.addReplica(a)
+		v.addReplica(a)
 	}
 }
 
 // Version identifies the configuration version and the set of usable servers. It is equal
 // in two processes that have the same configuration and know the same servers, in whatever
 // order they received them.
-func (w *ClusterView) Version() string {
-	return w.version
+func (v *ClusterView) Version() string {
+	return v.version
 }
 
-func (w *ClusterView) versionString() string {
+func (v *ClusterView) versionString() string {
 	version := uint64(0)
-	if w.table != nil {
-		version = w.table.Version
+	if v.table != nil {
+		version = v.table.Version
 	}
-	return fmt.Sprintf("%d/%08x", version, uint32(w.digest))
+	return fmt.Sprintf("%d/%08x", version, uint32(v.digest))
 }
 
 // Since returns the servers that are usable now and weren't in an earlier view, and those
 // that no longer are, each sorted by ID.
-func (w *ClusterView) Since(earlier *ClusterView) (added, removed []hingeids.ServerID) {
-	return notIn(w.addresses, earlier.addresses), notIn(earlier.addresses, w.addresses)
+func (v *ClusterView) Since(earlier *ClusterView) (added, removed []hingeids.ServerID) {
+	return notIn(v.addresses, earlier.addresses), notIn(earlier.addresses, v.addresses)
 }
 
 // notIn returns the servers of one map that the other lacks, sorted by ID.
@@ -170,28 +170,28 @@
 }
 
 // Table returns the routes in force, or nil before any are known.
-func (w *ClusterView) Table() *hingeroutes.Table {
-	return w.table
+func (v *ClusterView) Table() *hingeroutes.Table {
+	return v.table
 }
 
 // Replicas returns the usable replicas of every service. The map must not be modified.
-func (w *ClusterView) Replicas() map[hingeids.Service][]hingebalance.Replica {
-	return w.replicas
+func (v *ClusterView) Replicas() map[hingeids.Service][]hingebalance.Replica {
+	return v.replicas
 }
 
 // Address returns the address of a usable server.
-func (w *ClusterView) Address(id hingeids.ServerID) (string, bool) {
-	a, ok := w.addresses[id]
+func (v *ClusterView) Address(id hingeids.ServerID) (string, bool) {
+	a, ok := v.addresses[id]
 	return a, ok
 }
 
 // Removed reports whether a server is known to accept no more work. It is false for an
 // unknown server.
-func (w *ClusterView) Removed(id hingeids.ServerID) bool {
-	return w.removedServers[id]
+func (v *ClusterView) Removed(id hingeids.ServerID) bool {
+	return v.removedServers[id]
 }
 
 // Engines returns the usable engines of every service. The map must not be modified.
-func (w *ClusterView) Engines() map[hingeids.Service][]hingefleet.Engine {
-	return w.engines
+func (v *ClusterView) Engines() map[hingeids.Service][]hingefleet.Engine {
+	return v.engines
 }
--- a/internal/membership/hingeworld/world_test.go
+++ b/internal/membership/hingeworld/world_test.go
@@ -64,7 +64,7 @@
 // A delayed heartbeat of a crashed engine arrives after the first one of its successor.
 // The old instance must not get the address back, since the new one would reject its
 // requests.
-func TestHeldUpHeartbeatDoesNotTakeTheAddressBack(t *testing.T) {
+func TestDelayedHeartbeatDoesNotReclaimAddress(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
 	d.Receive(startTime, heartbeat("engine-before", 1))
 	d.Receive(startTime.Add(2*time.Second), heartbeat("engine-after", 0))
@@ -107,7 +107,7 @@
 
 // A server of an unconfigured service, or a plain replica announced for a service of
 // engines, must not take the address of an engine, which would then get no work.
-func TestUnconfiguredServerTakesNoAddress(t *testing.T) {
+func TestUnconfiguredServerGetsNoAddress(t *testing.T) {
 	table := &hingeroutes.Table{
 		Services: map[hingeids.Service]hingeroutes.Service{
 			fleetService: {
