--- a/internal/agreement/hingeconfig/doc.go
+++ b/internal/agreement/hingeconfig/doc.go
@@ -8,8 +8,8 @@
 //     again, accepted or conflict; the same ID with other content is an error. The
 //     IDs of the newest 16384 answers are kept, in snapshots too. A resend whose ID
 //     is no longer kept is a conflict by rule 1, so no change is applied twice.
-//  3. A system change (Fact) is made by the system and not by an operator. It may
-//     write only paths under "lives/", each of which holds the highest ended
+//  3. A system change (Change.System) is made by the system and not by an operator.
+//     It may write only paths under "lives/", each of which holds the highest ended
 //     incarnation of a host. These numbers only grow, so a system change needs no
 //     expected revision: it creates a new revision but never makes an operator's
 //     change a conflict (rule 1).
--- a/internal/agreement/hingeconfig/instances.go
+++ b/internal/agreement/hingeconfig/instances.go
@@ -21,14 +21,14 @@
 
 // InstanceEnded returns the system change that records the end of an instance and of all
 // earlier ones of its host. Its ID contains the instance and the reporting host.
-func InstanceEnded(l hingeids.Instance, by hingeids.HostID, now time.Time) Change {
-	document := binary.BigEndian.AppendUint64(nil, uint64(l.Incarnation))
+func InstanceEnded(instance hingeids.Instance, by hingeids.HostID, now time.Time) Change {
+	document := binary.BigEndian.AppendUint64(nil, uint64(instance.Incarnation))
 	return Change{
 		ID: ChangeID("lifeOver." + hingeids.RequestID{
-			Instance: l,
+			Instance: instance,
 		}.String() + "." + string(by)),
 		Puts: map[Path][]byte{
-			EndedIncarnationPath(l.Host): document,
+			EndedIncarnationPath(instance.Host): document,
 		},
 		Operator: string(by),
 		SentAt:   now.UnixNano(),
--- a/internal/agreement/hingeconfig/machine_test.go
+++ b/internal/agreement/hingeconfig/machine_test.go
@@ -87,7 +87,7 @@
 	}
 	v := m.Views().Load()
 	if v.EndedUpTo("cancale-1") != 9 || v.Revision != 3 {
-		t.Fatalf("over up to %d at revision %d", v.EndedUpTo("cancale-1"), v.Revision)
+		t.Fatalf("ended up to %d at revision %d", v.EndedUpTo("cancale-1"), v.Revision)
 	}
 	if a := mustApply(t, m, put("c2", "yann", 1, "models/redacteur", "8")); a.Result != Accepted || a.Revision != 4 {
 		t.Fatalf("got %+v", a)
--- a/internal/agreement/hingegroup/group.go
+++ b/internal/agreement/hingegroup/group.go
@@ -34,11 +34,11 @@
 	Hosts []hingeids.HostID
 	// Open lets any host with a disk join (rule 7). Hosts are then only the first contacts.
 	Open bool
-	// JoinOnly says that the group was bootstrapped before, so this host may only join.
+	// JoinOnly reports that the group was bootstrapped before, so this host may only join.
 	JoinOnly bool
 	// Voters is the number of voters to keep; zero means all members (hingelog rule 13).
 	Voters int
-	// Election and Heartbeat are the times of hingelog.Settings; zero means its defaults.
+	// Election and Heartbeat are the times of hingelog.Settings; zero means the defaults of that package.
 	Election  time.Duration
 	Heartbeat time.Duration
 	// CompactAfter is the number of entries between snapshots; zero means 4096.
@@ -105,8 +105,8 @@
 }
 
 // New opens a host's part and registers its handlers at the link. A host without a
-// disk passes nil for files and m.
-func New(s Settings, link hingelink.Link, files hingejournal.Directory, m StateMachine) (*Group, error) {
+// disk passes nil for directory and m.
+func New(s Settings, link hingelink.Link, directory hingejournal.Directory, m StateMachine) (*Group, error) {
 	g := &Group{
 		settings: s.withDefaults(),
 		link:     link,
@@ -115,11 +115,11 @@
 		done:     make(chan struct{}),
 	}
 	g.status.Store(&Status{})
-	if files == nil {
+	if directory == nil {
 		return g, nil
 	}
 	g.senders = newSenders(g)
-	member, err := openMember(g, files)
+	member, err := openMember(g, directory)
 	if err != nil {
 		return nil, err
 	}
@@ -129,13 +129,13 @@
 }
 
 // SetExtraHosts sets the hosts to contact besides those of the settings, which may be outdated.
-// It replaces those of the last call.
+// It replaces the hosts of the previous call.
 func (g *Group) SetExtraHosts(hosts []hingeids.HostID) {
 	list := slices.Clone(hosts)
 	g.extraHosts.Store(&list)
 }
 
-// knownHosts returns the hosts of the settings and of Meet, and those of all members.
+// knownHosts returns the hosts of the settings and of SetExtraHosts, and those of all members.
 func (g *Group) knownHosts() []hingeids.HostID {
 	list := slices.Clone(g.settings.Hosts)
 	if extra := g.extraHosts.Load(); extra != nil {
--- a/internal/agreement/hingegroup/group_test.go
+++ b/internal/agreement/hingegroup/group_test.go
@@ -370,7 +370,7 @@
 	})
 }
 
-// A host whose data folder was replaced by an older copy must stop with ErrForgetfulDisk.
+// A host whose data folder was replaced by an older copy must stop with ErrStaleDisk.
 func TestOldCopyOfAFolderStopsTheProcess(t *testing.T) {
 	withCluster(t, func(t *testing.T, h *cluster) {
 		x := h.follower()
--- a/internal/agreement/hingegroup/member.go
+++ b/internal/agreement/hingegroup/member.go
@@ -14,13 +14,13 @@
 
 // member is the state of a host with a disk. Only the loop uses it.
 type member struct {
-	group   *Group
-	self    hingelog.Member
-	files   hingejournal.Directory
-	journal *hingejournal.Journal
-	log     *hingelog.Log
-	stored  hingelog.DurableState
-	applied hingelog.Index
+	group     *Group
+	self      hingelog.Member
+	directory hingejournal.Directory
+	journal   *hingejournal.Journal
+	log       *hingelog.Log
+	stored    hingelog.DurableState
+	applied   hingelog.Index
 	// snapshotIndex is the last index in the newest snapshot.
 	snapshotIndex hingelog.Index
 	members       hingelog.Members
@@ -43,13 +43,13 @@
 	Base *hingelog.Position `cbor:"3,keyasint,omitempty"`
 }
 
-func openMember(g *Group, files hingejournal.Directory) (*member, error) {
+func openMember(g *Group, directory hingejournal.Directory) (*member, error) {
 	now := g.settings.Clock()
 	m := &member{
-		group:    g,
-		files:    files,
-		waiters:  make(map[hingelog.Index]waiter),
-		admitted: make(map[string]bool),
+		group:     g,
+		directory: directory,
+		waiters:   make(map[hingelog.Index]waiter),
+		admitted:  make(map[string]bool),
 	}
 	if err := m.openJournal(now); err != nil {
 		return nil, err
@@ -60,24 +60,24 @@
 // openJournal opens the journal and decodes its content into stored.
 func (m *member) openJournal(now time.Time) error {
 	s := m.group.settings
-	j, found, err := hingejournal.Open(m.files, s.Self, s.Name, s.WallClock())
+	j, recovered, err := hingejournal.Open(m.directory, s.Self, s.Name, s.WallClock())
 	if err != nil {
 		return err
 	}
-	stored, err := restoreStored(found)
+	stored, err := restoreStored(recovered)
 	if err != nil {
 		_ = j.Close()
 		return err
 	}
 	m.self = hingelog.Member{
 		Host: s.Self,
-		Disk: found.Identity.Disk,
+		Disk: recovered.Identity.Disk,
 	}
 	m.journal = j
 	m.stored = stored
-	if found.TornBytes > 0 {
+	if recovered.TornBytes > 0 {
 		s.Recorder.Record(now, hingeevents.JournalCut, hingeevents.Fields{
-			Count:  int64(found.TornBytes),
+			Count:  int64(recovered.TornBytes),
 			Detail: s.Name,
 		})
 	}
@@ -107,15 +107,15 @@
 	}
 }
 
-func restoreStored(found hingejournal.Recovered) (hingelog.DurableState, error) {
+func restoreStored(recovered hingejournal.Recovered) (hingelog.DurableState, error) {
 	var d hingelog.DurableState
-	if found.Snapshot != nil {
-		if err := cbor.Unmarshal(found.Snapshot, &d.Snapshot); err != nil {
+	if recovered.Snapshot != nil {
+		if err := cbor.Unmarshal(recovered.Snapshot, &d.Snapshot); err != nil {
 			return d, eris.Wrap(err, "decode journal snapshot")
 		}
 	}
 	d.BasePosition = d.Snapshot.At
-	for _, b := range found.Records {
+	for _, b := range recovered.Records {
 		var r journalRecord
 		if err := cbor.Unmarshal(b, &r); err != nil {
 			return d, eris.Wrap(err, "decode journal record")
@@ -211,7 +211,7 @@
 }
 
 // processOutput persists, sends and applies the log's output until there is none left.
-// Only messages that hingelog.Output.Early allows are sent before the sync.
+// Only the early messages of hingelog.Output.SplitMessages are sent before the sync.
 func (m *member) processOutput() error {
 	for {
 		o := m.log.DrainOutput()
--- a/internal/agreement/hingegroup/membership.go
+++ b/internal/agreement/hingegroup/membership.go
@@ -71,11 +71,11 @@
 	}
 	var voters []hingelog.Member
 	for _, h := range hosts {
-		e, err := g.queryDiskState(ctx, h)
-		if err != nil || !e.Empty {
+		state, err := g.queryDiskState(ctx, h)
+		if err != nil || !state.Empty {
 			return false
 		}
-		voters = append(voters, e.Member)
+		voters = append(voters, state.Member)
 	}
 	bootstrapped, err := runInLoop(ctx, g, func(now time.Time) bool {
 		return g.member.bootstrap(now, hingelog.Members{
@@ -97,15 +97,15 @@
 	if err != nil {
 		return diskState{}, err
 	}
-	var e diskState
-	return e, cbor.Unmarshal(b, &e)
+	var state diskState
+	return state, cbor.Unmarshal(b, &state)
 }
 
 func (g *Group) onDiskState(ctx context.Context, _ hingeids.HostID, _ []byte) ([]byte, error) {
-	e, err := runInLoop(ctx, g, func(time.Time) diskState {
+	state, err := runInLoop(ctx, g, func(time.Time) diskState {
 		return g.member.diskState()
 	})
-	return encode(e), err
+	return encode(state), err
 }
 
 func (m *member) diskState() diskState {
@@ -258,7 +258,7 @@
 	}
 	s := m.group.settings
 	_ = m.journal.Close()
-	if err := hingejournal.RenewIdentity(m.files, s.Self, s.Name, above, s.WallClock()); err != nil {
+	if err := hingejournal.RenewIdentity(m.directory, s.Self, s.Name, above, s.WallClock()); err != nil {
 		return err
 	}
 	if err := m.openJournal(now); err != nil {
--- a/internal/agreement/hingegroup/propose.go
+++ b/internal/agreement/hingegroup/propose.go
@@ -124,9 +124,9 @@
 	if g.member != nil {
 		return g.Status().Leader.Host
 	}
-	b := g.hint.Load()
-	if b != nil && b.host != "" && g.settings.Clock().Sub(b.seenAt) < g.settings.Election {
-		return b.host
+	hint := g.hint.Load()
+	if hint != nil && hint.host != "" && g.settings.Clock().Sub(hint.seenAt) < g.settings.Election {
+		return hint.host
 	}
 	return g.discoverLeader(ctx)
 }
@@ -164,12 +164,12 @@
 	}
 	redirect := hingeids.HostID("")
 	for range hosts {
-		s := <-replies
-		if s.leader != "" {
-			return s.leader
+		reply := <-replies
+		if reply.leader != "" {
+			return reply.leader
 		}
-		if s.redirect != "" {
-			redirect = s.redirect
+		if reply.redirect != "" {
+			redirect = reply.redirect
 		}
 	}
 	return redirect
@@ -194,7 +194,7 @@
 	time.AfterFunc(interval, func() {
 		switch {
 		case ctx.Err() != nil:
-		case g.superseded(ctx, leader):
+		case g.hasStoppedLeading(ctx, leader):
 			stop()
 		default:
 			g.watchLeader(ctx, leader, stop)
@@ -202,7 +202,7 @@
 	})
 }
 
-func (g *Group) superseded(ctx context.Context, leader hingeids.HostID) bool {
+func (g *Group) hasStoppedLeading(ctx context.Context, leader hingeids.HostID) bool {
 	if g.member != nil {
 		s := g.Status()
 		return s.Leader.Host != leader || leader == g.settings.Self && g.leaseLapsed(s)
--- a/internal/agreement/hingejournal/doc.go
+++ b/internal/agreement/hingejournal/doc.go
@@ -13,8 +13,8 @@
 //  4. Only the last frame can be torn, since each is synced before the next is
 //     written. An invalid frame in the last segment with no valid frame after it is
 //     truncated. Any other invalid frame is an error that names the file and the offset;
-//     nothing is skipped. Corruption of the last synced frame can't be told from a
-//     torn write; the check-in of hingelog detects the lost entries.
+//     nothing is skipped. Corruption of the last synced frame looks like a torn
+//     write; the check-in of hingelog detects the lost entries.
 //  5. A snapshot is written to a temporary file, synced and renamed, and the
 //     folder is synced, before the segments that it replaces are removed.
 //  6. The identity consists of host, group and disk incarnation. It is created once, in an
--- a/internal/agreement/hingejournal/identity.go
+++ b/internal/agreement/hingejournal/identity.go
@@ -28,8 +28,8 @@
 )
 
 // loadOrCreateIdentity reads the identity or creates one in an empty folder. The result is true if it was created.
-func loadOrCreateIdentity(f Directory, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
-	names, err := f.List()
+func loadOrCreateIdentity(dir Directory, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
+	names, err := dir.List()
 	if err != nil {
 		return Identity{}, false, eris.Wrap(err, "list data folder")
 	}
@@ -37,7 +37,7 @@
 		return Identity{}, false, err
 	}
 	if slices.Contains(names, identityFile) {
-		id, err := readIdentity(f)
+		id, err := readIdentity(dir)
 		if err != nil {
 			return Identity{}, false, err
 		}
@@ -57,14 +57,14 @@
 		Group: group,
 		Disk:  hingeids.Incarnation(now.UnixNano()),
 	}
-	return id, true, writeAtomically(f, identityFile, encodeIdentity(id))
+	return id, true, writeAtomically(dir, identityFile, encodeIdentity(id))
 }
 
 // RenewIdentity replaces the identity of a folder whose journal is empty by one with a disk incarnation above the
 // given one. A host needs it if its clock was behind when its folder was created: the other members would
 // consider its disk older than one that it has lost and would never admit it.
-func RenewIdentity(f Directory, host hingeids.HostID, group string, above hingeids.Incarnation, now time.Time) error {
-	names, err := f.List()
+func RenewIdentity(dir Directory, host hingeids.HostID, group string, above hingeids.Incarnation, now time.Time) error {
+	names, err := dir.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
 	}
@@ -74,14 +74,14 @@
 		if n == identityFile {
 			continue
 		}
-		if err := f.Remove(n); err != nil {
+		if err := dir.Remove(n); err != nil {
 			return eris.Wrapf(err, "remove %s", n)
 		}
 	}
-	if err := f.Sync(); err != nil {
+	if err := dir.Sync(); err != nil {
 		return eris.Wrap(err, "sync data folder")
 	}
-	return writeAtomically(f, identityFile, encodeIdentity(Identity{
+	return writeAtomically(dir, identityFile, encodeIdentity(Identity{
 		Host:  host,
 		Group: group,
 		Disk:  max(hingeids.Incarnation(now.UnixNano()), above+1),
@@ -109,8 +109,8 @@
 	return binary.BigEndian.AppendUint64(b, xxhash.Sum64(b))
 }
 
-func readIdentity(f Directory) (Identity, error) {
-	b, err := f.Read(identityFile)
+func readIdentity(dir Directory) (Identity, error) {
+	b, err := dir.Read(identityFile)
 	if err != nil {
 		return Identity{}, eris.Wrapf(err, "read %s", identityFile)
 	}
@@ -131,18 +131,18 @@
 
 // writeAtomically writes a file so that after a crash either its new or its previous content
 // is there, and whole (rule 5).
-func writeAtomically(f Directory, name string, content []byte) error {
-	if err := writeSynced(f, name+temporarySuffix, content); err != nil {
+func writeAtomically(dir Directory, name string, content []byte) error {
+	if err := writeSynced(dir, name+temporarySuffix, content); err != nil {
 		return eris.Wrapf(err, "write %s", name)
 	}
-	if err := f.Rename(name+temporarySuffix, name); err != nil {
+	if err := dir.Rename(name+temporarySuffix, name); err != nil {
 		return eris.Wrapf(err, "rename %s", name)
 	}
-	return eris.Wrapf(f.Sync(), "sync data folder after renaming %s", name)
+	return eris.Wrapf(dir.Sync(), "sync data folder after renaming %s", name)
 }
 
-func writeSynced(f Directory, name string, content []byte) error {
-	file, err := f.Create(name)
+func writeSynced(dir Directory, name string, content []byte) error {
+	file, err := dir.Create(name)
 	if err != nil {
 		return err
 	}
--- a/internal/agreement/hingejournal/journal.go
+++ b/internal/agreement/hingejournal/journal.go
@@ -40,58 +40,58 @@
 
 // Journal appends records. It is not safe for concurrent use.
 type Journal struct {
-	files        Directory
+	directory    Directory
 	identityHash identityHash
 	nextSequence uint64
 	segmentFile  File
 	segmentName  string
 	segmentSize  int64
 	buffer       []byte
-	counts       Totals
+	totals       Totals
 	failed       bool
 }
 
 // Open opens the journal of a host's group, or creates it in an empty folder with a disk
 // incarnation derived from now.
-func Open(f Directory, host hingeids.HostID, group string, now time.Time) (*Journal, Recovered, error) {
-	id, fresh, err := loadOrCreateIdentity(f, host, group, now)
+func Open(dir Directory, host hingeids.HostID, group string, now time.Time) (*Journal, Recovered, error) {
+	id, newDisk, err := loadOrCreateIdentity(dir, host, group, now)
 	if err != nil {
 		return nil, Recovered{}, err
 	}
 	j := &Journal{
-		files:        f,
+		directory:    dir,
 		identityHash: id.identityHash(),
 		nextSequence: 1,
 	}
-	found := Recovered{
+	recovered := Recovered{
 		Identity: id,
-		NewDisk:  fresh,
+		NewDisk:  newDisk,
 	}
-	if err := j.load(&found); err != nil {
+	if err := j.load(&recovered); err != nil {
 		return nil, Recovered{}, err
 	}
-	return j, found, nil
+	return j, recovered, nil
 }
 
-func (j *Journal) load(found *Recovered) error {
-	names, err := j.files.List()
+func (j *Journal) load(recovered *Recovered) error {
+	names, err := j.directory.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
 	}
 	slices.Sort(names)
-	if err := j.loadSnapshot(names, found); err != nil {
+	if err := j.loadSnapshot(names, recovered); err != nil {
 		return err
 	}
 	segments, err := j.removeObsolete(names)
 	if err != nil {
 		return err
 	}
-	return j.loadSegments(segments, found)
+	return j.loadSegments(segments, recovered)
 }
 
 // loadSnapshot reads the newest snapshot. Falling back from a damaged one to an older one
 // would silently lose records, so damage is an error.
-func (j *Journal) loadSnapshot(names []string, found *Recovered) error {
+func (j *Journal) loadSnapshot(names []string, recovered *Recovered) error {
 	newest := ""
 	for _, n := range names {
 		if strings.HasSuffix(n, snapshotSuffix) {
@@ -101,7 +101,7 @@
 	if newest == "" {
 		return nil
 	}
-	b, err := j.files.Read(newest)
+	b, err := j.directory.Read(newest)
 	if err != nil {
 		return eris.Wrapf(err, "read %s", newest)
 	}
@@ -113,8 +113,8 @@
 	if size != len(b)-headerSize || sequence != first || len(records) == 0 {
 		return eris.Errorf("snapshot file %s is damaged at offset %d", newest, headerSize)
 	}
-	found.Snapshot = records[0]
-	found.Records = records[1:]
+	recovered.Snapshot = records[0]
+	recovered.Records = records[1:]
 	j.nextSequence = first
 	return nil
 }
@@ -131,7 +131,7 @@
 			segments = append(segments, n)
 		case strings.HasSuffix(n, snapshotSuffix) && n == fileName(j.nextSequence, snapshotSuffix):
 		default:
-			if err := j.files.Remove(n); err != nil {
+			if err := j.directory.Remove(n); err != nil {
 				return nil, eris.Wrapf(err, "remove %s", n)
 			}
 		}
@@ -143,10 +143,10 @@
 	return fmt.Sprintf("%016x%s", first, suffix)
 }
 
-func (j *Journal) loadSegments(names []string, found *Recovered) error {
+func (j *Journal) loadSegments(names []string, recovered *Recovered) error {
 	for i, n := range names {
 		last := i == len(names)-1
-		b, err := j.files.Read(n)
+		b, err := j.directory.Read(n)
 		if err != nil {
 			return eris.Wrapf(err, "read %s", n)
 		}
@@ -158,13 +158,13 @@
 		if err != nil {
 			return err
 		}
-		found.Records = append(found.Records, records...)
+		recovered.Records = append(recovered.Records, records...)
 		j.nextSequence = next
 		if !last {
 			continue
 		}
-		found.TornBytes = len(b) - validSize
-		return j.openLastSegment(n, int64(validSize), found.TornBytes > 0)
+		recovered.TornBytes = len(b) - validSize
+		return j.openLastSegment(n, int64(validSize), recovered.TornBytes > 0)
 	}
 	return j.startSegment()
 }
@@ -172,11 +172,11 @@
 // openLastSegment opens the last segment for appending and truncates a torn frame at its end.
 func (j *Journal) openLastSegment(name string, validSize int64, torn bool) error {
 	if torn {
-		if err := j.files.Truncate(name, validSize); err != nil {
+		if err := j.directory.Truncate(name, validSize); err != nil {
 			return eris.Wrapf(err, "truncate %s", name)
 		}
 	}
-	file, err := j.files.OpenAppend(name)
+	file, err := j.directory.OpenAppend(name)
 	if err != nil {
 		return eris.Wrapf(err, "open %s", name)
 	}
@@ -189,7 +189,7 @@
 // startSegment creates a new segment and closes the previous one.
 func (j *Journal) startSegment() error {
 	name := fileName(j.nextSequence, segmentSuffix)
-	file, err := j.files.Create(name)
+	file, err := j.directory.Create(name)
 	if err != nil {
 		return eris.Wrapf(err, "create %s", name)
 	}
@@ -199,7 +199,7 @@
 	if err := file.Sync(); err != nil {
 		return eris.Wrapf(err, "sync %s", name)
 	}
-	if err := j.files.Sync(); err != nil {
+	if err := j.directory.Sync(); err != nil {
 		return eris.Wrap(err, "sync data folder")
 	}
 	if j.segmentFile != nil {
@@ -239,9 +239,9 @@
 	}
 	j.nextSequence++
 	j.segmentSize += int64(len(j.buffer))
-	j.counts.Syncs++
-	j.counts.Records += int64(len(records))
-	j.counts.Bytes += int64(len(j.buffer))
+	j.totals.Syncs++
+	j.totals.Records += int64(len(records))
+	j.totals.Bytes += int64(len(j.buffer))
 	return nil
 }
 
@@ -262,13 +262,13 @@
 	j.nextSequence++
 	b := encodeHeader(snapshotMagic, j.identityHash, j.nextSequence)
 	b = appendFrame(b, j.identityHash, j.nextSequence, append([][]byte{snapshot}, kept...))
-	if err := writeAtomically(j.files, fileName(j.nextSequence, snapshotSuffix), b); err != nil {
+	if err := writeAtomically(j.directory, fileName(j.nextSequence, snapshotSuffix), b); err != nil {
 		return err
 	}
 	if err := j.startSegment(); err != nil {
 		return err
 	}
-	names, err := j.files.List()
+	names, err := j.directory.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
 	}
@@ -279,7 +279,7 @@
 
 // Totals returns the totals since the journal was opened.
 func (j *Journal) Totals() Totals {
-	return j.counts
+	return j.totals
 }
 
 // Close closes the current segment without a sync; all appended records are durable already.
--- a/internal/agreement/hingejournal/journal_test.go
+++ b/internal/agreement/hingejournal/journal_test.go
@@ -18,15 +18,15 @@
 }
 
 func mustOpen(t interface{ Fatal(...any) }, f Directory) (*Journal, Recovered) {
-	j, found, err := open(f)
+	j, recovered, err := open(f)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return j, found
+	return j, recovered
 }
 
-func contents(found Recovered) string {
-	return string(found.Snapshot) + "|" + string(bytes.Join(found.Records, []byte(",")))
+func contents(recovered Recovered) string {
+	return string(recovered.Snapshot) + "|" + string(bytes.Join(recovered.Records, []byte(",")))
 }
 
 // Guards against lost records and a journal that can't be opened after a power cut at any
@@ -70,21 +70,21 @@
 				after = tried[1] + "|" + tried[0]
 			}
 			d.crash()
-			again, found := mustOpen(t, d)
-			got := contents(found)
+			again, recovered := mustOpen(t, d)
+			got := contents(recovered)
 			if got != before && got != after {
 				t.Fatalf("found %q, want %q or %q", got, before, after)
 			}
 			j = again
 			snapshot, _, _ = strings.Cut(got, "|")
 			kept = nil
-			for _, r := range found.Records {
+			for _, r := range recovered.Records {
 				kept = append(kept, string(r))
 			}
 		}
 		d.crash()
-		_, found := mustOpen(t, d)
-		if diff := cmp.Diff(snapshot+"|"+strings.Join(kept, ","), contents(found)); diff != "" {
+		_, recovered := mustOpen(t, d)
+		if diff := cmp.Diff(snapshot+"|"+strings.Join(kept, ","), contents(recovered)); diff != "" {
 			t.Fatal(diff)
 		}
 	})
@@ -189,9 +189,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	j, found := mustOpen(t, f)
-	if !found.NewDisk {
-		t.Error("an empty folder isn't reported as fresh")
+	j, recovered := mustOpen(t, f)
+	if !recovered.NewDisk {
+		t.Error("an empty folder isn't reported as a new disk")
 	}
 	big := bytes.Repeat([]byte("x"), segmentLimit)
 	for _, err := range []error{
@@ -205,9 +205,9 @@
 			t.Fatal(err)
 		}
 	}
-	_, found = mustOpen(t, f)
-	if diff := cmp.Diff("s|k,"+string(big)+",a,b", contents(found)); diff != "" || found.NewDisk {
-		t.Fatalf("fresh %v, %.200s", found.NewDisk, diff)
+	_, recovered = mustOpen(t, f)
+	if diff := cmp.Diff("s|k,"+string(big)+",a,b", contents(recovered)); diff != "" || recovered.NewDisk {
+		t.Fatalf("new disk %v, %.200s", recovered.NewDisk, diff)
 	}
 }
 
--- a/internal/agreement/hingelog/checkin.go
+++ b/internal/agreement/hingelog/checkin.go
@@ -84,7 +84,7 @@
 	})
 }
 
-func (l *Log) onCheckInAnswer(m Message) {
+func (l *Log) onCheckInResponse(m Message) {
 	if l.checkedIn || m.Round != l.checkInRound || m.From.Host == l.settings.Self.Host {
 		return
 	}
--- a/internal/agreement/hingelog/doc.go
+++ b/internal/agreement/hingelog/doc.go
@@ -1,13 +1,13 @@
 // Package hingelog is the replicated log of the hosts with a disk: Raft with pre-votes,
 // leases and learners. It does no input or output and reads no clock. The caller passes in
-// messages, proposals and the current time, and processes the Output that Take returns.
+// messages, proposals and the current time, and processes the Output that DrainOutput returns.
 //
 //  1. A member is a host and the incarnation of its disk. A host that lost its disk
 //     rejoins as a new member, so that its earlier votes and confirmations don't count for
 //     the new disk. A message to another incarnation is dropped.
-//  2. The output of Take is made durable before its messages are sent and Synced is
-//     called, so that no message states what a crash can undo. Only a leader's entries may
-//     be sent earlier (Output.Early).
+//  2. The output of DrainOutput is made durable before its messages are sent and
+//     MarkSynced is called, so that no message states what a crash can undo. Only a leader's entries may
+//     be sent earlier (Output.SplitMessages).
 //  3. A voter that receives nothing from a leader for an election time plus a random part
 //     of another requests pre-votes. While it is refused, it retries after about a quarter
 //     of an election time. It increments its term only once a quorum would vote for it, so a
@@ -38,7 +38,7 @@
 //  12. After a start a member asks the others which term and entries they know it held. It
 //     neither votes nor confirms entries until a quorum (itself counted) has answered. If a
 //     member knows of a later term or of a committed entry beyond the member's own, the disk
-//     is an older copy: the member stops with ForgetfulDisk. This complements rule 1 for
+//     is an older copy: the member stops with StaleDisk. This complements rule 1 for
 //     copies with the same incarnation. It detects only what the answering members have
 //     received since their processes started.
 //  13. If a number of voters is set, members join and leave without an operator. A learner
--- a/internal/agreement/hingelog/election.go
+++ b/internal/agreement/hingelog/election.go
@@ -128,7 +128,7 @@
 	})
 }
 
-func (l *Log) onPreVoteAnswer(now time.Time, m Message) {
+func (l *Log) onPreVoteResponse(now time.Time, m Message) {
 	if l.role != preCandidate || !m.Granted || m.Term != l.hardState.Term+1 {
 		return
 	}
@@ -163,7 +163,7 @@
 	})
 }
 
-func (l *Log) onVoteAnswer(now time.Time, m Message) {
+func (l *Log) onVoteResponse(now time.Time, m Message) {
 	if l.role != candidate || !m.Granted || m.Term != l.hardState.Term {
 		return
 	}
--- a/internal/agreement/hingelog/lease.go
+++ b/internal/agreement/hingelog/lease.go
@@ -65,7 +65,7 @@
 	l.repair(now)
 }
 
-// Status is a member's view of the log and its members. Holdings is set only on a leader.
+// Status is a member's view of the log and its members. MatchIndexes is set only on a leader.
 type Status struct {
 	Self         Member
 	Leader       Member
--- a/internal/agreement/hingelog/log.go
+++ b/internal/agreement/hingelog/log.go
@@ -24,13 +24,13 @@
 	hardState       HardState
 	hardStateDirty  bool
 	snapshot        Snapshot
-	pendingInstall  *Snapshot
+	pendingSnapshot *Snapshot
 	base            Position
 	entries         []Entry
 	members         []indexedMembers
-	nextOutputIndex Index // First index that Take hasn't returned yet.
+	nextOutputIndex Index // First index that DrainOutput hasn't returned yet.
 	synced          Index
-	lastOutputIndex Index // Last index that Take has returned.
+	lastOutputIndex Index // Last index that DrainOutput has returned.
 
 	commit  Index
 	applied Index
@@ -140,7 +140,7 @@
 			l.extendCheckIn(m)
 		}
 	case CheckInResponse:
-		l.onCheckInAnswer(m)
+		l.onCheckInResponse(m)
 	default:
 		if !l.checkedIn {
 			// Rule 12. Term and log don't change before the check-in completes. Otherwise a delayed
@@ -170,21 +170,21 @@
 	}
 	switch m.Kind {
 	case PreVoteResponse:
-		l.onPreVoteAnswer(now, m)
+		l.onPreVoteResponse(now, m)
 	case VoteResponse:
-		l.onVoteAnswer(now, m)
+		l.onVoteResponse(now, m)
 	case Append, InstallSnapshot:
 		l.onLeaderMessage(now, m)
 	case AppendResponse:
-		l.onAppendAnswer(now, m)
+		l.onAppendResponse(now, m)
 	}
 }
 
 // DrainOutput returns the output to process and clears it. Before any other call the caller makes the
-// output durable, sends its messages, calls Synced and applies the committed entries.
+// output durable, sends its messages, calls MarkSynced and applies the committed entries.
 func (l *Log) DrainOutput() Output {
 	o := Output{
-		InstallSnapshot: l.pendingInstall,
+		InstallSnapshot: l.pendingSnapshot,
 		Messages:        l.messages,
 		Events:          l.events,
 		Committed:       l.entriesBetween(l.applied+1, l.commit),
@@ -197,14 +197,14 @@
 	l.lastOutputIndex = l.last().Index
 	l.nextOutputIndex = l.lastOutputIndex + 1
 	l.applied = l.commit
-	l.pendingInstall = nil
+	l.pendingSnapshot = nil
 	l.hardStateDirty = false
 	l.messages = nil
 	l.events = nil
 	return o
 }
 
-// MarkSynced records that the output of the last Take is durable.
+// MarkSynced records that the output of the last DrainOutput is durable.
 func (l *Log) MarkSynced(now time.Time) {
 	l.synced = min(l.lastOutputIndex, l.last().Index)
 	if l.role == leader {
--- a/internal/agreement/hingelog/replicate.go
+++ b/internal/agreement/hingelog/replicate.go
@@ -14,8 +14,8 @@
 )
 
 // Propose appends data to the log and returns its position. It fails with ErrNotLeader outside the
-// lease (rule 6), so a partitioned leader rejects proposals at once, and with ErrTooMany if too
-// many entries are uncommitted.
+// lease (rule 6), so a partitioned leader rejects proposals at once, and with
+// ErrTooManyUncommitted if too many entries are uncommitted.
 func (l *Log) Propose(now time.Time, data []byte) (Position, error) {
 	if !l.MayLead(now) {
 		return Position{}, ErrNotLeader
@@ -162,7 +162,7 @@
 	l.resetElection(now)
 	l.recordMatches(m.MatchIndexes)
 	if m.Kind == InstallSnapshot {
-		l.onInstall(m)
+		l.onInstallSnapshot(m)
 		return
 	}
 	l.onAppend(m)
@@ -258,7 +258,7 @@
 	})
 }
 
-func (l *Log) onAppendAnswer(now time.Time, m Message) {
+func (l *Log) onAppendResponse(now time.Time, m Message) {
 	if l.role != leader || m.Term != l.hardState.Term || !l.currentMembers().Has(m.From) {
 		return
 	}
--- a/internal/agreement/hingelog/script_test.go
+++ b/internal/agreement/hingelog/script_test.go
@@ -226,7 +226,7 @@
 		}
 	case "wantForgetful":
 		if n := s.host(w[1]); !n.log.HasStaleDisk() {
-			return eris.New("member didn't stop with ForgetfulDisk")
+			return eris.New("member didn't stop with StaleDisk")
 		}
 	case "wantTerm":
 		if got := s.c.activeLeader().log.Status().Term; fmt.Sprint(got) != w[1] {
--- a/internal/agreement/hingelog/snapshot.go
+++ b/internal/agreement/hingelog/snapshot.go
@@ -59,7 +59,7 @@
 	l.send(m)
 }
 
-func (l *Log) onInstall(m Message) {
+func (l *Log) onInstallSnapshot(m Message) {
 	if m.Snapshot == nil {
 		l.answerHeartbeat(m)
 		return
@@ -74,7 +74,7 @@
 		return
 	}
 	l.snapshot = s
-	l.pendingInstall = &s
+	l.pendingSnapshot = &s
 	l.base = s.At
 	l.entries = nil
 	l.commit = s.At.Index
--- a/internal/agreement/hingelog/types.go
+++ b/internal/agreement/hingelog/types.go
@@ -53,7 +53,7 @@
 // EntryKind is the kind of a log entry.
 type EntryKind uint8
 
-// Data is a proposal, Opening the empty entry at the start of a leader's term, and MembersChange
+// Data is a proposal, NoOp the empty entry at the start of a leader's term, and MembersChange
 // holds the new Members.
 const (
 	Data EntryKind = iota
@@ -97,7 +97,7 @@
 	Data    []byte   `cbor:"3,keyasint"`
 }
 
-// DurableState is the durable state of a member. Before is the position before the first of Entries.
+// DurableState is the durable state of a member. BasePosition is the position before the first of Entries.
 // Entries may start before the end of the snapshot, so that a member that lags slightly needs no
 // snapshot.
 type DurableState struct {
@@ -136,7 +136,7 @@
 	To   Member      `cbor:"3,keyasint"`
 	Term Term        `cbor:"4,keyasint"`
 	// At is the sender's last position in votes and check-ins, the position before Entries in an
-	// Append, and the last confirmed position in an AppendAnswer.
+	// Append, and the last confirmed position in an AppendResponse.
 	At      Position `cbor:"5,keyasint"`
 	Entries []Entry  `cbor:"6,keyasint,omitempty"`
 	Commit  Index    `cbor:"7,keyasint,omitempty"`
@@ -182,7 +182,7 @@
 	HardState *HardState
 	// Entries are stored. They replace all stored entries from the first one's index on.
 	Entries []Entry
-	// Messages are sent once all of the above is durable, except those that Early returns first.
+	// Messages are sent once all of the above is durable, except the early ones of SplitMessages.
 	Messages []Message
 	// Committed entries are applied in order.
 	Committed []Entry
@@ -200,7 +200,7 @@
 }
 
 // SplitMessages splits the messages into those that may be sent before the sync and the others. A leader's
-// entries don't depend on its own disk: it counts itself only after Synced, and it can't lead the
+// entries don't depend on its own disk: it counts itself only after MarkSynced, and it can't lead the
 // same term again after a crash. Its sync thus runs in parallel with those of the followers.
 func (o Output) SplitMessages() (early, late []Message) {
 	if o.HardState != nil || o.InstallSnapshot != nil {
@@ -234,8 +234,8 @@
 	SilenceTimeout time.Duration
 }
 
-// DefaultElection and DefaultHeartbeat suit zones a few milliseconds apart and disks that sync
-// within a quarter of a second. A lost leader is replaced within two election times and some
+// DefaultElectionTimeout and DefaultHeartbeatInterval suit zones a few milliseconds apart and disks
+// that sync within a quarter of a second. A lost leader is replaced within two election times and some
 // retries.
 const (
 	DefaultElectionTimeout   = 600 * time.Millisecond
--- a/internal/agreement/hingeshared/shared.go
+++ b/internal/agreement/hingeshared/shared.go
@@ -15,8 +15,8 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingepoison"
 )
 
-// Machine is the state machine. Its methods must be called from one goroutine. The cells that Views and Poisons return are safe
-// for concurrent use.
+// Machine is the state machine. Its methods must be called from one goroutine. The cells that Documents and
+// PoisonRequests return are safe for concurrent use.
 type Machine struct {
 	versions *hingeversion.Machine
 	poisons  hingeboard.Cell[hingepoison.List]
--- a/internal/agreement/hingespread/cluster_test.go
+++ b/internal/agreement/hingespread/cluster_test.go
@@ -20,12 +20,12 @@
 
 // process is a running entry host of the simulated cluster.
 type process struct {
-	peer    Peer
-	spread  *Replicator
-	group   *hingegroup.Group
-	machine *hingeconfig.Machine
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	peer       Peer
+	replicator *Replicator
+	group      *hingegroup.Group
+	machine    *hingeconfig.Machine
+	stop       context.CancelFunc
+	running    sync.WaitGroup
 }
 
 // cluster is a simulated cluster of entry hosts under a fake clock. Links have a delay of a millisecond,
@@ -48,7 +48,7 @@
 
 // newCluster starts hosts in three zones. The first host of each zone has a disk.
 func newCluster(t testing.TB, hosts int) *cluster {
-	w := &cluster{
+	c := &cluster{
 		t:         t,
 		network:   hingefake.NewNetwork(),
 		folder:    t.TempDir(),
@@ -65,112 +65,112 @@
 			Zone:    z,
 			HasDisk: i < 3,
 		}
-		w.peers = append(w.peers, p)
+		c.peers = append(c.peers, p)
 		if p.HasDisk {
-			w.disks = append(w.disks, p.Host)
+			c.disks = append(c.disks, p.Host)
 		}
 	}
-	for _, p := range w.peers {
-		w.start(p)
+	for _, p := range c.peers {
+		c.start(p)
 	}
 	time.Sleep(4 * time.Second)
-	return w
+	return c
 }
 
-func (w *cluster) start(p Peer) {
-	w.starts++
+func (c *cluster) start(p Peer) {
+	c.starts++
 	x := &process{
 		peer: p,
 	}
 	link := &simLink{
-		Link:    w.network.Link(p.Host),
-		cluster: w,
+		Link:    c.network.Link(p.Host),
+		cluster: c,
 		zone:    p.Zone,
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	x.stop = stop
 	var origin Origin
 	if p.HasDisk {
-		x.openGroup(w, link)
+		x.openGroup(c, link)
 		origin = DiskOrigin{
 			Group:   x.group,
 			Machine: x.machine,
 		}
 		x.running.Go(func() {
 			if err := x.group.Run(ctx); err != nil {
-				w.t.Error(p.Host, err)
+				c.t.Error(p.Host, err)
 			}
 		})
 	}
-	x.spread = New(Settings{
+	x.replicator = New(Settings{
 		Self: hingeids.Instance{
 			Host:        p.Host,
-			Incarnation: hingeids.Incarnation(w.starts),
+			Incarnation: hingeids.Incarnation(c.starts),
 		},
 		Zone:  p.Zone,
-		Peers: w.peers,
+		Peers: c.peers,
 		Clock: time.Now,
 	}, link, origin)
 	x.running.Go(func() {
-		_ = x.spread.Run(ctx)
+		_ = x.replicator.Run(ctx)
 	})
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.processes[p.Host] = x
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.processes[p.Host] = x
 }
 
-func (x *process) openGroup(w *cluster, link hingelink.Link) {
-	files, err := hingejournal.OpenDirectory(w.folder + "/" + string(x.peer.Host))
+func (x *process) openGroup(c *cluster, link hingelink.Link) {
+	files, err := hingejournal.OpenDirectory(c.folder + "/" + string(x.peer.Host))
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 	x.machine = hingeconfig.New()
 	x.group, err = hingegroup.New(hingegroup.Settings{
 		Name:  "config",
 		Self:  x.peer.Host,
-		Hosts: w.disks,
+		Hosts: c.disks,
 		Clock: time.Now,
-		Seed:  w.starts,
+		Seed:  c.starts,
 	}, link, files, x.machine)
 	if err != nil {
-		w.t.Fatal(err)
+		c.t.Fatal(err)
 	}
 }
 
-func (w *cluster) kill(h hingeids.HostID) Peer {
-	x := w.process(h)
-	w.mu.Lock()
-	delete(w.processes, h)
-	w.mu.Unlock()
-	w.network.Remove(h)
+func (c *cluster) kill(h hingeids.HostID) Peer {
+	x := c.process(h)
+	c.mu.Lock()
+	delete(c.processes, h)
+	c.mu.Unlock()
+	c.network.Remove(h)
 	x.stop()
 	x.running.Wait()
 	return x.peer
 }
 
-func (w *cluster) stopAll() {
-	for _, p := range w.peers {
-		if w.process(p.Host) != nil {
-			w.kill(p.Host)
+func (c *cluster) stopAll() {
+	for _, p := range c.peers {
+		if c.process(p.Host) != nil {
+			c.kill(p.Host)
 		}
 	}
 }
 
-func (w *cluster) process(h hingeids.HostID) *process {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.processes[h]
+func (c *cluster) process(h hingeids.HostID) *process {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.processes[h]
 }
 
-func (w *cluster) cut(z hingeids.Zone, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.cutOff[z] = cut
+func (c *cluster) cut(z hingeids.Zone, cut bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.cutOff[z] = cut
 }
 
-func (w *cluster) leader() *process {
-	for _, h := range w.disks {
-		x := w.process(h)
+func (c *cluster) leader() *process {
+	for _, h := range c.disks {
+		x := c.process(h)
 		if x == nil {
 			continue
 		}
@@ -182,23 +182,23 @@
 }
 
 // change proposes a change until it is accepted, and waits for a leader if there is none.
-func (w *cluster) change() hingeids.Revision {
+func (c *cluster) change() hingeids.Revision {
 	for range 100 {
-		l := w.leader()
+		l := c.leader()
 		if l == nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
-		w.changes++
-		c := hingeconfig.Change{
-			ID:       hingeconfig.ChangeID(fmt.Sprint(w.changes)),
+		c.changes++
+		proposal := hingeconfig.Change{
+			ID:       hingeconfig.ChangeID(fmt.Sprint(c.changes)),
 			Expected: l.machine.Views().Load().Revision,
 			Operator: "yann",
 			Puts: map[hingeconfig.Path][]byte{
-				hingeconfig.Path(fmt.Sprint("servers/engine-", w.changes%40)): make([]byte, 300),
+				hingeconfig.Path(fmt.Sprint("servers/engine-", c.changes%40)): make([]byte, 300),
 			},
 		}
-		b, err := l.group.Propose(context.Background(), c.Encode())
+		b, err := l.group.Propose(context.Background(), proposal.Encode())
 		if err != nil {
 			continue
 		}
@@ -207,12 +207,12 @@
 			return a.Revision
 		}
 	}
-	w.t.Fatal("no change was accepted")
+	c.t.Fatal("no change was accepted")
 	return 0
 }
 
-func (w *cluster) state(h hingeids.HostID) State {
-	return *w.process(h).spread.Applied().Load()
+func (c *cluster) state(h hingeids.HostID) State {
+	return *c.process(h).replicator.Applied().Load()
 }
 
 // simLink is a link with a delay, traffic counters and silent partitions between zones.
--- a/internal/agreement/hingespread/doc.go
+++ b/internal/agreement/hingespread/doc.go
@@ -2,8 +2,8 @@
 // keeps a host from returning to an older one.
 //
 //  1. Every host polls one disk host at a time, its source. The request contains the revision in
-//     force. The source responds immediately if it has a newer one, else as
-//     soon as it does, else after the poll time. A host replaces a source that doesn't respond
+//     force. The source responds as soon as it has a newer one, at the latest after the poll
+//     time. A host replaces a source that doesn't respond
 //     in time by the next one.
 //  2. The response contains the difference from the follower's revision, or all
 //     documents if the follower is more than 64 revisions behind.
@@ -26,7 +26,7 @@
 //
 // Limits: a host that can't reach a majority of its record peers within 300 ms applies
 // the revision anyway. If it crashes within the next seconds, starts
-// cut off, and exactly the record peers that stored the revision are gone, it applies the
+// cut off, and exactly the record peers that stored the revision are lost, it applies the
 // older one. Three kinds of hosts aren't ready before they reach a quorum: those of a zone that
-// is cut off and restarts as a whole, a host that is alone in its zone, and one with two peers of which one is gone.
+// is cut off and restarts as a whole, a host that is alone in its zone, and one with two peers of which one is lost.
 package hingespread
--- a/internal/agreement/hingespread/messages.go
+++ b/internal/agreement/hingespread/messages.go
@@ -50,7 +50,7 @@
 	Documents hingeconfig.Difference `cbor:"3,keyasint"`
 }
 
-// Lag is how far a host is behind, as seen by its source. HeardAt is the time of its last request, LagSince is zero if
+// Lag is how far a host is behind, as seen by its source. LastSeen is the time of its last request, LagSince is zero if
 // it isn't behind; both are Unix times in nanoseconds.
 type Lag struct {
 	Host     hingeids.HostID   `cbor:"1,keyasint" json:"host"`
--- a/internal/agreement/hingespread/records.go
+++ b/internal/agreement/hingespread/records.go
@@ -45,9 +45,9 @@
 	})
 	answers := make(chan bool, len(x.recordPeers))
 	var calls sync.WaitGroup
-	for _, w := range x.recordPeers {
+	for _, peer := range x.recordPeers {
 		calls.Go(func() {
-			_, err := x.link.Call(callCtx, w, methodRecord, body)
+			_, err := x.link.Call(callCtx, peer, methodRecord, body)
 			answers <- err == nil
 		})
 	}
@@ -86,8 +86,8 @@
 		body := encode(revisionRecord{
 			Revision: s.View.Revision,
 		})
-		for _, w := range x.recordPeers {
-			x.link.Send(w, methodRecord, body)
+		for _, peer := range x.recordPeers {
+			x.link.Send(peer, methodRecord, body)
 		}
 	}
 }
@@ -115,13 +115,13 @@
 			if err != nil {
 				return
 			}
-			m, err := decode[recallResponse](b)
+			resp, err := decode[recallResponse](b)
 			if err != nil {
 				return
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			out[p] = m
+			out[p] = resp
 		})
 	}
 	calls.Wait()
--- a/internal/agreement/hingespread/selector.go
+++ b/internal/agreement/hingespread/selector.go
@@ -67,59 +67,59 @@
 const avoidTime = 5 * time.Second
 
 // source returns the source to poll: the next that didn't fail within avoidTime, or the next if all did.
-func (c *sourceSelector) source(now time.Time) hingeids.HostID {
-	for range c.sources {
-		if h := c.sources[c.next%len(c.sources)]; !now.Before(c.avoidUntil[h]) {
+func (s *sourceSelector) source(now time.Time) hingeids.HostID {
+	for range s.sources {
+		if h := s.sources[s.next%len(s.sources)]; !now.Before(s.avoidUntil[h]) {
 			return h
 		}
-		c.next++
+		s.next++
 	}
-	return c.sources[c.next%len(c.sources)]
+	return s.sources[s.next%len(s.sources)]
 }
 
 // handleFailure records that a source didn't respond.
-func (c *sourceSelector) handleFailure(now time.Time, from hingeids.HostID) {
-	c.avoidUntil[from] = now.Add(avoidTime)
-	c.next++
-	c.failures++
-	c.updateCutOff(now)
+func (s *sourceSelector) handleFailure(now time.Time, from hingeids.HostID) {
+	s.avoidUntil[from] = now.Add(avoidTime)
+	s.next++
+	s.failures++
+	s.updateCutOff(now)
 }
 
 // handleResponse evaluates a source's response and returns the view to apply, nil if there is nothing newer.
-func (c *sourceSelector) handleResponse(now time.Time, from hingeids.HostID, a response) *hingeconfig.View {
+func (s *sourceSelector) handleResponse(now time.Time, from hingeids.HostID, resp response) *hingeconfig.View {
 	// Limits the time for which a source can delay this host.
-	c.pollTime = min(max(a.PollTime, minPollTime), maxPollTime)
-	if a.HasLeader {
-		c.failures = 0
-		c.state.CutOffSince = time.Time{}
-		c.state.Source = from
+	s.pollTime = min(max(resp.PollTime, minPollTime), maxPollTime)
+	if resp.HasLeader {
+		s.failures = 0
+		s.state.CutOffSince = time.Time{}
+		s.state.Source = from
 	} else {
 		// Rule 3: try the next source.
-		c.next++
-		c.failures++
-		c.updateCutOff(now)
+		s.next++
+		s.failures++
+		s.updateCutOff(now)
 	}
-	if a.Difference == nil {
+	if resp.Difference == nil {
 		return nil
 	}
-	// Rule 4: With rejects older revisions.
-	next, err := c.state.View.Apply(*a.Difference)
-	if err != nil || next.Revision == c.state.View.Revision {
+	// Rule 4: Apply rejects older revisions.
+	next, err := s.state.View.Apply(*resp.Difference)
+	if err != nil || next.Revision == s.state.View.Revision {
 		return nil
 	}
 	return next
 }
 
 // updateCutOff sets CutOffSince once all sources have failed in a row.
-func (c *sourceSelector) updateCutOff(now time.Time) {
-	if c.failures >= len(c.sources) && c.state.CutOffSince.IsZero() {
-		c.state.CutOffSince = now
+func (s *sourceSelector) updateCutOff(now time.Time) {
+	if s.failures >= len(s.sources) && s.state.CutOffSince.IsZero() {
+		s.state.CutOffSince = now
 	}
 }
 
 // allFailed reports whether all sources have failed in a row.
-func (c *sourceSelector) allFailed() bool {
-	return c.failures >= len(c.sources)
+func (s *sourceSelector) allFailed() bool {
+	return s.failures >= len(s.sources)
 }
 
 // majority returns the smallest size at which any two subsets of n record peers overlap.
@@ -130,21 +130,21 @@
 
 // evaluateRecall evaluates the peers' responses (rule 6). It returns the newest
 // configuration that they offer, and whether this host is ready with it.
-func (c *sourceSelector) evaluateRecall(responses map[hingeids.HostID]recallResponse) (*hingeconfig.View, bool) {
-	newest := c.state.View
+func (s *sourceSelector) evaluateRecall(responses map[hingeids.HostID]recallResponse) (*hingeconfig.View, bool) {
+	newest := s.state.View
 	recorded := hingeids.Revision(0)
 	withRecord := 0
-	for h, m := range responses {
-		if m.HasRecord && slices.Contains(c.recordPeers, h) {
+	for h, resp := range responses {
+		if resp.HasRecord && slices.Contains(s.recordPeers, h) {
 			withRecord++
 		}
-		recorded = max(recorded, m.Recorded)
-		if m.Documents.To <= newest.Revision {
+		recorded = max(recorded, resp.Recorded)
+		if resp.Documents.To <= newest.Revision {
 			continue
 		}
-		if next, err := newest.Apply(m.Documents); err == nil {
+		if next, err := newest.Apply(resp.Documents); err == nil {
 			newest = next
 		}
 	}
-	return newest, withRecord >= majority(len(c.recordPeers)) && newest.Revision >= recorded
+	return newest, withRecord >= majority(len(s.recordPeers)) && newest.Revision >= recorded
 }
--- a/internal/agreement/hingespread/source.go
+++ b/internal/agreement/hingespread/source.go
@@ -75,7 +75,7 @@
 		s.waitForChange(ctx, q.Applied, pollTime)
 	}
 	v := s.origin.Views().Load()
-	a := response{
+	resp := response{
 		Revision:        v.Revision,
 		HasLeader:       s.origin.HasLeader(),
 		NewestConfirmed: newestConfirmed,
@@ -83,9 +83,9 @@
 	}
 	if v.Revision > q.Applied {
 		d := difference(v, q.Applied)
-		a.Difference = &d
+		resp.Difference = &d
 	}
-	return encode(a), nil
+	return encode(resp), nil
 }
 
 // readFromLeader reads the newest revision from the leader. The timeout covers a leader that has failed silently.
--- a/internal/agreement/hingespread/spread.go
+++ b/internal/agreement/hingespread/spread.go
@@ -13,14 +13,14 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Peer is an entry host of the settings. Disk is set on a disk host.
+// Peer is an entry host of the settings. HasDisk is set on a disk host.
 type Peer struct {
 	Host    hingeids.HostID
 	Zone    hingeids.Zone
 	HasDisk bool
 }
 
-// Settings configures a Spread.
+// Settings configures a Replicator.
 type Settings struct {
 	Self hingeids.Instance
 	Zone hingeids.Zone
@@ -69,7 +69,7 @@
 	done         chan struct{}
 }
 
-// New returns a host's Spread and registers its handlers with the link. The origin is nil on a host without a disk.
+// New returns a host's Replicator and registers its handlers with the link. The origin is nil on a host without a disk.
 func New(s Settings, link hingelink.Link, origin Origin) *Replicator {
 	x := &Replicator{
 		settings: s,
--- a/internal/agreement/hingespread/spread_test.go
+++ b/internal/agreement/hingespread/spread_test.go
@@ -15,23 +15,23 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-func withCluster(t *testing.T, hosts int, f func(w *cluster)) {
+func withCluster(t *testing.T, hosts int, f func(c *cluster)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newCluster(t, hosts)
-		defer w.stopAll()
-		f(w)
+		c := newCluster(t, hosts)
+		defer c.stopAll()
+		f(c)
 	})
 }
 
 // waitForRevision waits until all peers apply a revision, and returns the time that each took.
-func (w *cluster) waitForRevision(r hingeids.Revision, peers []Peer, limit time.Duration) []time.Duration {
-	w.t.Helper()
+func (c *cluster) waitForRevision(r hingeids.Revision, peers []Peer, limit time.Duration) []time.Duration {
+	c.t.Helper()
 	start := time.Now()
 	var out []time.Duration
 	for _, p := range peers {
-		for w.state(p.Host).View.Revision < r {
+		for c.state(p.Host).View.Revision < r {
 			if time.Since(start) > limit {
-				w.t.Fatalf("host %s applies revision %d, not %d, after %v", p.Host, w.state(p.Host).View.Revision, r, limit)
+				c.t.Fatalf("host %s applies revision %d, not %d, after %v", p.Host, c.state(p.Host).View.Revision, r, limit)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -43,53 +43,53 @@
 // Guards against a host in a cut-off zone that restarts with an older configuration, or doesn't
 // become ready.
 func TestRestartInACutOffZoneKeepsTheRevision(t *testing.T) {
-	withCluster(t, 9, func(w *cluster) {
-		w.waitForRevision(w.change(), w.peers, time.Second)
-		w.cut("cancale", true)
+	withCluster(t, 9, func(c *cluster) {
+		c.waitForRevision(c.change(), c.peers, time.Second)
+		c.cut("cancale", true)
 		// Longer than the timeouts of three sources.
 		time.Sleep(10 * time.Second)
-		if s := w.state("cancale-2"); s.CutOffSince.IsZero() || !s.Ready {
+		if s := c.state("cancale-2"); s.CutOffSince.IsZero() || !s.Ready {
 			t.Fatalf("cut off, but its state is %+v", s)
 		}
-		w.start(w.kill("cancale-2"))
+		c.start(c.kill("cancale-2"))
 		time.Sleep(10 * time.Second)
-		if s := w.state("cancale-2"); !s.Ready || s.View.Revision != 1 {
+		if s := c.state("cancale-2"); !s.Ready || s.View.Revision != 1 {
 			t.Fatalf("ready %v with revision %d", s.Ready, s.View.Revision)
 		}
-		w.start(w.kill("cancale-1"))
+		c.start(c.kill("cancale-1"))
 		time.Sleep(15 * time.Second)
-		if s := w.state("cancale-1"); !s.Ready || s.View.Revision != 1 {
+		if s := c.state("cancale-1"); !s.Ready || s.View.Revision != 1 {
 			t.Fatalf("host with a disk: ready %v with revision %d", s.Ready, s.View.Revision)
 		}
-		w.change()
-		w.cut("cancale", false)
-		w.waitForRevision(2, w.peers, 5*time.Second)
+		c.change()
+		c.cut("cancale", false)
+		c.waitForRevision(2, c.peers, 5*time.Second)
 	})
 }
 
 // Guards against hosts that become ready after their whole zone restarted without a quorum,
 // when no peer has a record of the revisions that were in force.
 func TestRestartedZoneWithoutQuorumIsNotReady(t *testing.T) {
-	withCluster(t, 9, func(w *cluster) {
-		w.waitForRevision(w.change(), w.peers, time.Second)
-		w.cut("cancale", true)
+	withCluster(t, 9, func(c *cluster) {
+		c.waitForRevision(c.change(), c.peers, time.Second)
+		c.cut("cancale", true)
 		var restarted []Peer
 		for _, h := range []hingeids.HostID{"cancale-1", "cancale-2", "cancale-3"} {
-			restarted = append(restarted, w.kill(h))
+			restarted = append(restarted, c.kill(h))
 		}
 		for _, p := range restarted {
-			w.start(p)
+			c.start(p)
 		}
 		time.Sleep(20 * time.Second)
 		for _, p := range restarted {
-			if s := w.state(p.Host); s.Ready {
+			if s := c.state(p.Host); s.Ready {
 				t.Errorf("host %s is ready with revision %d", p.Host, s.View.Revision)
 			}
 		}
-		w.cut("cancale", false)
+		c.cut("cancale", false)
 		time.Sleep(10 * time.Second)
 		for _, p := range restarted {
-			if s := w.state(p.Host); !s.Ready || s.View.Revision != 1 {
+			if s := c.state(p.Host); !s.Ready || s.View.Revision != 1 {
 				t.Errorf("host %s: ready %v, revision %d", p.Host, s.Ready, s.View.Revision)
 			}
 		}
@@ -99,25 +99,25 @@
 // A host that missed 500 changes must get all documents in one response, and Lag must
 // report it until then.
 func TestLaggingHostGetsOneSnapshot(t *testing.T) {
-	withCluster(t, 7, func(w *cluster) {
-		w.waitForRevision(w.change(), w.peers, time.Second)
-		w.cut("quiberon", true)
+	withCluster(t, 7, func(c *cluster) {
+		c.waitForRevision(c.change(), c.peers, time.Second)
+		c.cut("quiberon", true)
 		time.Sleep(3 * time.Second)
-		if w.leader() == nil {
+		if c.leader() == nil {
 			t.Fatal("no leader")
 		}
 		var last hingeids.Revision
 		for range 500 {
-			last = w.change()
+			last = c.change()
 		}
 		time.Sleep(time.Second)
-		lags := w.process("cancale-2").spread.Lag(context.Background())
+		lags := c.process("cancale-2").replicator.Lag(context.Background())
 		if len(lags) != 7 || !isLagging(lags[0]) || !isLagging(lags[1]) || isLagging(lags[2]) {
 			t.Errorf("lags are %+v", lags)
 		}
-		x := w.process("quiberon-2").spread
+		x := c.process("quiberon-2").replicator
 		changed := x.Applied().Changed()
-		w.cut("quiberon", false)
+		c.cut("quiberon", false)
 		seen := make(map[hingeids.Revision]bool)
 		for range 100 {
 			seen[x.Applied().Load().View.Revision] = true
@@ -140,24 +140,24 @@
 // A change must be in force on all hosts within three seconds when the leader crashes right
 // before it.
 func TestChangeIsInForceAfterALeaderCrash(t *testing.T) {
-	withCluster(t, 7, func(w *cluster) {
-		w.waitForRevision(w.change(), w.peers, time.Second)
+	withCluster(t, 7, func(c *cluster) {
+		c.waitForRevision(c.change(), c.peers, time.Second)
 		for range 5 {
-			crashed := w.kill(w.leader().peer.Host)
+			crashed := c.kill(c.leader().peer.Host)
 			var running []Peer
-			for _, p := range w.peers {
+			for _, p := range c.peers {
 				if p.Host != crashed.Host {
 					running = append(running, p)
 				}
 			}
 			start := time.Now()
-			w.waitForRevision(w.change(), running, 3*time.Second)
+			c.waitForRevision(c.change(), running, 3*time.Second)
 			elapsed := time.Since(start)
 			t.Logf("in force on %d hosts %v after the crash", len(running), elapsed)
 			if elapsed > 3*time.Second {
 				t.Errorf("the change was in force after %v", elapsed)
 			}
-			w.start(crashed)
+			c.start(crashed)
 			time.Sleep(3 * time.Second)
 		}
 	})
@@ -168,8 +168,8 @@
 func TestRevisionNeverDecreases(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newCluster(t, 9)
-			defer w.stopAll()
+			c := newCluster(t, 9)
+			defer c.stopAll()
 			random := rand.New(rand.NewPCG(seed, 3))
 			newest := make(map[hingeids.HostID]hingeids.Revision)
 			zones := []hingeids.Zone{"cancale", "roscoff", "quiberon"}
@@ -177,20 +177,20 @@
 				switch random.IntN(4) {
 				case 0:
 					for _, z := range zones {
-						w.cut(z, false)
+						c.cut(z, false)
 					}
-					w.cut(zones[random.IntN(3)], random.IntN(3) > 0)
+					c.cut(zones[random.IntN(3)], random.IntN(3) > 0)
 				case 1:
-					w.start(w.kill(w.peers[random.IntN(9)].Host))
+					c.start(c.kill(c.peers[random.IntN(9)].Host))
 				case 2:
-					w.change()
+					c.change()
 				}
-				w.checkRevisions(newest, time.Duration(random.IntN(8000))*time.Millisecond)
+				c.checkRevisions(newest, time.Duration(random.IntN(8000))*time.Millisecond)
 			}
 			for _, z := range zones {
-				w.cut(z, false)
+				c.cut(z, false)
 			}
-			w.waitForRevision(w.change(), w.peers, 10*time.Second)
+			c.waitForRevision(c.change(), c.peers, 10*time.Second)
 		})
 		if t.Failed() {
 			t.Fatalf("seed %d", seed)
@@ -199,15 +199,15 @@
 }
 
 // checkRevisions checks for a duration that the revision of no ready host decreases.
-func (w *cluster) checkRevisions(newest map[hingeids.HostID]hingeids.Revision, d time.Duration) {
+func (c *cluster) checkRevisions(newest map[hingeids.HostID]hingeids.Revision, d time.Duration) {
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
-		for _, p := range w.peers {
-			s := w.state(p.Host)
+		for _, p := range c.peers {
+			s := c.state(p.Host)
 			if !s.Ready {
 				continue
 			}
 			if s.View.Revision < newest[p.Host] {
-				w.t.Errorf("host %s went back from revision %d to %d", p.Host, newest[p.Host], s.View.Revision)
+				c.t.Errorf("host %s went back from revision %d to %d", p.Host, newest[p.Host], s.View.Revision)
 			}
 			newest[p.Host] = s.View.Revision
 		}
@@ -264,18 +264,18 @@
 	}
 }
 
-// measureSpread limits the latency of changes, the heap of a host and the traffic of the busiest host, at 14,000 changes per day.
-func measureSpread(t *testing.T, hosts, changes int, limit time.Duration) {
-	withCluster(t, hosts, func(w *cluster) {
-		w.waitForRevision(w.change(), w.peers, 5*time.Second)
-		w.mu.Lock()
-		clear(w.calls)
-		clear(w.bytes)
-		w.mu.Unlock()
+// measurePropagation limits the latency of changes, the heap of a host and the traffic of the busiest host, at 14,000 changes per day.
+func measurePropagation(t *testing.T, hosts, changes int, limit time.Duration) {
+	withCluster(t, hosts, func(c *cluster) {
+		c.waitForRevision(c.change(), c.peers, 5*time.Second)
+		c.mu.Lock()
+		clear(c.calls)
+		clear(c.bytes)
+		c.mu.Unlock()
 		start := time.Now()
 		var all []time.Duration
 		for range changes {
-			all = append(all, w.waitForRevision(w.change(), w.peers, 5*time.Second)...)
+			all = append(all, c.waitForRevision(c.change(), c.peers, 5*time.Second)...)
 			time.Sleep(24 * time.Hour / 14000)
 		}
 		seconds := time.Since(start).Seconds()
@@ -285,12 +285,12 @@
 		runtime.GC()
 		runtime.ReadMemStats(&memory)
 		heap := memory.HeapAlloc / uint64(hosts)
-		w.mu.Lock()
-		defer w.mu.Unlock()
+		c.mu.Lock()
+		defer c.mu.Unlock()
 		mostBytes, mostCalls, sum := 0, 0, 0
-		for h, b := range w.bytes {
+		for h, b := range c.bytes {
 			mostBytes = max(mostBytes, b)
-			mostCalls = max(mostCalls, w.calls[h])
+			mostCalls = max(mostCalls, c.calls[h])
 			sum += b
 		}
 		t.Logf("%d members: p99 %v, max %v; busiest member %.0f bytes/s, %.1f messages/s; mean %.0f bytes/s; heap %d bytes a member",
@@ -309,9 +309,9 @@
 }
 
 func TestPropagationToSevenHosts(t *testing.T) {
-	measureSpread(t, 7, 50, 500*time.Millisecond)
+	measurePropagation(t, 7, 50, 500*time.Millisecond)
 }
 
 func TestPropagationToManyHosts(t *testing.T) {
-	measureSpread(t, 560, 4, 3*time.Second)
+	measurePropagation(t, 560, 4, 3*time.Second)
 }
--- a/internal/agreement/hingeversion/version.go
+++ b/internal/agreement/hingeversion/version.go
@@ -29,7 +29,7 @@
 }
 
 // Machine is the state machine. Its methods must be called from one goroutine. The cell that
-// Views returns is safe for concurrent use.
+// Documents returns is safe for concurrent use.
 type Machine struct {
 	views hingeboard.Cell[Document]
 }
