--- a/internal/core/hingeids/ids.go
+++ b/internal/core/hingeids/ids.go
@@ -18,7 +18,7 @@
 type Zone string
 
 // ServerID identifies a backend server: a model engine or a plain service
-// replica. It may carry an incarnation; see InLife.
+// replica. It may carry an incarnation; see WithIncarnation.
 type ServerID string
 
 // incarnationSeparator separates a server's name from its incarnation. It can't
@@ -46,7 +46,7 @@
 	_, text, _ := strings.Cut(string(s), incarnationSeparator)
 	i, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		// Only InLife writes the separator, so an id that doesn't parse has no incarnation.
+		// Only WithIncarnation writes the separator, so an id that doesn't parse has none.
 		return 1
 	}
 	return Incarnation(i)
@@ -67,27 +67,27 @@
 
 // String formats the fingerprint as 16 hexadecimal digits, the form in logs and
 // in operators' commands. It returns "" for zero.
-func (p Fingerprint) String() string {
-	if p == 0 {
+func (f Fingerprint) String() string {
+	if f == 0 {
 		return ""
 	}
-	return fmt.Sprintf("%016x", uint64(p))
+	return fmt.Sprintf("%016x", uint64(f))
 }
 
 // MarshalText implements encoding.TextMarshaler with the format of String.
-func (p Fingerprint) MarshalText() ([]byte, error) {
-	return []byte(p.String()), nil
+func (f Fingerprint) MarshalText() ([]byte, error) {
+	return []byte(f.String()), nil
 }
 
 // UnmarshalText implements encoding.TextUnmarshaler. It accepts the format of
 // String; an empty text is zero.
-func (p *Fingerprint) UnmarshalText(b []byte) error {
+func (f *Fingerprint) UnmarshalText(b []byte) error {
 	if len(b) == 0 {
-		*p = 0
+		*f = 0
 		return nil
 	}
 	n, err := strconv.ParseUint(string(b), 16, 64)
-	*p = Fingerprint(n)
+	*f = Fingerprint(n)
 	return eris.Wrap(err, "request fingerprint isn't a 64-bit hexadecimal number")
 }
 
@@ -130,7 +130,7 @@
 
 // RequestID identifies a request. It contains the instance of the entry host that
 // owns the request, so that engine memory that was allocated under the id can be
-// freed once that instance is gone.
+// freed once that instance has ended.
 type RequestID struct {
 	Instance
 	Sequence uint64 `cbor:"3,keyasint" json:"sequence"`
--- a/internal/core/hingeverdict/verdict.go
+++ b/internal/core/hingeverdict/verdict.go
@@ -47,8 +47,8 @@
 	Verdict Verdict
 	// Code is the kind of failure; docs/INTERFACES.md lists the codes.
 	Code Code
-	// RetryAfter is the delay that the caller is asked to wait before a retry.
-	// Zero asks the caller not to retry.
+	// RetryAfter is the delay after which the caller may retry. Zero means that it
+	// should not retry.
 	RetryAfter time.Duration
 	// Cause is the underlying error. It may be nil.
 	Cause error
--- a/internal/ledger/hingeledger/keyowner.go
+++ b/internal/ledger/hingeledger/keyowner.go
@@ -55,7 +55,7 @@
 	outcome chan Outcome
 }
 
-// KeyOwnerConfig configures a Keeper.
+// KeyOwnerConfig configures a KeyOwner.
 type KeyOwnerConfig struct {
 	Zone     hingeids.Zone
 	Store    Store
@@ -65,7 +65,7 @@
 	Clock func() time.Time
 }
 
-// OpenKeyOwner restores a Keeper from its store. An empty store starts a new
+// OpenKeyOwner restores a KeyOwner from its store. An empty store starts a new
 // incarnation. The caller must call Run.
 func OpenKeyOwner(c KeyOwnerConfig) (*KeyOwner, error) {
 	k := &KeyOwner{
--- a/internal/ledger/hingeledger/state.go
+++ b/internal/ledger/hingeledger/state.go
@@ -200,10 +200,10 @@
 	}
 }
 
-func (s *State) outcome(k Kind, by hingeids.RequestID, until int64) Outcome {
+func (s *State) outcome(k Kind, holder hingeids.RequestID, until int64) Outcome {
 	return Outcome{
 		Kind:   k,
-		Holder: by,
+		Holder: holder,
 		Until:  until,
 	}
 }
