--- a/internal/agreement/hingeconfig/view.go
+++ b/internal/agreement/hingeconfig/view.go
@@ -60,12 +60,12 @@
 	}
 	deleted := make(map[Path]bool)
 	start := len(v.History) - int(v.Revision-from)
-	for _, m := range v.History[start : start+int(to-from)] {
-		for p, doc := range m.Change.Puts {
+	for _, entry := range v.History[start : start+int(to-from)] {
+		for p, doc := range entry.Change.Puts {
 			d.Puts[p] = doc
 			delete(deleted, p)
 		}
-		for _, p := range m.Change.Deletes {
+		for _, p := range entry.Change.Deletes {
 			delete(d.Puts, p)
 			deleted[p] = true
 		}
--- a/internal/agreement/hingegroup/history_test.go
+++ b/internal/agreement/hingegroup/history_test.go
@@ -190,21 +190,21 @@
 // checkHistory compares the reported results with the history of the state machine.
 func (r *workload) checkHistory() {
 	v := r.newestView()
-	made := make(map[hingeconfig.ChangeID]hingeids.Revision)
-	for i, m := range v.History {
-		if m.Revision != hingeids.Revision(i+1) || made[m.Change.ID] != 0 || m.Change.Expected != m.Revision-1 {
-			r.t.Errorf("history has %s at %d, expected %d", m.Change.ID, m.Revision, m.Change.Expected)
+	revisions := make(map[hingeconfig.ChangeID]hingeids.Revision)
+	for i, entry := range v.History {
+		if entry.Revision != hingeids.Revision(i+1) || revisions[entry.Change.ID] != 0 || entry.Change.Expected != entry.Revision-1 {
+			r.t.Errorf("history has %s at %d, expected %d", entry.Change.ID, entry.Revision, entry.Change.Expected)
 		}
-		made[m.Change.ID] = m.Revision
+		revisions[entry.Change.ID] = entry.Revision
 	}
 	for _, x := range r.reported {
-		at := made[x.change.ID]
+		at := revisions[x.change.ID]
 		switch {
 		case x.refused && at != 0:
 			r.t.Errorf("change %s was reported as not run, but created revision %d", x.change.ID, at)
 		case x.answer.Result == hingeconfig.Accepted && at != x.answer.Revision:
 			r.t.Errorf("change %s was reported as revision %d, but the history has it at %d", x.change.ID, x.answer.Revision, at)
-		case x.answer.Result == hingeconfig.Conflict && (at != 0 || made[x.answer.AcceptedChange.ID] != x.answer.AcceptedChange.Revision):
+		case x.answer.Result == hingeconfig.Conflict && (at != 0 || revisions[x.answer.AcceptedChange.ID] != x.answer.AcceptedChange.Revision):
 			r.t.Errorf("change %s was reported as a conflict with %+v, but the history has it at %d", x.change.ID, x.answer.AcceptedChange, at)
 		}
 	}
--- a/internal/agreement/hingegroup/stall_test.go
+++ b/internal/agreement/hingegroup/stall_test.go
@@ -18,12 +18,12 @@
 // A leader whose disk stalls must be replaced within two seconds, although its process
 // still answers, and no accepted change may be lost.
 func TestLeaderWhoseDiskStallsIsReplaced(t *testing.T) {
-	withCluster(t, func(t *testing.T, h *cluster) {
-		h.mustChange("quiberon-2", 1)
-		stalled := h.leader()
+	withCluster(t, func(t *testing.T, c *cluster) {
+		c.mustChange("quiberon-2", 1)
+		stalled := c.leader()
 		stalled.disk.stall(5 * time.Second)
 		start := time.Now()
-		_, err := h.change(stalled.id, 2)
+		_, err := c.change(stalled.id, 2)
 		if err == nil {
 			t.Error("a change was accepted while the leader's disk was stalled")
 		}
@@ -31,53 +31,53 @@
 			t.Errorf("no answer for %v", elapsed)
 		}
 		time.Sleep(2*time.Second - time.Since(start))
-		if h.leader() == stalled {
+		if c.leader() == stalled {
 			t.Fatal("the host with the stalled disk still leads")
 		}
-		h.mustChange("quiberon-2", 3)
-		accepted := h.newestView().Revision
+		c.mustChange("quiberon-2", 3)
+		accepted := c.newestView().Revision
 		time.Sleep(5 * time.Second)
-		h.checkRevisions(accepted)
-		h.mustChange(stalled.id, 4)
+		c.checkRevisions(accepted)
+		c.mustChange(stalled.id, 4)
 	})
 }
 
 // With two of three disks stalled, no accepted change may be lost, and the group must
 // accept changes again once the disks answer.
 func TestTwoStalledDisksLoseNothing(t *testing.T) {
-	withCluster(t, func(t *testing.T, h *cluster) {
-		h.mustChange("quiberon-2", 1)
+	withCluster(t, func(t *testing.T, c *cluster) {
+		c.mustChange("quiberon-2", 1)
 		for _, id := range diskHosts[:2] {
-			h.hosts[id].disk.stall(4 * time.Second)
+			c.hosts[id].disk.stall(4 * time.Second)
 		}
 		accepted := 0
 		for i := range 4 {
-			if _, err := h.change("quiberon-2", 10+i); err == nil {
+			if _, err := c.change("quiberon-2", 10+i); err == nil {
 				accepted++
 			}
 		}
 		time.Sleep(6 * time.Second)
-		h.mustChange("quiberon-2", 20)
-		if got := int(h.newestView().Revision); got < 2+accepted {
+		c.mustChange("quiberon-2", 20)
+		if got := int(c.newestView().Revision); got < 2+accepted {
 			t.Errorf("revision %d after %d accepted changes", got, 2+accepted)
 		}
 		time.Sleep(time.Second)
-		h.checkRevisions(h.newestView().Revision)
+		c.checkRevisions(c.newestView().Revision)
 	})
 }
 
 // If the leader is killed while the disk of another voter is stalled, a new leader must be
 // elected once that disk answers, and no accepted change may be lost.
 func TestElectionCompletesAfterStalledDiskRecovers(t *testing.T) {
-	withCluster(t, func(t *testing.T, h *cluster) {
-		h.mustChange("quiberon-2", 1)
-		follower := h.follower()
-		dead := h.kill(h.leader().id)
+	withCluster(t, func(t *testing.T, c *cluster) {
+		c.mustChange("quiberon-2", 1)
+		follower := c.follower()
+		dead := c.kill(c.leader().id)
 		follower.disk.stall(3 * time.Second)
 		time.Sleep(6 * time.Second)
-		h.mustChange("quiberon-2", 2)
-		h.start(dead.id, dead.disk)
+		c.mustChange("quiberon-2", 2)
+		c.start(dead.id, dead.disk)
 		time.Sleep(2 * time.Second)
-		h.checkRevisions(2)
+		c.checkRevisions(2)
 	})
 }
--- a/internal/membership/hingeworld/world_test.go
+++ b/internal/membership/hingeworld/world_test.go
@@ -96,11 +96,11 @@
 	if diff := cmp.Diff([]hingeids.ServerID{"engine#200"}, placeableEngines(d)); diff != "" {
 		t.Fatal(diff)
 	}
-	w := Build(nil, d.Since(0))
-	if a, _ := w.Address("engine#200"); a != "10.0.0.2:80" {
+	v := Build(nil, d.Since(0))
+	if a, _ := v.Address("engine#200"); a != "10.0.0.2:80" {
 		t.Fatalf("the new instance has the address %q", a)
 	}
-	if a, ok := w.Address("engine#100"); ok {
+	if a, ok := v.Address("engine#100"); ok {
 		t.Fatalf("the old instance still has the address %q", a)
 	}
 }
@@ -131,12 +131,12 @@
 		other.Incarnation = 1
 		other.Address = "10.0.0.1:80"
 		d.Receive(startTime.Add(time.Second), other)
-		w := Build(table, d.Since(0))
-		if a, _ := w.Address("engine"); a != "10.0.0.1:80" {
+		v := Build(table, d.Since(0))
+		if a, _ := v.Address("engine"); a != "10.0.0.1:80" {
 			t.Errorf("%+v: the engine has the address %q", other, a)
 		}
-		if len(w.Replicas()[fleetService]) != 1 {
-			t.Errorf("%+v: replicas %+v", other, w.Replicas()[fleetService])
+		if len(v.Replicas()[fleetService]) != 1 {
+			t.Errorf("%+v: replicas %+v", other, v.Replicas()[fleetService])
 		}
 	}
 }
