--- a/internal/agreement/hingeconfig/view.go
+++ b/internal/agreement/hingeconfig/view.go
@@ -32,7 +32,7 @@
 	To      hingeids.Revision `cbor:"2,keyasint"`
 	Puts    map[Path][]byte   `cbor:"3,keyasint,omitempty"`
 	Deletes []Path            `cbor:"4,keyasint,omitempty"`
-	// OperatorRevision is View.OperatorAt at revision To, or To where that isn't known.
+	// OperatorRevision is View.OperatorRevision at revision To, or To where that isn't known.
 	OperatorRevision hingeids.Revision `cbor:"5,keyasint,omitempty"`
 }
 
@@ -60,12 +60,12 @@
 	}
 	deleted := make(map[Path]bool)
 	start := len(v.History) - int(v.Revision-from)
-	for _, m := range v.History[start : start+int(to-from)] {
-		for p, doc := range m.Change.Puts {
+	for _, entry := range v.History[start : start+int(to-from)] {
+		for p, doc := range entry.Change.Puts {
 			d.Puts[p] = doc
 			delete(deleted, p)
 		}
-		for _, p := range m.Change.Deletes {
+		for _, p := range entry.Change.Deletes {
 			delete(d.Puts, p)
 			deleted[p] = true
 		}
