--- a/internal/capacity/hingeholds/driver.go
+++ b/internal/capacity/hingeholds/driver.go
@@ -38,7 +38,7 @@
 	Owns(id hingeids.RequestID) bool
 }
 
-// Config has the dependencies of a Holds.
+// Config has the dependencies of a Collector.
 type Config struct {
 	Link    hingelink.Link
 	Engines Engines
@@ -62,81 +62,80 @@
 	inFlight map[any]bool
 }
 
-// New returns the Holds of a process and registers its handler on the link.
+// New returns a Collector and registers its handler on the link.
 func New(c Config) *Collector {
 	if c.Clock == nil {
 		c.Clock = time.Now
 	}
-	h := &Collector{
+	collector := &Collector{
 		config:   c,
 		state:    NewState(),
 		ctx:      context.Background(),
 		inFlight: make(map[any]bool),
 	}
-	h.loop = hingeboard.NewLoop(c.Clock, h)
-	c.Link.HandleCall(methodKnown, h.handleKnown)
-	return h
+	collector.loop = hingeboard.NewLoop(c.Clock, collector)
+	c.Link.HandleCall(methodKnown, collector.handleKnown)
+	return collector
 }
 
 // Run processes steps and results until the context is cancelled.
-func (h *Collector) Run(ctx context.Context) error {
-	h.loop.Post(func(time.Time) {
-		h.ctx = ctx
+func (c *Collector) Run(ctx context.Context) error {
+	c.loop.Post(func(time.Time) {
+		c.ctx = ctx
 	})
-	return h.loop.Run(ctx)
+	return c.loop.Run(ctx)
 }
 
 // Done returns a channel that is closed when Run has returned.
-func (h *Collector) Done() <-chan struct{} {
-	return h.loop.Done()
+func (c *Collector) Done() <-chan struct{} {
+	return c.loop.Done()
 }
 
-// SetEngines replaces the list of announced engines. Engine.Mine marks those that
-// this host has to poll.
-func (h *Collector) SetEngines(engines []Engine) {
-	h.loop.Post(func(now time.Time) {
-		h.state.SetEngines(now, engines)
+// SetEngines replaces the list of announced engines.
+func (c *Collector) SetEngines(engines []Engine) {
+	c.loop.Post(func(now time.Time) {
+		c.state.SetEngines(now, engines)
 	})
 }
 
 // SetRecord replaces the record of host instances from the configuration log.
-func (h *Collector) SetRecord(r hingemembers.Registry) {
-	h.loop.Post(func(time.Time) {
-		h.state.SetRecord(r)
+func (c *Collector) SetRecord(r hingemembers.Registry) {
+	c.loop.Post(func(time.Time) {
+		c.state.SetRecord(r)
 	})
 }
 
 // Abandon has an engine release the allocations of an own request whose caller has
 // disconnected or whose response failed. The cancel is retried until it succeeds.
-func (h *Collector) Abandon(engine hingeids.ServerID, id hingeids.RequestID) {
-	h.loop.Post(func(now time.Time) {
-		h.state.Abandon(now, engine, id)
+func (c *Collector) Abandon(engine hingeids.ServerID, id hingeids.RequestID) {
+	c.loop.Post(func(now time.Time) {
+		c.state.Abandon(now, engine, id)
 	})
 }
 
 // Step runs one step of the State and starts the calls that it requests. The loop
 // calls it; the result is the time of the next step.
-func (h *Collector) Step(now time.Time) time.Time {
-	out, next := h.state.Step(now)
+func (c *Collector) Step(now time.Time) time.Time {
+	out, next := c.state.Step(now)
 	for _, e := range out.Polls {
-		h.startOnce(e, func(ctx context.Context) func(time.Time) {
-			return h.poll(ctx, e)
+		c.startOnce(e, func(ctx context.Context) func(time.Time) {
+			return c.poll(ctx, e)
 		})
 	}
 	for _, q := range out.Queries {
-		go h.queryOwner(h.ctx, q)
+		go c.queryOwner(c.ctx, q)
 	}
-	for _, c := range out.Cancels {
-		h.startOnce(c, func(ctx context.Context) func(time.Time) {
-			return h.cancel(ctx, c)
+	for _, cancellation := range out.Cancels {
+		c.startOnce(cancellation, func(ctx context.Context) func(time.Time) {
+			return c.cancel(ctx, cancellation)
 		})
 	}
-	for _, c := range out.Stuck {
-		h.record(now, hingeevents.HoldStuck, c)
+	for _, cancellation := range out.Stuck {
+		c.record(now, hingeevents.HoldStuck, cancellation)
 	}
-	for _, c := range out.Released {
-		if h.config.OnReleased != nil {
-			h.config.OnReleased(c.Engine, c.ID)
+	for _, cancellation := range out.Released {
+		if c.config.OnReleased != nil {
+			c.config.OnReleased(cancellation.Engine, cancellation.ID)
 		}
 	}
 	return next
@@ -144,92 +143,92 @@
 
 // startOnce starts a call unless one with the same key is in progress, so that calls
 // to a slow engine don't accumulate.
-func (h *Collector) startOnce(key any, call func(ctx context.Context) func(now time.Time)) {
-	if h.inFlight[key] {
+func (c *Collector) startOnce(key any, call func(ctx context.Context) func(now time.Time)) {
+	if c.inFlight[key] {
 		return
 	}
-	h.inFlight[key] = true
+	c.inFlight[key] = true
 	go func(ctx context.Context) {
 		ctx, cancel := context.WithTimeout(ctx, callTimeout)
 		defer cancel()
 		apply := call(ctx)
-		h.loop.Post(func(now time.Time) {
-			delete(h.inFlight, key)
+		c.loop.Post(func(now time.Time) {
+			delete(c.inFlight, key)
 			if apply != nil {
 				apply(now)
 			}
 		})
-	}(h.ctx)
+	}(c.ctx)
 }
 
-func (h *Collector) poll(ctx context.Context, e Engine) func(now time.Time) {
-	allocations, err := h.config.Engines.Allocations(ctx, e.ID)
+func (c *Collector) poll(ctx context.Context, e Engine) func(now time.Time) {
+	allocations, err := c.config.Engines.Allocations(ctx, e.ID)
 	if err != nil {
 		return nil
 	}
 	return func(now time.Time) {
-		h.state.HandleAllocations(now, e, allocations)
+		c.state.HandleAllocations(now, e, allocations)
 	}
 }
 
-func (h *Collector) cancel(ctx context.Context, c Cancellation) func(now time.Time) {
-	if err := h.config.Engines.Cancel(ctx, c.Engine, c.ID); err != nil {
+func (c *Collector) cancel(ctx context.Context, cancellation Cancellation) func(now time.Time) {
+	if err := c.config.Engines.Cancel(ctx, cancellation.Engine, cancellation.ID); err != nil {
 		return nil // Rule 6: the state retries it.
 	}
 	return func(now time.Time) {
-		h.state.HandleCancelled(c)
-		h.record(now, hingeevents.HoldCancelled, c)
+		c.state.HandleCancelled(cancellation)
+		c.record(now, hingeevents.HoldCancelled, cancellation)
 	}
 }
 
-func (h *Collector) record(now time.Time, n hingeevents.Number, c Cancellation) {
-	h.config.Events.Record(now, n, hingeevents.Fields{
-		Request: c.ID,
-		Server:  c.Engine,
+func (c *Collector) record(now time.Time, n hingeevents.Number, cancellation Cancellation) {
+	c.config.Events.Record(now, n, hingeevents.Fields{
+		Request: cancellation.ID,
+		Server:  cancellation.Engine,
 	})
 }
 
-// knownReply is an entry host's reply to a Question: its current instance and
-// the queried requests that are in its table.
+// knownReply is an entry host's reply to an ownership query: its current instance
+// and the queried requests that are in its table.
 type knownReply struct {
 	Instance hingeids.Instance    `cbor:"1,keyasint"`
 	IDs      []hingeids.RequestID `cbor:"2,keyasint"`
 }
 
-func (h *Collector) queryOwner(ctx context.Context, q OwnershipQuery) {
+func (c *Collector) queryOwner(ctx context.Context, q OwnershipQuery) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	body, err := cbor.Marshal(q.IDs)
 	if err != nil {
 		panic(err) // Encoding a list of request IDs can't fail.
 	}
-	answer, err := h.config.Link.Call(ctx, q.Host, methodKnown, body)
+	answer, err := c.config.Link.Call(ctx, q.Host, methodKnown, body)
 	if err != nil {
 		return // Rule 5: without a reply nothing is cancelled.
 	}
-	var k knownReply
-	if cbor.Unmarshal(answer, &k) != nil || k.Instance.Host != q.Host {
+	var reply knownReply
+	if cbor.Unmarshal(answer, &reply) != nil || reply.Instance.Host != q.Host {
 		return
 	}
-	h.loop.Post(func(now time.Time) {
-		h.state.HandleQueryReply(now, k.Instance, q.IDs, k.IDs)
+	c.loop.Post(func(now time.Time) {
+		c.state.HandleQueryReply(now, reply.Instance, q.IDs, reply.IDs)
 	})
 }
 
 // handleKnown replies which of the queried requests are in this host's table. Rule 4.
-func (h *Collector) handleKnown(_ context.Context, _ hingeids.HostID, body []byte) ([]byte, error) {
+func (c *Collector) handleKnown(_ context.Context, _ hingeids.HostID, body []byte) ([]byte, error) {
 	var ids []hingeids.RequestID
 	if err := cbor.Unmarshal(body, &ids); err != nil {
 		return nil, eris.Wrap(err, "decode request IDs of an ownership query")
 	}
-	k := knownReply{
-		Instance: h.config.Owner.Instance(),
+	reply := knownReply{
+		Instance: c.config.Owner.Instance(),
 	}
 	for _, id := range ids {
-		if h.config.Owner.Owns(id) {
-			k.IDs = append(k.IDs, id)
+		if c.config.Owner.Owns(id) {
+			reply.IDs = append(reply.IDs, id)
 		}
 	}
-	answer, err := cbor.Marshal(k)
+	answer, err := cbor.Marshal(reply)
 	return answer, eris.Wrap(err, "encode reply to an ownership query")
 }
--- a/internal/capacity/hingeholds/holds.go
+++ b/internal/capacity/hingeholds/holds.go
@@ -1,7 +1,7 @@
 // Package hingeholds releases orphaned allocations of engines: requests in
 // progress, reservations, exported KV cache and incomplete imports whose caller has
 // disconnected or whose entry host has failed. State has the logic and does no I/O;
-// Holds runs it.
+// Collector runs it.
 //
 //  1. An allocation is identified by its request ID, which contains the instance of
 //     the entry host that owns the request. A host has an ID in its table from before
@@ -9,14 +9,14 @@
 //     never adds it again.
 //  2. The host that is responsible for an engine polls its allocations. Two hosts
 //     may both consider themselves responsible, since a cancel is idempotent.
-//  3. An allocation of an instance that is recorded as over is cancelled without a
+//  3. An allocation of an instance that is recorded as ended is cancelled without a
 //     query.
 //  4. For any other allocation its owner is queried after the engine has responded.
 //     It is cancelled if the owner replies as the same instance without the ID in
 //     its table, or as a newer instance.
 //  5. If an owner doesn't reply its allocations stay: it may be slow or partitioned
 //     while its caller still receives a response. Rule 3 applies once its instance
-//     is over.
+//     is recorded as ended.
 //  6. A cancel is retried until the engine has confirmed it or has a new
 //     incarnation, with which its allocations are lost. An allocation that a later
 //     poll still lists is cancelled again.
@@ -34,7 +34,7 @@
 )
 
 // Allocations of a disconnected caller or a failed host must be released within 5 s,
-// of which recording the instance as over can take 3 s.
+// of which recording the end of the instance can take 3 s.
 const (
 	pollInterval = 500 * time.Millisecond
 	// A cancel is retried at a fixed interval at first, since a single lost response
@@ -208,17 +208,17 @@
 	clear(e.queried)
 	byHost := make(map[hingeids.HostID][]hingeids.RequestID)
 	seen := make(map[hingeids.RequestID]bool)
-	for _, h := range allocations {
-		if seen[h.ID] {
+	for _, allocation := range allocations {
+		if seen[allocation.ID] {
 			continue
 		}
-		seen[h.ID] = true
-		if s.record.HasEnded(h.ID.Instance) {
-			s.scheduleCancel(now, e, h.ID)
+		seen[allocation.ID] = true
+		if s.record.HasEnded(allocation.ID.Instance) {
+			s.scheduleCancel(now, e, allocation.ID)
 			continue
 		}
-		e.queried[h.ID] = true
-		byHost[h.ID.Host] = append(byHost[h.ID.Host], h.ID)
+		e.queried[allocation.ID] = true
+		byHost[allocation.ID.Host] = append(byHost[allocation.ID.Host], allocation.ID)
 	}
 	for host, ids := range byHost {
 		s.out.Queries = append(s.out.Queries, OwnershipQuery{
--- a/internal/capacity/hingeholds/holds_test.go
+++ b/internal/capacity/hingeholds/holds_test.go
@@ -24,7 +24,7 @@
 }
 
 // An entry host is killed with requests in progress and doesn't restart, and its
-// instance is recorded as over within 3 s. Its allocations must not remain, even if a
+// instance is recorded as ended within 3 s. Its allocations must not remain, even if a
 // fifth of all messages is lost.
 func TestKilledHostAllocationsAreCancelled(t *testing.T) {
 	for seed := range uint64(50) {
@@ -82,8 +82,8 @@
 		if len(s.violations) > 0 {
 			t.Fatal(s.violations[0])
 		}
-		if left := s.orphans(); len(left) > 0 {
-			t.Fatalf("%d orphaned allocations, such as that of %v", len(left), left[0])
+		if orphans := s.orphans(); len(orphans) > 0 {
+			t.Fatalf("%d orphaned allocations, such as that of %v", len(orphans), orphans[0])
 		}
 	})
 }
--- a/internal/capacity/hingeholds/sim_test.go
+++ b/internal/capacity/hingeholds/sim_test.go
@@ -105,14 +105,14 @@
 	s.tick(h, h.state)
 }
 
-func (s *simulation) recordInstance(l hingeids.Instance, over bool) {
+func (s *simulation) recordInstance(instance hingeids.Instance, ended bool) {
 	next := hingemembers.Registry{}
 	for k, v := range s.record {
 		next[k] = v
 	}
-	next[l.Host] = hingemembers.RegistryEntry{
-		Incarnation: l.Incarnation,
-		Ended:       over,
+	next[instance.Host] = hingemembers.RegistryEntry{
+		Incarnation: instance.Incarnation,
+		Ended:       ended,
 	}
 	s.record = next
 }
--- a/internal/capacity/hingeorders/driver.go
+++ b/internal/capacity/hingeorders/driver.go
@@ -93,9 +93,9 @@
 }
 
 // SetDesired sets the desired states of engines, in order of decreasing urgency.
-func (o *Orders) SetDesired(w []DesiredState) {
+func (o *Orders) SetDesired(desired []DesiredState) {
 	o.loop.Post(func(time.Time) {
-		o.state.SetDesired(w)
+		o.state.SetDesired(desired)
 	})
 }
 
@@ -118,9 +118,9 @@
 	for _, e := range out.Query {
 		go o.query(o.ctx, now, e)
 	}
-	for _, s := range out.Send {
-		o.record(now, hingeevents.OrderSent, s)
-		go o.send(o.ctx, s)
+	for _, issued := range out.Send {
+		o.record(now, hingeevents.OrderSent, issued)
+		go o.send(o.ctx, issued)
 	}
 	return now.Add(stepInterval)
 }
@@ -128,23 +128,23 @@
 func (o *Orders) query(ctx context.Context, queriedAt time.Time, e Engine) {
 	ctx, cancel := context.WithTimeout(ctx, queryInterval)
 	defer cancel()
-	a, err := o.config.Engines.State(ctx, e.ID)
+	actual, err := o.config.Engines.State(ctx, e.ID)
 	if err != nil {
 		return // The query is repeated.
 	}
 	o.loop.Post(func(now time.Time) {
-		o.state.HandleState(now, queriedAt, e, a)
+		o.state.HandleState(now, queriedAt, e, actual)
 	})
 }
 
-func (o *Orders) send(ctx context.Context, s IssuedOrder) {
+func (o *Orders) send(ctx context.Context, issued IssuedOrder) {
 	ctx, cancel := context.WithTimeout(ctx, o.config.OrderTimeout)
 	defer cancel()
-	outcome := outcomeOf(o.config.Engines.Send(ctx, s.Engine.ID, s.Fence, s.Order))
+	outcome := outcomeOf(o.config.Engines.Send(ctx, issued.Engine.ID, issued.Fence, issued.Order))
 	o.loop.Post(func(now time.Time) {
-		o.state.HandleOutcome(now, s, outcome)
+		o.state.HandleOutcome(now, issued, outcome)
 		if n, ok := outcomeEvents[outcome]; ok {
-			o.record(now, n, s)
+			o.record(now, n, issued)
 		}
 	})
 }
@@ -167,10 +167,10 @@
 	StaleFence: hingeevents.IssuerReplaced,
 }
 
-func (o *Orders) record(now time.Time, n hingeevents.Number, s IssuedOrder) {
+func (o *Orders) record(now time.Time, n hingeevents.Number, issued IssuedOrder) {
 	o.config.Events.Record(now, n, hingeevents.Fields{
-		Server: s.Engine.ID,
-		Fence:  s.Fence,
-		Detail: string(s.Order.Kind),
+		Server: issued.Engine.ID,
+		Fence:  issued.Fence,
+		Detail: string(issued.Order.Kind),
 	})
 }
--- a/internal/capacity/hingeorders/orders.go
+++ b/internal/capacity/hingeorders/orders.go
@@ -78,7 +78,7 @@
 // Output holds the queries and orders that result from a step.
 type Output struct {
 	// Query are engines to query for their state. The response is passed to
-	// TakeActual.
+	// HandleState.
 	Query []Engine
 	Send  []IssuedOrder
 }
@@ -138,8 +138,8 @@
 }
 
 // SetDesired sets the desired states of engines, in order of decreasing urgency.
-func (s *State) SetDesired(w []DesiredState) {
-	s.desired = w
+func (s *State) SetDesired(desired []DesiredState) {
+	s.desired = desired
 }
 
 // SetEngines sets the announced engines. The state of an engine with a new
@@ -194,9 +194,9 @@
 			out.Query = append(out.Query, e.Engine)
 		}
 	}
-	for _, w := range s.desired {
-		if e := s.engines[w.Engine]; e != nil && e.ready(now) {
-			s.issueOrder(now, l, e, w, &out)
+	for _, desired := range s.desired {
+		if e := s.engines[desired.Engine]; e != nil && e.ready(now) {
+			s.issueOrder(now, l, e, desired, &out)
 		}
 	}
 	return out
@@ -231,8 +231,8 @@
 	return e.known && e.inFlight == nil && !e.actual.Loading && !now.Before(e.blockedUntil)
 }
 
-func (s *State) issueOrder(now time.Time, l Lease, e *engineState, w DesiredState, out *Output) {
-	o, needed := nextOrder(w, e.actual)
+func (s *State) issueOrder(now time.Time, l Lease, e *engineState, desired DesiredState, out *Output) {
+	o, needed := nextOrder(desired, e.actual)
 	if !needed {
 		return
 	}
@@ -279,29 +279,29 @@
 // HandleState processes the state that an engine returned to a query sent at
 // queriedAt. A state read while an order was in flight is ignored, since it may
 // predate the order.
-func (s *State) HandleState(now, queriedAt time.Time, of Engine, a ActualState) {
+func (s *State) HandleState(now, queriedAt time.Time, of Engine, actual ActualState) {
 	e := s.engines[of.ID]
 	if e == nil || e.Engine != of || e.inFlight != nil || queriedAt.Before(e.blockedUntil) || queriedAt.Before(e.queriedAt) {
 		return
 	}
-	e.known, e.actual = true, a
-	if freeAt := now.Add(s.fetchTime(a.BytesRemaining)); a.Loading && freeAt.After(s.storeFreeAt) {
+	e.known, e.actual = true, actual
+	if freeAt := now.Add(s.fetchTime(actual.BytesRemaining)); actual.Loading && freeAt.After(s.storeFreeAt) {
 		s.storeFreeAt = freeAt
 	}
 }
 
 // HandleOutcome processes the outcome of an order. An unanswered order stays in
 // flight until it expires.
-func (s *State) HandleOutcome(now time.Time, sent IssuedOrder, o Outcome) {
-	if sent.Fence != s.fence {
+func (s *State) HandleOutcome(now time.Time, issued IssuedOrder, o Outcome) {
+	if issued.Fence != s.fence {
 		return
 	}
 	if o == StaleFence {
 		s.replaced = true // Rule 7.
 		return
 	}
-	e := s.engines[sent.Engine.ID]
-	if e == nil || e.inFlight == nil || e.inFlight.number != sent.Number || o == Unanswered {
+	e := s.engines[issued.Engine.ID]
+	if e == nil || e.inFlight == nil || e.inFlight.number != issued.Number || o == Unanswered {
 		return
 	}
 	e.inFlight, e.known = nil, false
--- a/internal/capacity/hingeorders/plan.go
+++ b/internal/capacity/hingeorders/plan.go
@@ -50,7 +50,7 @@
 	Version  string
 	Adapters []string
 	Role     Role
-	// Loading is set while a load is in progress, with BytesLeft still to be
+	// Loading is set while a load is in progress, with BytesRemaining still to be
 	// fetched.
 	Loading        bool
 	BytesRemaining hingeids.Bytes
@@ -68,29 +68,29 @@
 // nextOrder returns the next order that brings an engine closer to its desired
 // state, and false if none is needed. The role is changed last, since a role may
 // need the new model.
-func nextOrder(w DesiredState, a ActualState) (Order, bool) {
-	if w.Model != "" && (w.Model != a.Model || w.Version != a.Version) {
+func nextOrder(desired DesiredState, actual ActualState) (Order, bool) {
+	if desired.Model != "" && (desired.Model != actual.Model || desired.Version != actual.Version) {
 		return Order{
 			Kind:    LoadModel,
-			Model:   w.Model,
-			Version: w.Version,
-			Bytes:   w.ModelBytes,
+			Model:   desired.Model,
+			Version: desired.Version,
+			Bytes:   desired.ModelBytes,
 		}, true
 	}
-	for _, adapter := range w.Adapters {
-		if !slices.Contains(a.Adapters, adapter) {
+	for _, adapter := range desired.Adapters {
+		if !slices.Contains(actual.Adapters, adapter) {
 			return Order{
 				Kind:    LoadAdapter,
-				Model:   a.Model,
+				Model:   actual.Model,
 				Adapter: adapter,
-				Bytes:   w.AdapterBytes,
+				Bytes:   desired.AdapterBytes,
 			}, true
 		}
 	}
-	if w.Role != "" && w.Role != a.Role {
+	if desired.Role != "" && desired.Role != actual.Role {
 		return Order{
 			Kind: ChangeRole,
-			Role: w.Role,
+			Role: desired.Role,
 		}, true
 	}
 	return Order{}, false
--- a/internal/capacity/hingeplacer/caller.go
+++ b/internal/capacity/hingeplacer/caller.go
@@ -39,11 +39,11 @@
 			Refused: true,
 		}
 	}
-	if v := o.admitLocally(c.Charge); !v.Admitted {
+	if d := o.admitLocally(c.Charge); !d.Admitted {
 		return CallPlacement{
 			Refused:    true,
-			RetryAfter: v.RetryAfter,
-			Cause:      causeOf(v),
+			RetryAfter: d.RetryAfter,
+			Cause:      causeOf(d),
 		}
 	}
 	charge := c.Charge
@@ -140,16 +140,16 @@
 }
 
 // CompleteCall reports the completion of a request to the preferred placer, or to the local placer if that chose the replica.
-func (o *Owner) CompleteCall(s hingeids.Service, a CallPlacement, e hingequeue.Completion) {
+func (o *Owner) CompleteCall(s hingeids.Service, a CallPlacement, c hingequeue.Completion) {
 	completion := callCompletion{
 		Service:    s,
-		Completion: e,
+		Completion: c,
 	}
 	if a.Local {
 		o.local.CompleteCall(completion)
 		return
 	}
-	if h := firstHost(o.fleets.Placers()); h != "" {
+	if h := firstHost(o.view.Placers()); h != "" {
 		// The queue recovers from a lost completion by itself (hingequeue rule 4).
 		o.callClient.link.Send(h, methodCompletion, encodeMessage(completion))
 	}
--- a/internal/capacity/hingeplacer/calls.go
+++ b/internal/capacity/hingeplacer/calls.go
@@ -30,9 +30,9 @@
 		})
 	})
 	link.HandleDatagram(methodCompletion, func(from hingeids.HostID, body []byte) {
-		var e callCompletion
-		if decodeMessage(recorder, from, body, &e) {
-			p.CompleteCall(e)
+		var completion callCompletion
+		if decodeMessage(recorder, from, body, &completion) {
+			p.CompleteCall(completion)
 		}
 	})
 }
@@ -126,27 +126,27 @@
 		})
 		return
 	}
-	j := p.evaluate(now, c.Service, c.Fingerprint, c.Crashes)
+	decision := p.evaluate(now, c.Service, c.Fingerprint, c.Crashes)
 	switch {
-	case j.Settling:
+	case decision.Settling:
 		p.retryLater(func(now time.Time) {
 			c.Crashes = nil
 			p.enqueueCall(now, owner, c, answer)
 		})
 		return
-	case j.Refused:
+	case decision.Refused:
 		answer(CallPlacement{
 			Refused:    true,
-			RetryAfter: j.RetryAfter,
+			RetryAfter: decision.RetryAfter,
 			Cause:      Poison,
 		})
 		return
 	}
-	if v := p.admit(now, owner, c.Charge, c.TimeToDeadline); !v.Admitted {
+	if d := p.admit(now, owner, c.Charge, c.TimeToDeadline); !d.Admitted {
 		answer(CallPlacement{
 			Refused:    true,
-			RetryAfter: v.RetryAfter,
-			Cause:      causeOf(v),
+			RetryAfter: d.RetryAfter,
+			Cause:      causeOf(d),
 		})
 		return
 	}
@@ -155,24 +155,24 @@
 		answer:  answer,
 		owner:   owner,
 		charge:  c.Charge,
-		suspect: j.Suspect,
+		suspect: decision.Suspect,
 	}
 	q.Enqueue(now, c.queueRequest(now))
 }
 
 // CompleteCall handles the completion of a request. A request that is still queued is removed.
-func (p *Placer) CompleteCall(e callCompletion) {
+func (p *Placer) CompleteCall(c callCompletion) {
 	p.tryPost(func(now time.Time) {
 		p.callSchedule.changed = true
-		q := p.queue(e.Service)
-		if a, found := p.pendingCalls[e.Completion.ID]; found {
-			delete(p.pendingCalls, e.Completion.ID)
+		q := p.queue(c.Service)
+		if a, found := p.pendingCalls[c.Completion.ID]; found {
+			delete(p.pendingCalls, c.Completion.ID)
 			p.limiter.Settle(now, a.owner, a.charge, false)
-			q.Cancel(e.Completion.ID)
+			q.Cancel(c.Completion.ID)
 			return
 		}
-		p.limiter.Return(e.Refund)
-		q.RecordCompletion(now, e.Completion)
+		p.limiter.Return(c.Refund)
+		q.RecordCompletion(now, c.Completion)
 	})
 }
 
--- a/internal/capacity/hingeplacer/crashes.go
+++ b/internal/capacity/hingeplacer/crashes.go
@@ -8,37 +8,37 @@
 )
 
 // RecordCrash records that a server crashed while it ran one of this host's requests.
-func (o *Owner) RecordCrash(e hingepoison.Crash) {
+func (o *Owner) RecordCrash(c hingepoison.Crash) {
 	o.mu.Lock()
-	o.crashes.AddCrash(o.clock(), e)
+	o.crashes.AddCrash(o.clock(), c)
 	o.mu.Unlock()
 	o.triggerReport()
 }
 
 // RecordCompletion records that a suspected request was answered completely.
-func (o *Owner) RecordCompletion(p hingeids.Fingerprint) {
+func (o *Owner) RecordCompletion(fingerprint hingeids.Fingerprint) {
 	o.mu.Lock()
-	o.crashes.AddCompletion(o.clock(), p)
+	o.crashes.AddCompletion(o.clock(), fingerprint)
 	o.mu.Unlock()
 	o.triggerReport()
 }
 
 // blockedFor reports whether a request is on the poison list, and the time until it may be probed. Such a request
 // is refused without a message to the placer.
-func (o *Owner) blockedFor(p hingeids.Fingerprint) (time.Duration, bool) {
-	l := o.fleets.PoisonEntry(p)
-	return l.Wait, l.Blocked && l.Wait > 0
+func (o *Owner) blockedFor(fingerprint hingeids.Fingerprint) (time.Duration, bool) {
+	entry := o.view.PoisonEntry(fingerprint)
+	return entry.Wait, entry.Blocked && entry.Wait > 0
 }
 
 // recordAcknowledged records which crashes and complete answers the placer has received. A placer that needs a full
 // report has received none.
-func (o *Owner) recordAcknowledged(to hingeids.HostID, r report, a reportReply, err error) {
+func (o *Owner) recordAcknowledged(to hingeids.HostID, r report, reply reportReply, err error) {
 	if err != nil {
 		return
 	}
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if a.NeedsUsage {
+	if reply.NeedsUsage {
 		o.crashes.ResetReported()
 		return
 	}
--- a/internal/capacity/hingeplacer/local.go
+++ b/internal/capacity/hingeplacer/local.go
@@ -17,8 +17,8 @@
 // With many hosts an equal share of every engine would be smaller than one stream. Each host
 // therefore uses a few pseudo-randomly chosen engines and a larger share of each.
 type localShare struct {
-	self   hingeids.HostID
-	fleets ClusterView
+	self hingeids.HostID
+	view ClusterView
 }
 
 // hostsPerEngine is the number of hosts that share a decode engine when all place locally.
@@ -31,8 +31,8 @@
 
 // Engines returns all prefill engines, and the decode engines of this host with their memory reduced to its share.
 func (s localShare) Engines() map[hingeids.Service][]hingefleet.Engine {
-	all := s.fleets.Engines()
-	hosts := max(s.fleets.EntryHosts(), 1)
+	all := s.view.Engines()
+	hosts := max(s.view.EntryHosts(), 1)
 	out := make(map[hingeids.Service][]hingefleet.Engine, len(all))
 	for name, list := range all {
 		out[name] = s.share(list, hosts)
@@ -70,8 +70,8 @@
 // one host can't use up a replica's connections. The slots are set to zero (unknown), since the host doesn't see
 // the requests of other hosts.
 func (s localShare) Replicas() map[hingeids.Service][]hingebalance.Replica {
-	hosts := max(s.fleets.EntryHosts(), 1)
-	all := s.fleets.Replicas()
+	hosts := max(s.view.EntryHosts(), 1)
+	all := s.view.Replicas()
 	out := make(map[hingeids.Service][]hingebalance.Replica, len(all))
 	for name, list := range all {
 		limited := slices.Clone(list)
@@ -88,22 +88,23 @@
 
 // Address returns the address of a server, and whether it is known.
 func (s localShare) Address(id hingeids.ServerID) (string, bool) {
-	return s.fleets.Address(id)
+	return s.view.Address(id)
 }
 
-// Quota returns a customer's whole quota. The caller has already enforced this host's share of it (hingequota.Lone).
+// Quota returns a customer's whole quota. The owner has already enforced this host's share of it
+// (hingequota.LocalLimiter).
 func (s localShare) Quota(c hingeids.CallerID) hingecustomers.Quota {
-	return s.fleets.Quota(c)
+	return s.view.Quota(c)
 }
 
 // PoisonEntry returns the poison list's entry for a fingerprint.
-func (s localShare) PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed {
-	return s.fleets.PoisonEntry(p)
+func (s localShare) PoisonEntry(fingerprint hingeids.Fingerprint) hingepoison.Listed {
+	return s.view.PoisonEntry(fingerprint)
 }
 
 // EntryHosts returns the number of entry hosts.
 func (s localShare) EntryHosts() int {
-	return s.fleets.EntryHosts()
+	return s.view.EntryHosts()
 }
 
 // IsElectedLeader returns false, since the host places only its own requests.
--- a/internal/capacity/hingeplacer/messages.go
+++ b/internal/capacity/hingeplacer/messages.go
@@ -47,28 +47,28 @@
 	Charge hingequota.Charge `cbor:"14,keyasint,omitzero"`
 	// Priority is that of the customer or the route; 0 is the highest.
 	Priority int `cbor:"15,keyasint,omitempty"`
-	// Fingerprint is the request's fingerprint. Ends are the servers that crashed during this attempt.
+	// Fingerprint is the request's fingerprint. Crashes are the server crashes during this attempt.
 	Fingerprint hingeids.Fingerprint `cbor:"16,keyasint,omitempty"`
 	Crashes     []hingepoison.Crash  `cbor:"17,keyasint,omitempty"`
 }
 
 // fleetRequest converts the message to a request of the fleet, with times on this host's clock.
-func (w StreamRequest) fleetRequest(now time.Time, owner hingeids.HostID) hingefleet.StreamRequest {
+func (r StreamRequest) fleetRequest(now time.Time, owner hingeids.HostID) hingefleet.StreamRequest {
 	return hingefleet.StreamRequest{
-		ID:             w.ID,
+		ID:             r.ID,
 		Owner:          owner,
-		Zone:           w.Zone,
-		PromptTokens:   w.PromptTokens,
-		ExpectedTokens: w.ExpectedTokens,
-		Arrived:        now.Add(-w.Waited),
-		Target:         w.Target,
-		MaxEventGap:    w.MaxEventGap,
-		MaxWait:        w.MaxWait,
-		Deadline:       now.Add(w.TimeToDeadline),
-		Moved:          w.Moved,
-		Cached:         w.Cached,
-		Avoid:          w.Avoid,
-		Priority:       w.Priority,
+		Zone:           r.Zone,
+		PromptTokens:   r.PromptTokens,
+		ExpectedTokens: r.ExpectedTokens,
+		Arrived:        now.Add(-r.Waited),
+		Target:         r.Target,
+		MaxEventGap:    r.MaxEventGap,
+		MaxWait:        r.MaxWait,
+		Deadline:       now.Add(r.TimeToDeadline),
+		Moved:          r.Moved,
+		Cached:         r.Cached,
+		Avoid:          r.Avoid,
+		Priority:       r.Priority,
 	}
 }
 
@@ -92,7 +92,8 @@
 	// Shortage is the missing resource if the stream was refused for lack of capacity.
 	Shortage hingefleet.Shortage `cbor:"10,keyasint,omitempty"`
 	Cause    Cause               `cbor:"13,keyasint,omitempty"`
-	// Suspect is true if servers crashed during earlier attempts. The owner must report a complete answer (Owner.Passed).
+	// Suspect is true if servers crashed during earlier attempts. The owner must report a complete answer
+	// (Owner.RecordCompletion).
 	Suspect bool `cbor:"14,keyasint,omitempty"`
 }
 
@@ -109,8 +110,8 @@
 )
 
 // causeOf returns the cause of a refusal by the quota.
-func causeOf(v hingequota.Decision) Cause {
-	if v.Over {
+func causeOf(d hingequota.Decision) Cause {
+	if d.Over {
 		return OverQuota
 	}
 	return QuotaUnknown
@@ -127,14 +128,15 @@
 	Sequence uint64                                     `cbor:"1,keyasint"`
 	Streams  map[hingeids.Service][]hingefleet.Progress `cbor:"2,keyasint,omitempty"`
 	Outcomes []serviceOutcome                           `cbor:"3,keyasint,omitempty"`
-	// Usages is the quota usage of the owner's requests within the window. All is true if the report includes it, and
-	// Knows is the time for which the owner has counted.
+	// Usages is the quota usage of the owner's requests within the window. Complete is true if the report includes it,
+	// and CountedFor is the time for which the owner has counted.
 	Usages     []hingequota.Usage `cbor:"4,keyasint,omitempty"`
 	Complete   bool               `cbor:"5,keyasint,omitempty"`
 	CountedFor time.Duration      `cbor:"6,keyasint,omitempty"`
 	// Refunds are the charges of requests that were counted and didn't run.
 	Refunds []hingequota.Charge `cbor:"7,keyasint,omitempty"`
-	// Crashes are server crashes and Passes are complete answers to suspected requests that the placer hasn't received yet.
+	// Crashes are server crashes, and Completions are complete answers to suspected requests, that the placer hasn't
+	// received yet.
 	Crashes     []hingepoison.Crash      `cbor:"8,keyasint,omitempty"`
 	Completions []hingepoison.Completion `cbor:"9,keyasint,omitempty"`
 }
@@ -145,7 +147,7 @@
 	NeedsUsage bool `cbor:"1,keyasint,omitempty"`
 	// NearLimit are the customers near their limits.
 	NearLimit []hingequota.NearLimit `cbor:"2,keyasint,omitempty"`
-	// Complete is true if Tight lists all such customers.
+	// Complete is true if NearLimit lists all such customers.
 	Complete bool `cbor:"3,keyasint,omitempty"`
 }
 
@@ -154,7 +156,8 @@
 	Service hingeids.Service  `cbor:"1,keyasint"`
 	ID      hingequeue.CallID `cbor:"2,keyasint"`
 	Zone    hingeids.Zone     `cbor:"3,keyasint,omitempty"`
-	// TimeToSoftDeadline is the time until the answer is late, zero if it already is. Left is the time until the caller gives up.
+	// TimeToSoftDeadline is the time until the answer is late, zero if it already is. TimeToDeadline is the time until
+	// the request's deadline.
 	TimeToSoftDeadline time.Duration `cbor:"4,keyasint,omitempty"`
 	TimeToDeadline     time.Duration `cbor:"5,keyasint"`
 	// MaxWait is the maximum wait announced by the caller, zero if there is none.
@@ -164,7 +167,7 @@
 	Charge hingequota.Charge `cbor:"8,keyasint,omitzero"`
 	// Priority is that of the customer or the route; 0 is the highest.
 	Priority int `cbor:"9,keyasint,omitempty"`
-	// Fingerprint is the request's fingerprint. Ends are the servers that crashed during this attempt.
+	// Fingerprint is the request's fingerprint. Crashes are the server crashes during this attempt.
 	Fingerprint hingeids.Fingerprint `cbor:"10,keyasint,omitempty"`
 	Crashes     []hingepoison.Crash  `cbor:"11,keyasint,omitempty"`
 }
@@ -189,7 +192,7 @@
 	}
 }
 
-// CallPlacement is the placer's answer to a Call.
+// CallPlacement is the placer's answer to a CallRequest.
 type CallPlacement struct {
 	Server hingeids.ServerID `cbor:"1,keyasint,omitempty"`
 	// Address is the server's address, empty if the placer doesn't know it.
@@ -202,11 +205,12 @@
 	// Local is true if the owner chose the replica locally, without knowledge of other hosts' requests.
 	Local bool  `cbor:"5,keyasint,omitempty"`
 	Cause Cause `cbor:"8,keyasint,omitempty"`
-	// Suspect is true if servers crashed during earlier attempts. The owner must report a complete answer (Owner.Passed).
+	// Suspect is true if servers crashed during earlier attempts. The owner must report a complete answer
+	// (Owner.RecordCompletion).
 	Suspect bool `cbor:"9,keyasint,omitempty"`
 }
 
-// callReply is the message that answers a Call.
+// callReply is the message that answers a CallRequest.
 type callReply struct {
 	ID        hingequeue.CallID `cbor:"1,keyasint"`
 	Placement CallPlacement     `cbor:"2,keyasint"`
--- a/internal/capacity/hingeplacer/owner.go
+++ b/internal/capacity/hingeplacer/owner.go
@@ -45,7 +45,7 @@
 	client *client
 	// callClient is the client for requests to plain services; the other one is for streams and reports.
 	callClient *client
-	fleets     ClusterView
+	view       ClusterView
 	clock      func() time.Time
 	local      *Placer
 	recorder   *hingeevents.Recorder
@@ -75,7 +75,7 @@
 // NewOwner returns an Owner and registers its message handlers on the link. Run must be called for reports and
 // local placement.
 func NewOwner(
-	self hingeids.HostID, link hingelink.Link, f ClusterView, clock func() time.Time, r *hingeevents.Recorder,
+	self hingeids.HostID, link hingelink.Link, v ClusterView, clock func() time.Time, r *hingeevents.Recorder,
 	t hingequota.Params,
 ) *Owner {
 	o := &Owner{
@@ -83,7 +83,7 @@
 		self:       self,
 		client:     newClient(link, clock, streamTimeouts),
 		callClient: newClient(link, clock, callTimeouts),
-		fleets:     f,
+		view:       v,
 		clock:      clock,
 		done:       make(chan struct{}),
 		dirty:      make(chan struct{}, 1),
@@ -96,8 +96,8 @@
 	}
 	link.HandleDatagram(methodPlaced, o.handlePlaced)
 	o.local = New(localShare{
-		self:   self,
-		fleets: f,
+		self: self,
+		view: v,
 	}, nil, func() bool {
 		return true
 	}, clock, t)
@@ -110,8 +110,8 @@
 }
 
 // Place requests engines until there is a decision. The context must end when the caller disconnects.
-func (o *Owner) Place(ctx context.Context, w StreamRequest) Placement {
-	if after, refused := o.blockedFor(w.Fingerprint); refused {
+func (o *Owner) Place(ctx context.Context, r StreamRequest) Placement {
+	if after, refused := o.blockedFor(r.Fingerprint); refused {
 		return Placement{
 			Refused:    true,
 			RetryAfter: after,
@@ -119,11 +119,11 @@
 		}
 	}
 	start := o.clock()
-	waited := w.Waited
+	waited := r.Waited
 	for ctx.Err() == nil {
-		w.Waited = waited + o.clock().Sub(start)
-		w.Charge.NearLimit = o.mayBeNearLimit(w.Charge)
-		if a := o.placeOnce(ctx, w); !a.Undecided {
+		r.Waited = waited + o.clock().Sub(start)
+		r.Charge.NearLimit = o.mayBeNearLimit(r.Charge)
+		if a := o.placeOnce(ctx, r); !a.Undecided {
 			return a
 		}
 	}
@@ -133,15 +133,15 @@
 }
 
 // placeOnce requests engines from the placers in turn, and places locally if none answers (rule 3).
-func (o *Owner) placeOnce(ctx context.Context, w StreamRequest) Placement {
+func (o *Owner) placeOnce(ctx context.Context, r StreamRequest) Placement {
 	var placement Placement
 	if o.tryPlacers(ctx, o.client, func(h hingeids.HostID) (bool, error) {
 		var err error
-		placement, err = o.requestEngines(ctx, h, w)
+		placement, err = o.requestEngines(ctx, h, r)
 		return placement.NotPlacer, err
 	}) {
 		if placement.Decode != "" {
-			o.addUsage(w.Charge)
+			o.addUsage(r.Charge)
 		}
 		return placement
 	}
@@ -150,16 +150,16 @@
 			Refused: true,
 		}
 	}
-	if v := o.admitLocally(w.Charge); !v.Admitted {
+	if d := o.admitLocally(r.Charge); !d.Admitted {
 		return Placement{
 			Refused:    true,
-			RetryAfter: v.RetryAfter,
-			Cause:      causeOf(v),
+			RetryAfter: d.RetryAfter,
+			Cause:      causeOf(d),
 		}
 	}
-	charge := w.Charge
-	w.Charge = hingequota.Charge{}
-	placement = o.local.Place(ctx, o.self, w)
+	charge := r.Charge
+	r.Charge = hingequota.Charge{}
+	placement = o.local.Place(ctx, o.self, r)
 	placement.Local = true
 	if placement.Decode == "" {
 		o.removeUsage(charge)
@@ -169,12 +169,12 @@
 
 // tryPlacers calls request for each placer that isn't marked silent, until one answers that it is the placer. It reports
 // whether one did.
-func (o *Owner) tryPlacers(ctx context.Context, c *client, request func(h hingeids.HostID) (notHere bool, err error)) bool {
-	for _, h := range o.fleets.Placers() {
+func (o *Owner) tryPlacers(ctx context.Context, c *client, request func(h hingeids.HostID) (notPlacer bool, err error)) bool {
+	for _, h := range o.view.Placers() {
 		if c.isSilent(h) {
 			continue
 		}
-		notHere, err := request(h)
+		notPlacer, err := request(h)
 		if ctx.Err() != nil {
 			return false
 		}
@@ -185,7 +185,7 @@
 			})
 			continue
 		}
-		if !notHere {
+		if !notPlacer {
 			o.recordAnswer(h)
 			return true
 		}
@@ -194,10 +194,10 @@
 }
 
 // requestEngines requests engines from one placer.
-func (o *Owner) requestEngines(ctx context.Context, h hingeids.HostID, w StreamRequest) (Placement, error) {
+func (o *Owner) requestEngines(ctx context.Context, h hingeids.HostID, r StreamRequest) (Placement, error) {
 	callCtx, cancel := context.WithTimeout(ctx, holdTimeout+answerMargin)
 	defer cancel()
-	body, err := cbor.Marshal(w)
+	body, err := cbor.Marshal(r)
 	if err != nil {
 		return Placement{}, eris.Wrap(err, "encoding a stream request")
 	}
@@ -209,20 +209,20 @@
 	return a, eris.Wrap(cbor.Unmarshal(b, &a), "decoding a placement")
 }
 
-// StartStream registers a placed stream, which the reports include until Stream.End.
-func (o *Owner) StartStream(w StreamRequest, a Placement) *Stream {
+// StartStream registers a placed stream, which the reports include until Stream.Finish.
+func (o *Owner) StartStream(r StreamRequest, a Placement) *Stream {
 	s := &Stream{
 		owner:   o,
-		service: w.Service,
+		service: r.Service,
 		progress: hingefleet.Progress{
-			ID:       w.ID,
+			ID:       r.ID,
 			Decode:   a.Decode,
-			Prompt:   w.PromptTokens,
-			Expected: w.ExpectedTokens,
+			Prompt:   r.PromptTokens,
+			Expected: r.ExpectedTokens,
 		},
 	}
 	o.mu.Lock()
-	o.streams[w.ID] = s
+	o.streams[r.ID] = s
 	o.mu.Unlock()
 	o.triggerReport()
 	return s
@@ -267,11 +267,11 @@
 }
 
 // queueOutcome adds an outcome to the next report.
-func (o *Owner) queueOutcome(service hingeids.Service, n hingefleet.OutcomeReport) {
+func (o *Owner) queueOutcome(service hingeids.Service, outcome hingefleet.OutcomeReport) {
 	o.mu.Lock()
 	o.outcomes = append(o.outcomes, serviceOutcome{
 		Service:       service,
-		OutcomeReport: n,
+		OutcomeReport: outcome,
 	})
 	o.mu.Unlock()
 	o.triggerReport()
@@ -326,7 +326,7 @@
 // reportTarget returns the host to report to: the last placer that answered a request if it is still in the list, or
 // else the preferred one.
 func (o *Owner) reportTarget() hingeids.HostID {
-	list := o.fleets.Placers()
+	list := o.view.Placers()
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if slices.Contains(list, o.lastAnswered) {
@@ -348,13 +348,13 @@
 	callCtx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
 	b, err := o.client.call(callCtx, h, methodReport, encodeMessage(r))
-	var a reportReply
+	var reply reportReply
 	if err == nil {
-		err = cbor.Unmarshal(b, &a)
+		err = cbor.Unmarshal(b, &reply)
 	}
 	// The next report replaces a lost one.
-	o.reportReply(r, a, err)
-	o.recordAcknowledged(h, r, a, err)
+	o.reportReply(r, reply, err)
+	o.recordAcknowledged(h, r, reply, err)
 }
 
 // firstHost returns the preferred host, or an empty id if the list is empty.
--- a/internal/capacity/hingeplacer/placer.go
+++ b/internal/capacity/hingeplacer/placer.go
@@ -7,8 +7,8 @@
 //     and hosts of other zones don't use these engines meanwhile. A partitioned zone thus continues with all servers
 //     that it can reach.
 //  2. The placer stores nothing on disk. Owners report all their streams on each change and twice a second, so a new
-//     placer knows all streams within warmUp. A stream request is answered within holdTimeout, with Placement.Later if
-//     there is no decision. An owner that has no answer after more than a round trip probes the placer, so it abandons
+//     placer knows all streams within warmUp. A stream request is answered within holdTimeout, with Placement.Undecided
+//     if there is no decision. An owner that has no answer after more than a round trip probes the placer, so it abandons
 //     a suspended or partitioned placer within a quarter of a second, however long the queue is.
 //  3. An entry host that reaches no placer places locally, with the same algorithm. It then sees only its own streams
 //     and uses its share of the engines' memory, so that all entry hosts can do so at once.
@@ -78,16 +78,16 @@
 }
 
 // Placer places the streams and requests of all hosts while its leads function returns true. Place, PlaceCall,
-// EndCall and Demands are safe for concurrent use.
+// CompleteCall and Demands are safe for concurrent use.
 type Placer struct {
 	servers Servers
-	// agreement is nil on a host that can't propose records; its owner reports the crashes to the next placer.
-	agreement Proposer
-	leads     func() bool
-	clock     func() time.Time
-	demands   hingeboard.Cell[map[hingeids.Service]hingefleet.Demand]
-	inbox     chan func(now time.Time)
-	done      chan struct{}
+	// proposer is nil on a host that can't propose records; its owner reports the crashes to the next placer.
+	proposer Proposer
+	leads    func() bool
+	clock    func() time.Time
+	demands  hingeboard.Cell[map[hingeids.Service]hingefleet.Demand]
+	inbox    chan func(now time.Time)
+	done     chan struct{}
 
 	fleets         map[hingeids.Service]*hingefleet.Fleet
 	pendingStreams map[hingefleet.StreamID]pendingRequest[Placement]
@@ -122,11 +122,11 @@
 	suspect bool
 }
 
-// New returns a placer. The agreement is nil if the host can't propose poison records.
-func New(s Servers, a Proposer, leads func() bool, clock func() time.Time, t hingequota.Params) *Placer {
+// New returns a placer. The proposer is nil if the host can't propose poison records.
+func New(s Servers, p Proposer, leads func() bool, clock func() time.Time, t hingequota.Params) *Placer {
 	return &Placer{
 		servers:        s,
-		agreement:      a,
+		proposer:       p,
 		leads:          leads,
 		clock:          clock,
 		inbox:          make(chan func(now time.Time), inboxSize),
@@ -147,11 +147,11 @@
 func (p *Placer) RegisterHandlers(link hingelink.Link, recorder *hingeevents.Recorder) {
 	p.recorder = recorder
 	link.HandleCall(methodPlace, func(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
-		var w StreamRequest
-		if err := cbor.Unmarshal(body, &w); err != nil {
+		var request StreamRequest
+		if err := cbor.Unmarshal(body, &request); err != nil {
 			return nil, eris.Wrap(err, "decoding a stream request")
 		}
-		b, err := cbor.Marshal(p.Place(ctx, from, w))
+		b, err := cbor.Marshal(p.Place(ctx, from, request))
 		return b, eris.Wrap(err, "encoding a placement")
 	})
 	p.registerCallHandlers(link, recorder)
@@ -282,10 +282,10 @@
 
 // Place blocks until there is a decision on a stream, for at most the hold timeout. If the context ends first, the
 // request is cancelled.
-func (p *Placer) Place(ctx context.Context, owner hingeids.HostID, w StreamRequest) Placement {
+func (p *Placer) Place(ctx context.Context, owner hingeids.HostID, r StreamRequest) Placement {
 	answer := make(chan Placement, 1)
 	if !p.post(ctx, func(now time.Time) {
-		p.enqueueStream(now, owner, w, func(a Placement) {
+		p.enqueueStream(now, owner, r, func(a Placement) {
 			answer <- a
 		})
 	}) {
@@ -305,11 +305,11 @@
 	case <-hold.C:
 	case <-ctx.Done():
 	}
-	return p.withdraw(w, answer)
+	return p.withdraw(r, answer)
 }
 
 // withdraw removes a request from its queue. If there is a decision by then, withdraw returns it.
-func (p *Placer) withdraw(w StreamRequest, answer <-chan Placement) Placement {
+func (p *Placer) withdraw(r StreamRequest, answer <-chan Placement) Placement {
 	result := make(chan Placement, 1)
 	// The request's context may have ended. post and the wait below end with the loop.
 	if !p.post(context.Background(), func(now time.Time) {
@@ -317,7 +317,7 @@
 		case a := <-answer:
 			result <- a
 		default:
-			p.cancelStream(now, w)
+			p.cancelStream(now, r)
 			result <- Placement{
 				Undecided: true,
 			}
@@ -338,54 +338,54 @@
 }
 
 // enqueueStream enqueues a request, or answers it at once if it is refused.
-func (p *Placer) enqueueStream(now time.Time, owner hingeids.HostID, w StreamRequest, answer func(Placement)) {
+func (p *Placer) enqueueStream(now time.Time, owner hingeids.HostID, r StreamRequest, answer func(Placement)) {
 	if !p.leads() {
 		answer(Placement{
 			NotPlacer: true,
 		})
 		return
 	}
-	j := p.evaluate(now, w.Service, w.Fingerprint, w.Crashes)
+	decision := p.evaluate(now, r.Service, r.Fingerprint, r.Crashes)
 	switch {
-	case j.Settling:
+	case decision.Settling:
 		p.retryLater(func(now time.Time) {
-			w.Crashes = nil
-			p.enqueueStream(now, owner, w, answer)
+			r.Crashes = nil
+			p.enqueueStream(now, owner, r, answer)
 		})
 		return
-	case j.Refused:
+	case decision.Refused:
 		answer(Placement{
 			Refused:    true,
-			RetryAfter: j.RetryAfter,
+			RetryAfter: decision.RetryAfter,
 			Cause:      Poison,
 		})
 		return
 	}
-	if v := p.admit(now, owner, w.Charge, w.TimeToDeadline); !v.Admitted {
+	if d := p.admit(now, owner, r.Charge, r.TimeToDeadline); !d.Admitted {
 		answer(Placement{
 			Refused:    true,
-			RetryAfter: v.RetryAfter,
-			Cause:      causeOf(v),
+			RetryAfter: d.RetryAfter,
+			Cause:      causeOf(d),
 		})
 		return
 	}
 	p.streamSchedule.changed = true
-	p.pendingStreams[w.ID] = pendingRequest[Placement]{
+	p.pendingStreams[r.ID] = pendingRequest[Placement]{
 		answer:  answer,
 		owner:   owner,
-		charge:  w.Charge,
-		suspect: j.Suspect,
+		charge:  r.Charge,
+		suspect: decision.Suspect,
 	}
-	p.fleet(w.Service).Enqueue(now, w.fleetRequest(now, owner))
+	p.fleet(r.Service).Enqueue(now, r.fleetRequest(now, owner))
 }
 
 // cancelStream removes a request and releases its charge.
-func (p *Placer) cancelStream(now time.Time, w StreamRequest) {
-	if request, found := p.pendingStreams[w.ID]; found {
-		delete(p.pendingStreams, w.ID)
+func (p *Placer) cancelStream(now time.Time, r StreamRequest) {
+	if request, found := p.pendingStreams[r.ID]; found {
+		delete(p.pendingStreams, r.ID)
 		p.limiter.Settle(now, request.owner, request.charge, false)
 	}
-	p.fleet(w.Service).Cancel(w.ID)
+	p.fleet(r.Service).Cancel(r.ID)
 }
 
 // fleet returns the fleet of a service and creates it on first use.
@@ -412,8 +412,8 @@
 		p.fleet(s)
 	}
 	// The outcomes come first: a fleet ignores the outcome of a prefill once its stream has made progress.
-	for _, n := range r.Outcomes {
-		p.fleet(n.Service).RecordOutcome(now, n.OutcomeReport)
+	for _, outcome := range r.Outcomes {
+		p.fleet(outcome.Service).RecordOutcome(now, outcome.OutcomeReport)
 	}
 	for s, f := range p.fleets {
 		f.HandleReport(now, owner, r.Streams[s])
--- a/internal/capacity/hingeplacer/placer_test.go
+++ b/internal/capacity/hingeplacer/placer_test.go
@@ -102,7 +102,7 @@
 	network *hingefake.Network
 	leads   map[hingeids.HostID]*atomic.Bool
 	owners  []*Owner
-	known   []*clusterView
+	views   []*clusterView
 }
 
 func withCluster(t *testing.T, f func(t *testing.T, cl *cluster)) {
@@ -132,7 +132,7 @@
 			known.placers.Store(&[]hingeids.HostID{"control-1", "control-2"})
 			o := NewOwner(h, cl.network.Link(h), known, time.Now, nil, hingequota.DefaultTerms)
 			cl.owners = append(cl.owners, o)
-			cl.known = append(cl.known, known)
+			cl.views = append(cl.views, known)
 			done = append(done, o.Done())
 			go func() {
 				_ = o.Run(ctx)
@@ -164,12 +164,12 @@
 // place requests a placement and reports the stream as started.
 func (cl *cluster) place(t *testing.T, owner int, id string) (Placement, *Stream) {
 	t.Helper()
-	w := streamRequest(id)
-	a := cl.owners[owner].Place(context.Background(), w)
+	r := streamRequest(id)
+	a := cl.owners[owner].Place(context.Background(), r)
 	if a.Refused || a.NotPlacer {
 		return a, nil
 	}
-	s := cl.owners[owner].StartStream(w, a)
+	s := cl.owners[owner].StartStream(r, a)
 	time.AfterFunc(100*time.Millisecond, func() {
 		s.RecordOutcome(a.Prefill, hingefleet.Succeeded)
 	})
@@ -215,13 +215,13 @@
 		time.Sleep(100 * time.Millisecond)
 		cl.network.Remove("control-1")
 		cl.leads["control-2"].Store(true)
-		for _, k := range cl.known {
+		for _, k := range cl.views {
 			k.placers.Store(&[]hingeids.HostID{"control-2"})
 		}
 		time.Sleep(time.Second)
-		w := streamRequest("fifth")
-		w.MaxWait = 700 * time.Millisecond
-		if a := cl.owners[0].Place(context.Background(), w); !a.Refused {
+		r := streamRequest("fifth")
+		r.MaxWait = 700 * time.Millisecond
+		if a := cl.owners[0].Place(context.Background(), r); !a.Refused {
 			t.Fatalf("placed on full engines: %+v", a)
 		}
 	})
@@ -235,9 +235,9 @@
 		cl.network.Remove("control-2")
 		placed := 0
 		for i := range 6 {
-			w := streamRequest(fmt.Sprint(i))
-			w.MaxWait = 600 * time.Millisecond
-			a := cl.owners[0].Place(context.Background(), w)
+			r := streamRequest(fmt.Sprint(i))
+			r.MaxWait = 600 * time.Millisecond
+			a := cl.owners[0].Place(context.Background(), r)
 			if a.Refused {
 				continue
 			}
@@ -245,7 +245,7 @@
 				t.Fatalf("not placed locally: %+v", a)
 			}
 			placed++
-			cl.owners[0].StartStream(w, a)
+			cl.owners[0].StartStream(r, a)
 		}
 		if placed != 2 {
 			t.Fatalf("placed %d streams on half of two engines, want 2", placed)
@@ -338,9 +338,9 @@
 	counts := make(map[hingeids.ServerID]int)
 	var r report
 	for i := range 20 {
-		w := streamRequest(fmt.Sprint(i))
+		request := streamRequest(fmt.Sprint(i))
 		answer := make(chan Placement, 1)
-		p.enqueueStream(now, "entry-1", w, func(a Placement) {
+		p.enqueueStream(now, "entry-1", request, func(a Placement) {
 			answer <- a
 		})
 		p.step(now)
@@ -355,7 +355,7 @@
 		r.Streams = map[hingeids.Service][]hingefleet.Progress{
 			"model": {
 				{
-					ID:        w.ID,
+					ID:        request.ID,
 					Decode:    a.Decode,
 					Generated: 70,
 				},
@@ -366,7 +366,7 @@
 				Service: "model",
 				OutcomeReport: hingefleet.OutcomeReport{
 					Server: a.Prefill,
-					Stream: w.ID,
+					Stream: request.ID,
 				},
 			},
 		}
--- a/internal/capacity/hingeplacer/poison.go
+++ b/internal/capacity/hingeplacer/poison.go
@@ -20,20 +20,20 @@
 	if fingerprint == 0 {
 		return hingepoison.Decision{}
 	}
-	for _, e := range crashes {
-		p.recordCrash(now, e)
+	for _, c := range crashes {
+		p.recordCrash(now, c)
 	}
-	l := p.servers.PoisonEntry(fingerprint)
-	j := p.detector.Evaluate(now, fingerprint, l, func() int {
+	entry := p.servers.PoisonEntry(fingerprint)
+	decision := p.detector.Evaluate(now, fingerprint, entry, func() int {
 		return p.serverCount(s)
 	})
-	if j.Probe {
-		p.recordPoisonEvent(hingeevents.PoisonTried, l.Record)
+	if decision.Probe {
+		p.recordPoisonEvent(hingeevents.PoisonTried, entry.Record)
 	}
-	if j.Detected {
+	if decision.Detected {
 		p.proposeRecord(now, s, fingerprint)
 	}
-	return j
+	return decision
 }
 
 // retryLater calls retry in the loop after hingepoison.SettleTime, when the other hosts have reported their crashes.
@@ -57,12 +57,12 @@
 	}
 	recentCrashes := p.recentCrashes
 	p.recentCrashes = nil
-	for _, e := range recentCrashes {
-		if now.Sub(e.at) < hingepoison.SettleTime {
-			p.recentCrashes = append(p.recentCrashes, e)
+	for _, c := range recentCrashes {
+		if now.Sub(c.at) < hingepoison.SettleTime {
+			p.recentCrashes = append(p.recentCrashes, c)
 			continue
 		}
-		p.evaluate(now, e.service, e.fingerprint, nil)
+		p.evaluate(now, c.service, c.fingerprint, nil)
 	}
 }
 
@@ -95,51 +95,51 @@
 	if !proposed {
 		p.recordPoisonEvent(hingeevents.PoisonFound, r)
 	}
-	if p.agreement != nil {
-		p.agreement.Propose(r)
+	if p.proposer != nil {
+		p.proposer.Propose(r)
 	}
 }
 
 // recordCrash records a crash. If the request was being probed, it proposes the record of a failed probe.
-func (p *Placer) recordCrash(now time.Time, e hingepoison.Crash) {
-	if !p.detector.HandleCrash(now, e) {
+func (p *Placer) recordCrash(now time.Time, c hingepoison.Crash) {
+	if !p.detector.HandleCrash(now, c) {
 		return
 	}
-	l := p.servers.PoisonEntry(e.Fingerprint)
-	if !l.Blocked {
+	entry := p.servers.PoisonEntry(c.Fingerprint)
+	if !entry.Blocked {
 		p.recentCrashes = append(p.recentCrashes, recentCrash{
 			at:          now,
-			service:     e.Service,
-			fingerprint: e.Fingerprint,
+			service:     c.Service,
+			fingerprint: c.Fingerprint,
 		})
 		return
 	}
-	if r, failed := p.detector.FailedProbe(now, p.wallTime(), e, l); failed && p.agreement != nil {
-		p.agreement.Propose(r)
+	if r, failed := p.detector.FailedProbe(now, p.wallTime(), c, entry); failed && p.proposer != nil {
+		p.proposer.Propose(r)
 	}
 }
 
 // handleCrashes records the crashes and the complete answers of an owner's report.
 func (p *Placer) handleCrashes(now time.Time, r report) {
-	for _, e := range r.Crashes {
-		p.recordCrash(now, e)
+	for _, c := range r.Crashes {
+		p.recordCrash(now, c)
 	}
-	for _, x := range r.Completions {
-		p.detector.HandleCompletion(now, x)
-		p.liftBlock(x)
+	for _, completion := range r.Completions {
+		p.detector.HandleCompletion(now, completion)
+		p.liftBlock(completion)
 	}
 }
 
 // liftBlock lifts the block of a request that was answered completely after it was listed. Answers from before are
 // ignored; hosts report these to a new placer too.
-func (p *Placer) liftBlock(x hingepoison.Completion) {
-	l := p.servers.PoisonEntry(x.Fingerprint)
-	at := p.wallTime().Add(-x.Ago)
-	if p.agreement == nil || !l.Blocked || at.UnixMilli() <= l.Record.Since {
+func (p *Placer) liftBlock(c hingepoison.Completion) {
+	entry := p.servers.PoisonEntry(c.Fingerprint)
+	at := p.wallTime().Add(-c.Ago)
+	if p.proposer == nil || !entry.Blocked || at.UnixMilli() <= entry.Record.Since {
 		return
 	}
-	p.recordPoisonEvent(hingeevents.PoisonAcquitted, l.Record)
-	p.agreement.Propose(hingepoison.Lift(at, x.Fingerprint))
+	p.recordPoisonEvent(hingeevents.PoisonAcquitted, entry.Record)
+	p.proposer.Propose(hingepoison.Lift(at, c.Fingerprint))
 }
 
 // serverCount returns the number of engines and replicas of a service.
--- a/internal/capacity/hingeplacer/poison_test.go
+++ b/internal/capacity/hingeplacer/poison_test.go
@@ -20,8 +20,8 @@
 	proposed  []hingepoison.Record
 }
 
-func (l *fakePoisonList) PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed {
-	return l.list.At(l.wallTime, p)
+func (l *fakePoisonList) PoisonEntry(fingerprint hingeids.Fingerprint) hingepoison.Listed {
+	return l.list.At(l.wallTime, fingerprint)
 }
 
 func (l *fakePoisonList) Propose(r hingepoison.Record) {
@@ -46,9 +46,9 @@
 	return p, l
 }
 
-func crash(server string, p hingeids.Fingerprint) hingepoison.Crash {
+func crash(server string, fingerprint hingeids.Fingerprint) hingepoison.Crash {
 	return hingepoison.Crash{
-		Fingerprint: p,
+		Fingerprint: fingerprint,
 		Server:      hingeids.ServerID(server),
 		Service:     "model",
 		Held:        100 * time.Millisecond,
@@ -78,8 +78,8 @@
 		t.Fatalf("proposed %+v", l.proposed)
 	}
 	p.stepQuotas(now.Add(time.Second))
-	if j := p.evaluate(now.Add(time.Second), "model", 7, nil); !j.Refused || len(l.proposed) != 1 {
-		t.Errorf("next attempt: %+v, proposed %d times", j, len(l.proposed))
+	if d := p.evaluate(now.Add(time.Second), "model", 7, nil); !d.Refused || len(l.proposed) != 1 {
+		t.Errorf("next attempt: %+v, proposed %d times", d, len(l.proposed))
 	}
 }
 
@@ -88,8 +88,8 @@
 	p, l := newPoisonPlacer()
 	now := reportCrashes(p, time.Now(), 7, 3)
 	for range 5 {
-		if j := p.evaluate(now, "model", 7, nil); !j.Refused {
-			t.Fatalf("without a leader: %+v", j)
+		if d := p.evaluate(now, "model", 7, nil); !d.Refused {
+			t.Fatalf("without a leader: %+v", d)
 		}
 		now = now.Add(proposalInterval / 2)
 	}
@@ -121,16 +121,16 @@
 		now = now.Add(time.Second)
 	}
 	now = now.Add(-time.Second)
-	if j := p.evaluate(now.Add(5*time.Millisecond), "model", 8, nil); !j.Settling {
-		t.Errorf("evaluated before the other reports: %+v", j)
+	if d := p.evaluate(now.Add(5*time.Millisecond), "model", 8, nil); !d.Settling {
+		t.Errorf("evaluated before the other reports: %+v", d)
 	}
 	p.recordCrash(now.Add(20*time.Millisecond), crash("engine-2", 7))
 	now = now.Add(2 * hingepoison.SettleTime)
-	if j := p.evaluate(now, "model", 8, nil); j.Refused {
-		t.Errorf("the unrelated request: %+v", j)
+	if d := p.evaluate(now, "model", 8, nil); d.Refused {
+		t.Errorf("the unrelated request: %+v", d)
 	}
-	if j := p.evaluate(now, "model", 7, nil); !j.Refused {
-		t.Errorf("the poison request: %+v", j)
+	if d := p.evaluate(now, "model", 7, nil); !d.Refused {
+		t.Errorf("the poison request: %+v", d)
 	}
 }
 
@@ -142,17 +142,17 @@
 		l.hasLeader = true
 		now := reportCrashes(p, time.Now(), 7, 3)
 		p.stepQuotas(now)
-		if j := p.evaluate(now, "model", 7, nil); !j.Refused {
-			t.Fatalf("after three crashes: %+v", j)
+		if d := p.evaluate(now, "model", 7, nil); !d.Refused {
+			t.Fatalf("after three crashes: %+v", d)
 		}
 		l.wallTime = l.wallTime.Add(3 * time.Hour)
 		now = now.Add(3 * time.Hour)
 		p.stepQuotas(now)
-		if j := p.evaluate(now, "model", 7, nil); j.Refused || !j.Suspect {
-			t.Fatalf("at the time of the probe: %+v", j)
+		if d := p.evaluate(now, "model", 7, nil); d.Refused || !d.Suspect {
+			t.Fatalf("at the time of the probe: %+v", d)
 		}
-		if j := p.evaluate(now.Add(time.Millisecond), "model", 7, nil); !j.Refused {
-			t.Errorf("second attempt during the probe: %+v", j)
+		if d := p.evaluate(now.Add(time.Millisecond), "model", 7, nil); !d.Refused {
+			t.Errorf("second attempt during the probe: %+v", d)
 		}
 		now = now.Add(time.Second)
 		l.wallTime = l.wallTime.Add(time.Second)
@@ -168,8 +168,8 @@
 			if refused := l.list.Refused(); len(refused) != 0 {
 				t.Errorf("still refused: %+v", refused)
 			}
-			if j := p.evaluate(now, "model", 7, nil); j.Refused {
-				t.Errorf("after a complete answer: %+v", j)
+			if d := p.evaluate(now, "model", 7, nil); d.Refused {
+				t.Errorf("after a complete answer: %+v", d)
 			}
 			continue
 		}
@@ -177,8 +177,8 @@
 		if r := l.PoisonEntry(7).Record; r.FailedProbes != 1 || r.Crashes != 4 {
 			t.Errorf("after a failed probe: %+v", r)
 		}
-		if j := p.evaluate(now, "model", 7, nil); !j.Refused || j.RetryAfter < 2*time.Hour {
-			t.Errorf("after a failed probe: %+v", j)
+		if d := p.evaluate(now, "model", 7, nil); !d.Refused || d.RetryAfter < 2*time.Hour {
+			t.Errorf("after a failed probe: %+v", d)
 		}
 	}
 }
@@ -195,7 +195,7 @@
 		cl.leads["control-1"].Store(false)
 		cl.leads["control-2"].Store(true)
 		for i := range 2 {
-			cl.known[i].placers.Store(&[]hingeids.HostID{"control-2"})
+			cl.views[i].placers.Store(&[]hingeids.HostID{"control-2"})
 		}
 		time.Sleep(time.Second)
 		w := streamRequest("again")
@@ -220,7 +220,7 @@
 // placer.
 func TestLocalPlacementRefusesAPoisonRequest(t *testing.T) {
 	withCluster(t, func(t *testing.T, cl *cluster) {
-		cl.known[0].placers.Store(&[]hingeids.HostID{})
+		cl.views[0].placers.Store(&[]hingeids.HostID{})
 		for i := range 3 {
 			cl.owners[0].RecordCrash(crash(fmt.Sprint("engine-", i), 7))
 			time.Sleep(time.Second)
@@ -230,7 +230,7 @@
 		if a := cl.owners[0].Place(t.Context(), w); !a.Refused || a.Cause != Poison {
 			t.Errorf("local placement: %+v", a)
 		}
-		cl.known[0].placers.Store(&[]hingeids.HostID{"control-1"})
+		cl.views[0].placers.Store(&[]hingeids.HostID{"control-1"})
 		time.Sleep(time.Second)
 		cl.place(t, 0, "other")
 		time.Sleep(time.Second)
@@ -256,16 +256,16 @@
 			},
 		},
 	})
-	if j := p.evaluate(now, "model", 7, nil); !j.Refused || len(l.list.Refused()) != 1 {
-		t.Errorf("after an old answer: %+v, list %+v", j, l.list.Records)
+	if d := p.evaluate(now, "model", 7, nil); !d.Refused || len(l.list.Refused()) != 1 {
+		t.Errorf("after an old answer: %+v, list %+v", d, l.list.Records)
 	}
 	l.wallTime = l.wallTime.Add(time.Hour)
 	now = now.Add(time.Hour)
 	l.Propose(hingepoison.Lift(l.wallTime, 7))
 	l.wallTime = l.wallTime.Add(time.Second)
 	now = now.Add(time.Second)
-	if j := p.evaluate(now, "model", 7, nil); j.Refused {
-		t.Errorf("after the block was lifted: %+v", j)
+	if d := p.evaluate(now, "model", 7, nil); d.Refused {
+		t.Errorf("after the block was lifted: %+v", d)
 	}
 	next, nextList := newPoisonPlacer()
 	*nextList = *l
@@ -275,20 +275,20 @@
 		e.Ago = time.Minute
 		next.recordCrash(now, e)
 	}
-	if j := next.evaluate(now, "model", 7, nil); j.Refused {
-		t.Errorf("at another placer after old crashes: %+v", j)
+	if d := next.evaluate(now, "model", 7, nil); d.Refused {
+		t.Errorf("at another placer after old crashes: %+v", d)
 	}
 	now = reportCrashes(p, now, 7, 3)
 	l.wallTime = l.wallTime.Add(3 * time.Second)
-	if j := p.evaluate(now.Add(time.Second), "model", 7, nil); j.Refused {
-		t.Errorf("after crashes of engines that were already counted: %+v", j)
+	if d := p.evaluate(now.Add(time.Second), "model", 7, nil); d.Refused {
+		t.Errorf("after crashes of engines that were already counted: %+v", d)
 	}
 	for i := range 3 {
 		p.recordCrash(now, crash(fmt.Sprint("engine-new-", i), 7))
 		now = now.Add(time.Second)
 		l.wallTime = l.wallTime.Add(time.Second)
 	}
-	if j := p.evaluate(now, "model", 7, nil); !j.Refused {
-		t.Errorf("after three new crashes: %+v", j)
+	if d := p.evaluate(now, "model", 7, nil); !d.Refused {
+		t.Errorf("after three new crashes: %+v", d)
 	}
 }
--- a/internal/capacity/hingeplacer/quotas.go
+++ b/internal/capacity/hingeplacer/quotas.go
@@ -8,7 +8,7 @@
 )
 
 // admit decides whether a request fits into its customer's quota (rule 6). The owner is empty for local requests.
-func (p *Placer) admit(now time.Time, owner hingeids.HostID, c hingequota.Charge, left time.Duration) hingequota.Decision {
+func (p *Placer) admit(now time.Time, owner hingeids.HostID, c hingequota.Charge, timeToDeadline time.Duration) hingequota.Decision {
 	p.stepQuotas(now)
 	if owner != "" {
 		p.limiter.Observe(now, owner)
@@ -18,7 +18,7 @@
 			Admitted: true,
 		}
 	}
-	return p.limiter.Admit(now, c, p.servers.Quota(c.Customer), p.servers.EntryHosts(), left)
+	return p.limiter.Admit(now, c, p.servers.Quota(c.Customer), p.servers.EntryHosts(), timeToDeadline)
 }
 
 // stepQuotas restarts the counts when this host becomes the placer or the leader, and removes expired state.
@@ -47,10 +47,10 @@
 	for _, c := range r.Refunds {
 		p.limiter.Return(c)
 	}
-	nearLimit, all := p.limiter.NearLimit(now, p.servers.EntryHosts())
+	nearLimit, complete := p.limiter.NearLimit(now, p.servers.EntryHosts())
 	return reportReply{
 		NeedsUsage: needsUsage,
 		NearLimit:  nearLimit,
-		Complete:   all,
+		Complete:   complete,
 	}
 }
--- a/internal/capacity/hingeplacer/quotas_test.go
+++ b/internal/capacity/hingeplacer/quotas_test.go
@@ -76,7 +76,7 @@
 		time.Sleep(600 * time.Millisecond)
 		cl.network.Remove("control-1")
 		cl.leads["control-2"].Store(true)
-		for _, k := range cl.known {
+		for _, k := range cl.views {
 			k.placers.Store(&[]hingeids.HostID{"control-2"})
 		}
 		time.Sleep(2 * time.Second)
@@ -100,10 +100,10 @@
 		}
 		time.Sleep(1100 * time.Millisecond)
 		for i := range 3 {
-			w := streamRequest(fmt.Sprint("more-", i))
-			w.MaxWait = 700 * time.Millisecond
-			w.Charge = busyCall(20+i, 15000).Charge
-			if a := cl.owners[0].Place(context.Background(), w); !a.Refused || a.Cause != NoCapacity {
+			r := streamRequest(fmt.Sprint("more-", i))
+			r.MaxWait = 700 * time.Millisecond
+			r.Charge = busyCall(20+i, 15000).Charge
+			if a := cl.owners[0].Place(context.Background(), r); !a.Refused || a.Cause != NoCapacity {
 				t.Fatalf("stream on full engines: %+v", a)
 			}
 		}
--- a/internal/capacity/hingeplacer/quotastate.go
+++ b/internal/capacity/hingeplacer/quotastate.go
@@ -48,7 +48,7 @@
 }
 
 // reportReply handles the answer to a report, or the error if there was none.
-func (o *Owner) reportReply(r report, a reportReply, err error) {
+func (o *Owner) reportReply(r report, reply reportReply, err error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	q := &o.quotas
@@ -58,8 +58,8 @@
 		q.refunds = q.refunds[:min(len(q.refunds), maxRefunds)]
 		return
 	}
-	q.ledger.SetNearLimit(o.clock(), a.NearLimit, a.Complete)
-	if a.NeedsUsage {
+	q.ledger.SetNearLimit(o.clock(), reply.NearLimit, reply.Complete)
+	if reply.NeedsUsage {
 		q.needsFullReport = true
 		o.triggerReport()
 	}
@@ -102,11 +102,11 @@
 func (o *Owner) admitLocally(c hingequota.Charge) hingequota.Decision {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	v := o.quotas.limiter.Admit(o.clock(), c, o.fleets.Quota(c.Customer), o.fleets.EntryHosts(), rand.Float64())
-	if v.Admitted && !c.Free() {
+	d := o.quotas.limiter.Admit(o.clock(), c, o.view.Quota(c.Customer), o.view.EntryHosts(), rand.Float64())
+	if d.Admitted && !c.Free() {
 		o.quotas.needsFullReport = true
 	}
-	return v
+	return d
 }
 
 // removeUsage removes a charge from the ledger.
--- a/internal/capacity/hingeslots/allocator.go
+++ b/internal/capacity/hingeslots/allocator.go
@@ -18,8 +18,8 @@
 	occupancy  occupancy
 }
 
-func (l *delegation) free() int {
-	return int(l.size) - len(l.occupancy)
+func (d *delegation) free() int {
+	return int(d.size) - len(d.occupancy)
 }
 
 // waiter is a request queued for a slot.
@@ -39,18 +39,18 @@
 func (s *State) requestDelegations(now time.Time, e *engineState) {
 	isAllocator := s.allocatorOf(e) == s.instance.Host
 	for _, h := range s.hosts {
-		l := e.delegations[h]
+		d := e.delegations[h]
 		switch {
-		case l == nil:
-		case !now.Before(l.validUntil):
+		case d == nil:
+		case !now.Before(d.validUntil):
 			delete(e.delegations, h)
 		case !isAllocator:
 			delete(e.delegations, h)
-			s.send(e, l.owner.Host, Message{
+			s.send(e, d.owner.Host, Message{
 				Kind:      kindReturn,
 				Pool:      h,
-				Serial:    l.serial,
-				Occupancy: l.occupancy.toWire(now),
+				Serial:    d.serial,
+				Occupancy: d.occupancy.toWire(now),
 			})
 		}
 	}
@@ -70,9 +70,9 @@
 
 func (e *engineState) seenDelegations() []seenDelegation {
 	out := make([]seenDelegation, 0, len(e.seen))
-	for h, l := range e.seen {
-		l.Active = e.delegations[h] != nil
-		out = append(out, l)
+	for h, d := range e.seen {
+		d.Active = e.delegations[h] != nil
+		out = append(out, d)
 	}
 	slices.SortFunc(out, func(a, b seenDelegation) int {
 		return cmp.Compare(a.Pool, b.Pool)
@@ -89,10 +89,10 @@
 	if !known || !now.Before(until) {
 		return
 	}
-	l := e.delegations[m.Pool]
-	if l != nil && l.owner == m.From && l.serial == m.Serial {
-		if until.After(l.validUntil) {
-			l.validUntil = until
+	d := e.delegations[m.Pool]
+	if d != nil && d.owner == m.From && d.serial == m.Serial {
+		if until.After(d.validUntil) {
+			d.validUntil = until
 		}
 		return
 	}
@@ -142,8 +142,8 @@
 		lastSeen: now,
 	}
 	for _, h := range s.hosts {
-		if l := e.delegations[h]; l != nil && l.occupancy[pending.ID] != nil {
-			s.grantFrom(now, e, l, w)
+		if d := e.delegations[h]; d != nil && d.occupancy[pending.ID] != nil {
+			s.grantFrom(now, e, d, w)
 			return
 		}
 	}
@@ -177,11 +177,11 @@
 		return now.Sub(w.lastSeen) > waiterTimeout
 	})
 	for len(e.waiters) > 0 {
-		l := s.mostFree(now, e)
-		if l == nil {
+		d := s.mostFree(now, e)
+		if d == nil {
 			return
 		}
-		s.grantFrom(now, e, l, e.waiters[0])
+		s.grantFrom(now, e, d, e.waiters[0])
 		e.waiters = e.waiters[1:]
 	}
 }
@@ -189,36 +189,36 @@
 func (s *State) mostFree(now time.Time, e *engineState) *delegation {
 	var best *delegation
 	for _, h := range s.hosts {
-		l := e.delegations[h]
-		if l == nil || l.free() <= 0 || l.startTimeout(now) < minStartTimeout {
+		d := e.delegations[h]
+		if d == nil || d.free() <= 0 || d.startTimeout(now) < minStartTimeout {
 			continue
 		}
-		if best == nil || l.free() > best.free() {
-			best = l
+		if best == nil || d.free() > best.free() {
+			best = d
 		}
 	}
 	return best
 }
 
 // startTimeout returns the time within which a new grant must start. Rule 6.
-func (l *delegation) startTimeout(now time.Time) time.Duration {
-	return min(maxStartTimeout, subtractClockMargin(l.validUntil.Sub(now)))
+func (d *delegation) startTimeout(now time.Time) time.Duration {
+	return min(maxStartTimeout, subtractClockMargin(d.validUntil.Sub(now)))
 }
 
-func (s *State) grantFrom(now time.Time, e *engineState, l *delegation, w *waiter) {
-	timeout := l.startTimeout(now)
+func (s *State) grantFrom(now time.Time, e *engineState, d *delegation, w *waiter) {
+	timeout := d.startTimeout(now)
 	if timeout < minStartTimeout {
 		return
 	}
 	e.serial++
-	l.occupancy[w.id] = &reservation{
+	d.occupancy[w.id] = &reservation{
 		serial:  e.serial,
 		startBy: now.Add(addClockMargin(timeout)),
 	}
 	s.send(e, w.holder.Host, Message{
 		Kind:     kindGrant,
 		Number:   w.number,
-		Pool:     l.pool,
+		Pool:     d.pool,
 		Serial:   e.serial,
 		Duration: timeout,
 		ID:       w.id,
@@ -227,9 +227,9 @@
 
 // handleRelease frees the slot of a grant. Rule 8.
 func (s *State) handleRelease(e *engineState, m Message) {
-	for _, l := range e.delegations {
-		if g := l.occupancy[m.ID]; g != nil && g.serial == m.Serial {
-			delete(l.occupancy, m.ID)
+	for _, d := range e.delegations {
+		if g := d.occupancy[m.ID]; g != nil && g.serial == m.Serial {
+			delete(d.occupancy, m.ID)
 		}
 	}
 	for _, p := range e.pools {
--- a/internal/capacity/hingeslots/bench_test.go
+++ b/internal/capacity/hingeslots/bench_test.go
@@ -67,8 +67,8 @@
 		s.startRequest(s.hosts[s.names[i%hosts]], 0, hingeids.ServerID(fmt.Sprintf("engine-%d", i/hosts%engines)))
 		s.run(benchWarmUp + benchDuration*time.Duration(i+1)/time.Duration(total))
 	}
-	if len(s.problems) > 0 {
-		b.Fatal(s.problems[0])
+	if len(s.violations) > 0 {
+		b.Fatal(s.violations[0])
 	}
 	return s
 }
--- a/internal/capacity/hingeslots/compare_test.go
+++ b/internal/capacity/hingeslots/compare_test.go
@@ -287,7 +287,7 @@
 }
 
 func newDelegated(c *comparison, choices int) slotStrategy {
-	l := delegated{
+	d := delegated{
 		comparison: c,
 		choices:    choices,
 		jobs:       make(map[hingeids.RequestID]*job),
@@ -296,14 +296,14 @@
 		h.dead = false
 	}
 	c.onGrant = func(r Result) {
-		j := l.jobs[r.ID]
+		j := d.jobs[r.ID]
 		j.engine = slices.IndexFunc(c.engineIDs(), func(id hingeids.ServerID) bool {
 			return id == r.Engine
 		})
-		l.held(j)[j.id] = true
-		l.send(j)
+		d.held(j)[j.id] = true
+		d.send(j)
 	}
-	return l
+	return d
 }
 
 func (c *comparison) engineIDs() []hingeids.ServerID {
@@ -318,36 +318,36 @@
 	return hingeids.ServerID(fmt.Sprintf("engine-%d", e))
 }
 
-func (l delegated) arrive(j *job) {
-	h := l.hosts[l.names[j.host]]
+func (d delegated) arrive(j *job) {
+	h := d.hosts[d.names[j.host]]
 	h.sequence++
 	j.id = hingeids.RequestID{
 		Instance: h.state.instance,
 		Sequence: h.sequence,
 	}
-	l.jobs[j.id] = j
+	d.jobs[j.id] = j
 	var engines []hingeids.ServerID
-	for range l.choices {
-		engines = append(engines, engineID(l.twoChoices()))
+	for range d.choices {
+		engines = append(engines, engineID(d.twoChoices()))
 	}
-	out, _ := h.state.Acquire(l.clock(h), engines, j.id, 0)
-	l.apply(h, h.state, out)
+	out, _ := h.state.Acquire(d.clock(h), engines, j.id, 0)
+	d.apply(h, h.state, out)
 }
 
-func (l delegated) held(j *job) map[hingeids.RequestID]bool {
-	return l.engines[engineID(j.engine)].held
+func (d delegated) held(j *job) map[hingeids.RequestID]bool {
+	return d.engines[engineID(j.engine)].held
 }
 
-func (l delegated) finish(j *job) {
-	h := l.hosts[l.names[j.host]]
-	delete(l.held(j), j.id)
-	delete(l.jobs, j.id)
-	l.apply(h, h.state, h.state.Release(l.clock(h), j.id))
+func (d delegated) finish(j *job) {
+	h := d.hosts[d.names[j.host]]
+	delete(d.held(j), j.id)
+	delete(d.jobs, j.id)
+	d.apply(h, h.state, h.state.Release(d.clock(h), j.id))
 }
 
-func (l delegated) waiting(e int) int {
+func (d delegated) waiting(e int) int {
 	sum := 0
-	for _, h := range l.hosts {
+	for _, h := range d.hosts {
 		sum += len(h.state.engines[engineID(e)].waiters)
 	}
 	return sum
--- a/internal/capacity/hingeslots/held.go
+++ b/internal/capacity/hingeslots/held.go
@@ -37,8 +37,8 @@
 			return true
 		}
 	}
-	for _, l := range e.delegations {
-		if l.occupancy.stale(now) {
+	for _, d := range e.delegations {
+		if d.occupancy.stale(now) {
 			return true
 		}
 	}
@@ -70,8 +70,8 @@
 	for _, p := range e.pools {
 		s.reconcile(e, p, queriedAt, held)
 	}
-	for _, l := range e.delegations {
-		l.occupancy.removeUnheld(queriedAt, held)
+	for _, d := range e.delegations {
+		d.occupancy.removeUnheld(queriedAt, held)
 	}
 	return s.stepThese(now, e)
 }
--- a/internal/capacity/hingeslots/owner.go
+++ b/internal/capacity/hingeslots/owner.go
@@ -230,9 +230,9 @@
 // delegations. Rule 4.
 func (s *State) handleDelegationRequest(now time.Time, e *engineState, m Message) {
 	seen := make(map[hingeids.HostID]seenDelegation, len(m.Seen))
-	for _, l := range m.Seen {
-		if l.Owner == s.instance {
-			seen[l.Pool] = l
+	for _, d := range m.Seen {
+		if d.Owner == s.instance {
+			seen[d.Pool] = d
 		}
 	}
 	duration := min(delegationLease, subtractClockMargin(s.view.LeaseUntil.Sub(now)))
--- a/internal/capacity/hingeslots/share.go
+++ b/internal/capacity/hingeslots/share.go
@@ -29,8 +29,8 @@
 
 // instanceSeed returns the first number of an instance's sequence. It is below
 // half of the range, so that the sequence doesn't overflow.
-func instanceSeed(l hingeids.Instance, key string) uint64 {
-	return weight(string(l.Host), strconv.FormatUint(uint64(l.Incarnation), 36), key) >> 1
+func instanceSeed(instance hingeids.Instance, key string) uint64 {
+	return weight(string(instance.Host), strconv.FormatUint(uint64(instance.Incarnation), 36), key) >> 1
 }
 
 // rendezvous returns the host with the highest weight under the key, or the empty
--- a/internal/capacity/hingeslots/sim_test.go
+++ b/internal/capacity/hingeslots/sim_test.go
@@ -29,9 +29,9 @@
 	isolated map[hingeids.HostID]bool
 	// onGrant, if set, receives the results in place of the simulated engines.
 	onGrant func(r Result)
-	// problems lists the violated invariants.
-	problems []string
-	messages int
+	// violations lists the violated invariants.
+	violations []string
+	messages   int
 	// answered holds the requests that were granted a slot or refused.
 	answered map[hingeids.RequestID]bool
 	// bytes is the size of the sent messages; it is only updated if countBytes is
@@ -337,7 +337,7 @@
 	}
 	waiting := h.active[r.ID]
 	if r.Granted && s.answered[r.ID] {
-		s.problems = append(s.problems, fmt.Sprintf("at %v request %v was granted a second slot", s.now, r.ID))
+		s.violations = append(s.violations, fmt.Sprintf("at %v request %v was granted a second slot", s.now, r.ID))
 	}
 	s.answered[r.ID] = true
 	if !r.Granted || !waiting {
@@ -367,7 +367,7 @@
 	e.held[r.ID] = true
 	e.maxHeld = max(e.maxHeld, len(e.held))
 	if len(e.held) > int(e.Slots) {
-		s.problems = append(s.problems, fmt.Sprintf("at %v engine %s holds %d requests in %d slots", s.now, e.ID, len(e.held), e.Slots))
+		s.violations = append(s.violations, fmt.Sprintf("at %v engine %s holds %d requests in %d slots", s.now, e.ID, len(e.held), e.Slots))
 	}
 	duration := time.Duration(200+s.random.IntN(1800)) * time.Millisecond
 	s.after(duration, func() {
--- a/internal/capacity/hingeslots/slots.go
+++ b/internal/capacity/hingeslots/slots.go
@@ -150,9 +150,9 @@
 
 // SetInstance starts a new instance after the previous one has ended. All slots and
 // waiting requests of the previous instance are dropped.
-func (s *Slots) SetInstance(l hingeids.Instance) {
+func (s *Slots) SetInstance(instance hingeids.Instance) {
 	s.loop.Post(func(now time.Time) {
-		s.state = NewState(l, s.config.Hosts)
+		s.state = NewState(instance, s.config.Hosts)
 		s.state.SetEngines(now, s.engines)
 		s.state.SetView(s.view)
 		for id, ch := range s.waiting {
--- a/internal/capacity/hingeslots/slots_test.go
+++ b/internal/capacity/hingeslots/slots_test.go
@@ -51,7 +51,7 @@
 	s := newSimulation(1, 3, 2, 7, true)
 	s.run(5 * time.Second)
 	s.checkAllUsed(t)
-	if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
+	if diff := cmp.Diff([]string(nil), s.violations); diff != "" {
 		t.Fatal(diff)
 	}
 }
@@ -82,7 +82,7 @@
 		s.updateAlive()
 		s.load(5*time.Second, 50*time.Millisecond)
 		s.checkAllUsed(t)
-		if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
+		if diff := cmp.Diff([]string(nil), s.violations); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
@@ -114,7 +114,7 @@
 		s.hosts["host-1"].view.Alive = []hingeids.HostID{"host-1"}
 		s.load(8*time.Second, 50*time.Millisecond)
 		s.checkAllUsed(t)
-		if diff := cmp.Diff([]string(nil), s.problems); diff != "" {
+		if diff := cmp.Diff([]string(nil), s.violations); diff != "" {
 			t.Fatalf("seed %d: %s", seed, diff)
 		}
 	}
@@ -152,8 +152,8 @@
 		s.repair()
 		s.run(s.now + 12*time.Second)
 		s.checkAllUsed(t)
-		if len(s.problems) > 0 {
-			t.Fatal(s.problems[0])
+		if len(s.violations) > 0 {
+			t.Fatal(s.violations[0])
 		}
 	})
 }
--- a/internal/capacity/hingeslots/state.go
+++ b/internal/capacity/hingeslots/state.go
@@ -74,7 +74,7 @@
 	Send    []Outgoing
 	Results []Result
 	// QueryHeld are engines to query for the requests they hold. The response is
-	// passed to TakeHeld.
+	// passed to HandleHeld.
 	QueryHeld []Engine
 }
 
@@ -282,8 +282,8 @@
 	return s.number
 }
 
-// removeExpiredNumbers forgets messages whose answers would arrive too late to be
-// used.
+// removeExpiredNumbers removes the numbers of messages whose answers would arrive
+// too late to be used.
 func (s *State) removeExpiredNumbers(now time.Time) {
 	for n, at := range s.sentAt {
 		if now.Sub(at) > 2*delegationLease {
