--- a/internal/capacity/hingeplacer/poison_test.go
+++ b/internal/capacity/hingeplacer/poison_test.go
@@ -198,14 +198,14 @@
 			cl.views[i].placers.Store(&[]hingeids.HostID{"control-2"})
 		}
 		time.Sleep(time.Second)
-		w := streamRequest("again")
-		w.Fingerprint = 7
-		if a := cl.owners[0].Place(t.Context(), w); a.Refused || !a.Suspect {
+		r := streamRequest("again")
+		r.Fingerprint = 7
+		if a := cl.owners[0].Place(t.Context(), r); a.Refused || !a.Suspect {
 			t.Fatalf("after two crashes: %+v", a)
 		}
-		w.ID = "and-again"
-		w.Crashes = []hingepoison.Crash{crash("engine-2", 7)}
-		if a := cl.owners[1].Place(t.Context(), w); !a.Refused || a.Cause != Poison || a.RetryAfter <= 0 {
+		r.ID = "and-again"
+		r.Crashes = []hingepoison.Crash{crash("engine-2", 7)}
+		if a := cl.owners[1].Place(t.Context(), r); !a.Refused || a.Cause != Poison || a.RetryAfter <= 0 {
 			t.Errorf("after the third crash: %+v", a)
 		}
 		c := callRequest(1)
@@ -225,16 +225,16 @@
 			cl.owners[0].RecordCrash(crash(fmt.Sprint("engine-", i), 7))
 			time.Sleep(time.Second)
 		}
-		w := streamRequest("alone")
-		w.Fingerprint = 7
-		if a := cl.owners[0].Place(t.Context(), w); !a.Refused || a.Cause != Poison {
+		r := streamRequest("alone")
+		r.Fingerprint = 7
+		if a := cl.owners[0].Place(t.Context(), r); !a.Refused || a.Cause != Poison {
 			t.Errorf("local placement: %+v", a)
 		}
 		cl.views[0].placers.Store(&[]hingeids.HostID{"control-1"})
 		time.Sleep(time.Second)
 		cl.place(t, 0, "other")
 		time.Sleep(time.Second)
-		if a := cl.owners[1].Place(t.Context(), w); !a.Refused || a.Cause != Poison {
+		if a := cl.owners[1].Place(t.Context(), r); !a.Refused || a.Cause != Poison {
 			t.Errorf("placement by another host: %+v", a)
 		}
 	})
@@ -271,9 +271,9 @@
 	*nextList = *l
 	next.servers = l
 	for i := range 3 {
-		e := crash(fmt.Sprint("engine-", i), 7)
-		e.Ago = time.Minute
-		next.recordCrash(now, e)
+		c := crash(fmt.Sprint("engine-", i), 7)
+		c.Ago = time.Minute
+		next.recordCrash(now, c)
 	}
 	if d := next.evaluate(now, "model", 7, nil); d.Refused {
 		t.Errorf("at another placer after old crashes: %+v", d)
--- a/internal/path/hingecaller/badinput_test.go
+++ b/internal/path/hingecaller/badinput_test.go
@@ -51,9 +51,9 @@
 	}
 }
 
-func (b *testBackend) Complete(_ context.Context, w *hingedispatch.CompletionRequest) (*hingedispatch.Answer, error) {
-	b.requested = w
-	if w.Model == "panics" {
+func (b *testBackend) Complete(_ context.Context, r *hingedispatch.CompletionRequest) (*hingedispatch.Answer, error) {
+	b.requested = r
+	if r.Model == "panics" {
 		panic("injected panic")
 	}
 	return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, time.Second, errors.New("no engine"))
--- a/internal/path/hingecaller/bench_test.go
+++ b/internal/path/hingecaller/bench_test.go
@@ -46,20 +46,20 @@
 	}
 }
 
-func (o singleEngine) Admit(context.Context, hingedispatch.Entry) (hingedispatch.Placement, error) {
+func (e singleEngine) Admit(context.Context, hingedispatch.Entry) (hingedispatch.Placement, error) {
 	return hingedispatch.Placement{
 		Decode: hingeengine.Target{
 			Server:  "d",
-			Address: o.address,
+			Address: e.address,
 		},
 	}, nil
 }
 
-func (o singleEngine) BindDecode(context.Context, hingedispatch.Entry, hingeids.Tokens) (hingeengine.Target, error) {
+func (e singleEngine) BindDecode(context.Context, hingedispatch.Entry, hingeids.Tokens) (hingeengine.Target, error) {
 	return hingeengine.Target{}, nil
 }
 
-func (o singleEngine) RetryBind(context.Context, hingedispatch.Entry, hingeengine.Target) (hingeengine.Target, error) {
+func (e singleEngine) RetryBind(context.Context, hingedispatch.Entry, hingeengine.Target) (hingeengine.Target, error) {
 	return hingeengine.Target{}, nil
 }
 
@@ -83,11 +83,11 @@
 
 func (singleEngine) Disown(hingeids.RequestID) {}
 
-func (o singleEngine) AlternativeEngine(hingedispatch.Entry) (hingeengine.Target, bool) {
+func (e singleEngine) AlternativeEngine(hingedispatch.Entry) (hingeengine.Target, bool) {
 	return hingeengine.Target{}, false
 }
 
-func (o singleEngine) Rebind(hingedispatch.Entry, hingeengine.Target) {}
+func (e singleEngine) Rebind(hingedispatch.Entry, hingeengine.Target) {}
 
 func (singleEngine) Acquire(
 	_ context.Context, _ *hingedispatch.CompletionRequest, _ hingeids.RequestID, at ...hingeengine.Target,
@@ -200,38 +200,38 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	e := &loadProcess{
+	p := &loadProcess{
 		t:       t,
 		command: cmd,
 		in:      in,
 		out:     bufio.NewScanner(out),
 	}
-	e.address = e.line()
-	return e
+	p.address = p.line()
+	return p
 }
 
 // stop ends the process and closes all streams, for which the router would
 // otherwise wait at its shutdown.
-func (e *loadProcess) stop() {
-	_ = e.in.Close()
-	_ = e.command.Wait()
+func (p *loadProcess) stop() {
+	_ = p.in.Close()
+	_ = p.command.Wait()
 }
 
-func (e *loadProcess) line() string {
-	if !e.out.Scan() {
-		e.t.Fatal("the load process has exited")
+func (p *loadProcess) line() string {
+	if !p.out.Scan() {
+		p.t.Fatal("the load process has exited")
 	}
-	return e.out.Text()
+	return p.out.Text()
 }
 
 // do sends a command and returns the number of tokens that the callers have read.
-func (e *loadProcess) do(command string) int64 {
-	if _, err := fmt.Fprintln(e.in, command); err != nil {
-		e.t.Fatal(err)
+func (p *loadProcess) do(command string) int64 {
+	if _, err := fmt.Fprintln(p.in, command); err != nil {
+		p.t.Fatal(err)
 	}
-	n, err := strconv.ParseInt(e.line(), 10, 64)
+	n, err := strconv.ParseInt(p.line(), 10, 64)
 	if err != nil {
-		e.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	return n
 }
@@ -390,10 +390,10 @@
 	return 0
 }
 
-func (o singleEngine) Evaluate(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
+func (e singleEngine) Evaluate(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
 	return false, nil
 }
 
-func (o singleEngine) HandleFailedExchange(context.Context, hingedispatch.FailedExchange) {}
+func (e singleEngine) HandleFailedExchange(context.Context, hingedispatch.FailedExchange) {}
 
-func (o singleEngine) HandleCompletion(hingeids.Fingerprint) {}
+func (e singleEngine) HandleCompletion(hingeids.Fingerprint) {}
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -56,7 +56,7 @@
 
 // Completions runs completions; hingedispatch.Dispatcher implements it.
 type Completions interface {
-	Complete(ctx context.Context, w *hingedispatch.CompletionRequest) (*hingedispatch.Answer, error)
+	Complete(ctx context.Context, r *hingedispatch.CompletionRequest) (*hingedispatch.Answer, error)
 }
 
 // Services runs calls of plain services; hingedispatch.ServiceDispatcher
@@ -345,7 +345,7 @@
 	requestCtx, cancel := context.WithDeadline(context.Background(), deadline)
 	remove := s.requests.add(id, cancel)
 	if s.betweenInstances.Load() {
-		// EndLife may have been called before the request was added.
+		// EndInstance may have been called before the request was added.
 		cancel()
 	}
 	conn, ok := ctx.Conn().(*watchedConn)
--- a/internal/path/hingecaller/completion.go
+++ b/internal/path/hingecaller/completion.go
@@ -43,18 +43,18 @@
 func (s *Server) handleCompletion(
 	ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string, finish func(),
 ) (streams bool) {
-	w, stream, err := s.readCompletion(ctx, id, path)
+	r, stream, err := s.readCompletion(ctx, id, path)
 	if err != nil {
 		refuse(ctx, id, err)
 		return false
 	}
-	requestCtx, release := s.watch(ctx, id, w.Deadline)
+	requestCtx, release := s.watch(ctx, id, r.Deadline)
 	defer func() {
 		if !streams {
 			release()
 		}
 	}()
-	answer, err := s.config.Completions.Complete(requestCtx, w)
+	answer, err := s.config.Completions.Complete(requestCtx, r)
 	if err != nil {
 		refuse(ctx, id, err)
 		return false
@@ -71,7 +71,7 @@
 		return true
 	}
 	defer answer.Close()
-	writeWhole(ctx, id, w, answer)
+	writeWhole(ctx, id, r, answer)
 	return false
 }
 
@@ -85,7 +85,7 @@
 
 func (s *Server) readCompletion(
 	ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string,
-) (w *hingedispatch.CompletionRequest, stream bool, err error) {
+) (r *hingedispatch.CompletionRequest, stream bool, err error) {
 	if !ctx.IsPost() {
 		return nil, false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMethodNotAllowed, 0,
 			eris.New("completion requests must use POST"))
@@ -286,7 +286,7 @@
 
 // writeWhole collects the answer and writes it in one response. If the answer is
 // incomplete, it writes only the error.
-func writeWhole(ctx *fasthttp.RequestCtx, id hingeids.RequestID, w *hingedispatch.CompletionRequest, a *hingedispatch.Answer) {
+func writeWhole(ctx *fasthttp.RequestCtx, id hingeids.RequestID, r *hingedispatch.CompletionRequest, a *hingedispatch.Answer) {
 	var text strings.Builder
 	tokens := 0
 	finishReason := "stop"
@@ -311,7 +311,7 @@
 		tokens++
 	}
 	setAnswerHeaders(ctx, id, hingeverdict.Ran)
-	writeJSON(ctx, fasthttp.StatusOK, wholeAnswer(id, w, text.String(), finishReason, tokens))
+	writeJSON(ctx, fasthttp.StatusOK, wholeAnswer(id, r, text.String(), finishReason, tokens))
 	a.Store(hingedispatch.StoredAnswer{
 		Status:      fasthttp.StatusOK,
 		ContentType: string(ctx.Response.Header.ContentType()),
@@ -344,7 +344,7 @@
 
 // wholeAnswer returns the response body of a completion that is not streamed, in
 // the format of the API that the request used.
-func wholeAnswer(id hingeids.RequestID, w *hingedispatch.CompletionRequest, text, reason string, tokens int) any {
+func wholeAnswer(id hingeids.RequestID, r *hingedispatch.CompletionRequest, text, reason string, tokens int) any {
 	type choice struct {
 		Index        int      `json:"index"`
 		Text         *string  `json:"text,omitempty"`
@@ -358,7 +358,7 @@
 		FinishReason: reason,
 	}
 	object := "text_completion"
-	if w.Path == "/v1/chat/completions" {
+	if r.Path == "/v1/chat/completions" {
 		object = "chat.completion"
 		c.Message = &message{
 			Role:    "assistant",
@@ -377,8 +377,8 @@
 	}{
 		ID:      id.String(),
 		Object:  object,
-		Created: w.Arrived.Unix(),
-		Model:   w.Model,
+		Created: r.Arrived.Unix(),
+		Model:   r.Model,
 		Choices: []choice{c},
 		Usage: usage{
 			CompletionTokens: tokens,
--- a/internal/path/hingecaller/instance.go
+++ b/internal/path/hingecaller/instance.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// EndInstance cancels all requests in progress and refuses new ones until BeginLife
-// is called with another instance. It is called when the other hosts have
+// EndInstance cancels all requests in progress and refuses new ones until
+// StartInstance is called with another instance. It is called when the other hosts have
 // declared that this instance has ended: they cancel its requests at the engines,
 // so its callers would wait for tokens that never arrive.
 func (s *Server) EndInstance() {
@@ -47,10 +47,10 @@
 
 // StartInstance starts another instance, whose id later requests carry. It has no
 // effect if the instance is the current one.
-func (s *Server) StartInstance(l hingeids.Instance) {
-	if *s.instance.Load() == l {
+func (s *Server) StartInstance(instance hingeids.Instance) {
+	if *s.instance.Load() == instance {
 		return
 	}
-	s.instance.Store(&l)
+	s.instance.Store(&instance)
 	s.betweenInstances.Store(false)
 }
--- a/internal/path/hingedispatch/answer.go
+++ b/internal/path/hingedispatch/answer.go
@@ -15,7 +15,7 @@
 )
 
 // Answer is the token stream of a request. It continues without gaps or
-// duplicates after broken connections and failed engines. Next, Keep and Close
+// duplicates after broken connections and failed engines. Next, Store and Close
 // must not be called concurrently.
 type Answer struct {
 	dispatcher *Dispatcher
@@ -23,7 +23,7 @@
 	request    *CompletionRequest
 	avoid      map[hingeids.ServerID]bool
 
-	// entry is the current pass through the gate; entered says that Gate.Leave
+	// entry is the current pass through the gate; entered says that Gate.Finish
 	// has not been called for it.
 	entry   Entry
 	entered bool
@@ -156,7 +156,7 @@
 	if final != nil {
 		return final
 	}
-	a.leave(0)
+	a.leaveGate(0)
 	return a.start()
 }
 
@@ -204,7 +204,7 @@
 	a.dispatcher.OwnedRequests.Disown(a.prefillID)
 }
 
-func (a *Answer) leave(tokens int) {
+func (a *Answer) leaveGate(tokens int) {
 	if a.entered {
 		a.entered = false
 		a.dispatcher.Gate.Finish(a.entry, tokens)
@@ -230,7 +230,7 @@
 		}
 		d.Slots.Release(a.exchange, a.decodeEngine)
 		d.OwnedRequests.Disown(a.exchange)
-		a.leave(a.next)
+		a.leaveGate(a.next)
 		a.record(hingeevents.RequestAnswered, hingeevents.Fields{
 			Server:  a.decodeEngine.Server,
 			Elapsed: elapsed,
@@ -242,7 +242,7 @@
 		a.dropStream(err)
 	}
 	a.dropCache()
-	a.leave(0)
+	a.leaveGate(0)
 	a.record(hingeevents.RequestGivenUp, hingeevents.Fields{
 		Elapsed: elapsed,
 		Count:   int64(a.next),
--- a/internal/path/hingedispatch/attempt.go
+++ b/internal/path/hingedispatch/attempt.go
@@ -25,7 +25,7 @@
 			err = a.transfer()
 		default:
 			a.dropCache()
-			a.leave(0)
+			a.leaveGate(0)
 			err = a.place()
 		}
 	}
@@ -125,7 +125,7 @@
 		if err == nil || !a.noSlot || a.ctx.Err() != nil || a.prefillForbidden() {
 			return err
 		}
-		a.leave(0)
+		a.leaveGate(0)
 	}
 }
 
@@ -273,11 +273,11 @@
 		a.noSlot = true
 		return err
 	}
-	other, fullErr := d.Gate.RetryBind(a.ctx, a.entry, t)
-	if fullErr != nil {
+	other, bindErr := d.Gate.RetryBind(a.ctx, a.entry, t)
+	if bindErr != nil {
 		a.refused = true
 		a.dropCache()
-		return fullErr
+		return bindErr
 	}
 	return a.decode(other)
 }
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -68,13 +68,13 @@
 }
 
 // claim returns the ledger claim of the request.
-func (w *CompletionRequest) claim() Claim {
+func (r *CompletionRequest) claim() Claim {
 	return Claim{
-		Request: w.Request,
-		Caller:  w.Caller,
-		Key:     w.Key,
-		Digest:  w.Digest,
-		Until:   w.Deadline,
+		Request: r.Request,
+		Caller:  r.Caller,
+		Key:     r.Key,
+		Digest:  r.Digest,
+		Until:   r.Deadline,
 	}
 }
 
@@ -97,13 +97,13 @@
 
 // Engines sends requests to engines; hingeengine.Client implements it.
 type Engines interface {
-	Prefill(ctx context.Context, t hingeengine.Target, w hingeengine.CompletionRequest, silence time.Duration) (hingeengine.Cache, error)
+	Prefill(ctx context.Context, t hingeengine.Target, r hingeengine.CompletionRequest, idleTimeout time.Duration) (hingeengine.Cache, error)
 	Decode(
-		ctx context.Context, t hingeengine.Target, w hingeengine.CompletionRequest,
-		cache *hingeengine.Cache, from int, silence time.Duration,
+		ctx context.Context, t hingeengine.Target, r hingeengine.CompletionRequest,
+		cache *hingeengine.Cache, from int, idleTimeout time.Duration,
 	) (*hingeengine.Stream, error)
 	Resume(
-		ctx context.Context, t hingeengine.Target, id hingeids.RequestID, from int, silence time.Duration,
+		ctx context.Context, t hingeengine.Target, id hingeids.RequestID, from int, idleTimeout time.Duration,
 	) (*hingeengine.Stream, error)
 }
 
@@ -113,8 +113,8 @@
 	// Admit waits until the request is placed or refused.
 	Admit(ctx context.Context, e Entry) (Placement, error)
 	// BindDecode reports that the KV cache is ready and how many prompt tokens were
-	// found in the prefix cache, and waits for a decode engine. Full waits for
-	// another decode engine after an engine had no slot or failed.
+	// found in the prefix cache, and waits for a decode engine. RetryBind waits
+	// for another decode engine after an engine had no slot or failed.
 	BindDecode(ctx context.Context, e Entry, cached hingeids.Tokens) (hingeengine.Target, error)
 	RetryBind(ctx context.Context, e Entry, refused hingeengine.Target) (hingeengine.Target, error)
 	// AlternativeEngine returns an alternative decode engine for the slot, if there is one;
@@ -123,8 +123,8 @@
 	Rebind(e Entry, t hingeengine.Target)
 	// Finish finishes the entry and reports the number of tokens returned.
 	Finish(e Entry, tokens int)
-	// HandleFailure reports a server that failed an exchange, TokenGap the mean time
-	// between the tokens of a stream.
+	// HandleFailure reports a server that failed an exchange, HandleTokenGap the mean
+	// time between the tokens of a stream.
 	HandleFailure(e Entry, t hingeengine.Target, err error)
 	HandleTokenGap(e Entry, t hingeengine.Target, gap time.Duration)
 	// IsCurrent reports whether the target's incarnation is the server's current one.
@@ -135,7 +135,7 @@
 type Slots interface {
 	// Acquire waits a bounded time for a slot on one of the engines and returns
 	// the engine that granted it. The verdict of its errors is NotRun.
-	Acquire(ctx context.Context, w *CompletionRequest, id hingeids.RequestID, engines ...hingeengine.Target) (hingeengine.Target, error)
+	Acquire(ctx context.Context, r *CompletionRequest, id hingeids.RequestID, engines ...hingeengine.Target) (hingeengine.Target, error)
 	Release(id hingeids.RequestID, t hingeengine.Target)
 }
 
@@ -200,12 +200,12 @@
 // Complete runs a request up to its first token, or returns the answer of an
 // earlier run with the same key. An error is final; it carries the verdict and
 // the retry time.
-func (d *Dispatcher) Complete(ctx context.Context, w *CompletionRequest) (*Answer, error) {
-	if !w.Class.NeverRepeat {
-		return d.complete(ctx, w)
+func (d *Dispatcher) Complete(ctx context.Context, r *CompletionRequest) (*Answer, error) {
+	if !r.Class.NeverRepeat {
+		return d.complete(ctx, r)
 	}
 	// Rule 7.
-	claim := w.claim()
+	claim := r.claim()
 	stored, err := claimRequest(ctx, d.Ledger, claim)
 	if err != nil {
 		return nil, err
@@ -216,7 +216,7 @@
 			done:   true,
 		}, nil
 	}
-	a, err := d.complete(ctx, w)
+	a, err := d.complete(ctx, r)
 	if err != nil {
 		releaseIfNotRun(ctx, d.Ledger, claim, err)
 		return nil, err
@@ -225,20 +225,20 @@
 	return a, nil
 }
 
-func (d *Dispatcher) complete(ctx context.Context, w *CompletionRequest) (*Answer, error) {
+func (d *Dispatcher) complete(ctx context.Context, r *CompletionRequest) (*Answer, error) {
 	a := &Answer{
 		dispatcher:     d,
 		ctx:            ctx,
-		request:        w,
-		exchange:       w.Request,
+		request:        r,
+		exchange:       r.Request,
 		earlierVerdict: hingeverdict.NotRun,
 		avoid:          make(map[hingeids.ServerID]bool),
 	}
 	d.recordRequest()
 	a.record(hingeevents.RequestArrived, hingeevents.Fields{
-		Caller: w.Caller,
-		Count:  int64(w.PromptTokens),
-		Detail: w.Class.Name,
+		Caller: r.Caller,
+		Count:  int64(r.PromptTokens),
+		Detail: r.Class.Name,
 	})
 	if err := a.start(); err != nil {
 		a.finish(err)
--- a/internal/path/hingedispatch/meter.go
+++ b/internal/path/hingedispatch/meter.go
@@ -11,7 +11,8 @@
 	CompletionRequest *CompletionRequest
 	// FirstToken is the time to the first token, zero if there was none.
 	FirstToken time.Duration
-	// Tokens is the number of tokens returned, Gap the mean time between them.
+	// Tokens is the number of tokens returned, MeanTokenGap the mean time between
+	// them.
 	Tokens       int
 	MeanTokenGap time.Duration
 	// Err is nil if the answer was complete.
@@ -20,19 +21,19 @@
 
 // MetTargets reports whether the answer was complete and met the class's targets
 // for the first token and the token gap.
-func (f Result) MetTargets() bool {
-	c := f.CompletionRequest.Class
-	return f.Err == nil &&
-		(c.FirstToken <= 0 || f.FirstToken <= c.FirstToken) &&
-		(c.TokenGap <= 0 || f.MeanTokenGap <= c.TokenGap)
+func (r Result) MetTargets() bool {
+	c := r.CompletionRequest.Class
+	return r.Err == nil &&
+		(c.FirstToken <= 0 || r.FirstToken <= c.FirstToken) &&
+		(c.TokenGap <= 0 || r.MeanTokenGap <= c.TokenGap)
 }
 
 // Meter updates the metrics of completion requests. It must be safe for
 // concurrent use.
 type Meter interface {
-	RecordResult(f Result)
-	// AddPrefilledTokens counts prompt tokens that were processed, Wasted those whose KV
-	// cache was dropped before it was decoded.
+	RecordResult(r Result)
+	// AddPrefilledTokens counts prompt tokens that were processed, AddWastedTokens
+	// those whose KV cache was dropped before it was decoded.
 	AddPrefilledTokens(n hingeids.Tokens)
 	AddWastedTokens(n hingeids.Tokens)
 	// CountRetry counts resumed streams, transfers and retries; reason is the name of
@@ -42,16 +43,16 @@
 
 // reportResult passes the result of the answer to the meter.
 func (a *Answer) reportResult(now time.Time, err error) {
-	f := Result{
+	result := Result{
 		CompletionRequest: a.request,
 		Tokens:            a.next,
 		Err:               err,
 	}
 	if !a.firstTokenAt.IsZero() {
-		f.FirstToken = a.firstTokenAt.Sub(a.request.Arrived)
+		result.FirstToken = a.firstTokenAt.Sub(a.request.Arrived)
 		if a.next > 1 {
-			f.MeanTokenGap = now.Sub(a.firstTokenAt) / time.Duration(a.next-1)
+			result.MeanTokenGap = now.Sub(a.firstTokenAt) / time.Duration(a.next-1)
 		}
 	}
-	a.dispatcher.Meter.RecordResult(f)
+	a.dispatcher.Meter.RecordResult(result)
 }
--- a/internal/path/hingedispatch/poison.go
+++ b/internal/path/hingedispatch/poison.go
@@ -13,12 +13,12 @@
 type PoisonDetector interface {
 	// Evaluate returns an error if the request may not run on the servers of a model
 	// or service. If suspect is true, a complete answer must be reported with
-	// Passed.
-	Evaluate(ctx context.Context, p hingeids.Fingerprint, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
+	// HandleCompletion.
+	Evaluate(ctx context.Context, fingerprint hingeids.Fingerprint, s hingeids.Service) (suspect bool, refused *hingeverdict.Error)
 	// HandleFailedExchange reports a server that failed a request and may have crashed.
-	HandleFailedExchange(ctx context.Context, b FailedExchange)
+	HandleFailedExchange(ctx context.Context, e FailedExchange)
 	// HandleCompletion reports a complete answer to a suspected request.
-	HandleCompletion(p hingeids.Fingerprint)
+	HandleCompletion(fingerprint hingeids.Fingerprint)
 }
 
 // FailedExchange describes an exchange that failed at a server.
--- a/internal/path/hingedispatch/poison_test.go
+++ b/internal/path/hingedispatch/poison_test.go
@@ -20,43 +20,43 @@
 	crashes int
 }
 
-func (e *crashingReplicas) Choose(hingeids.Service, map[hingeids.ServerID]bool) (hingeengine.Target, error) {
+func (r *crashingReplicas) Choose(hingeids.Service, map[hingeids.ServerID]bool) (hingeengine.Target, error) {
 	return hingeengine.Target{
 		Server: "replica",
 	}, nil
 }
 
-func (e *crashingReplicas) RecordOutcome(hingeengine.Target, error) {}
+func (r *crashingReplicas) RecordOutcome(hingeengine.Target, error) {}
 
-func (e *crashingReplicas) Call(
+func (r *crashingReplicas) Call(
 	context.Context, hingeengine.Target, *fasthttp.Request, *fasthttp.Response, time.Duration,
 ) error {
-	e.sent++
+	r.sent++
 	return hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeServerFailed, 0, eris.New("replica crashed"))
 }
 
-func (e *crashingReplicas) Evaluate(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
-	if e.crashes >= 3 {
+func (r *crashingReplicas) Evaluate(context.Context, hingeids.Fingerprint, hingeids.Service) (bool, *hingeverdict.Error) {
+	if r.crashes >= 3 {
 		return false, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodePoison, time.Hour, nil)
 	}
-	return e.crashes > 0, nil
+	return r.crashes > 0, nil
 }
 
-func (e *crashingReplicas) HandleFailedExchange(context.Context, FailedExchange) { e.crashes++ }
+func (r *crashingReplicas) HandleFailedExchange(context.Context, FailedExchange) { r.crashes++ }
 
-func (e *crashingReplicas) HandleCompletion(hingeids.Fingerprint) {}
+func (r *crashingReplicas) HandleCompletion(hingeids.Fingerprint) {}
 
-func (e *crashingReplicas) RecordCall(*Call, time.Duration, error) {}
+func (r *crashingReplicas) RecordCall(*Call, time.Duration, error) {}
 
 // Guards against sending a poison call to further replicas, and against the
 // verdict NotRun for a call that a replica may have run before.
 func TestPoisonCallIsRefused(t *testing.T) {
-	e := &crashingReplicas{}
+	replicas := &crashingReplicas{}
 	d := &ServiceDispatcher{
-		Client:         e,
-		ReplicaPool:    e,
-		PoisonDetector: e,
-		Meter:          e,
+		Client:         replicas,
+		ReplicaPool:    replicas,
+		PoisonDetector: replicas,
+		Meter:          replicas,
 		Limits:         DefaultLimits(),
 		Now:            time.Now,
 	}
@@ -70,8 +70,8 @@
 		c.ReplicaRequest.Header.SetMethod(fasthttp.MethodGet)
 		verdicts = append(verdicts, hingeverdict.Of(d.Do(t.Context(), c)))
 	}
-	if e.sent != 3 {
-		t.Errorf("the call was sent %d times, want 3", e.sent)
+	if replicas.sent != 3 {
+		t.Errorf("the call was sent %d times, want 3", replicas.sent)
 	}
 	if verdicts[0] != hingeverdict.MayHaveRun || verdicts[3] != hingeverdict.NotRun {
 		t.Errorf("verdicts %v, want mayHaveRun first and notRun last", verdicts)
--- a/internal/path/hingedispatch/service.go
+++ b/internal/path/hingedispatch/service.go
@@ -24,7 +24,8 @@
 	Key      hingeids.IdempotencyKey
 	Arrived  time.Time
 	Deadline time.Time
-	// ReplicaRequest is the request to the replica; its response is written to Answer.
+	// ReplicaRequest is the request to the replica; its response is written to
+	// Response.
 	ReplicaRequest *fasthttp.Request
 	Response       *fasthttp.Response
 	// Fingerprint is the fingerprint that the call shares with its resends.
@@ -34,19 +35,19 @@
 // ReplicaPool chooses replicas of plain services. It must be safe for concurrent
 // use.
 type ReplicaPool interface {
-	// Choose chooses a replica and avoids those that have failed the call. Each
-	// successful call of it must be followed by one of Left.
+	// Choose chooses a replica and avoids those that have failed the call. After
+	// each successful call of Choose, RecordOutcome must be called.
 	Choose(service hingeids.Service, avoid map[hingeids.ServerID]bool) (hingeengine.Target, error)
 	// RecordOutcome reports that a call at the replica has finished, with its error.
 	RecordOutcome(t hingeengine.Target, err error)
 }
 
 // ReplicaClient sends a call to a replica; hingeengine.Client implements it. It fails if
-// the replica sends nothing for the duration silence.
+// the replica sends nothing for the idle timeout.
 type ReplicaClient interface {
 	Call(
 		ctx context.Context, t hingeengine.Target, req *fasthttp.Request, resp *fasthttp.Response,
-		silence time.Duration,
+		idleTimeout time.Duration,
 	) error
 }
 
@@ -78,7 +79,7 @@
 	RecordCall(c *Call, elapsed time.Duration, err error)
 }
 
-// Do runs a call and writes the response to c.Answer. An error is final and
+// Do runs a call and writes the response to c.Response. An error is final and
 // carries the verdict.
 func (d *ServiceDispatcher) Do(ctx context.Context, c *Call) error {
 	err := d.do(ctx, c)
@@ -135,7 +136,7 @@
 	return nil
 }
 
-// send tries up to Limits.Attempts replicas (rule 3). It returns the first error
+// send tries up to Limits.MaxCallAttempts replicas (rule 3). It returns the first error
 // whose verdict is not NotRun, if there is one.
 func (d *ServiceDispatcher) send(ctx context.Context, c *Call) error {
 	avoid := make(map[hingeids.ServerID]bool)
--- a/internal/path/hingeengine/control.go
+++ b/internal/path/hingeengine/control.go
@@ -79,11 +79,11 @@
 		return nil, 0, err
 	}
 	defer x.close()
-	return readHeld(t, x.resp.Body())
+	return readAllocations(t, x.resp.Body())
 }
 
-// readHeld decodes a list of allocations.
-func readHeld(t Target, body []byte) ([]Allocation, hingeids.Incarnation, error) {
+// readAllocations decodes a list of allocations.
+func readAllocations(t Target, body []byte) ([]Allocation, hingeids.Incarnation, error) {
 	var parsed struct {
 		Incarnation hingeids.Incarnation `json:"incarnation"`
 		Held        []struct {
--- a/internal/path/hingeengine/engine.go
+++ b/internal/path/hingeengine/engine.go
@@ -37,8 +37,8 @@
 
 // Prefill has a prefill engine process the prompt and export its KV cache. The idle
 // timeout has to cover the time in the engine's queue and the prefill.
-func (c *Client) Prefill(ctx context.Context, t Target, w CompletionRequest, idleTimeout time.Duration) (Cache, error) {
-	body, err := w.body(map[string]any{
+func (c *Client) Prefill(ctx context.Context, t Target, r CompletionRequest, idleTimeout time.Duration) (Cache, error) {
+	body, err := r.body(map[string]any{
 		"max_tokens": 1,
 		"stream":     false,
 		"kv_transfer_params": struct {
@@ -50,12 +50,12 @@
 	if err != nil {
 		return Cache{}, err
 	}
-	x, err := c.post(ctx, t, w.Path, w.Request, body, idleTimeout, false)
+	x, err := c.post(ctx, t, r.Path, r.Request, body, idleTimeout, false)
 	if err != nil {
 		return Cache{}, err
 	}
 	defer x.close()
-	return readPrefill(t, w.Request, x.resp.Body())
+	return readPrefill(t, r.Request, x.resp.Body())
 }
 
 // readPrefill decodes the response to a prefill.
@@ -90,7 +90,7 @@
 // If cache is nil the engine also prefills. The idle timeout has to cover the transfer
 // of the KV cache, and each interval between tokens.
 func (c *Client) Decode(
-	ctx context.Context, t Target, w CompletionRequest, cache *Cache, from int, idleTimeout time.Duration,
+	ctx context.Context, t Target, r CompletionRequest, cache *Cache, from int, idleTimeout time.Duration,
 ) (*Stream, error) {
 	extra := map[string]any{
 		"stream":      true,
@@ -107,11 +107,11 @@
 			RemoteBlockID:   cache.Block,
 		}
 	}
-	body, err := w.body(extra)
+	body, err := r.body(extra)
 	if err != nil {
 		return nil, err
 	}
-	return c.stream(ctx, t, w.Path, w.Request, body, from, idleTimeout)
+	return c.stream(ctx, t, r.Path, r.Request, body, from, idleTimeout)
 }
 
 // Resume returns the stream of a generation that the engine still has, from the token
@@ -215,16 +215,16 @@
 }
 
 // body merges the caller's fields with those of the router, which have precedence.
-func (w CompletionRequest) body(extra map[string]any) ([]byte, error) {
-	fields := make(map[string]any, len(w.Fields)+len(extra)+2)
-	for k, v := range w.Fields {
+func (r CompletionRequest) body(extra map[string]any) ([]byte, error) {
+	fields := make(map[string]any, len(r.Fields)+len(extra)+2)
+	for k, v := range r.Fields {
 		fields[k] = v
 	}
 	for k, v := range extra {
 		fields[k] = v
 	}
-	fields["request_id"] = w.Request.String()
-	fields["priority"] = w.Priority
+	fields["request_id"] = r.Request.String()
+	fields["priority"] = r.Priority
 	b, err := json.Marshal(fields)
 	return b, eris.Wrap(err, "encode engine request")
 }
--- a/internal/path/hingeengine/exchange.go
+++ b/internal/path/hingeengine/exchange.go
@@ -89,7 +89,7 @@
 	})
 	if err := x.send(req, stream); err != nil {
 		x.close()
-		return nil, x.verdict(t, err)
+		return nil, x.wrapError(t, err)
 	}
 	return x, nil
 }
@@ -121,9 +121,9 @@
 	return x.resp.ReadLimitBody(x.reader, maxResponseBytes)
 }
 
-// verdict returns the error of a failed exchange whose request was sent at least in
+// wrapError returns the error of a failed exchange whose request was sent at least in
 // part.
-func (x *exchange) verdict(t Target, err error) error {
+func (x *exchange) wrapError(t Target, err error) error {
 	code := hingeverdict.CodeServerFailed
 	switch {
 	case x.ctx.Err() != nil:
--- a/internal/path/hingeengine/faults_test.go
+++ b/internal/path/hingeengine/faults_test.go
@@ -272,7 +272,7 @@
 		if _, err := readPrefill(Target{}, ownID, body); err == nil && !strings.Contains(string(body), "7.1") && !strings.Contains(string(body), `\u`) {
 			t.Error("response without the request's ID was accepted")
 		}
-		items, _, err := readHeld(Target{}, body)
+		items, _, err := readAllocations(Target{}, body)
 		if err != nil && len(items) > 0 {
 			t.Error("allocations of a malformed response were returned")
 		}
--- a/internal/path/hingeengine/orders.go
+++ b/internal/path/hingeengine/orders.go
@@ -21,7 +21,7 @@
 	BytesRemaining hingeids.Bytes `json:"bytes_left"`
 }
 
-// Errors of Order.
+// Errors of SendOrder.
 var (
 	// ErrStaleFence means that the engine has seen a higher fencing number.
 	ErrStaleFence = eris.New("the engine has seen a higher fencing number")
--- a/internal/path/hingeengine/stream.go
+++ b/internal/path/hingeengine/stream.go
@@ -32,7 +32,7 @@
 		return e, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0,
 			eris.Wrapf(err, "stream of server %s", s.target.Server))
 	default:
-		return e, s.exchange.verdict(s.target, err)
+		return e, s.exchange.wrapError(s.target, err)
 	}
 }
 
--- a/internal/path/hingeproxy/admit_test.go
+++ b/internal/path/hingeproxy/admit_test.go
@@ -44,9 +44,9 @@
 		return true
 	}
 	want := result{
-		Status: http.StatusOK,
-		Body:   "lot 7 is alive",
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     "lot 7 is alive",
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/status/7")); diff != "" {
 		t.Fatal(diff)
--- a/internal/path/hingeproxy/crash.go
+++ b/internal/path/hingeproxy/crash.go
@@ -26,15 +26,15 @@
 		Route:           j.route.Name,
 	})
 	p.meter.crashes.Inc()
-	e := hingepoison.Crash{
+	crash := hingepoison.Crash{
 		Fingerprint: j.fingerprint,
 		Server:      id,
 		Service:     j.service,
 		Caller:      j.caller(),
 		Held:        held,
 	}
-	j.crashes = append(j.crashes, e)
-	p.owner.RecordCrash(e)
+	j.crashes = append(j.crashes, crash)
+	p.owner.RecordCrash(crash)
 }
 
 // recordPoisonRefusal records the refusal of a request that crashes servers.
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -25,30 +25,30 @@
 }
 
 func (p *Proxy) startDial(ctx context.Context, address string) *pendingDial {
-	a := &pendingDial{
+	d := &pendingDial{
 		done: make(chan struct{}),
 	}
 	var dialCtx context.Context
-	dialCtx, a.stop = context.WithCancel(ctx)
+	dialCtx, d.stop = context.WithCancel(ctx)
 	if address == "" {
-		a.err = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, minRetryAfter, nil)
-		close(a.done)
-		return a
+		d.err = hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, minRetryAfter, nil)
+		close(d.done)
+		return d
 	}
 	go func() {
-		defer close(a.done)
-		a.exchange, a.err = hingewire.Dial(dialCtx, address)
+		defer close(d.done)
+		d.exchange, d.err = hingewire.Dial(dialCtx, address)
 	}()
-	return a
+	return d
 }
 
 // close cancels the dial, and closes the exchange if it was opened.
-func (a *pendingDial) close() {
-	a.stop()
+func (d *pendingDial) close() {
+	d.stop()
 	go func() {
-		<-a.done
-		if a.exchange != nil {
-			a.exchange.Close()
+		<-d.done
+		if d.exchange != nil {
+			d.exchange.Close()
 		}
 	}()
 }
--- a/internal/path/hingeproxy/loglimit.go
+++ b/internal/path/hingeproxy/loglimit.go
@@ -21,19 +21,19 @@
 }
 
 // allow reports whether a line may be written, and the number of requests that it represents.
-func (b *logLimiter) allow(now time.Time) (int64, bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	if now.Sub(b.windowStart) >= logWindow {
-		b.windowStart = now
-		b.written = 0
+func (l *logLimiter) allow(now time.Time) (int64, bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if now.Sub(l.windowStart) >= logWindow {
+		l.windowStart = now
+		l.written = 0
 	}
-	if b.written >= maxLogLines {
-		b.suppressed++
+	if l.written >= maxLogLines {
+		l.suppressed++
 		return 0, false
 	}
-	b.written++
-	count := b.suppressed + 1
-	b.suppressed = 0
+	l.written++
+	count := l.suppressed + 1
+	l.suppressed = 0
 	return count, true
 }
--- a/internal/path/hingeproxy/poison_test.go
+++ b/internal/path/hingeproxy/poison_test.go
@@ -15,7 +15,7 @@
 
 // crashingServer returns a server that crashes on requests whose path contains "poison", and is replaced at once by a
 // server with another id. It counts the crashes.
-func crashingServer(t *testing.T, id hingeids.ServerID, role hingefleet.Role, fleet func() *cluster, crashes *atomic.Int32) *standin {
+func crashingServer(t *testing.T, id hingeids.ServerID, role hingefleet.Role, currentCluster func() *cluster, crashes *atomic.Int32) *standin {
 	t.Helper()
 	s := newStandin(t, id, role, nil)
 	s.respond = func(_ int, q *http.Request, c net.Conn) bool {
@@ -28,7 +28,7 @@
 		}
 		_ = s.listener.Close()
 		n := crashes.Add(1)
-		fleet().replace(s, crashingServer(t, hingeids.ServerID(fmt.Sprint(id, ".", n)), role, fleet, crashes))
+		currentCluster().replace(s, crashingServer(t, hingeids.ServerID(fmt.Sprint(id, ".", n)), role, currentCluster, crashes))
 		return true
 	}
 	return s
@@ -41,16 +41,16 @@
 		t.Run(target, func(t *testing.T) {
 			var proxies []*testProxy
 			var crashes atomic.Int32
-			w := func() *cluster {
+			currentCluster := func() *cluster {
 				return proxies[0].cluster
 			}
 			proxies = newTestProxies(t, 3,
 				newStandin(t, "prefill-1", hingefleet.Prefill, nil),
-				crashingServer(t, "decode-1", hingefleet.Decode, w, &crashes),
-				crashingServer(t, "decode-2", hingefleet.Decode, w, &crashes),
-				crashingServer(t, "decode-3", hingefleet.Decode, w, &crashes),
-				crashingServer(t, "app-1", 0, w, &crashes),
-				crashingServer(t, "app-2", 0, w, &crashes),
+				crashingServer(t, "decode-1", hingefleet.Decode, currentCluster, &crashes),
+				crashingServer(t, "decode-2", hingefleet.Decode, currentCluster, &crashes),
+				crashingServer(t, "decode-3", hingefleet.Decode, currentCluster, &crashes),
+				crashingServer(t, "app-1", 0, currentCluster, &crashes),
+				crashingServer(t, "app-2", 0, currentCluster, &crashes),
 			)
 			var last result
 			for i := range 12 {
@@ -64,7 +64,7 @@
 				t.Errorf("the caller gets %+v, want 503 with a Retry-After", last)
 			}
 			for _, other := range []string{"/dossier/7", "/lookup/7"} {
-				if g := proxies[1].send(other); g.Status != http.StatusOK || !g.Whole {
+				if g := proxies[1].send(other); g.Status != http.StatusOK || !g.Complete {
 					t.Errorf("another request gets %+v", g)
 				}
 			}
--- a/internal/path/hingeproxy/proxy.go
+++ b/internal/path/hingeproxy/proxy.go
@@ -47,8 +47,8 @@
 	// MaxWait is the caller's timeout, zero if unknown.
 	MaxWait time.Duration
 	Model   hingeids.Model
-	// PromptTokens is the length of the prompt, Longest the maximum length of the answer, and Hint the caller's estimate of
-	// that length, zero if unknown.
+	// PromptTokens is the length of the prompt, MaxTokens the maximum length of the answer, and ExpectedTokens the
+	// caller's estimate of that length, zero if unknown.
 	PromptTokens   hingeids.Tokens
 	MaxTokens      hingeids.Tokens
 	ExpectedTokens hingeids.Tokens
@@ -83,8 +83,8 @@
 type Reply struct {
 	// ID is the request that the answer belongs to, empty if the server doesn't return it.
 	ID RequestID
-	// NotRun is set if the server confirms that it did not run the request, Gone if another server has the address
-	// now.
+	// NotRun is set if the server confirms that it did not run the request, ServerReplaced if another server has the
+	// address now.
 	NotRun         bool
 	ServerReplaced bool
 	// Sealed is set if the answer carries the server's seal.
@@ -95,8 +95,8 @@
 type Dialect interface {
 	RequestInfo(h http.Header) RequestInfo
 	// OutgoingHeaders returns the headers for a backend server: the caller's headers without its API key and the headers
-	// that only the router may set, and the values of s.
-	OutgoingHeaders(h http.Header, s ForwardInfo) http.Header
+	// that only the router may set, and the values of f.
+	OutgoingHeaders(h http.Header, f ForwardInfo) http.Header
 	Reply(r *http.Response) Reply
 	// Cache parses the answer of the prefill engine at an address.
 	Cache(address string, body []byte) (Cache, error)
@@ -114,8 +114,8 @@
 	Changed() <-chan struct{}
 	// Version identifies the configuration and the set of servers in the view.
 	Version() string
-	// ConfirmNewest reports whether Table is at least as new as the newest configuration accepted before the call. If there
-	// is a newer one, Newest waits until this host has received it.
+	// ConfirmNewest reports whether Table is at least as new as the newest configuration accepted before the call. If
+	// there is a newer one, it waits until this host has received it.
 	ConfirmNewest(ctx context.Context) bool
 	// Removed reports whether a server is known to accept no more requests.
 	Removed(id hingeids.ServerID) bool
@@ -168,11 +168,11 @@
 var _ hingewire.Handler = (*Proxy)(nil)
 
 // New creates a proxy that places its requests through o.
-func New(s Settings, d Dialect, w ClusterView, o *hingeplacer.Owner) *Proxy {
+func New(s Settings, d Dialect, v ClusterView, o *hingeplacer.Owner) *Proxy {
 	return &Proxy{
 		settings: s,
 		dialect:  d,
-		view:     w,
+		view:     v,
 		owner:    o,
 		meter:    newMeter(),
 		budgets:  make(map[hingeids.Service]*hingeretry.Budget),
@@ -273,13 +273,13 @@
 }
 
 // timeoutOf returns the timeout of a request: the route's, or the caller's if that is shorter.
-func timeoutOf(a RequestInfo, r *hingeroutes.Route) time.Duration {
+func timeoutOf(info RequestInfo, r *hingeroutes.Route) time.Duration {
 	timeout := r.Timeout
 	if timeout == 0 {
 		timeout = defaultTimeout
 	}
-	if a.MaxWait > 0 {
-		timeout = min(timeout, a.MaxWait)
+	if info.MaxWait > 0 {
+		timeout = min(timeout, info.MaxWait)
 	}
 	return timeout
 }
@@ -319,15 +319,15 @@
 }
 
 // message builds the message to one backend server.
-func (j *job) message(d Dialect, s ForwardInfo) hingewire.OutgoingRequest {
+func (j *job) message(d Dialect, f ForwardInfo) hingewire.OutgoingRequest {
 	if j.customer != nil {
-		s.Customer = j.customer.Name
+		f.Customer = j.customer.Name
 	}
 	return hingewire.OutgoingRequest{
 		Method: j.Method,
 		Target: j.Target,
 		Host:   j.Host,
-		Header: d.OutgoingHeaders(j.Header, s),
+		Header: d.OutgoingHeaders(j.Header, f),
 		Body:   j.Body,
 	}
 }
--- a/internal/path/hingeproxy/proxy_test.go
+++ b/internal/path/hingeproxy/proxy_test.go
@@ -22,8 +22,8 @@
 	return true
 }
 
-// wholeStream is the body of a stream of five events.
-func wholeStream() string {
+// completeStream is the body of a stream of five events.
+func completeStream() string {
 	var b strings.Builder
 	for i := 1; i <= 5; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: token %d\n\n", i, i)
@@ -41,18 +41,18 @@
 		{
 			target: "/status/7",
 			want: result{
-				Status: http.StatusBadGateway,
-				Body:   "mayHaveRun (3003)\n",
-				Whole:  true,
+				Status:   http.StatusBadGateway,
+				Body:     "mayHaveRun (3003)\n",
+				Complete: true,
 			},
 			runs: 1,
 		},
 		{
 			target: "/lookup/7",
 			want: result{
-				Status: http.StatusOK,
-				Body:   "lot 7 is alive",
-				Whole:  true,
+				Status:   http.StatusOK,
+				Body:     "lot 7 is alive",
+				Complete: true,
 			},
 			runs: 2,
 		},
@@ -83,8 +83,8 @@
 		}
 	}
 	unknown := result{
-		Status: http.StatusBadGateway,
-		Whole:  true,
+		Status:   http.StatusBadGateway,
+		Complete: true,
 	}
 	for name, c := range map[string]struct {
 		answer string
@@ -94,7 +94,7 @@
 			answer: "HTTP/1.1 503 X\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n",
 			want: result{
 				Status:     http.StatusServiceUnavailable,
-				Whole:      true,
+				Complete:   true,
 				RetryAfter: true,
 			},
 		},
@@ -121,25 +121,25 @@
 		"error of the server": {
 			answer: "HTTP/1.1 500 X\r\nId: ID\r\nVouched: 1\r\nContent-Length: 4\r\n\r\noops",
 			want: result{
-				Status: http.StatusInternalServerError,
-				Body:   "oops",
-				Whole:  true,
+				Status:   http.StatusInternalServerError,
+				Body:     "oops",
+				Complete: true,
 			},
 		},
 		"followed by another answer": {
 			answer: "HTTP/1.1 200 OK\r\nId: ID\r\nVouched: 1\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\n\r\n",
 			want: result{
-				Status: http.StatusOK,
-				Body:   "ok",
-				Whole:  true,
+				Status:   http.StatusOK,
+				Body:     "ok",
+				Complete: true,
 			},
 		},
 		"without a length": {
 			answer: "HTTP/1.1 200 OK\r\nId: ID\r\nVouched: 1\r\n\r\nto the end",
 			want: result{
-				Status: http.StatusOK,
-				Body:   "to the end",
-				Whole:  true,
+				Status:   http.StatusOK,
+				Body:     "to the end",
+				Complete: true,
 			},
 		},
 	} {
@@ -162,9 +162,9 @@
 	}
 	d := newTestProxy(t, newStandin(t, "app-1", 0, fail), newStandin(t, "app-2", 0, fail))
 	want := result{
-		Status: http.StatusInternalServerError,
-		Body:   "tank unknown",
-		Whole:  true,
+		Status:   http.StatusInternalServerError,
+		Body:     "tank unknown",
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/lookup/7")); diff != "" {
 		t.Fatal(diff)
@@ -197,7 +197,7 @@
 	want := result{
 		Status:     http.StatusServiceUnavailable,
 		Body:       "notRun (3001)\n",
-		Whole:      true,
+		Complete:   true,
 		RetryAfter: true,
 	}
 	if diff := cmp.Diff(want, d.send("/status/7")); diff != "" {
@@ -205,8 +205,8 @@
 	}
 }
 
-// newFleet returns a proxy with one prefill engine and two decode engines.
-func newFleet(t *testing.T, first, second responder) (*testProxy, *standin, *standin, *standin) {
+// newStreamProxy returns a proxy with one prefill engine and two decode engines.
+func newStreamProxy(t *testing.T, first, second responder) (*testProxy, *standin, *standin, *standin) {
 	t.Helper()
 	p := newStandin(t, "prefill", hingefleet.Prefill, nil)
 	a := newStandin(t, "decode-1", hingefleet.Decode, first)
@@ -214,12 +214,12 @@
 	return newTestProxy(t, p, a, b), p, a, b
 }
 
-func TestStreamIsForwardedWhole(t *testing.T) {
-	d, p, _, _ := newFleet(t, nil, nil)
+func TestStreamIsForwardedCompletely(t *testing.T) {
+	d, p, _, _ := newStreamProxy(t, nil, nil)
 	want := result{
-		Status: http.StatusOK,
-		Body:   wholeStream(),
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     completeStream(),
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
@@ -238,7 +238,7 @@
 		_, _ = io.WriteString(c, "b\r\nid: 3\ndata:\r\n")
 		return true
 	}
-	d, _, a, b := newFleet(t, breakOff, nil)
+	d, _, a, b := newStreamProxy(t, breakOff, nil)
 	b.respond = func(n int, q *http.Request, c net.Conn) bool {
 		if a.ran() == 0 {
 			return breakOff(n, q, c)
@@ -252,9 +252,9 @@
 		return false
 	}
 	want := result{
-		Status: http.StatusOK,
-		Body:   wholeStream(),
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     completeStream(),
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
@@ -269,10 +269,10 @@
 		events(c, 1, 2, false)
 		return true
 	}
-	d, _, a, b := newFleet(t, breakOff, breakOff)
+	d, _, a, b := newStreamProxy(t, breakOff, breakOff)
 	g := d.send("/health/7")
-	if g.Whole || !strings.HasPrefix(wholeStream(), g.Body) || a.ran()+b.ran() != 1 {
-		t.Fatalf("whole %v, %d runs, body %q", g.Whole, a.ran()+b.ran(), g.Body)
+	if g.Complete || !strings.HasPrefix(completeStream(), g.Body) || a.ran()+b.ran() != 1 {
+		t.Fatalf("complete %v, %d runs, body %q", g.Complete, a.ran()+b.ran(), g.Body)
 	}
 }
 
@@ -284,8 +284,8 @@
 		events(c, 4, 5, true)
 		return true
 	}
-	d, _, _, _ := newFleet(t, skipEvent, skipEvent)
-	if g := d.send("/health/7"); g.Whole {
+	d, _, _, _ := newStreamProxy(t, skipEvent, skipEvent)
+	if g := d.send("/health/7"); g.Complete {
 		t.Fatalf("a stream without its third event ends as if it were complete: %q", g.Body)
 	}
 	repeatEvent := func(_ int, q *http.Request, c net.Conn) bool {
@@ -294,19 +294,19 @@
 		events(c, 3, 5, true)
 		return true
 	}
-	d, _, _, _ = newFleet(t, repeatEvent, repeatEvent)
-	if g := d.send("/health/7"); !g.Whole || g.Body != wholeStream() {
-		t.Fatalf("whole %v: %q", g.Whole, g.Body)
+	d, _, _, _ = newStreamProxy(t, repeatEvent, repeatEvent)
+	if g := d.send("/health/7"); !g.Complete || g.Body != completeStream() {
+		t.Fatalf("complete %v: %q", g.Complete, g.Body)
 	}
 }
 
 // An engine that stalls with its connection open must be replaced before the caller disconnects.
-func TestStreamLeavesStalledEngine(t *testing.T) {
+func TestStreamMovesFromStalledEngine(t *testing.T) {
 	release := make(chan struct{})
 	t.Cleanup(func() {
 		close(release)
 	})
-	d, _, a, b := newFleet(t, nil, nil)
+	d, _, a, b := newStreamProxy(t, nil, nil)
 	firstRequestGets(a, b, func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 2, false)
@@ -315,9 +315,9 @@
 	})
 	d.maxWait = 8 * time.Second
 	want := result{
-		Status: http.StatusOK,
-		Body:   wholeStream(),
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     completeStream(),
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
@@ -326,13 +326,13 @@
 
 // If a decode engine can't be reached, another one must take over the KV cache without a second prefill.
 func TestCacheIsTransferredWhenEngineIsUnreachable(t *testing.T) {
-	d, p, a, b := newFleet(t, nil, nil)
+	d, p, a, b := newStreamProxy(t, nil, nil)
 	for range 4 {
 		// One of the two engines can't be reached, whichever is placed first.
 		_ = a.listener.Close()
 		g := d.send("/dossier/7")
-		if !g.Whole || g.Body != wholeStream() {
-			t.Fatalf("status %d, whole %v: %q", g.Status, g.Whole, g.Body)
+		if !g.Complete || g.Body != completeStream() {
+			t.Fatalf("status %d, complete %v: %q", g.Status, g.Complete, g.Body)
 		}
 	}
 	if p.ran() != 4 || b.ran() != 4 {
@@ -341,8 +341,8 @@
 }
 
 // If the caller disconnects during the prefill, no engine may start to decode.
-func TestNoDecodeAfterCallerLeaves(t *testing.T) {
-	d, p, a, b := newFleet(t, nil, nil)
+func TestNoDecodeAfterCallerDisconnects(t *testing.T) {
+	d, p, a, b := newStreamProxy(t, nil, nil)
 	p.respond = func(_ int, q *http.Request, c net.Conn) bool {
 		time.Sleep(100 * time.Millisecond)
 		reply(c, q, http.StatusOK, `{"handle":"left"}`)
@@ -368,13 +368,13 @@
 		refuse(c, http.StatusServiceUnavailable)
 		return true
 	}
-	d, _, _, _ := newFleet(t, full, nil)
+	d, _, _, _ := newStreamProxy(t, full, nil)
 	for range 3 {
-		if g := d.send("/dossier/7"); g.Status != http.StatusOK || !g.Whole {
+		if g := d.send("/dossier/7"); g.Status != http.StatusOK || !g.Complete {
 			t.Fatalf("status %d", g.Status)
 		}
 	}
-	d, p, _, _ := newFleet(t, full, full)
+	d, p, _, _ := newStreamProxy(t, full, full)
 	g := d.send("/dossier/7")
 	if g.Status != http.StatusServiceUnavailable || !g.RetryAfter {
 		t.Fatalf("status %d, Retry-After %v", g.Status, g.RetryAfter)
@@ -391,12 +391,12 @@
 
 // A stream that starts late in a drain would be cut at the end of the grace period. It must be refused at once.
 func TestNoStreamStartsLateInDrain(t *testing.T) {
-	d, _, _, _ := newFleet(t, nil, nil)
+	d, _, _, _ := newStreamProxy(t, nil, nil)
 	d.proxy.Drain(time.Now().Add(-2 * drainStreamTime))
 	want := result{
 		Status:     http.StatusServiceUnavailable,
 		Body:       "notRun (2005)\n",
-		Whole:      true,
+		Complete:   true,
 		RetryAfter: true,
 	}
 	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
@@ -429,7 +429,7 @@
 // The wait of a caller starts anew with each event, so a stream must be resumed even if its engine fails later than
 // the route's maximum wait.
 func TestStreamThatBreaksLateIsResumed(t *testing.T) {
-	d, _, a, b := newFleet(t, nil, nil)
+	d, _, a, b := newStreamProxy(t, nil, nil)
 	firstRequestGets(a, b, func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		for i := 1; i <= 3; i++ {
@@ -440,9 +440,9 @@
 	})
 	d.maxWait = 8 * time.Second
 	want := result{
-		Status: http.StatusOK,
-		Body:   wholeStream(),
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     completeStream(),
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/dossier/7")); diff != "" {
 		t.Fatal(diff)
@@ -452,7 +452,7 @@
 // For a resumed stream, the time before the failure must not count as waiting, or the placer refuses a request that
 // could still wait for capacity.
 func TestMovedStreamWaitsFromItsLastEvent(t *testing.T) {
-	d, _, _, _ := newFleet(t, nil, nil)
+	d, _, _, _ := newStreamProxy(t, nil, nil)
 	now := time.Now()
 	route := routes().Match("quay.example", "/dossier/7")
 	r := &streamJob{
@@ -467,24 +467,24 @@
 		engine:    routes().Services["model"].Engine,
 		waitStart: now.Add(-5 * time.Second),
 	}
-	if w := d.proxy.streamRequest(r); w.Waited < 5*time.Second {
-		t.Fatalf("the wait before the first event is %v", w.Waited)
+	if request := d.proxy.streamRequest(r); request.Waited < 5*time.Second {
+		t.Fatalf("the wait before the first event is %v", request.Waited)
 	}
 	r.relay.headSent = true
 	d.proxy.allowResume(r, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeAnswerCut, 0, nil))
-	if w := d.proxy.streamRequest(r); !w.Moved || w.Waited > time.Second || w.MaxWait != route.MaxWait {
-		t.Fatalf("moved %v, waited %v of %v", w.Moved, w.Waited, w.MaxWait)
+	if request := d.proxy.streamRequest(r); !request.Moved || request.Waited > time.Second || request.MaxWait != route.MaxWait {
+		t.Fatalf("moved %v, waited %v of %v", request.Moved, request.Waited, request.MaxWait)
 	}
 }
 
 // An engine that can't be reached costs no retry budget, so that an exhausted budget doesn't keep a request from
 // engines that can be reached.
 func TestUnreachableEngineCostsNoBudget(t *testing.T) {
-	gone := newStandin(t, "a-prefill", hingefleet.Prefill, nil)
-	_ = gone.listener.Close()
-	d := newTestProxy(t, gone, newStandin(t, "prefill", hingefleet.Prefill, nil), newStandin(t, "decode", hingefleet.Decode, nil))
+	unreachable := newStandin(t, "a-prefill", hingefleet.Prefill, nil)
+	_ = unreachable.listener.Close()
+	d := newTestProxy(t, unreachable, newStandin(t, "prefill", hingefleet.Prefill, nil), newStandin(t, "decode", hingefleet.Decode, nil))
 	d.spendBudget("model")
-	if g := d.send("/dossier/7"); g.Status != http.StatusOK || !g.Whole {
+	if g := d.send("/dossier/7"); g.Status != http.StatusOK || !g.Complete {
 		t.Fatalf("status %d: %q", g.Status, g.Body)
 	}
 }
@@ -492,12 +492,12 @@
 // If a decode engine refuses the KV cache for lack of capacity, another one must take it over without a second
 // prefill.
 func TestCacheIsTransferredWhenEngineRefuses(t *testing.T) {
-	d, p, a, b := newFleet(t, nil, nil)
+	d, p, a, b := newStreamProxy(t, nil, nil)
 	firstRequestGets(a, b, func(_ int, _ *http.Request, c net.Conn) bool {
 		refuse(c, http.StatusServiceUnavailable)
 		return true
 	})
-	if g := d.send("/dossier/7"); g.Status != http.StatusOK || g.Body != wholeStream() {
+	if g := d.send("/dossier/7"); g.Status != http.StatusOK || g.Body != completeStream() {
 		t.Fatalf("status %d: %q", g.Status, g.Body)
 	}
 	if p.ran() != 1 {
@@ -508,14 +508,14 @@
 // Resuming a stream sends a prefill message and a decode message. If it were charged as one, the fleet would spend
 // twice its retry budget.
 func TestMovedStreamCostsTwoMessages(t *testing.T) {
-	d, _, a, b := newFleet(t, nil, nil)
+	d, _, a, b := newStreamProxy(t, nil, nil)
 	firstRequestGets(a, b, func(_ int, q *http.Request, c net.Conn) bool {
 		beginStream(c, q)
 		events(c, 1, 2, false)
 		return true
 	})
 	before := d.remainingBudget("model")
-	if g := d.send("/dossier/7"); g.Body != wholeStream() {
+	if g := d.send("/dossier/7"); g.Body != completeStream() {
 		t.Fatalf("status %d: %q", g.Status, g.Body)
 	}
 	if spent := before - d.remainingBudget("model"); spent != 2 {
@@ -529,7 +529,7 @@
 	leaving := newStandin(t, "app-1", 0, nil)
 	other := newStandin(t, "app-2", 0, nil)
 	d := newTestProxy(t, leaving, other)
-	d.cluster.gone = map[hingeids.ServerID]bool{
+	d.cluster.removed = map[hingeids.ServerID]bool{
 		"app-1": true,
 	}
 	for range 10 {
--- a/internal/path/hingeproxy/relay.go
+++ b/internal/path/hingeproxy/relay.go
@@ -32,13 +32,13 @@
 }
 
 // recordEvent records the time of a forwarded event.
-func (y *relay) recordEvent(now time.Time) {
-	if y.firstAt.IsZero() {
-		y.firstAt = now
+func (r *relay) recordEvent(now time.Time) {
+	if r.firstAt.IsZero() {
+		r.firstAt = now
 	} else {
-		y.maxPause = max(y.maxPause, now.Sub(y.lastAt))
+		r.maxPause = max(r.maxPause, now.Sub(r.lastAt))
 	}
-	y.lastAt = now
+	r.lastAt = now
 }
 
 // errMissingEvent is returned if the ids of a stream skip an event.
@@ -46,12 +46,12 @@
 
 // forward forwards the events of one engine until the stream is complete. It calls onEvent after each event with the
 // number of events forwarded so far.
-func (y *relay) forward(x *hingewire.Exchange, w *hingewire.Writer, onEvent func(events int)) error {
-	if !y.headSent {
+func (r *relay) forward(x *hingewire.Exchange, w *hingewire.Writer, onEvent func(events int)) error {
+	if !r.headSent {
 		if err := w.WriteHead(x.Response.StatusCode, x.Response.Header); err != nil {
 			return err
 		}
-		y.headSent = true
+		r.headSent = true
 	}
 	source := bufio.NewReader(x.Response.Body)
 	for {
@@ -62,7 +62,7 @@
 		if err != nil {
 			return eris.Wrap(err, "event stream")
 		}
-		id, forward, err := y.checkEvent(event)
+		id, forward, err := r.checkEvent(event)
 		if err != nil {
 			return err
 		}
@@ -72,11 +72,11 @@
 		if err := w.WritePart(event); err != nil {
 			return err
 		}
-		y.events++
+		r.events++
 		if id != "" {
-			y.lastID = id
+			r.lastID = id
 		}
-		onEvent(y.events)
+		onEvent(r.events)
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // checkEvent reports whether to forward an event. An event that the caller already has is skipped, one that doesn't
 // follow the last forwarded event is an error.
-func (y *relay) checkEvent(event []byte) (id string, forward bool, err error) {
+func (r *relay) checkEvent(event []byte) (id string, forward bool, err error) {
 	id = eventID(event)
 	if id == "" {
 		return "", true, nil
@@ -123,7 +123,7 @@
 		// Ids that aren't numbers have no order; such events are forwarded as they come.
 		return id, true, nil
 	}
-	lastID, err := strconv.ParseInt(y.lastID, 10, 64)
+	lastID, err := strconv.ParseInt(r.lastID, 10, 64)
 	if err != nil {
 		return id, true, nil
 	}
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -47,24 +47,24 @@
 	}
 }
 
-func (testDialect) OutgoingHeaders(h http.Header, s ForwardInfo) http.Header {
+func (testDialect) OutgoingHeaders(h http.Header, f ForwardInfo) http.Header {
 	out := h.Clone()
-	out.Set("Server", string(s.Server))
-	out.Set("Left", fmt.Sprint(s.Remaining.Milliseconds()))
+	out.Set("Server", string(f.Server))
+	out.Set("Left", fmt.Sprint(f.Remaining.Milliseconds()))
 	out.Del("Key")
 	out.Del("Customer")
-	if s.Customer != "" {
-		out.Set("Customer", string(s.Customer))
+	if f.Customer != "" {
+		out.Set("Customer", string(f.Customer))
 	}
 	out.Del("After")
-	if s.LastEventID != "" {
-		out.Set("After", s.LastEventID)
+	if f.LastEventID != "" {
+		out.Set("After", f.LastEventID)
 	}
-	if s.PrefillOnly {
+	if f.PrefillOnly {
 		out.Set("Prefill", "1")
 	}
-	if s.SourceCache.Handle != "" {
-		out.Set("From", s.SourceCache.Handle)
+	if f.SourceCache.Handle != "" {
+		out.Set("From", f.SourceCache.Handle)
 	}
 	return out
 }
@@ -215,13 +215,13 @@
 	return n + 1
 }
 
-// events writes the events from first to last, and the end of the stream if it is whole.
-func events(c net.Conn, first, last int, whole bool) {
+// events writes the events from first to last, and the end of the stream if it is complete.
+func events(c net.Conn, first, last int, complete bool) {
 	for i := first; i <= last; i++ {
 		e := fmt.Sprintf("id: %d\ndata: token %d\n\n", i, i)
 		_, _ = fmt.Fprintf(c, "%x\r\n%s\r\n", len(e), e)
 	}
-	if whole {
+	if complete {
 		_, _ = io.WriteString(c, "0\r\n\r\n")
 	}
 }
@@ -232,50 +232,52 @@
 	placers  []hingeids.HostID
 	mu       sync.Mutex
 	standins []*standin
-	// gone lists servers that accept no more requests.
-	gone map[hingeids.ServerID]bool
+	// removed lists servers that accept no more requests.
+	removed map[hingeids.ServerID]bool
 	// newest replaces the check for a newer configuration, if set.
 	newest func(ctx context.Context) bool
 }
 
 // servers returns the present stand-ins.
-func (w *cluster) servers() []*standin {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return slices.Clone(w.standins)
+func (c *cluster) servers() []*standin {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return slices.Clone(c.standins)
 }
 
 // replace replaces a server that has crashed.
-func (w *cluster) replace(old, replacement *standin) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.standins[slices.Index(w.standins, old)] = replacement
+func (c *cluster) replace(old, replacement *standin) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.standins[slices.Index(c.standins, old)] = replacement
 }
 
-func (w *cluster) set(t *hingeroutes.Table) { w.table.Store(t) }
+func (c *cluster) set(t *hingeroutes.Table) { c.table.Store(t) }
 
-func (w *cluster) Table() *hingeroutes.Table { return w.table.Load() }
+func (c *cluster) Table() *hingeroutes.Table { return c.table.Load() }
 
 // ConfirmNewest calls newest, and returns true if that is nil.
-func (w *cluster) ConfirmNewest(ctx context.Context) bool { return w.newest == nil || w.newest(ctx) }
+func (c *cluster) ConfirmNewest(ctx context.Context) bool { return c.newest == nil || c.newest(ctx) }
 
-func (w *cluster) Changed() <-chan struct{} { return w.table.Changed() }
+func (c *cluster) Changed() <-chan struct{} { return c.table.Changed() }
 
-func (w *cluster) EntryHosts() int { return 1 }
+func (c *cluster) EntryHosts() int { return 1 }
 
-func (w *cluster) IsElectedLeader() bool { return false }
+func (c *cluster) IsElectedLeader() bool { return false }
 
-func (w *cluster) Quota(c hingeids.CallerID) hingecustomers.Quota { return w.Table().Quota(c) }
+func (c *cluster) Quota(customer hingeids.CallerID) hingecustomers.Quota {
+	return c.Table().Quota(customer)
+}
 
-func (w *cluster) PoisonEntry(hingeids.Fingerprint) hingepoison.Listed {
+func (c *cluster) PoisonEntry(hingeids.Fingerprint) hingepoison.Listed {
 	return hingepoison.Listed{}
 }
 
-func (w *cluster) Placers() []hingeids.HostID { return w.placers }
+func (c *cluster) Placers() []hingeids.HostID { return c.placers }
 
-func (w *cluster) Replicas() map[hingeids.Service][]hingebalance.Replica {
+func (c *cluster) Replicas() map[hingeids.Service][]hingebalance.Replica {
 	var out []hingebalance.Replica
-	for _, x := range w.servers() {
+	for _, x := range c.servers() {
 		if x.role == 0 {
 			out = append(out, hingebalance.Replica{
 				Server:  x.id,
@@ -288,12 +290,12 @@
 	}
 }
 
-func (w *cluster) Removed(id hingeids.ServerID) bool { return w.gone[id] }
+func (c *cluster) Removed(id hingeids.ServerID) bool { return c.removed[id] }
 
-func (w *cluster) Version() string { return "1/00000000" }
+func (c *cluster) Version() string { return "1/00000000" }
 
-func (w *cluster) Address(id hingeids.ServerID) (string, bool) {
-	for _, x := range w.servers() {
+func (c *cluster) Address(id hingeids.ServerID) (string, bool) {
+	for _, x := range c.servers() {
 		if x.id == id {
 			return x.listener.Addr().String(), true
 		}
@@ -301,9 +303,9 @@
 	return "", false
 }
 
-func (w *cluster) Engines() map[hingeids.Service][]hingefleet.Engine {
+func (c *cluster) Engines() map[hingeids.Service][]hingefleet.Engine {
 	var out []hingefleet.Engine
-	for _, x := range w.servers() {
+	for _, x := range c.servers() {
 		if x.role != 0 {
 			out = append(out, hingefleet.Engine{
 				Server: x.id,
@@ -382,11 +384,11 @@
 
 func newTestProxy(t *testing.T, standins ...*standin) *testProxy {
 	t.Helper()
-	w := &cluster{
+	c := &cluster{
 		standins: standins,
 	}
-	w.set(routes())
-	return newTestProxyAt(t, w, hingefake.NewNetwork(), "entry-1")
+	c.set(routes())
+	return newTestProxyAt(t, c, hingefake.NewNetwork(), "entry-1")
 }
 
 // control is a control host with the same cluster view as the entry hosts. It places their requests.
@@ -399,14 +401,14 @@
 // newTestProxies starts n entry hosts whose requests are placed by one control host.
 func newTestProxies(t *testing.T, n int, standins ...*standin) []*testProxy {
 	t.Helper()
-	w := &cluster{
+	c := &cluster{
 		standins: standins,
 		placers:  []hingeids.HostID{"control-1"},
 	}
-	w.set(routes())
+	c.set(routes())
 	network := hingefake.NewNetwork()
 	placer := hingeplacer.New(control{
-		cluster: w,
+		cluster: c,
 	}, nil, func() bool {
 		return true
 	}, time.Now, hingequota.DefaultTerms)
@@ -421,14 +423,14 @@
 	})
 	var out []*testProxy
 	for i := range n {
-		out = append(out, newTestProxyAt(t, w, network, hingeids.HostID(fmt.Sprint("entry-", i+1))))
+		out = append(out, newTestProxyAt(t, c, network, hingeids.HostID(fmt.Sprint("entry-", i+1))))
 	}
 	return out
 }
 
-func newTestProxyAt(t *testing.T, w *cluster, network *hingefake.Network, host hingeids.HostID) *testProxy {
+func newTestProxyAt(t *testing.T, c *cluster, network *hingefake.Network, host hingeids.HostID) *testProxy {
 	t.Helper()
-	owner := hingeplacer.NewOwner(host, network.Link(host), w, time.Now, nil, hingequota.DefaultTerms)
+	owner := hingeplacer.NewOwner(host, network.Link(host), c, time.Now, nil, hingequota.DefaultTerms)
 	p := New(Settings{
 		Self: hingeids.Instance{
 			Host:        host,
@@ -439,7 +441,7 @@
 			Burst:      20,
 		},
 		Clock: time.Now,
-	}, testDialect{}, w, owner)
+	}, testDialect{}, c, owner)
 	l, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -468,7 +470,7 @@
 		t:       t,
 		address: l.Addr().String(),
 		proxy:   p,
-		cluster: w,
+		cluster: c,
 		maxWait: 2500 * time.Millisecond,
 	}
 }
@@ -508,8 +510,8 @@
 type result struct {
 	Status int
 	Body   string
-	// Whole is set if the body was read without an error.
-	Whole      bool
+	// Complete is set if the body was read without an error.
+	Complete   bool
 	RetryAfter bool
 }
 
@@ -554,7 +556,7 @@
 	return result{
 		Status:     a.StatusCode,
 		Body:       string(b),
-		Whole:      err == nil,
+		Complete:   err == nil,
 		RetryAfter: a.Header.Get("Retry-After") != "",
 	}
 }
--- a/internal/path/hingeproxy/start_test.go
+++ b/internal/path/hingeproxy/start_test.go
@@ -21,9 +21,9 @@
 	})
 	began := time.Now()
 	want := result{
-		Status: http.StatusOK,
-		Body:   "lot 7 is alive",
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     "lot 7 is alive",
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/status/7")); diff != "" {
 		t.Fatal(diff)
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -166,13 +166,13 @@
 }
 
 // expectedTokens estimates the length of an answer: the caller's hint, or half of its maximum, within its bounds.
-func expectedTokens(a RequestInfo, e *hingeroutes.Engine) hingeids.Tokens {
-	t := a.ExpectedTokens
+func expectedTokens(info RequestInfo, e *hingeroutes.Engine) hingeids.Tokens {
+	t := info.ExpectedTokens
 	if t <= 0 {
-		t = a.MaxTokens / 2
+		t = info.MaxTokens / 2
 	}
-	if a.MaxTokens > 0 {
-		t = min(t, a.MaxTokens)
+	if info.MaxTokens > 0 {
+		t = min(t, info.MaxTokens)
 	}
 	return max(t, e.EventTokens)
 }
@@ -260,9 +260,9 @@
 
 // place requests engines for a stream, only a decode engine if the KV cache exists already.
 func (p *Proxy) place(ctx context.Context, r *streamJob, cached bool) (placement, *hingeverdict.Error) {
-	w := p.streamRequest(r)
-	w.Cached = cached
-	placed := p.owner.Place(ctx, w)
+	request := p.streamRequest(r)
+	request.Cached = cached
+	placed := p.owner.Place(ctx, request)
 	if placed.Refused {
 		return placement{}, refusal(placed)
 	}
@@ -279,11 +279,11 @@
 		Count:           int64(placed.Peak),
 		Route:           r.route.Name,
 		ViewVersion:     p.view.Version(),
-		Detail:          fmt.Sprintf("prefill %s, alone %v, prompt %d, expected %d", placed.Prefill, placed.Local, w.PromptTokens, w.ExpectedTokens),
+		Detail:          fmt.Sprintf("prefill %s, alone %v, prompt %d, expected %d", placed.Prefill, placed.Local, request.PromptTokens, request.ExpectedTokens),
 	})
 	return placement{
 		Placement: placed,
-		stream:    p.owner.StartStream(w, placed),
+		stream:    p.owner.StartStream(request, placed),
 	}, nil
 }
 
--- a/internal/path/hingewire/crash.go
+++ b/internal/path/hingewire/crash.go
@@ -14,7 +14,7 @@
 
 // RefusesConnections reports whether the server at an address refuses connections, as after a crash.
 // It distinguishes a crash from a network failure if an exchange fails with an error for
-// which BrokeOff is true, so that a request isn't blamed for the network.
+// which IsDisconnect is true, so that a request isn't blamed for the network.
 func RefusesConnections(ctx context.Context, address string) bool {
 	dialCtx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
--- a/internal/path/hingewire/exchange.go
+++ b/internal/path/hingewire/exchange.go
@@ -54,14 +54,14 @@
 }
 
 // Do dials, sends a request and reads the head of the response. Cancelling the
-// context closes the exchange, also after Begin has returned. An error's verdict says
+// context closes the exchange, also after Do has returned. An error's verdict says
 // whether the request may have run.
-func Do(ctx context.Context, address string, s OutgoingRequest) (*Exchange, error) {
+func Do(ctx context.Context, address string, r OutgoingRequest) (*Exchange, error) {
 	x, err := Dial(ctx, address)
 	if err != nil {
 		return nil, err
 	}
-	if err := x.Send(s); err != nil {
+	if err := x.Send(r); err != nil {
 		return nil, err
 	}
 	return x, nil
@@ -98,8 +98,8 @@
 
 // Send sends the request and reads the head of the response. If it fails the exchange
 // is closed and the error has the verdict mayHaveRun.
-func (x *Exchange) Send(s OutgoingRequest) error {
-	err := x.send(s)
+func (x *Exchange) Send(r OutgoingRequest) error {
+	err := x.send(r)
 	if err == nil {
 		return nil
 	}
@@ -123,9 +123,9 @@
 	return setErr
 }
 
-func (x *Exchange) send(s OutgoingRequest) error {
+func (x *Exchange) send(r OutgoingRequest) error {
 	var message bytes.Buffer
-	s.write(&message)
+	r.write(&message)
 	if message.Len() <= maxInlineWrite {
 		if _, err := x.conn.Write(message.Bytes()); err != nil {
 			return eris.Wrap(err, "write request to backend server")
@@ -139,7 +139,7 @@
 	}
 	for {
 		resp, err := http.ReadResponse(x.reader, &http.Request{
-			Method: s.Method,
+			Method: r.Method,
 		})
 		if err != nil {
 			return eris.Wrap(err, "read response head from backend server")
@@ -151,16 +151,16 @@
 	}
 }
 
-func (s OutgoingRequest) write(b *bytes.Buffer) {
+func (r OutgoingRequest) write(b *bytes.Buffer) {
 	out := bufio.NewWriter(b)
 	// Writes to a buffer in memory don't fail.
-	_, _ = out.WriteString(s.Method + " " + s.Target + " HTTP/1.1\r\nHost: " + s.Host + "\r\n")
-	_ = writeHeader(out, s.Header)
-	if len(s.Body) > 0 || s.Method == http.MethodPost || s.Method == http.MethodPut || s.Method == http.MethodPatch {
-		_, _ = out.WriteString("Content-Length: " + strconv.Itoa(len(s.Body)) + "\r\n")
+	_, _ = out.WriteString(r.Method + " " + r.Target + " HTTP/1.1\r\nHost: " + r.Host + "\r\n")
+	_ = writeHeader(out, r.Header)
+	if len(r.Body) > 0 || r.Method == http.MethodPost || r.Method == http.MethodPut || r.Method == http.MethodPatch {
+		_, _ = out.WriteString("Content-Length: " + strconv.Itoa(len(r.Body)) + "\r\n")
 	}
 	_, _ = out.Write(crlf)
-	_, _ = out.Write(s.Body)
+	_, _ = out.Write(r.Body)
 	_ = out.Flush()
 }
 
--- a/internal/path/hingewire/server.go
+++ b/internal/path/hingewire/server.go
@@ -14,8 +14,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// Limits has the limits of a request's size and time. HeaderTime is the maximum duration
-// of reading a head; IdleTime is the maximum wait for a request on an open connection.
+// Limits has the limits of a request's size and time. HeaderTimeout is the maximum
+// duration of reading a head; IdleTimeout is the maximum wait for a request on an open
+// connection.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int
@@ -39,7 +40,8 @@
 }
 
 // Handler handles requests. It is called concurrently for different connections. The
-// context is cancelled when the caller disconnects, with the cause ErrCallerLeft.
+// context is cancelled when the caller disconnects, with the cause
+// ErrCallerDisconnected.
 type Handler interface {
 	Serve(ctx context.Context, r *Request, w *Writer)
 }
--- a/internal/path/hingewire/writer.go
+++ b/internal/path/hingewire/writer.go
@@ -54,8 +54,8 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// WriteHead writes the head of a response whose body follows in parts. Its error, and those
-// of Part and End, is that of the first failed write.
+// WriteHead writes the head of a response whose body follows in parts. The errors of
+// WriteHead, WritePart and Finish are that of the first failed write.
 func (w *Writer) WriteHead(status int, h http.Header) error {
 	if !w.http11 {
 		// HTTP/1.0 marks the end of such a body by closing the connection.
