--- a/internal/capacity/hingeholds/sim_test.go
+++ b/internal/capacity/hingeholds/sim_test.go
@@ -32,7 +32,7 @@
 	id       hingeids.HostID
 	state    *State
 	instance hingeids.Instance
-	// down is whether the host is killed or frozen.
+	// down is whether the host is killed or suspended.
 	down  bool
 	known map[hingeids.RequestID]bool
 	next  uint64
--- a/internal/capacity/hingeplacer/owner.go
+++ b/internal/capacity/hingeplacer/owner.go
@@ -76,7 +76,7 @@
 // local placement.
 func NewOwner(
 	self hingeids.HostID, link hingelink.Link, v ClusterView, clock func() time.Time, r *hingeevents.Recorder,
-	t hingequota.Params,
+	params hingequota.Params,
 ) *Owner {
 	o := &Owner{
 		recorder:   r,
@@ -92,7 +92,7 @@
 		// Placers ignore reports with lower sequence numbers, so the numbers must increase across restarts of
 		// the process and of the machine.
 		sequence: uint64(time.Now().UnixNano()),
-		quotas:   newQuotaState(clock(), t),
+		quotas:   newQuotaState(clock(), params),
 	}
 	link.HandleDatagram(methodPlaced, o.handlePlaced)
 	o.local = New(localShare{
@@ -100,7 +100,7 @@
 		view: v,
 	}, nil, func() bool {
 		return true
-	}, clock, t)
+	}, clock, params)
 	return o
 }
 
--- a/internal/capacity/hingeplacer/placer.go
+++ b/internal/capacity/hingeplacer/placer.go
@@ -66,7 +66,7 @@
 	// EntryHosts returns the number of entry hosts.
 	EntryHosts() int
 	// PoisonEntry returns the poison list's entry for a fingerprint.
-	PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed
+	PoisonEntry(fingerprint hingeids.Fingerprint) hingepoison.Listed
 	// IsElectedLeader reports whether this host is the elected leader. A control host without a leader places too, for its zone.
 	IsElectedLeader() bool
 }
@@ -123,7 +123,7 @@
 }
 
 // New returns a placer. The proposer is nil if the host can't propose poison records.
-func New(s Servers, p Proposer, leads func() bool, clock func() time.Time, t hingequota.Params) *Placer {
+func New(s Servers, p Proposer, leads func() bool, clock func() time.Time, params hingequota.Params) *Placer {
 	return &Placer{
 		servers:        s,
 		proposer:       p,
@@ -136,7 +136,7 @@
 		lastSequence:   make(map[hingeids.HostID]uint64),
 		queues:         make(map[hingeids.Service]*hingequeue.Queue),
 		pendingCalls:   make(map[hingequeue.CallID]pendingRequest[CallPlacement]),
-		limiter:        hingequota.NewLimiter(t),
+		limiter:        hingequota.NewLimiter(params),
 		detector:       hingepoison.NewDetector(),
 		unconfirmed:    make(map[hingeids.Fingerprint]unconfirmed),
 		wallTime:       time.Now,
--- a/internal/capacity/hingeplacer/placer_test.go
+++ b/internal/capacity/hingeplacer/placer_test.go
@@ -89,13 +89,13 @@
 // clusterView is an entry host's view with a settable list of placers.
 type clusterView struct {
 	fixedServers
-	placers atomic.Pointer[[]hingeids.HostID]
-	entries int
+	placers    atomic.Pointer[[]hingeids.HostID]
+	entryHosts int
 }
 
 func (v *clusterView) Placers() []hingeids.HostID { return *v.placers.Load() }
 
-func (v *clusterView) EntryHosts() int { return v.entries }
+func (v *clusterView) EntryHosts() int { return v.entryHosts }
 
 // cluster simulates two control hosts and two entry hosts with a fake clock.
 type cluster struct {
@@ -127,7 +127,7 @@
 		for i := range 2 {
 			h := hingeids.HostID(fmt.Sprint("entry-", i+1))
 			known := &clusterView{
-				entries: 2,
+				entryHosts: 2,
 			}
 			known.placers.Store(&[]hingeids.HostID{"control-1", "control-2"})
 			o := NewOwner(h, cl.network.Link(h), known, time.Now, nil, hingequota.DefaultTerms)
--- a/internal/capacity/hingeplacer/quotastate.go
+++ b/internal/capacity/hingeplacer/quotastate.go
@@ -22,11 +22,11 @@
 	refunds []hingequota.Charge
 }
 
-func newQuotaState(now time.Time, t hingequota.Params) quotaState {
-	l := hingequota.NewLedger(now, t)
+func newQuotaState(now time.Time, params hingequota.Params) quotaState {
+	l := hingequota.NewLedger(now, params)
 	return quotaState{
 		ledger:          l,
-		limiter:         hingequota.NewLocalLimiter(t, l),
+		limiter:         hingequota.NewLocalLimiter(params, l),
 		needsFullReport: true,
 	}
 }
--- a/internal/capacity/hingeslots/allocator.go
+++ b/internal/capacity/hingeslots/allocator.go
@@ -84,8 +84,8 @@
 // received before and has been dropped is not accepted again, since its occupancy
 // is lost. Rule 4.
 func (s *State) handleDelegation(now time.Time, e *engineState, m Message) {
-	sent, known := s.sentAt[m.Number]
-	until := sent.Add(m.Duration)
+	sentAt, known := s.sentAt[m.Number]
+	until := sentAt.Add(m.Duration)
 	if !known || !now.Before(until) {
 		return
 	}
--- a/internal/capacity/hingeslots/holder.go
+++ b/internal/capacity/hingeslots/holder.go
@@ -152,8 +152,8 @@
 		s.returnUnused(e, r, m)
 		return
 	}
-	sent, known := s.sentAt[m.Number]
-	startBy := sent.Add(m.Duration)
+	sentAt, known := s.sentAt[m.Number]
+	startBy := sentAt.Add(m.Duration)
 	if r.granted || !known || !now.Before(startBy) {
 		return
 	}
--- a/internal/capacity/hingeslots/members.go
+++ b/internal/capacity/hingeslots/members.go
@@ -6,19 +6,19 @@
 )
 
 // NewView returns the part of the membership view that slot allocation needs.
-func NewView(m *hingemembers.View, zone hingeids.Zone) View {
+func NewView(members *hingemembers.View, zone hingeids.Zone) View {
 	v := View{
 		Recorded:   make(map[hingeids.HostID]hingeids.Incarnation),
-		LeaseUntil: m.LeaseUntil,
+		LeaseUntil: members.LeaseUntil,
 	}
-	for _, h := range m.Hosts {
+	for _, h := range members.Hosts {
 		if h.Zone != zone {
 			continue
 		}
 		if h.State == hingemembers.Alive {
 			v.Alive = append(v.Alive, h.Instance.Host)
 		}
-		if r, ok := m.Registry[h.Instance.Host]; ok && !r.Ended {
+		if r, ok := members.Registry[h.Instance.Host]; ok && !r.Ended {
 			v.Recorded[h.Instance.Host] = r.Incarnation
 		}
 	}
--- a/internal/path/hingeproxy/admit_test.go
+++ b/internal/path/hingeproxy/admit_test.go
@@ -105,11 +105,11 @@
 
 // Thousands of requests a second with wrong keys must not flood the log.
 func TestDenialsDoNotFloodTheLog(t *testing.T) {
-	var b logLimiter
+	var l logLimiter
 	now := time.Unix(0, 0)
 	lines, requests := 0, int64(0)
 	for range 5000 {
-		if n, ok := b.allow(now); ok {
+		if n, ok := l.allow(now); ok {
 			lines++
 			requests += n
 		}
