--- a/internal/capacity/hingeholds/sim_test.go
+++ b/internal/capacity/hingeholds/sim_test.go
@@ -32,7 +32,7 @@
 	id       hingeids.HostID
 	state    *State
 	instance hingeids.Instance
-	// down is whether the host is killed or frozen.
+	// down is whether the host is killed or suspended.
 	down  bool
 	known map[hingeids.RequestID]bool
 	next  uint64
@@ -105,14 +105,14 @@
 	s.tick(h, h.state)
 }
 
-func (s *simulation) recordInstance(l hingeids.Instance, over bool) {
+func (s *simulation) recordInstance(instance hingeids.Instance, ended bool) {
 	next := hingemembers.Registry{}
 	for k, v := range s.record {
 		next[k] = v
 	}
-	next[l.Host] = hingemembers.RegistryEntry{
-		Incarnation: l.Incarnation,
-		Ended:       over,
+	next[instance.Host] = hingemembers.RegistryEntry{
+		Incarnation: instance.Incarnation,
+		Ended:       ended,
 	}
 	s.record = next
 }
--- a/internal/path/hingeproxy/admit_test.go
+++ b/internal/path/hingeproxy/admit_test.go
@@ -44,9 +44,9 @@
 		return true
 	}
 	want := result{
-		Status: http.StatusOK,
-		Body:   "lot 7 is alive",
-		Whole:  true,
+		Status:   http.StatusOK,
+		Body:     "lot 7 is alive",
+		Complete: true,
 	}
 	if diff := cmp.Diff(want, d.send("/status/7")); diff != "" {
 		t.Fatal(diff)
@@ -105,11 +105,11 @@
 
 // Thousands of requests a second with wrong keys must not flood the log.
 func TestDenialsDoNotFloodTheLog(t *testing.T) {
-	var b logLimiter
+	var l logLimiter
 	now := time.Unix(0, 0)
 	lines, requests := 0, int64(0)
 	for range 5000 {
-		if n, ok := b.allow(now); ok {
+		if n, ok := l.allow(now); ok {
 			lines++
 			requests += n
 		}
