--- a/internal/load/hingecompare/compare.go
+++ b/internal/load/hingecompare/compare.go
@@ -35,8 +35,8 @@
 	Policy string  `json:"policy"`
 	Load   float64 `json:"load"`
 	// Goodput and TokenGoodput are requests and output tokens per second within
-	// both targets. Wasted is the share of prefill tokens that were computed but
-	// not used.
+	// both targets. WastedShare is the share of prefill tokens that were computed
+	// but not used.
 	Goodput      float64 `json:"goodput"`
 	TokenGoodput float64 `json:"tokenGoodput"`
 	WastedShare  float64 `json:"wasted"`
@@ -48,7 +48,7 @@
 // candidate is a placement policy under comparison.
 type candidate struct {
 	name      string
-	newPolicy func(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy
+	newPolicy func(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy
 }
 
 // candidates returns the router's policy with the weights of both example
@@ -92,17 +92,17 @@
 	}
 }
 
-func routerPolicy(w hingeplace.Weights) func(hingemodel.Workload, hingemodel.Cluster, uint64) hingemodel.Policy {
-	return func(f hingemodel.Workload, c hingemodel.Cluster, _ uint64) hingemodel.Policy {
-		return hingepolicy.New(f, c, w)
+func routerPolicy(weights hingeplace.Weights) func(hingemodel.Workload, hingemodel.Cluster, uint64) hingemodel.Policy {
+	return func(w hingemodel.Workload, c hingemodel.Cluster, _ uint64) hingemodel.Policy {
+		return hingepolicy.New(w, c, weights)
 	}
 }
 
 func baselinePolicy(
 	newRouter func(hingemodel.Workload, hingemodel.Cluster, uint64) *hingebaseline.Router,
 ) func(hingemodel.Workload, hingemodel.Cluster, uint64) hingemodel.Policy {
-	return func(f hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy {
-		return newRouter(f, c, seed)
+	return func(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy {
+		return newRouter(w, c, seed)
 	}
 }
 
--- a/internal/load/hingeload/doc.go
+++ b/internal/load/hingeload/doc.go
@@ -11,12 +11,12 @@
 //     and fail over to the next host if the connection can't be opened.
 //     Connections aren't reused, because net/http silently resends a request
 //     when a reused connection is found closed.
-//  4. A caller whose request was refused as not run retries after Retry-After,
+//  4. A caller whose request was refused before it ran retries after Retry-After,
 //     or immediately. A caller whose answer was cut off resends the request
 //     under the same idempotency key, if it has one. The number of attempts and
 //     the time are bounded.
 //  5. The answers of the stand-ins are deterministic, so every answer is
-//     classified as complete, truncated, duplicated, or another request's.
+//     classified as complete, truncated, duplicated, or misdelivered.
 //  6. Wasted prefill and the runs of each key are read from the stand-ins'
 //     counters.
 //
--- a/internal/load/hingeload/fate.go
+++ b/internal/load/hingeload/fate.go
@@ -10,15 +10,15 @@
 	codes    []int
 }
 
-// problem names the failure of a request, or is empty if the request was
-// answered correctly or refused as not run.
-func (f requestResult) problem() string {
+// problem names the failure of a request as reports do, or is empty if the
+// request was answered correctly or refused before it ran.
+func (r requestResult) problem() string {
 	switch {
-	case f.outcome == uncertain:
+	case r.outcome == uncertain:
 		return "uncertain"
-	case f.outcome == incomplete || f.outcome == unreachable:
+	case r.outcome == incomplete || r.outcome == unreachable:
 		return "lost"
-	case f.outcome != answered:
+	case r.outcome != answered:
 		return ""
 	}
 	return [...]string{
@@ -26,24 +26,24 @@
 		Truncated:    "truncated",
 		Duplicated:   "doubled",
 		Misdelivered: "crossed",
-	}[f.finding]
+	}[r.finding]
 }
 
-func (r *Result) addCase(a Arrival, f requestResult) {
-	problem := f.problem()
+func (r *Result) addCase(a Arrival, result requestResult) {
+	problem := result.problem()
 	if problem == "" || len(r.Cases) == maxCases {
 		return
 	}
 	c := Case{
 		Class:    a.Class.Name,
 		Problem:  problem,
-		Request:  f.reply.requestID,
+		Request:  result.reply.requestID,
 		Second:   a.ScheduledAt.Seconds(),
-		Attempts: f.attempts,
-		Code:     f.reply.code,
+		Attempts: result.attempts,
+		Code:     result.reply.code,
 	}
-	if f.reply.err != nil {
-		c.Detail = f.reply.err.Error()
+	if result.reply.err != nil {
+		c.Detail = result.reply.err.Error()
 	}
 	r.Cases = append(r.Cases, c)
 }
--- a/internal/load/hingeload/judge.go
+++ b/internal/load/hingeload/judge.go
@@ -19,7 +19,7 @@
 
 // ClassifyAnswer compares an answer with the expected one token by token (rule 5).
 // Tokens end with a space. Of several faults it returns the most severe:
-// Crossed, then Doubled, then Truncated.
+// Misdelivered, then Duplicated, then Truncated.
 func ClassifyAnswer(want, got string) Finding {
 	if got == want {
 		return Correct
--- a/internal/load/hingeload/judge_test.go
+++ b/internal/load/hingeload/judge_test.go
@@ -9,8 +9,8 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// Judge must detect dropped and repeated tokens and tokens of other requests.
-func TestJudge(t *testing.T) {
+// Dropped and repeated tokens and tokens of other requests must be detected.
+func TestClassifyAnswer(t *testing.T) {
 	want := hingestandin.Answer("own", 3)
 	other := hingestandin.Answer("other", 3)
 	token := func(i int) string { return hingestandin.Token("own", i) }
@@ -42,7 +42,7 @@
 
 // The schedule must be the same for the same seed, so that runs are comparable,
 // and no two requests may have the same prompt, or their answers couldn't be told apart.
-func TestDraw(t *testing.T) {
+func TestNewSchedule(t *testing.T) {
 	phases := []Phase{
 		{
 			Duration: 10 * time.Second,
--- a/internal/load/hingeload/mix.go
+++ b/internal/load/hingeload/mix.go
@@ -124,9 +124,9 @@
 // completions returns the completion classes of a workload of the engine model,
 // scaled to share. The class named chatClass uses the chat route, by which the
 // routing rules distinguish it.
-func completions(f hingemodel.Workload, share float64, chatClass string) []Class {
+func completions(w hingemodel.Workload, share float64, chatClass string) []Class {
 	var list []Class
-	for _, c := range f.Classes {
+	for _, c := range w.Classes {
 		kind := Completion
 		if c.Name == chatClass {
 			kind = Chat
--- a/internal/load/hingeload/reply.go
+++ b/internal/load/hingeload/reply.go
@@ -33,7 +33,7 @@
 const (
 	// answered ended as a complete answer.
 	answered outcome = iota
-	// refused was not run, by the router's verdict.
+	// refused was not run, according to the router's verdict.
 	refused
 	// uncertain ended with an error that doesn't exclude that the request ran.
 	uncertain
--- a/internal/load/hingeload/reply_test.go
+++ b/internal/load/hingeload/reply_test.go
@@ -32,29 +32,29 @@
 	cutByRouter.errorEvent = true
 	got := make(map[string]step)
 	for name, c := range map[string]struct {
-		reply  reply
-		key    KeyKind
-		asTold bool
+		reply            reply
+		key              KeyKind
+		honorsRetryAfter bool
 	}{
 		"refused": {
-			reply:  refusal,
-			asTold: true,
+			reply:            refusal,
+			honorsRetryAfter: true,
 		},
 		"refused, ignores Retry-After": {
 			reply: refusal,
 		},
 		"refused without Retry-After": {
-			reply:  final,
-			asTold: true,
+			reply:            final,
+			honorsRetryAfter: true,
 		},
 		"may have run": {
-			reply:  retriable,
-			asTold: true,
+			reply:            retriable,
+			honorsRetryAfter: true,
 		},
 		"may have run, with a key": {
-			reply:  retriable,
-			key:    OwnKey,
-			asTold: true,
+			reply:            retriable,
+			key:              OwnKey,
+			honorsRetryAfter: true,
 		},
 		"stream without end mark": {
 			reply: cut,
@@ -81,7 +81,7 @@
 	} {
 		wait, again := retry(&Class{
 			Key: c.key,
-		}, c.reply, c.asTold)
+		}, c.reply, c.honorsRetryAfter)
 		got[name] = step{
 			Outcome: c.reply.outcome(),
 			Wait:    wait,
--- a/internal/load/hingeload/result.go
+++ b/internal/load/hingeload/result.go
@@ -20,13 +20,13 @@
 	// OfferedPerSecond and InTargetPerSecond are indexed by the second of the scheduled arrival.
 	OfferedPerSecond  []int `json:"offeredPerSecond"`
 	InTargetPerSecond []int `json:"inTargetPerSecond"`
-	// Unsent counts requests dropped because Options.MostOpen were open; a run
+	// Unsent counts requests dropped because Options.MaxOpen were open; a run
 	// with any doesn't measure the router. SendLagMs is the delay of requests
 	// behind the schedule.
 	Unsent    int       `json:"unsent"`
 	SendLagMs Quantiles `json:"sendLagMs"`
 	// Cases are the first requests that were lost, uncertain, or answered
-	// wrongly, with the ids that swifthinge explain takes.
+	// wrongly, with the ids to pass to swifthinge explain.
 	Cases []Case `json:"cases,omitempty"`
 	// Standins is nil if no stand-in addresses were given.
 	Standins *StandinCounts `json:"standins,omitempty"`
@@ -48,8 +48,8 @@
 	Refused   int `json:"refused"`
 	Uncertain int `json:"uncertain"`
 	Lost      int `json:"lost"`
-	// Truncated, Doubled and Crossed count answers that ended as complete but
-	// had the wrong text.
+	// Truncated, Duplicated and Misdelivered count answers that ended as complete
+	// but had the wrong text.
 	Truncated    int `json:"truncated"`
 	Duplicated   int `json:"doubled"`
 	Misdelivered int `json:"crossed"`
@@ -104,7 +104,7 @@
 	MaxRunsPerKey int `json:"mostRunsOfAKey"`
 	Held          int `json:"held"`
 	// SettledSeconds is the time from the last answer until Held was 0, or until
-	// Options.Settle had passed.
+	// Options.SettleTimeout had passed.
 	SettledSeconds float64 `json:"settledSeconds"`
 	// Unread counts stand-ins whose counters couldn't be read or were reset by a restart.
 	Unread int `json:"unread"`
@@ -118,8 +118,8 @@
 	return float64(c.WastedTokens) / float64(c.PrefillTokens)
 }
 
-// Violations counts violated guarantees: lost requests, truncated, doubled and crossed
-// answers, and one if any key ran more than once.
+// Violations counts violated guarantees: lost requests, truncated, duplicated and
+// misdelivered answers, and one if any request with a key ran more than once.
 func (r *Result) Violations() int {
 	n := 0
 	for _, c := range r.Classes {
@@ -202,18 +202,18 @@
 
 // add counts a finished request; first is the time from its scheduled arrival
 // to its first token.
-func (r *Result) add(a Arrival, f requestResult, first time.Duration) {
+func (r *Result) add(a Arrival, result requestResult, first time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.open--
 	c := r.class(a.Class.Name)
-	c.Attempts += f.attempts
-	c.Refusals += f.refusals
-	for _, code := range f.codes {
+	c.Attempts += result.attempts
+	c.Refusals += result.refusals
+	for _, code := range result.codes {
 		c.Codes[code]++
 	}
-	r.addCase(a, f)
-	switch f.outcome {
+	r.addCase(a, result)
+	switch result.outcome {
 	case refused:
 		c.Refused++
 	case uncertain:
@@ -221,7 +221,7 @@
 	case incomplete, unreachable:
 		c.Lost++
 	case answered:
-		switch f.finding {
+		switch result.finding {
 		case Truncated:
 			c.Truncated++
 		case Duplicated:
@@ -229,7 +229,7 @@
 		case Misdelivered:
 			c.Misdelivered++
 		case Correct:
-			r.addComplete(a, c, f.reply, first)
+			r.addComplete(a, c, result.reply, first)
 		}
 	}
 }
--- a/internal/load/hingeload/run.go
+++ b/internal/load/hingeload/run.go
@@ -25,10 +25,10 @@
 	Mix      Mix
 	Phases   []Phase
 	Seed     uint64
-	// MaxRequests bounds the requests of the run, MostOpen those open at once.
+	// MaxRequests bounds the requests of the run, MaxOpen those open at once.
 	MaxRequests, MaxOpen int
-	// MaxAttempts bounds the attempts of one request. AsTold is the share of
-	// requests whose callers wait for Retry-After.
+	// MaxAttempts bounds the attempts of one request. RetryAfterShare is the share
+	// of requests whose callers wait for Retry-After.
 	MaxAttempts     int
 	RetryAfterShare float64
 	// SettleTimeout bounds the wait after the last answer until the stand-ins have
@@ -49,8 +49,8 @@
 
 // Run sends all requests of the schedule, waits for the last answer, at most
 // until the longest deadline and two seconds have passed, and then at most
-// Options.Settle for the stand-ins. If the context is done before the schedule
-// is, it returns the partial result with an error.
+// Options.SettleTimeout for the stand-ins. If the context is done before all
+// requests are sent, it returns the partial result with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if len(o.Hosts) == 0 {
 		return nil, eris.New("no entry hosts given")
@@ -102,8 +102,8 @@
 			continue
 		}
 		open.Go(func() {
-			f := r.runRequest(ctx, a, scheduled)
-			r.result.add(a, f, f.reply.firstAt.Sub(scheduled))
+			result := r.runRequest(ctx, a, scheduled)
+			r.result.add(a, result, result.reply.firstAt.Sub(scheduled))
 		})
 	}
 	return nil
@@ -127,37 +127,37 @@
 	q := a.httpRequest(r.Mix, r.name)
 	ctx, cancel := context.WithDeadline(ctx, scheduled.Add(a.Class.Deadline+deadlineGrace))
 	defer cancel()
-	var f requestResult
+	var result requestResult
 	mayHaveRun := false
 	for {
-		f.attempts++
+		result.attempts++
 		q.deadline = time.Until(scheduled.Add(a.Class.Deadline))
-		f.reply = r.attempt(ctx, a, &q)
-		f.outcome = f.reply.outcome()
-		if f.outcome == refused {
-			f.refusals++
+		result.reply = r.attempt(ctx, a, &q)
+		result.outcome = result.reply.outcome()
+		if result.outcome == refused {
+			result.refusals++
 		}
-		if f.reply.code != 0 {
-			f.codes = append(f.codes, f.reply.code)
+		if result.reply.code != 0 {
+			result.codes = append(result.codes, result.reply.code)
 		}
-		mayHaveRun = mayHaveRun || f.outcome == incomplete || f.outcome == uncertain
-		wait, again := retry(a.Class, f.reply, honorsRetryAfter)
-		if !again || f.attempts == r.MaxAttempts || time.Now().Add(wait).After(scheduled.Add(a.Class.Deadline)) {
+		mayHaveRun = mayHaveRun || result.outcome == incomplete || result.outcome == uncertain
+		wait, again := retry(a.Class, result.reply, honorsRetryAfter)
+		if !again || result.attempts == r.MaxAttempts || time.Now().Add(wait).After(scheduled.Add(a.Class.Deadline)) {
 			break
 		}
 		time.Sleep(wait)
 	}
 	// An earlier attempt may have run even if the last one didn't.
-	if f.outcome == refused && mayHaveRun {
-		f.outcome = uncertain
+	if result.outcome == refused && mayHaveRun {
+		result.outcome = uncertain
 	}
-	if f.outcome == answered && r.VerifyAnswers {
-		f.finding = ClassifyAnswer(a.expectedAnswer(q, r.name), f.reply.text)
-		if f.reply.runs > 1 {
-			f.finding = Duplicated
+	if result.outcome == answered && r.VerifyAnswers {
+		result.finding = ClassifyAnswer(a.expectedAnswer(q, r.name), result.reply.text)
+		if result.reply.runs > 1 {
+			result.finding = Duplicated
 		}
 	}
-	return f
+	return result
 }
 
 // attempt sends the request to the next host in round-robin order, and fails
--- a/internal/load/hingeload/run_test.go
+++ b/internal/load/hingeload/run_test.go
@@ -182,7 +182,7 @@
 }
 
 // The load generator must detect faults. Without a router, a call that is resent
-// after its connection was closed runs twice, and must count as doubled; without
+// after its connection was closed runs twice, and must count as duplicated; without
 // any reachable host, every request must count as lost.
 func TestRunDetectsFaults(t *testing.T) {
 	t.Parallel()
--- a/internal/load/hingeprogram/load.go
+++ b/internal/load/hingeprogram/load.go
@@ -192,8 +192,8 @@
 	t := result.Total()
 	p.printf("%d sent, %d answered, %d in target, %d refused, %d uncertain, %d lost, %d truncated, %d doubled, %d crossed; report in %s\n",
 		t.Sent, t.Answered, t.InTarget, t.Refused, t.Uncertain, t.Lost, t.Truncated, t.Duplicated, t.Misdelivered, c.String("out"))
-	if bad := result.Violations(); bad > 0 {
-		return eris.Errorf("%d guarantees were violated", bad)
+	if violations := result.Violations(); violations > 0 {
+		return eris.Errorf("%d guarantees were violated", violations)
 	}
 	return nil
 }
--- a/internal/load/hingeprogram/program.go
+++ b/internal/load/hingeprogram/program.go
@@ -3,8 +3,8 @@
 // policies on the engine model.
 //
 // Progress and errors are written to standard error, the summary to standard
-// output. The exit status is 1 if a request was lost, truncated, doubled,
-// crossed or run twice under one key, or if the run failed.
+// output. The exit status is 1 if a request was lost or ran twice under one key,
+// if an answer was truncated, duplicated or misdelivered, or if the run failed.
 package hingeprogram
 
 import (
--- a/internal/load/hingereport/model.go
+++ b/internal/load/hingereport/model.go
@@ -15,12 +15,12 @@
 func WriteModel(folder string, h Header, workload string, points []hingecompare.Point) error {
 	if err := writeJSON(folder, struct {
 		Header
-		Firm   string               `json:"firm"`
-		Points []hingecompare.Point `json:"points"`
+		Workload string               `json:"firm"`
+		Points   []hingecompare.Point `json:"points"`
 	}{
-		Header: h,
-		Firm:   workload,
-		Points: points,
+		Header:   h,
+		Workload: workload,
+		Points:   points,
 	}); err != nil {
 		return err
 	}
--- a/internal/load/hingereport/report.go
+++ b/internal/load/hingereport/report.go
@@ -28,12 +28,12 @@
 func WriteLoad(folder string, h Header, r *hingeload.Result) error {
 	if err := writeJSON(folder, struct {
 		Header
-		Bad    int               `json:"bad"`
-		Result *hingeload.Result `json:"result"`
+		Violations int               `json:"bad"`
+		Result     *hingeload.Result `json:"result"`
 	}{
-		Header: h,
-		Bad:    r.Violations(),
-		Result: r,
+		Header:     h,
+		Violations: r.Violations(),
+		Result:     r,
 	}); err != nil {
 		return err
 	}
@@ -105,20 +105,20 @@
 	}
 }
 
-func quantileRow(b *strings.Builder, class, what string, q hingeload.Quantiles) {
+func quantileRow(b *strings.Builder, class, metric string, q hingeload.Quantiles) {
 	if q.Count == 0 {
 		return
 	}
 	fmt.Fprintf(b, "| %s | %s | %d | %.1f | %.1f | %.1f | %.1f | %.1f |\n",
-		class, what, q.Count, q.P50, q.P90, q.P99, q.P999, q.Max)
+		class, metric, q.Count, q.P50, q.P90, q.P99, q.P999, q.Max)
 }
 
 // summaryText lists violated guarantees, reasons that invalidate the run, and
 // the counters of the stand-ins.
 func summaryText(r *hingeload.Result) string {
 	var b strings.Builder
-	if bad := r.Violations(); bad > 0 {
-		fmt.Fprintf(&b, "**%d guarantees were violated**: see lost, truncated, doubled and crossed.\n\n", bad)
+	if violations := r.Violations(); violations > 0 {
+		fmt.Fprintf(&b, "**%d guarantees were violated**: see lost, truncated, doubled and crossed.\n\n", violations)
 	}
 	if !r.Verified {
 		b.WriteString("The text of the answers was not verified, since no stand-ins were given.\n\n")
