--- a/internal/standin/hingestandin/decode.go
+++ b/internal/standin/hingestandin/decode.go
@@ -26,15 +26,19 @@
 	digest  uint64
 	chat    bool
 	started time.Time
-	first   int
-	total   int
+	// first is the index of the first token that this engine generates, total the
+	// length of the whole answer.
+	first int
+	total int
 
-	mu        sync.Mutex
+	mu sync.Mutex
+	// ready is the index after the last generated token.
 	ready     int
 	finished  bool
 	cancelled bool
-	progress  chan struct{}
-	cancel    chan struct{}
+	// progress is closed and replaced when the fields above change.
+	progress chan struct{}
+	cancel   chan struct{}
 }
 
 // advance makes one more token ready and reports whether any remain.
--- a/internal/standin/hingestandin/orders.go
+++ b/internal/standin/hingestandin/orders.go
@@ -39,7 +39,7 @@
 }
 
 // handleOrder executes an order. An old fencing number is refused if the engine
-// checks it, else the order is executed and counted in OldOrders.
+// checks it, else the order is executed and counted in StaleOrders.
 func (s *Server) handleOrder(ctx *fasthttp.RequestCtx) {
 	var o order
 	if err := json.Unmarshal(ctx.PostBody(), &o); err != nil {
--- a/internal/standin/hingestandin/prefill.go
+++ b/internal/standin/hingestandin/prefill.go
@@ -12,6 +12,7 @@
 // export is KV cache held until a decode engine imports it.
 type export struct {
 	requestID string
+	// tokens counts the prefilled tokens, without those from the prefix cache.
 	tokens    hingeids.Tokens
 	bytes     hingeids.Bytes
 	createdAt time.Time
--- a/internal/standin/hingestandin/wire.go
+++ b/internal/standin/hingestandin/wire.go
@@ -149,16 +149,16 @@
 func (s *Server) handleHeld(ctx *fasthttp.RequestCtx) {
 	now := time.Now()
 	s.mu.Lock()
-	items := make([]Allocation, 0, len(s.running)+len(s.exports))
+	allocations := make([]Allocation, 0, len(s.running)+len(s.exports))
 	for id, g := range s.running {
-		items = append(items, Allocation{
+		allocations = append(allocations, Allocation{
 			RequestID: id,
 			Kind:      "generation",
 			AgeMillis: now.Sub(g.started).Milliseconds(),
 		})
 	}
 	for _, e := range s.exports {
-		items = append(items, Allocation{
+		allocations = append(allocations, Allocation{
 			RequestID: e.requestID,
 			Kind:      "export",
 			AgeMillis: now.Sub(e.createdAt).Milliseconds(),
@@ -170,6 +170,6 @@
 		Held        []Allocation         `json:"held"`
 	}{
 		Incarnation: s.incarnation,
-		Held:        items,
+		Held:        allocations,
 	})
 }
