--- a/internal/soak/hingesoak/book.go
+++ b/internal/soak/hingesoak/book.go
@@ -27,7 +27,8 @@
 type requestRecord struct {
 	atMostOnce bool
 	runs       int
-	// refused reports that the caller received a refusal as not run, which excludes later runs.
+	// refused is set once the caller has received a refusal that says that the request
+	// wasn't run; the request must not run afterwards.
 	refused bool
 }
 
@@ -52,15 +53,15 @@
 }
 
 // recordCrash counts a server crash under the poison request with the path.
-func (b *checker) recordCrash(path, server string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	p := b.poisons[path]
+func (c *checker) recordCrash(path, server string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	p := c.poisons[path]
 	if p == nil {
 		p = &poisonRecord{}
-		b.poisons[path] = p
+		c.poisons[path] = p
 	}
-	b.result.Crashes++
+	c.result.Crashes++
 	p.crashes++
 	if p.crashes == detectionCrashes {
 		p.thirdCrashAt = time.Now()
@@ -70,84 +71,85 @@
 	}
 	p.lateCrashes++
 	if p.lateCrashes > maxLateCrashes {
-		b.addViolation("a poison request is blocked", path, fmt.Sprintf("%s is the %dth server that crashed under it", server, p.crashes))
+		c.addViolation("a poison request is blocked", path, fmt.Sprintf("%s is the %dth server that crashed under it", server, p.crashes))
 	}
 }
 
 // recordViolation adds a violated guarantee to the report.
-func (b *checker) recordViolation(guarantee, id, detail string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.addViolation(guarantee, id, detail)
+func (c *checker) recordViolation(guarantee, id, detail string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.addViolation(guarantee, id, detail)
 }
 
-func (b *checker) addViolation(guarantee, id, detail string) {
-	b.result.Violations = append(b.result.Violations, Violation{
+func (c *checker) addViolation(guarantee, id, detail string) {
+	c.result.Violations = append(c.result.Violations, Violation{
 		Guarantee: guarantee,
-		At:        time.Since(b.startedAt),
+		At:        time.Since(c.startedAt),
 		RequestID: id,
 		Detail:    detail,
 	})
 }
 
-func (b *checker) countFault() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.result.Faults++
+func (c *checker) countFault() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.Faults++
 }
 
 // recordRequest registers a request. It is called before the request is sent.
-func (b *checker) recordRequest(id string, atMostOnce bool) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.result.Sent++
-	b.requests[id] = &requestRecord{
+func (c *checker) recordRequest(id string, atMostOnce bool) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.Sent++
+	c.requests[id] = &requestRecord{
 		atMostOnce: atMostOnce,
 	}
 }
 
 // recordRun counts a run of a request at a server.
-func (b *checker) recordRun(id, server string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	e := b.requests[id]
-	if e == nil {
-		b.addViolation("servers run only requests that were sent", id, "at "+server)
+func (c *checker) recordRun(id, server string) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	r := c.requests[id]
+	if r == nil {
+		c.addViolation("servers run only requests that were sent", id, "at "+server)
 		return
 	}
-	e.runs++
-	if e.atMostOnce && e.runs > 1 {
-		b.addViolation("a request runs at most once", id, fmt.Sprintf("run %d, at %s", e.runs, server))
+	r.runs++
+	if r.atMostOnce && r.runs > 1 {
+		c.addViolation("a request runs at most once", id, fmt.Sprintf("run %d, at %s", r.runs, server))
 	}
-	if e.refused {
-		b.addViolation("a request refused as not run never runs", id, "it runs at "+server+" after it was refused")
+	if r.refused {
+		c.addViolation("a request refused as not run never runs", id, "it runs at "+server+" after it was refused")
 	}
 }
 
-// refused records that a caller received a refusal as not run.
-func (b *checker) refused(id string, status int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.result.Refused++
-	e := b.requests[id]
-	e.refused = true
-	if e.atMostOnce && e.runs > 0 {
-		b.addViolation("a request refused as not run never runs", id, fmt.Sprintf("status %d after it has run", status))
+// recordRefusal records that a caller received a refusal, which says that the request
+// wasn't run.
+func (c *checker) recordRefusal(id string, status int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.Refused++
+	r := c.requests[id]
+	r.refused = true
+	if r.atMostOnce && r.runs > 0 {
+		c.addViolation("a request refused as not run never runs", id, fmt.Sprintf("status %d after it has run", status))
 	}
 }
 
-func (b *checker) countAnswer() {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.result.Answered++
+func (c *checker) countAnswer() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.Answered++
 }
 
 // detectable returns the paths of the poison requests with enough crashes to be detected, sorted.
-func (b *checker) detectable() []string {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+func (c *checker) detectable() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var out []string
-	for path, p := range b.poisons {
+	for path, p := range c.poisons {
 		if p.crashes >= detectionCrashes {
 			out = append(out, path)
 		}
@@ -158,10 +160,10 @@
 
 // pickLifted returns the path of one detectable poison request, and its number of
 // crashes. It expects the request to run again.
-func (b *checker) pickLifted() (path string, crashes int) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	for path, p := range b.poisons {
+func (c *checker) pickLifted() (path string, crashes int) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for path, p := range c.poisons {
 		if p.crashes >= detectionCrashes {
 			// The operator has lifted the block, so further crashes are no violation.
 			p.thirdCrashAt = time.Now()
@@ -171,28 +173,28 @@
 	return "", 0
 }
 
-func (b *checker) crashesOf(path string) int {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.poisons[path].crashes
+func (c *checker) crashesOf(path string) int {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.poisons[path].crashes
 }
 
 // recordAccepted counts an accepted change of the configuration.
-func (b *checker) recordAccepted(v uint64) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.result.Changes++
-	b.accepted = max(b.accepted, v)
+func (c *checker) recordAccepted(v uint64) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.result.Changes++
+	c.accepted = max(c.accepted, v)
 }
 
-func (b *checker) newestVersion() uint64 {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.accepted
+func (c *checker) newestVersion() uint64 {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.accepted
 }
 
-func (b *checker) report() Report {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.result
+func (c *checker) report() Report {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	return c.result
 }
--- a/internal/soak/hingesoak/load.go
+++ b/internal/soak/hingesoak/load.go
@@ -28,10 +28,10 @@
 // maxWait is the maximum time that a caller waits for a complete answer.
 const maxWait = 6 * time.Second
 
-func newCaller(f *fleet, b *checker, seed uint64, n int) *caller {
+func newCaller(f *fleet, c *checker, seed uint64, n int) *caller {
 	return &caller{
 		fleet:   f,
-		checker: b,
+		checker: c,
 		random:  rand.New(rand.NewPCG(seed, uint64(100+n))),
 		name:    fmt.Sprintf("caller-%d", n),
 		client: &http.Client{
@@ -80,7 +80,7 @@
 	case http.StatusOK:
 		return c.checkAnswer(id, stream, a.Body)
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
-		c.checker.refused(id, a.StatusCode)
+		c.checker.recordRefusal(id, a.StatusCode)
 		c.checkRefusal(id, a.StatusCode, a.Body)
 	case http.StatusNotFound:
 		c.checker.recordViolation("configured routes are known", id, "status 404")
@@ -135,10 +135,10 @@
 	sequence atomic.Uint64
 }
 
-func newOperator(f *fleet, b *checker) *operator {
+func newOperator(f *fleet, c *checker) *operator {
 	return &operator{
 		fleet:   f,
-		checker: b,
+		checker: c,
 	}
 }
 
--- a/internal/soak/hingesoak/plan.go
+++ b/internal/soak/hingesoak/plan.go
@@ -11,8 +11,8 @@
 
 type kind string
 
-// The kinds of faults. A wipe kills a control host and restarts it with an empty data
-// folder; a storm kills all control hosts at once and keeps their data.
+// The kinds of faults. wipe kills a control host and restarts it with an empty data
+// folder; killAllControls kills all control hosts at once and keeps their data.
 const (
 	kill            kind = "kill"
 	term            kind = "term"
@@ -81,7 +81,7 @@
 	case f.kind == link:
 		s.servers[f.index].proxy.setMode(f.mode)
 		time.AfterFunc(f.duration, func() {
-			s.servers[f.index].proxy.setMode(pass)
+			s.servers[f.index].proxy.setMode(passThrough)
 		})
 	case f.kind == killAllControls:
 		s.fleet.killAllControls()
--- a/internal/soak/hingesoak/poison.go
+++ b/internal/soak/hingesoak/poison.go
@@ -27,12 +27,12 @@
 	client  *http.Client
 }
 
-func newPoisoner(f *fleet, b *checker, seed uint64, n int) *poisoner {
+func newPoisoner(f *fleet, c *checker, seed uint64, n int) *poisoner {
 	random := rand.New(rand.NewPCG(seed, uint64(500+n)))
 	route := []string{"/stream", "/safe", "/once"}[random.IntN(3)]
 	return &poisoner{
 		fleet:   f,
-		checker: b,
+		checker: c,
 		random:  random,
 		path:    fmt.Sprint(route, poisonMarker, n),
 		client: &http.Client{
@@ -98,7 +98,7 @@
 	})
 	var list struct {
 		Records []struct {
-			Print string `json:"print"`
+			Fingerprint string `json:"print"`
 		} `json:"records"`
 	}
 	if err != nil || json.Unmarshal(body, &list) != nil {
@@ -106,7 +106,7 @@
 	}
 	var out []string
 	for _, r := range list.Records {
-		out = append(out, r.Print)
+		out = append(out, r.Fingerprint)
 	}
 	return out, true
 }
--- a/internal/soak/hingesoak/server.go
+++ b/internal/soak/hingesoak/server.go
@@ -172,14 +172,14 @@
 // mode is the fault that a proxy applies to its connections.
 type mode string
 
-// The modes of a proxy. With oneWay, requests arrive and answers are dropped; with silent,
-// all data is held back and no connection is closed.
+// The modes of a proxy. passThrough injects no fault. With oneWay, requests arrive and
+// answers are dropped; with silent, all data is held back and no connection is closed.
 const (
-	pass   mode = "pass"
-	delay  mode = "delay"
-	reset  mode = "reset"
-	oneWay mode = "one way"
-	silent mode = "silent"
+	passThrough mode = "pass"
+	delay       mode = "delay"
+	reset       mode = "reset"
+	oneWay      mode = "one way"
+	silent      mode = "silent"
 )
 
 // proxy forwards connections to a stand-in and injects faults.
@@ -204,7 +204,7 @@
 		listener:      l,
 		target:        target,
 	}
-	p.setMode(pass)
+	p.setMode(passThrough)
 	go p.accept(l)
 	return p, nil
 }
--- a/internal/soak/hingesoak/soak.go
+++ b/internal/soak/hingesoak/soak.go
@@ -46,8 +46,8 @@
 	Out            io.Writer
 }
 
-// Violation is a violated guarantee. At is the time since the start of the run, ID the
-// request, if any.
+// Violation is a violated guarantee. At is the time since the start of the run,
+// RequestID the request, if any.
 type Violation struct {
 	Guarantee string
 	At        time.Duration
@@ -173,7 +173,7 @@
 // checkRecovery removes all link faults, and checks readiness, answers, reads and poison lists.
 func (s *soak) checkRecovery(ctx context.Context, operator *operator) {
 	for _, x := range s.servers {
-		x.proxy.setMode(pass)
+		x.proxy.setMode(passThrough)
 	}
 	if !waitFor(ctx, recoveryTimeout, func() bool {
 		return s.fleet.ready() && operator.sendNext(ctx, 1)
