--- a/internal/config/hingecustomers/customers.go
+++ b/internal/config/hingecustomers/customers.go
@@ -63,12 +63,12 @@
 	return q.Rate > 0
 }
 
-// Cost returns the units that one request uses. The stated parameter reports whether the request declares tokens (rule 4).
-func (q Quota) Cost(tokens hingeids.Tokens, stated bool) hingeids.QuotaUnits {
+// Cost returns the units that one request uses; declared means that the request declares its tokens (rule 4).
+func (q Quota) Cost(tokens hingeids.Tokens, declared bool) hingeids.QuotaUnits {
 	switch {
 	case q.Unit == Requests:
 		return 1
-	case stated:
+	case declared:
 		return hingeids.QuotaUnits(tokens)
 	}
 	return q.DefaultCost
--- a/internal/config/hingeinventory/classify.go
+++ b/internal/config/hingeinventory/classify.go
@@ -30,26 +30,26 @@
 // Classify returns the class of a request (Rule 4). It is called once per
 // request and doesn't allocate. It scans the classes, which is cheaper than an
 // index for some tens of them.
-func (r *Rules) Classify(w RequestAttributes) Class {
+func (r *Rules) Classify(attributes RequestAttributes) Class {
 	for i := range r.Classes {
-		if r.Classes[i].matches(w) {
+		if r.Classes[i].matches(attributes) {
 			return r.Classes[i]
 		}
 	}
 	return DefaultClass
 }
 
-func (c *Class) matches(w RequestAttributes) bool {
-	if c.Model != "" && c.Model != w.Model {
+func (c *Class) matches(attributes RequestAttributes) bool {
+	if c.Model != "" && c.Model != attributes.Model {
 		return false
 	}
-	if c.Service != "" && c.Service != w.Service {
+	if c.Service != "" && c.Service != attributes.Service {
 		return false
 	}
-	if c.Route != "" && !underRoute(w.Route, c.Route) {
+	if c.Route != "" && !underRoute(attributes.Route, c.Route) {
 		return false
 	}
-	return len(c.Methods) == 0 || slices.Contains(c.Methods, w.Method)
+	return len(c.Methods) == 0 || slices.Contains(c.Methods, attributes.Method)
 }
 
 // covers reports whether c matches every request that o matches.
--- a/internal/config/hingeinventory/classify_test.go
+++ b/internal/config/hingeinventory/classify_test.go
@@ -29,27 +29,27 @@
 		fields := strings.Fields(request)
 		workload, method, path := fields[0], fields[1], fields[2]
 		inv, rules := example(t, workload)
-		w := RequestAttributes{
+		attributes := RequestAttributes{
 			Route:  path,
 			Method: method,
 		}
 		if s, ok := inv.ServiceOf(path); ok {
-			w.Service = s
+			attributes.Service = s
 		} else if underRoute(path, "/v1") {
-			w.Model = inv.Models[0].Name
+			attributes.Model = inv.Models[0].Name
 		}
-		classes[request] = rules.Classify(w).Name
+		classes[request] = rules.Classify(attributes).Name
 	}
 	if diff := cmp.Diff(want, classes); diff != "" {
 		t.Errorf("classes (-want +got):\n%s", diff)
 	}
 	_, rules := example(t, "viviers")
-	w := RequestAttributes{
+	attributes := RequestAttributes{
 		Model: "redacteur",
 		Route: "/v1/completions",
 	}
 	if n := testing.AllocsPerRun(100, func() {
-		rules.Classify(w)
+		rules.Classify(attributes)
 	}); n != 0 {
 		t.Errorf("classifying a request allocates %v times", n)
 	}
--- a/internal/config/hingeinventory/customers.go
+++ b/internal/config/hingeinventory/customers.go
@@ -76,7 +76,7 @@
 }
 
 // checkCustomers implements Rule 2 for customers: two customers can't have the same key, since their requests couldn't be
-// told apart.
+// distinguished.
 func checkCustomers(d problemReporter, r *Rules) {
 	customers := newNameSet(d, "customer")
 	holders := make(map[string]string)
--- a/internal/config/hingeroutes/routes.go
+++ b/internal/config/hingeroutes/routes.go
@@ -22,9 +22,9 @@
 // Kind is the retry policy of a route.
 type Kind uint8
 
-// Repeatable requests are idempotent and may run several times; Once requests
-// run at most once; a Stream may be retried only if its route is resumable, and
-// continues after the last event sent.
+// Idempotent requests may run several times; AtMostOnce requests run at most
+// once; a Stream may be retried only if its route is resumable, and continues
+// after the last event sent.
 const (
 	Idempotent Kind = iota + 1
 	AtMostOnce
--- a/internal/config/hingeroutes/routes_test.go
+++ b/internal/config/hingeroutes/routes_test.go
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestMayRepeat(t *testing.T) {
+func TestMayRetry(t *testing.T) {
 	got := make(map[string]bool)
 	for _, r := range []Route{
 		{
--- a/internal/link/hingefake/fake.go
+++ b/internal/link/hingefake/fake.go
@@ -16,10 +16,10 @@
 
 // Network connects the fake links of one test. It is safe for concurrent use.
 type Network struct {
-	mu     sync.Mutex
-	links  map[hingeids.HostID]*Link
-	cuts   map[direction]bool
-	frozen map[hingeids.HostID]bool
+	mu        sync.Mutex
+	links     map[hingeids.HostID]*Link
+	cuts      map[direction]bool
+	suspended map[hingeids.HostID]bool
 }
 
 type direction struct {
@@ -30,9 +30,9 @@
 // NewNetwork returns a network without links.
 func NewNetwork() *Network {
 	return &Network{
-		links:  make(map[hingeids.HostID]*Link),
-		cuts:   make(map[direction]bool),
-		frozen: make(map[hingeids.HostID]bool),
+		links:     make(map[hingeids.HostID]*Link),
+		cuts:      make(map[direction]bool),
+		suspended: make(map[hingeids.HostID]bool),
 	}
 }
 
@@ -58,25 +58,25 @@
 	delete(n.links, host)
 }
 
-// Suspend makes calls to a host block until their context ends, and drops datagrams to it, until Thaw is called. It
+// Suspend makes calls to a host block until their context ends, and drops datagrams to it, until Resume is called. It
 // simulates a suspended process.
 func (n *Network) Suspend(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.frozen[host] = true
+	n.suspended[host] = true
 }
 
-// Resume reverts Freeze.
+// Resume reverts Suspend.
 func (n *Network) Resume(host hingeids.HostID) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.frozen, host)
+	delete(n.suspended, host)
 }
 
-func (n *Network) isFrozen(host hingeids.HostID) bool {
+func (n *Network) isSuspended(host hingeids.HostID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.frozen[host]
+	return n.suspended[host]
 }
 
 // Cut blocks traffic in one direction. Traffic in the other direction isn't affected.
@@ -155,7 +155,7 @@
 		return nil, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeLinkDown, 0,
 			eris.Errorf("host %s is unreachable", to))
 	}
-	if l.network.isFrozen(to) {
+	if l.network.isSuspended(to) {
 		<-ctx.Done()
 		return nil, hingeverdict.New(hingeverdict.MayHaveRun, hingeverdict.CodeLinkDown, 0, ctx.Err())
 	}
@@ -178,13 +178,13 @@
 }
 
 // Send runs the peer's handler. The datagram is dropped if it is too large or
-// the peer is unreachable, frozen or has no handler.
+// the peer is unreachable, suspended or has no handler.
 func (l *Link) Send(to hingeids.HostID, method hingelink.Method, body []byte) {
 	if len(body) > hingelink.MaxDatagram {
 		return
 	}
 	peer := l.network.linkTo(l.self, to)
-	if peer == nil || l.network.isFrozen(to) {
+	if peer == nil || l.network.isSuspended(to) {
 		return
 	}
 	if h := peer.datagramHandler(method); h != nil {
--- a/internal/link/hingelink/quic_test.go
+++ b/internal/link/hingelink/quic_test.go
@@ -235,7 +235,7 @@
 func TestPeerWithUnexpectedNameIsRefused(t *testing.T) {
 	a := newTestLink(t, "cancale-1", 1)
 	foreign := newTestLink(t, "elsewhere-1", 1)
-	// Its clock stands still, so each of its connections counts as rejected immediately.
+	// Its clock doesn't advance, so each of its connections counts as rejected immediately.
 	foreign.clock = func() time.Time {
 		return time.Unix(0, 0)
 	}
--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -44,7 +44,7 @@
 // Outcomes lists the outcomes in the order of the table columns.
 var Outcomes = []Outcome{OnTime, Late, Refused, Failed, Denied, Disconnected, Lost}
 
-// Request is the summary of one request. Asked is the caller's own id of it.
+// Request is the summary of one request. CallerRequestID is the caller's own id of it.
 type Request struct {
 	CallerRequestID string
 	Route           string
@@ -56,7 +56,7 @@
 	Outcome Outcome
 	// Reason says briefly why the request wasn't on time; empty if unknown.
 	Reason string
-	// Placements counts the placements; Wait is the time until the first one.
+	// Placements counts the placements; PlacementWait is the time until the first one.
 	Placements    int
 	PlacementWait time.Duration
 	// WastedTokens counts prompt tokens whose prefill was not used.
@@ -73,7 +73,7 @@
 	// DroppedLines counts the lines that the writers dropped.
 	DroppedLines int64
 	// Unlisted counts denied, over-quota and poison requests without a line of their own: hingeproxy limits the rate of
-	// these lines, and each states how many requests it stands for.
+	// these lines, and each states how many requests it represents.
 	Unlisted int64
 
 	requests map[string]*Request
--- a/internal/observe/hingeevents/events.go
+++ b/internal/observe/hingeevents/events.go
@@ -66,7 +66,7 @@
 	Count       int64                `json:"count,omitempty"`
 	// ViewVersion is the version of the process's cluster view: its configuration and servers.
 	ViewVersion string `json:"world,omitempty"`
-	// Route is the name of the request's route. Late says which latency target the answer missed, empty if none.
+	// Route is the name of the request's route. MissedTarget is the latency target that the answer missed, empty if none.
 	Route        string `json:"route,omitempty"`
 	MissedTarget string `json:"late,omitempty"`
 	Detail       string `json:"detail,omitempty"`
--- a/internal/observe/hingelines/lines.go
+++ b/internal/observe/hingelines/lines.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// Line is the JSON form of an event. By is the host, TookMs is Fields.Took in milliseconds, Dropped counts the events
-// dropped since the line before.
+// Line is the JSON form of an event. ElapsedMs is Fields.Elapsed in milliseconds, Dropped counts the events dropped
+// since the previous line.
 type Line struct {
 	At        time.Time          `json:"at"`
 	Event     hingeevents.Number `json:"event"`
--- a/internal/observe/hingemetrics/health.go
+++ b/internal/observe/hingemetrics/health.go
@@ -18,23 +18,23 @@
 	// maxStall is the longest time between two iterations of the control loop.
 	maxStall time.Duration
 
-	mu       sync.Mutex
-	unmet    []string
-	ready    bool
-	lastBeat time.Time
+	mu            sync.Mutex
+	unmet         []string
+	ready         bool
+	lastIteration time.Time
 }
 
 // NewHealth returns the health of a process that becomes ready when every
 // condition is met. The process counts as hung if the control loop hasn't called
-// Beat for more than maxStall, which should be many times the loop's longest
+// RecordIteration for more than maxStall, which should be many times the loop's longest
 // sleep, since a false positive terminates every stream of the process.
 func NewHealth(events *hingeevents.Recorder, maxStall time.Duration, now time.Time, conditions ...string) *Health {
 	return &Health{
-		events:   events,
-		maxStall: maxStall,
-		unmet:    slices.Clone(conditions),
-		ready:    len(conditions) == 0,
-		lastBeat: now,
+		events:        events,
+		maxStall:      maxStall,
+		unmet:         slices.Clone(conditions),
+		ready:         len(conditions) == 0,
+		lastIteration: now,
 	}
 }
 
@@ -76,7 +76,7 @@
 func (h *Health) RecordIteration(now time.Time) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.lastBeat = now
+	h.lastIteration = now
 }
 
 // Alive reports whether the last iteration of the control loop is at most
@@ -84,5 +84,5 @@
 func (h *Health) Alive(now time.Time) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return now.Sub(h.lastBeat) <= h.maxStall
+	return now.Sub(h.lastIteration) <= h.maxStall
 }
--- a/internal/operate/hingeadmin/handler.go
+++ b/internal/operate/hingeadmin/handler.go
@@ -61,7 +61,8 @@
 	// *ConflictError or carry a verdict.
 	Propose(ctx context.Context, c Change, now time.Time) (AcceptedChange, error)
 	// At returns the items at a revision. Revision zero means the one that this
-	// host applies. Errors are ErrRevisionGone and ErrRevisionAhead.
+	// host applies. Errors are ErrRevisionNotRetained and
+	// ErrRevisionNotApplied.
 	At(revision hingeids.Revision) (Snapshot, error)
 	// History returns the retained accepted changes, newest first.
 	History() []AcceptedChange
--- a/internal/operate/hingecommand/basis.go
+++ b/internal/operate/hingecommand/basis.go
@@ -32,7 +32,7 @@
 		return b, nil
 	}
 	_, err := p.client.getAny(ctx, entries, fmt.Sprintf("/v1/configuration?revision=%d", expected), &b.Snapshot)
-	if err == nil || !isRevisionGone(err) {
+	if err == nil || !isRevisionNotRetained(err) {
 		return b, err
 	}
 	if b.accepted, err = p.findAccepted(ctx, c.String("change-id"), entries); err != nil || b.accepted != nil {
--- a/internal/operate/hingecommand/client.go
+++ b/internal/operate/hingecommand/client.go
@@ -138,8 +138,8 @@
 	return errors.As(err, &r) && r.final()
 }
 
-// isRevisionGone reports whether the host no longer retains the revision.
-func isRevisionGone(err error) bool {
+// isRevisionNotRetained reports whether the host no longer retains the revision.
+func isRevisionNotRetained(err error) bool {
 	var r *refusedError
 	return errors.As(err, &r) && r.status == fasthttp.StatusGone
 }
--- a/internal/operate/hingecommand/command.go
+++ b/internal/operate/hingecommand/command.go
@@ -46,7 +46,7 @@
 type ServeOptions struct {
 	Settings hingesettings.Settings
 	// Inventory and Rules are the contents of the files passed to serve. They are
-	// empty unless Given is set.
+	// empty unless HasConfiguration is set.
 	Inventory        hingeinventory.Inventory
 	Rules            hingeinventory.Rules
 	HasConfiguration bool
--- a/internal/operate/hingekeys/keys.go
+++ b/internal/operate/hingekeys/keys.go
@@ -61,7 +61,7 @@
 	Key         string
 }
 
-// HostPaths returns the paths of the files that MakeHost writes for a host.
+// HostPaths returns the paths of the files that CreateHostCertificate writes for a host.
 func HostPaths(folder string, host hingeids.HostID) Paths {
 	return Paths{
 		Authority:   filepath.Join(folder, "authority.pem"),
--- a/internal/operate/hingekeys/keys_test.go
+++ b/internal/operate/hingekeys/keys_test.go
@@ -17,7 +17,7 @@
 
 func makeTestKeys(t *testing.T) string {
 	t.Helper()
-	// MakeAuthority must create a missing folder.
+	// CreateAuthority must create a missing folder.
 	folder := filepath.Join(t.TempDir(), "new", "keys")
 	must(t, CreateAuthority(folder, startTime))
 	must(t, CreateHostCertificate(folder, "cancale-1", startTime))
--- a/internal/operate/hingekeys/load.go
+++ b/internal/operate/hingekeys/load.go
@@ -68,27 +68,27 @@
 }
 
 // current returns the newest valid files. It is safe for concurrent use.
-func (k *fileReloader) current() fileSet {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if v, err := readVersions(k.paths); err == nil && v != k.files.versions {
+func (r *fileReloader) current() fileSet {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if v, err := readVersions(r.paths); err == nil && v != r.files.versions {
 		// Files may be replaced one by one while the host is serving. If they are
 		// invalid, the loaded ones stay in use until the next handshake retries.
-		_ = k.load()
+		_ = r.load()
 	}
-	return k.files
+	return r.files
 }
 
-func (k *fileReloader) load() error {
-	v, err := readVersions(k.paths)
+func (r *fileReloader) load() error {
+	v, err := readVersions(r.paths)
 	if err != nil {
 		return err
 	}
-	roots, err := readCertificates(k.paths.Authority)
+	roots, err := readCertificates(r.paths.Authority)
 	if err != nil {
 		return err
 	}
-	certificate, err := loadKeyPair(k.paths)
+	certificate, err := loadKeyPair(r.paths)
 	if err != nil {
 		return err
 	}
@@ -100,18 +100,18 @@
 	for _, c := range roots {
 		f.authority.AddCert(c)
 	}
-	if err := f.check(certificate.Leaf, k.clock()); err != nil {
-		return eris.Wrapf(err, "%s", k.paths.Certificate)
+	if err := f.check(certificate.Leaf, r.clock()); err != nil {
+		return eris.Wrapf(err, "%s", r.paths.Certificate)
 	}
-	k.files = f
+	r.files = f
 	return nil
 }
 
-func (k *fileReloader) verify(s tls.ConnectionState) error {
+func (r *fileReloader) verify(s tls.ConnectionState) error {
 	if len(s.PeerCertificates) == 0 {
 		return eris.New("peer sent no certificate")
 	}
-	return k.current().check(s.PeerCertificates[0], k.clock())
+	return r.current().check(s.PeerCertificates[0], r.clock())
 }
 
 // check verifies a certificate (Rule 5).
