--- a/internal/serve/hingecontrol/announce.go
+++ b/internal/serve/hingecontrol/announce.go
@@ -22,14 +22,14 @@
 	return nil
 }
 
-// HandleLeave handles the message of a backend server that it leaves. The incarnation is zero if the message
-// doesn't contain it.
+// HandleLeave handles the message by which a backend server announces that it leaves. The incarnation
+// is zero if the message doesn't contain it.
 func (c *Control) HandleLeave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	c.source.HandleLeave(now, id, i)
 }
 
-// RecordRefusal records a rejected announcement. It writes at most one event per refusalInterval, as an
-// unrelated sender may send any number.
+// RecordRefusal records a rejected announcement. It writes at most one event per refusalInterval, as
+// an unrelated sender may send any number.
 func (c *Control) RecordRefusal(now time.Time, id hingeids.ServerID, cause error) {
 	count, ok := c.refusals.add(now)
 	if !ok {
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -276,10 +276,10 @@
 	}
 }
 
-func (c *Control) recordServer(n hingeevents.Number, id hingeids.ServerID, w *hingeworld.ClusterView) {
+func (c *Control) recordServer(n hingeevents.Number, id hingeids.ServerID, view *hingeworld.ClusterView) {
 	c.options.Recorder.Record(time.Now(), n, hingeevents.Fields{
 		Server:      id,
-		ViewVersion: w.Version(),
+		ViewVersion: view.Version(),
 	})
 }
 
@@ -337,8 +337,9 @@
 	return int(c.entryHosts.Load())
 }
 
-// IsElectedLeader reports whether this host is the elected leader, even while its lease has expired: placements
-// are only advice, so a lapse for one heartbeat is no reason to discard the state of the placer.
+// IsElectedLeader reports whether this host is the elected leader, even if its lease has expired:
+// placements are only advice, so an expiry for one heartbeat is no reason to discard the placer's
+// state.
 func (c *Control) IsElectedLeader() bool {
 	return c.group.Status().IsLeader
 }
@@ -353,7 +354,7 @@
 	return c.machine.Documents()
 }
 
-// Read waits until the newest document is no older than any accepted before the call (rule 2).
+// Read waits until Documents is at least as new as any document accepted before the call (rule 2).
 func (c *Control) Read(ctx context.Context) error {
 	_, err := c.group.Read(ctx)
 	return err
@@ -404,8 +405,8 @@
 	return out
 }
 
-// ProposeDocument proposes a configuration and waits until it is accepted (rule 1). The error contains the
-// verdict.
+// ProposeDocument proposes a configuration and waits until it is accepted (rule 1). The error contains
+// the verdict.
 func (c *Control) ProposeDocument(ctx context.Context, d hingeversion.Document) error {
 	body, err := d.Encode()
 	if err != nil {
--- a/internal/serve/hingecontrol/operators.go
+++ b/internal/serve/hingecontrol/operators.go
@@ -31,16 +31,16 @@
 	case r.Target == poisonPath && r.Method == http.MethodGet:
 		o.list(w)
 	case hasName && r.Method == http.MethodPut:
-		o.change(ctx, w, name, func(p hingeids.Fingerprint) hingepoison.Record {
+		o.change(ctx, w, name, func(fingerprint hingeids.Fingerprint) hingepoison.Record {
 			return hingepoison.Record{
-				Fingerprint: p,
+				Fingerprint: fingerprint,
 				First:       time.Now().UnixMilli(),
 				Since:       time.Now().UnixMilli(),
 			}
 		})
 	case hasName && r.Method == http.MethodDelete:
-		o.change(ctx, w, name, func(p hingeids.Fingerprint) hingepoison.Record {
-			return hingepoison.Lift(time.Now(), p)
+		o.change(ctx, w, name, func(fingerprint hingeids.Fingerprint) hingepoison.Record {
+			return hingepoison.Lift(time.Now(), fingerprint)
 		})
 	default:
 		writeJSON(w, http.StatusNotFound, "no such route")
@@ -90,12 +90,12 @@
 }
 
 func (o Operators) change(ctx context.Context, w *hingewire.Writer, name string, newRecord func(hingeids.Fingerprint) hingepoison.Record) {
-	var p hingeids.Fingerprint
-	if err := p.UnmarshalText([]byte(name)); err != nil || p == 0 {
+	var fingerprint hingeids.Fingerprint
+	if err := fingerprint.UnmarshalText([]byte(name)); err != nil || fingerprint == 0 {
 		writeJSON(w, http.StatusBadRequest, "the fingerprint must be 16 hexadecimal digits and not zero")
 		return
 	}
-	if err := o.Control.proposeRecord(ctx, newRecord(p)); err != nil {
+	if err := o.Control.proposeRecord(ctx, newRecord(fingerprint)); err != nil {
 		writeJSON(w, http.StatusServiceUnavailable, err.Error())
 		return
 	}
--- a/internal/serve/hingecontrol/poison.go
+++ b/internal/serve/hingecontrol/poison.go
@@ -30,8 +30,8 @@
 }
 
 // PoisonEntry returns the list's entry for a fingerprint.
-func (c *Control) PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed {
-	return c.PoisonRequests().Load().At(time.Now(), p)
+func (c *Control) PoisonEntry(fingerprint hingeids.Fingerprint) hingepoison.Listed {
+	return c.PoisonRequests().Load().At(time.Now(), fingerprint)
 }
 
 // Propose queues a record to be proposed. It doesn't block, as the placer must not wait for disks.
--- a/internal/serve/hingedemo/callers.go
+++ b/internal/serve/hingedemo/callers.go
@@ -120,9 +120,9 @@
 	if resp.StatusCode != http.StatusOK {
 		_, _ = io.Copy(io.Discard, resp.Body)
 		// A guestbook entry that may have run is final: every host would refuse a retry.
-		settled := t.kind == once && resp.Header.Get("X-Verdict") != "notRun" &&
+		final := t.kind == once && resp.Header.Get("X-Verdict") != "notRun" &&
 			resp.StatusCode == http.StatusConflict && resp.Header.Get("Retry-After") == ""
-		return refused, settled
+		return refused, final
 	}
 	switch t.kind {
 	case streamed:
--- a/internal/serve/hingedemo/fleet.go
+++ b/internal/serve/hingedemo/fleet.go
@@ -6,7 +6,7 @@
 //  1. Callers retry as behind a load balancer: when an entry host can't be reached or its
 //     refusal isn't final, the next one is tried.
 //  2. A request is lost if it received no final answer, truncated if its answer looked complete and
-//     wasn't, duplicated if a part of the answer came twice. A stream that is cut off with its entry
+//     wasn't, duplicated if a part of the answer was received twice. A stream that is cut off with its entry
 //     host is not an answer; its caller retries.
 //  3. After a third of the requests an engine is killed, after two thirds an entry host.
 package hingedemo
--- a/internal/serve/hingefront/view.go
+++ b/internal/serve/hingefront/view.go
@@ -86,10 +86,10 @@
 	return f.Table().Quota(c)
 }
 
-// PoisonEntry returns the entry for a fingerprint on the list of poison requests, as last received from a
-// control host.
-func (f *Front) PoisonEntry(p hingeids.Fingerprint) hingepoison.Listed {
-	return f.follower.State().Load().PoisonRequests.At(time.Now(), p)
+// PoisonEntry returns the entry for a fingerprint on the list of poison requests, as last received
+// from a control host.
+func (f *Front) PoisonEntry(fingerprint hingeids.Fingerprint) hingepoison.Listed {
+	return f.follower.State().Load().PoisonRequests.At(time.Now(), fingerprint)
 }
 
 // IsElectedLeader returns false, as entry hosts take no part in elections.
--- a/internal/serve/hingeserver/collector.go
+++ b/internal/serve/hingeserver/collector.go
@@ -15,7 +15,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// collector releases allocations of engines that no request needs any more: those of this
+// collector releases allocations on engines that no request needs any more: those of this
 // host's finished requests, and those of entry hosts that have ended.
 type collector struct {
 	server      *Server
@@ -134,7 +134,7 @@
 const cancelPollInterval = 20 * time.Millisecond
 
 // waitForCancels waits until every cancel is confirmed, at most for the limit. The limit
-// keeps an engine that is gone from blocking the shutdown: the other hosts cancel what an
+// keeps an unreachable engine from blocking the shutdown: the other hosts cancel what an
 // ended instance leaves behind.
 func (c *collector) waitForCancels(limit time.Duration) {
 	for deadline := time.Now().Add(limit); c.pendingCancels() > 0 && time.Now().Before(deadline); {
--- a/internal/serve/hingeserver/collector_test.go
+++ b/internal/serve/hingeserver/collector_test.go
@@ -64,23 +64,23 @@
 	}
 }
 
-// An entry host is frozen until the others declare its instance ended and cancel its
+// An entry host is suspended until the others declare its instance ended and cancel its
 // streams. Guards against callers that get no final response when the host resumes, and
 // against a host that doesn't serve again.
-func TestAFrozenEntryHostAnswersItsCallers(t *testing.T) {
+func TestSuspendedEntryHostAnswersItsCallers(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 50*time.Millisecond)
-	frozen := f.order[1]
-	streams, cancel := f.openStreams(frozen, 4, 4000)
+	suspended := f.order[1]
+	streams, cancel := f.openStreams(suspended, 4, 4000)
 	defer cancel()
-	f.signal(frozen, 19)
+	f.signal(suspended, 19)
 	f.await("the frozen host's streams to be cancelled", 15*time.Second, func() error {
 		if n := f.held(); n > 0 {
 			return fmt.Errorf("%d allocations held", n)
 		}
 		return nil
 	})
-	f.signal(frozen, 18)
+	f.signal(suspended, 18)
 	for _, r := range streams {
 		select {
 		case <-r.done:
@@ -101,7 +101,7 @@
 		}
 		ctx, cancel := context.WithTimeout(f.ctx, 3*time.Second)
 		defer cancel()
-		r.send(ctx, f.hosts[frozen].settings.Listen.Callers, true)
+		r.send(ctx, f.hosts[suspended].settings.Listen.Callers, true)
 		if !r.complete {
 			return fmt.Errorf("got %q, %v", r.text, r.err)
 		}
--- a/internal/serve/hingeserver/fleet_test.go
+++ b/internal/serve/hingeserver/fleet_test.go
@@ -33,7 +33,7 @@
 )
 
 // hostSettingsEnv names the settings file of an entry host. If it is set, the test binary
-// runs that host instead of the tests, so that tests can kill, freeze and restart real
+// runs that host instead of the tests, so that tests can kill, suspend and restart real
 // processes.
 const hostSettingsEnv = "SWIFTHINGE_TEST_HOST"
 
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -27,7 +27,7 @@
 	server *Server
 	group  errgroup.Group
 	ctx    context.Context
-	// waitingForEngines counts the requests that wait until any engine can take them.
+	// waitingForEngines counts the requests that wait until any engine can accept them.
 	waitingForEngines atomic.Int64
 
 	mu      sync.Mutex
@@ -219,7 +219,7 @@
 		Resubmitted: e.Resubmitted,
 	}
 	for {
-		d, err := g.enterOrWait(ctx, gate, request)
+		d, err := g.admitOrWait(ctx, gate, request)
 		if err != nil {
 			return hingedispatch.Placement{}, err
 		}
@@ -239,7 +239,7 @@
 	}
 }
 
-// A request that can wait is also queued while no engine can take it, such as shortly after
+// A request that can wait is also queued while no engine can accept it, such as shortly after
 // the engines' first announcements. The number of such requests is limited like the gate's
 // own queue.
 const (
@@ -247,9 +247,9 @@
 	maxWaitingForEngines = 2000
 )
 
-// enterOrWait enters the gate. If no engine can take a request that can wait, it retries
-// until one can.
-func (g *gates) enterOrWait(ctx context.Context, gate *modelGate, request hingegate.Request) (hingeplace.Decision, error) {
+// admitOrWait requests admission at the gate. If no engine can accept a request that can wait,
+// it retries until one can.
+func (g *gates) admitOrWait(ctx context.Context, gate *modelGate, request hingegate.Request) (hingeplace.Decision, error) {
 	d, err := gate.Admit(ctx, request)
 	if !request.Placement.CanWait || !isNoServer(err) {
 		return d, err
@@ -361,9 +361,9 @@
 	g.forModel(e.CompletionRequest.Model).Finish(e.ID, hingeids.Tokens(tokens))
 }
 
-// HandleFailure removes an unreachable engine from the gate. The next update adds it again if it is
-// still announced. Otherwise the gate would place all waiting requests there, because an
-// engine that completes nothing looks idle.
+// HandleFailure removes an unreachable engine from the gate. Otherwise the gate would place all
+// waiting requests there, because an engine that completes nothing looks idle. The next update
+// adds it again if it is still announced.
 func (g *gates) HandleFailure(e hingedispatch.Entry, t hingeengine.Target, err error) {
 	if !isNoServer(err) {
 		return
--- a/internal/serve/hingeserver/instances.go
+++ b/internal/serve/hingeserver/instances.go
@@ -13,15 +13,16 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// The configuration log keeps two facts about each entry host's instances: the newest one
-// that was started, and the incarnation up to which all have ended. Both values only
-// increase.
+// The configuration log records two values for each entry host: the newest instance that was
+// started, and the incarnation up to which all have ended. Both only increase.
+//
+// The path names are stored in existing logs and use the old term for an instance.
 const (
 	instancesPrefix = "lives/"
 	startedSuffix   = "/began"
 )
 
-func isFact(p hingeconfig.Path) bool {
+func isSystemPath(p hingeconfig.Path) bool {
 	return strings.HasPrefix(string(p), instancesPrefix)
 }
 
@@ -85,12 +86,12 @@
 }
 
 func (s *Server) updateInstanceRegistry(ctx context.Context, now time.Time) {
-	registry := registryOf(s.shared.spread.Applied().Load().View)
+	registry := registryOf(s.shared.replicator.Applied().Load().View)
 	s.shared.members.SetRegistry(registry)
 	view := s.shared.members.Hosts().Load()
 	s.callers.StartInstance(view.Self)
 	if self := view.Self; !registry.Has(self) && !registry.HasEnded(self) && !s.callers.Draining() {
-		s.proposeFact(ctx, instanceStarted(self, now))
+		s.proposeSystemChange(ctx, instanceStarted(self, now))
 	}
 	if _, leads := s.shared.config.Leading(now); !leads {
 		return
@@ -99,7 +100,7 @@
 		if registry.HasEnded(instance) {
 			continue
 		}
-		if !s.proposeFact(ctx, hingeconfig.InstanceEnded(instance, s.settings.Host, now)) {
+		if !s.proposeSystemChange(ctx, hingeconfig.InstanceEnded(instance, s.settings.Host, now)) {
 			continue
 		}
 		s.recorder.Record(now, hingeevents.LifeRecordedOver, hingeevents.Fields{
@@ -125,12 +126,12 @@
 	return out
 }
 
-// factTimeout is the timeout of one attempt to record a fact. The next comparison retries
-// it.
-const factTimeout = time.Second
+// systemChangeTimeout is the timeout of one attempt to propose a system change. The next
+// comparison retries it.
+const systemChangeTimeout = time.Second
 
-func (s *Server) proposeFact(ctx context.Context, c hingeconfig.Change) bool {
-	ctx, cancel := context.WithTimeout(ctx, factTimeout)
+func (s *Server) proposeSystemChange(ctx context.Context, c hingeconfig.Change) bool {
+	ctx, cancel := context.WithTimeout(ctx, systemChangeTimeout)
 	defer cancel()
 	_, err := s.shared.config.Propose(ctx, c.Encode())
 	return err == nil
--- a/internal/serve/hingeserver/meter.go
+++ b/internal/serve/hingeserver/meter.go
@@ -137,7 +137,7 @@
 		{
 			definition: hingemetrics.RevisionKnown,
 			read: func() int64 {
-				return int64(s.shared.spread.Applied().Load().View.Revision)
+				return int64(s.shared.replicator.Applied().Load().View.Revision)
 			},
 		},
 		{
--- a/internal/serve/hingeserver/once_test.go
+++ b/internal/serve/hingeserver/once_test.go
@@ -87,8 +87,8 @@
 }
 
 // A host is killed while its call is running, and the caller resends the call to another
-// host. Guards against a second run: the outcome of the first is unknown, and the caller
-// must be told so.
+// host. Guards against a second run: the outcome of the first is unknown, and the response
+// must say so.
 func TestAKilledHostsCallIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -96,10 +96,10 @@
 }
 
 // At returns the configuration items at a revision, or at the one in force for zero. Of
-// older revisions it knows only those after which nothing but facts changed: their items are
-// those of today.
+// older revisions it knows only those that were followed by system changes only: their items are
+// still the current ones.
 func (o operatorAPI) At(r hingeids.Revision) (hingeadmin.Snapshot, error) {
-	view := o.server.shared.spread.Applied().Load().View
+	view := o.server.shared.replicator.Applied().Load().View
 	if r == 0 {
 		r = view.Revision
 	}
@@ -111,7 +111,7 @@
 	}
 	items := make(map[string]string)
 	for path, document := range view.Documents {
-		if !isFact(path) {
+		if !isSystemPath(path) {
 			items[string(path)] = string(document)
 		}
 	}
@@ -223,7 +223,7 @@
 // Status returns the state of the cluster as this host knows it.
 func (o operatorAPI) Status(now time.Time) hingeadmin.Status {
 	s := o.server
-	applied := s.shared.spread.Applied().Load()
+	applied := s.shared.replicator.Applied().Load()
 	ready, reason := s.ready(now)
 	return hingeadmin.Status{
 		Host:        s.settings.Host,
@@ -271,11 +271,11 @@
 func (o operatorAPI) hosts() []hingeadmin.HostStatus {
 	s := o.server
 	members := s.shared.members.Hosts().Load()
-	newest := s.shared.spread.Applied().Load().View.Revision
+	newest := s.shared.replicator.Applied().Load().View.Revision
 	lags := make(map[hingeids.HostID]hingespread.Lag)
 	ctx, cancel := context.WithTimeout(context.Background(), lagsTimeout)
 	defer cancel()
-	for _, l := range s.shared.spread.Lag(ctx) {
+	for _, l := range s.shared.replicator.Lag(ctx) {
 		lags[l.Host] = l
 	}
 	var out []hingeadmin.HostStatus
--- a/internal/serve/hingeserver/orders_test.go
+++ b/internal/serve/hingeserver/orders_test.go
@@ -35,7 +35,7 @@
 }
 
 // Operators change an engine's role several times while the host that issues the orders is
-// frozen and killed. Guards against a delayed order of an earlier issuer that takes effect
+// suspended and killed. Guards against a delayed order of an earlier issuer that takes effect
 // after newer ones.
 func TestOrdersAcrossIssuerChanges(t *testing.T) {
 	t.Parallel()
--- a/internal/serve/hingeserver/pipelining_test.go
+++ b/internal/serve/hingeserver/pipelining_test.go
@@ -13,7 +13,7 @@
 )
 
 // A caller sends further requests on a connection while the first response is streaming.
-// Guards against the disconnect detection losing bytes of these requests or taking them for
+// Guards against the disconnect detection losing bytes of these requests or mistaking them for
 // a disconnect.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	s := newScript(t)
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -23,13 +23,13 @@
 	// methodPoisonList requests a host's block list.
 	methodPoisonReport hingelink.Method = "poison.tell"
 	methodPoisonList   hingelink.Method = "poison.ask"
-	// poisonReportDelay is how long facts are collected for one message: a server that crashes
-	// had dozens of requests.
+	// poisonReportDelay is how long observations are collected for one message: a server that
+	// crashes had dozens of requests.
 	poisonReportDelay = 10 * time.Millisecond
-	// factsPerMessage and recordsPerMessage keep a message below the largest datagram: a fact
-	// takes some 100 bytes, a record 300.
-	factsPerMessage   = 7
-	recordsPerMessage = 2
+	// observationsPerMessage and recordsPerMessage keep a message below the largest datagram: a
+	// crash or completion has some 100 bytes, a record 300.
+	observationsPerMessage = 7
+	recordsPerMessage      = 2
 	// listQueryInterval is the time between a starting host's queries for the block list,
 	// maxListQueries their number.
 	listQueryInterval = 500 * time.Millisecond
@@ -112,8 +112,8 @@
 	})
 }
 
-// Evaluate returns the reason why a request must not run, or nil if it may run. suspect tells
-// that Passed has to be called when it completes.
+// Evaluate returns the reason why a request must not run, or nil if it may run. suspect means
+// that HandleCompletion has to be called when it completes.
 func (d *poisonDetector) Evaluate(
 	ctx context.Context, fingerprint hingeids.Fingerprint, s hingeids.Service,
 ) (suspect bool, refused *hingeverdict.Error) {
@@ -155,8 +155,8 @@
 	d.notify()
 }
 
-// HandleFailedExchange handles a server's failure to answer a request. It records a crash if the server
-// doesn't accept connections any more.
+// HandleFailedExchange handles a server's failure to answer a request. It records a crash if the
+// server doesn't accept connections any more.
 func (d *poisonDetector) HandleFailedExchange(ctx context.Context, b hingedispatch.FailedExchange) {
 	code := codeOf(b.Err)
 	if code != hingeverdict.CodeServerFailed && code != hingeverdict.CodeAnswerCut || d.isRemoved(b.Target.Server) ||
@@ -332,10 +332,10 @@
 	}
 	for len(r.Crashes)+len(r.Completions)+len(r.Records) > 0 {
 		var part poisonReport
-		part.Crashes, r.Crashes = split(r.Crashes, factsPerMessage)
+		part.Crashes, r.Crashes = split(r.Crashes, observationsPerMessage)
 		if len(part.Crashes) == 0 {
 			part.Records, r.Records = split(r.Records, recordsPerMessage)
-			part.Completions, r.Completions = split(r.Completions, factsPerMessage)
+			part.Completions, r.Completions = split(r.Completions, observationsPerMessage)
 		}
 		add(part)
 	}
--- a/internal/serve/hingeserver/proofs_test.go
+++ b/internal/serve/hingeserver/proofs_test.go
@@ -38,7 +38,7 @@
 	f.await("a change to be accepted by another leader", 10*time.Second, func() error {
 		got, code, err := f.apply(rest[0], c)
 		if code != http.StatusOK {
-			// Facts about instances also advance the revision. An operator's change conflicts only with
+			// System changes also advance the revision. An operator's change conflicts only with
 			// another operator's.
 			return err
 		}
@@ -54,10 +54,10 @@
 
 // awaitChange applies a change at a host, and returns the time until all hosts have it in
 // force.
-func (f *fleet) awaitChange(at hingeids.HostID, expected hingeids.Revision, keep time.Duration) time.Duration {
+func (f *fleet) awaitChange(at hingeids.HostID, expected hingeids.Revision, keepKeys time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
-	accepted, code, err := f.apply(at, f.change(expected, keep))
+	accepted, code, err := f.apply(at, f.change(expected, keepKeys))
 	if code != http.StatusOK {
 		f.t.Fatalf("status %d, %v", code, err)
 	}
@@ -131,10 +131,10 @@
 	}
 }
 
-// Facts about instances advance the revision after an operator's last change. Guards against
+// System changes advance the revision after an operator's last change. Guards against
 // a history that is then empty at a host without a disk, and against a change at the
 // operator's revision that skips validation.
-func TestHistoryAndValidationAfterFacts(t *testing.T) {
+func TestHistoryAndValidationAfterSystemChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	revision := f.configure()
@@ -231,7 +231,7 @@
 
 // The leader is frozen while changes are accepted without it. Guards against hosts that
 // return to an older revision when it resumes.
-func TestFrozenLeaderDoesNotRevert(t *testing.T) {
+func TestSuspendedLeaderDoesNotRevert(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
 	revision := f.configure()
--- a/internal/serve/hingeserver/restart_test.go
+++ b/internal/serve/hingeserver/restart_test.go
@@ -125,7 +125,7 @@
 }
 
 // Every entry host is restarted in turn while callers stream. Guards against streams that
-// are cut off, and against allocations that stay behind.
+// are cut off, and against allocations that are never released.
 func TestRollingRestartCutsNothingOff(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 10*time.Millisecond)
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -22,13 +22,13 @@
 // Options configure an entry host.
 type Options struct {
 	Settings hingesettings.Settings
-	// Inventory and Rules are in force until the configuration log has a revision, if Given is
-	// set. Deployments leave them empty and apply their configuration through the log.
+	// Inventory and Rules are in force until the configuration log has a revision, if
+	// HasConfiguration is set. Deployments leave them empty and apply their configuration through the log.
 	Inventory        hingeinventory.Inventory
 	Rules            hingeinventory.Rules
 	HasConfiguration bool
-	// SettleTimeout is how long a starting host waits for slots to grant before it accepts requests.
-	// Zero means the default, a negative value means no wait.
+	// SettleTimeout is how long a starting host waits for slots to grant before it accepts
+	// requests. Zero means the default, a negative value means no wait.
 	SettleTimeout time.Duration
 	// AllowCut permits cutting links for tests.
 	AllowCut bool
@@ -176,14 +176,14 @@
 // applyConfiguration puts the newest revision in force. It never replaces a revision by an
 // older one.
 func (s *Server) applyConfiguration(now time.Time) {
-	view := s.shared.spread.Applied().Load().View
+	view := s.shared.replicator.Applied().Load().View
 	before := s.configuration.Load()
 	if view.Revision == 0 || before != nil && before.Revision >= view.Revision {
 		return
 	}
 	items := make(hingeinventory.Items, len(view.Documents))
 	for path, document := range view.Documents {
-		if !isFact(path) {
+		if !isSystemPath(path) {
 			items[string(path)] = document
 		}
 	}
@@ -213,7 +213,7 @@
 	switch {
 	case configuration == nil:
 		return false, "no configuration has been applied yet"
-	case configuration.Revision > 0 && !s.shared.spread.Applied().Load().Ready:
+	case configuration.Revision > 0 && !s.shared.replicator.Applied().Load().Ready:
 		return false, "the configuration is not yet confirmed to be at least as new as before the restart"
 	case now.Before(s.settleDeadline) && !s.slots.canGrantAny():
 		return false, "no decode slot can be granted yet"
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -27,7 +27,7 @@
 	link          *hingelink.QUIC
 	machine       *hingeconfig.Machine
 	config        *hingegroup.Group
-	spread        *hingespread.Replicator
+	replicator    *hingespread.Replicator
 	ledgerGroup   *hingegroup.Group
 	keyOwner      *hingeledger.KeyOwner
 	ledger        *hingeledger.Ledger
@@ -174,7 +174,7 @@
 			HasDisk: p.Disk,
 		})
 	}
-	s.spread = hingespread.New(hingespread.Settings{
+	s.replicator = hingespread.New(hingespread.Settings{
 		Self:     c.instance,
 		Zone:     c.settings.Zone,
 		Peers:    peers,
@@ -264,7 +264,7 @@
 	parts := []func(context.Context) error{
 		s.link.Run,
 		s.config.Run,
-		s.spread.Run,
+		s.replicator.Run,
 		s.ledgerGroup.Run,
 		s.ledger.Run,
 		s.members.Run,
