--- a/internal/link/hingelink/peer.go
+++ b/internal/link/hingelink/peer.go
@@ -155,16 +155,16 @@
 			hingeclock.Sleep(ctx, redialInterval)
 			continue
 		}
-		wasConnected = q.holdConnection(ctx, p, d, wasConnected)
+		wasConnected = q.serveConnection(ctx, p, d, wasConnected)
 	}
 }
 
-// holdConnection serves one connection until it is closed, and reports whether it
+// serveConnection serves one connection until it is closed, and reports whether it
 // lasted. A connection that is closed immediately was rejected by the peer, which
 // verifies the certificate only after this end has completed the handshake. It is
 // redialled after a pause and recorded only once, so that repeated rejections
 // neither cause a busy loop nor evict other events.
-func (q *QUIC) holdConnection(ctx context.Context, p *peer, d *dialled, wasConnected bool) (lasted bool) {
+func (q *QUIC) serveConnection(ctx context.Context, p *peer, d *dialled, wasConnected bool) (lasted bool) {
 	defer d.close()
 	start := q.clock()
 	p.setConnection(d.conn, nil)
--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -195,9 +195,9 @@
 }
 
 func (a *Account) addCrash(l hingelines.Line) {
-	e := a.crashes[l.Fields.Fingerprint]
-	if e == nil {
-		e = &Crashes{
+	c := a.crashes[l.Fields.Fingerprint]
+	if c == nil {
+		c = &Crashes{
 			Fingerprint: l.Fields.Fingerprint,
 			Customer:    l.Fields.Caller,
 			Route:       l.Fields.Route,
@@ -205,15 +205,15 @@
 			First:       l.At,
 			Attempts:    make(map[string]bool),
 		}
-		a.crashes[l.Fields.Fingerprint] = e
+		a.crashes[l.Fields.Fingerprint] = c
 	}
-	e.Servers[l.Fields.Server] = true
-	e.Attempts[l.Fields.CallerRequestID] = true
-	if l.At.Before(e.First) {
-		e.First = l.At
+	c.Servers[l.Fields.Server] = true
+	c.Attempts[l.Fields.CallerRequestID] = true
+	if l.At.Before(c.First) {
+		c.First = l.At
 	}
-	if l.At.After(e.Last) {
-		e.Last = l.At
+	if l.At.After(c.Last) {
+		c.Last = l.At
 	}
 }
 
@@ -232,7 +232,6 @@
 	a.fills[l.At.Unix()] = f
 }
 
-// finish sets the outcome; a later final event replaces an earlier one (rule 1).
 // finish sets the outcome; a later final event replaces an earlier one (rule 1).
 func (r *Request) finish(at time.Time, o Outcome, reason string) {
 	r.finished = true
--- a/internal/observe/hingeaccount/tables.go
+++ b/internal/observe/hingeaccount/tables.go
@@ -125,7 +125,7 @@
 		}
 	}
 	sorted := slices.SortedFunc(maps.Values(rows), func(x, y *reasonRow) int {
-		// The tie-breakers make the order of rows deterministic; the graver outcome comes first.
+		// The tie-breakers make the order of rows deterministic; the more severe outcome comes first.
 		return cmp.Or(cmp.Compare(y.count, x.count), cmp.Compare(x.reason, y.reason),
 			cmp.Compare(slices.Index(Outcomes, y.outcome), slices.Index(Outcomes, x.outcome)))
 	})
@@ -157,16 +157,16 @@
 	list := slices.SortedFunc(maps.Values(a.crashes), func(x, y *Crashes) int {
 		return cmp.Or(cmp.Compare(len(y.Servers), len(x.Servers)), x.First.Compare(y.First), cmp.Compare(x.Fingerprint, y.Fingerprint))
 	})
-	list = slices.DeleteFunc(list, func(e *Crashes) bool {
-		return len(e.Servers) < 2
+	list = slices.DeleteFunc(list, func(c *Crashes) bool {
+		return len(c.Servers) < 2
 	})
 	if len(list) == 0 {
 		return
 	}
 	fmt.Fprintf(b, "\n%-16s %8s %8s  %-26s %-26s %-16s %s\n", "print", "servers", "attempts", "the first ended", "the last", "customer", "route")
-	for _, e := range list[:min(len(list), maxCrashRows)] {
-		fmt.Fprintf(b, "%-16s %8d %8d  %-26s %-26s %-16s %s\n", e.Fingerprint, len(e.Servers), len(e.Attempts),
-			e.First.Format(crashTimeLayout), e.Last.Format(crashTimeLayout), e.Customer, e.Route)
+	for _, c := range list[:min(len(list), maxCrashRows)] {
+		fmt.Fprintf(b, "%-16s %8d %8d  %-26s %-26s %-16s %s\n", c.Fingerprint, len(c.Servers), len(c.Attempts),
+			c.First.Format(crashTimeLayout), c.Last.Format(crashTimeLayout), c.Customer, c.Route)
 	}
 }
 
--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -6,9 +6,9 @@
 //     to be older than one that it may have had before (hingefollow rule 4).
 //  3. It records no events on what it receives from control hosts, which record these themselves:
 //     events on requests contain the version of the cluster view that the host had.
-//  4. When it is asked to stop, it first reports to the balancer that it isn't ready, continues to
-//     serve requests, closes idle connections once the balancer has noticed, and stops when no
-//     connection is left.
+//  4. To shut down, it first reports to the balancer that it isn't ready, continues to serve
+//     requests, closes idle connections once the balancer has noticed, and stops when no connection
+//     is left.
 package hingefront
 
 import (
@@ -239,7 +239,7 @@
 	return !f.draining && f.table != nil && f.follower.State().Load().Ready
 }
 
-// Drain starts an orderly stop (rule 4). Further calls have no effect.
+// Drain starts a graceful shutdown (rule 4). Further calls have no effect.
 func (f *Front) Drain() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/serve/hingeserver/collector_test.go
+++ b/internal/serve/hingeserver/collector_test.go
@@ -74,7 +74,7 @@
 	streams, cancel := f.openStreams(suspended, 4, 4000)
 	defer cancel()
 	f.signal(suspended, 19)
-	f.await("the frozen host's streams to be cancelled", 15*time.Second, func() error {
+	f.await("the suspended host's streams to be cancelled", 15*time.Second, func() error {
 		if n := f.held(); n > 0 {
 			return fmt.Errorf("%d allocations held", n)
 		}
--- a/internal/serve/hingeserver/proofs_test.go
+++ b/internal/serve/hingeserver/proofs_test.go
@@ -229,7 +229,7 @@
 	})
 }
 
-// The leader is frozen while changes are accepted without it. Guards against hosts that
+// The leader is suspended while changes are accepted without it. Guards against hosts that
 // return to an older revision when it resumes.
 func TestSuspendedLeaderDoesNotRevert(t *testing.T) {
 	t.Parallel()
@@ -240,7 +240,7 @@
 	other := f.order[1]
 	var accepted hingeids.Revision
 	c := f.change(revision, 18*time.Hour)
-	f.await("a change to be accepted without the frozen leader", 10*time.Second, func() error {
+	f.await("a change to be accepted without the suspended leader", 10*time.Second, func() error {
 		got, code, err := f.apply(other, c)
 		if code != http.StatusOK {
 			return err
