--- a/internal/serve/hingeserver/instances.go
+++ b/internal/serve/hingeserver/instances.go
@@ -15,8 +15,7 @@
 
 // The configuration log records two values for each entry host: the newest instance that was
 // started, and the incarnation up to which all have ended. Both only increase.
-//
-// The path names are stored in existing logs and use the old term for an instance.
+// The paths are part of the stored format.
 const (
 	instancesPrefix = "lives/"
 	startedSuffix   = "/began"
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -23,8 +23,8 @@
 	// methodPoisonList requests a host's block list.
 	methodPoisonReport hingelink.Method = "poison.tell"
 	methodPoisonList   hingelink.Method = "poison.ask"
-	// poisonReportDelay is how long observations are collected for one message: a server that
-	// crashes had dozens of requests.
+	// poisonReportDelay is how long observations are collected for one message: the crash
+	// of a server affects dozens of requests.
 	poisonReportDelay = 10 * time.Millisecond
 	// observationsPerMessage and recordsPerMessage keep a message below the largest datagram: a
 	// crash or completion has some 100 bytes, a record 300.
