--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -44,7 +44,7 @@
 // Outcomes lists the outcomes in the order of the table columns.
 var Outcomes = []Outcome{OnTime, Late, Refused, Failed, Denied, Disconnected, Lost}
 
-// Request is the summary of one request. Asked is the caller's own id of it.
+// Request is the summary of one request. CallerRequestID is the caller's own id of it.
 type Request struct {
 	CallerRequestID string
 	Route           string
@@ -56,7 +56,7 @@
 	Outcome Outcome
 	// Reason says briefly why the request wasn't on time; empty if unknown.
 	Reason string
-	// Placements counts the placements; Wait is the time until the first one.
+	// Placements counts the placements; PlacementWait is the time until the first one.
 	Placements    int
 	PlacementWait time.Duration
 	// WastedTokens counts prompt tokens whose prefill was not used.
@@ -73,7 +73,7 @@
 	// DroppedLines counts the lines that the writers dropped.
 	DroppedLines int64
 	// Unlisted counts denied, over-quota and poison requests without a line of their own: hingeproxy limits the rate of
-	// these lines, and each states how many requests it stands for.
+	// these lines, and each states how many requests it represents.
 	Unlisted int64
 
 	requests map[string]*Request
@@ -195,9 +195,9 @@
 }
 
 func (a *Account) addCrash(l hingelines.Line) {
-	e := a.crashes[l.Fields.Fingerprint]
-	if e == nil {
-		e = &Crashes{
+	c := a.crashes[l.Fields.Fingerprint]
+	if c == nil {
+		c = &Crashes{
 			Fingerprint: l.Fields.Fingerprint,
 			Customer:    l.Fields.Caller,
 			Route:       l.Fields.Route,
@@ -205,15 +205,15 @@
 			First:       l.At,
 			Attempts:    make(map[string]bool),
 		}
-		a.crashes[l.Fields.Fingerprint] = e
+		a.crashes[l.Fields.Fingerprint] = c
 	}
-	e.Servers[l.Fields.Server] = true
-	e.Attempts[l.Fields.CallerRequestID] = true
-	if l.At.Before(e.First) {
-		e.First = l.At
+	c.Servers[l.Fields.Server] = true
+	c.Attempts[l.Fields.CallerRequestID] = true
+	if l.At.Before(c.First) {
+		c.First = l.At
 	}
-	if l.At.After(e.Last) {
-		e.Last = l.At
+	if l.At.After(c.Last) {
+		c.Last = l.At
 	}
 }
 
@@ -232,7 +232,6 @@
 	a.fills[l.At.Unix()] = f
 }
 
-// finish sets the outcome; a later final event replaces an earlier one (rule 1).
 // finish sets the outcome; a later final event replaces an earlier one (rule 1).
 func (r *Request) finish(at time.Time, o Outcome, reason string) {
 	r.finished = true
