--- a/internal/agreement/hingegroup/group.go
+++ b/internal/agreement/hingegroup/group.go
@@ -38,9 +38,9 @@
 	JoinOnly bool
 	// Voters is the number of voters to keep; zero means all members (hingelog rule 13).
 	Voters int
-	// Election and Heartbeat are the times of hingelog.Settings; zero means the defaults of that package.
-	Election  time.Duration
-	Heartbeat time.Duration
+	// ElectionTimeout and Heartbeat are the times of hingelog.Settings; zero means the defaults of that package.
+	ElectionTimeout   time.Duration
+	HeartbeatInterval time.Duration
 	// CompactAfter is the number of entries between snapshots; zero means 4096.
 	CompactAfter int
 	// Clock is the clock of the leases. It must include the time for which a host is suspended.
@@ -63,11 +63,11 @@
 )
 
 func (s Settings) withDefaults() Settings {
-	if s.Election == 0 {
-		s.Election = hingelog.DefaultElectionTimeout
+	if s.ElectionTimeout == 0 {
+		s.ElectionTimeout = hingelog.DefaultElectionTimeout
 	}
-	if s.Heartbeat == 0 {
-		s.Heartbeat = hingelog.DefaultHeartbeatInterval
+	if s.HeartbeatInterval == 0 {
+		s.HeartbeatInterval = hingelog.DefaultHeartbeatInterval
 	}
 	if s.WallClock == nil {
 		s.WallClock = s.Clock
--- a/internal/agreement/hingegroup/member.go
+++ b/internal/agreement/hingegroup/member.go
@@ -156,8 +156,8 @@
 	m.members = m.stored.Snapshot.Members
 	m.log = hingelog.New(now, hingelog.Settings{
 		Self:              m.self,
-		ElectionTimeout:   s.Election,
-		HeartbeatInterval: s.Heartbeat,
+		ElectionTimeout:   s.ElectionTimeout,
+		HeartbeatInterval: s.HeartbeatInterval,
 		Seed:              s.Seed,
 		Voters:            s.Voters,
 		SilenceTimeout:    hingelog.DefaultSilenceTimeout,
@@ -170,7 +170,7 @@
 // loop processes the inbox and the log's output until the context is done (rule 1).
 func (m *member) loop(ctx context.Context) error {
 	// Heartbeats are at most a quarter of their interval late.
-	ticker := time.NewTicker(m.group.settings.Heartbeat / 4)
+	ticker := time.NewTicker(m.group.settings.HeartbeatInterval / 4)
 	defer ticker.Stop()
 	defer m.failWaiters()
 	for {
--- a/internal/agreement/hingegroup/membership.go
+++ b/internal/agreement/hingegroup/membership.go
@@ -49,7 +49,7 @@
 			g.propagateBootstrap(ctx)
 		case status.LastIndex > 1 && !status.Members.Has(status.Self):
 			g.requestJoin(ctx)
-		case g.settings.Open && now.Sub(leaderSeenAt) > rejoinAfterElections*g.settings.Election:
+		case g.settings.Open && now.Sub(leaderSeenAt) > rejoinAfterElections*g.settings.ElectionTimeout:
 			// This member may have been removed while it was down (hingelog rule 13). Its
 			// own log doesn't show that, and the others send it no further entries.
 			g.requestJoin(ctx)
@@ -91,7 +91,7 @@
 			return g.member.diskState()
 		})
 	}
-	callCtx, stop := context.WithTimeout(ctx, g.settings.Election)
+	callCtx, stop := context.WithTimeout(ctx, g.settings.ElectionTimeout)
 	defer stop()
 	b, err := g.link.Call(callCtx, h, g.method("empty"), nil)
 	if err != nil {
@@ -156,7 +156,7 @@
 	}
 	for _, m := range s.Members.Voters {
 		if m != s.Self {
-			callCtx, stop := context.WithTimeout(ctx, g.settings.Election)
+			callCtx, stop := context.WithTimeout(ctx, g.settings.ElectionTimeout)
 			_, _ = g.link.Call(callCtx, m.Host, g.method("found"), encode(s.Members))
 			stop()
 		}
@@ -189,7 +189,7 @@
 // requestJoin requests to join from all known hosts and from the leaders that they name,
 // which may be none of the configured hosts. The leader adds this host as a learner.
 func (g *Group) requestJoin(ctx context.Context) {
-	callCtx, stop := context.WithTimeout(ctx, g.settings.Election)
+	callCtx, stop := context.WithTimeout(ctx, g.settings.ElectionTimeout)
 	defer stop()
 	self := g.Status().Self
 	contacted := g.knownHosts()
--- a/internal/agreement/hingegroup/propose.go
+++ b/internal/agreement/hingegroup/propose.go
@@ -66,7 +66,7 @@
 
 // retryAfter is the time within which a new leader is usually elected.
 func (g *Group) retryAfter() time.Duration {
-	return 2 * g.settings.Election
+	return 2 * g.settings.ElectionTimeout
 }
 
 // maxLeaderAttempts is the number of leaders to which a proposal or read is sent before it
@@ -125,7 +125,7 @@
 		return g.Status().Leader.Host
 	}
 	hint := g.hint.Load()
-	if hint != nil && hint.host != "" && g.settings.Clock().Sub(hint.seenAt) < g.settings.Election {
+	if hint != nil && hint.host != "" && g.settings.Clock().Sub(hint.seenAt) < g.settings.ElectionTimeout {
 		return hint.host
 	}
 	return g.discoverLeader(ctx)
@@ -141,7 +141,7 @@
 // else one named by a redirect. A leader that replaced a configured host is found only
 // by a redirect.
 func (g *Group) discoverLeader(ctx context.Context) hingeids.HostID {
-	callCtx, stop := context.WithTimeout(ctx, g.settings.Election)
+	callCtx, stop := context.WithTimeout(ctx, g.settings.ElectionTimeout)
 	defer stop()
 	hosts := g.knownHosts()
 	replies := make(chan leaderReply, len(hosts))
@@ -187,9 +187,9 @@
 // watchLeader checks periodically whether a host still leads, and calls stop if it
 // doesn't. It ends with the context.
 func (g *Group) watchLeader(ctx context.Context, leader hingeids.HostID, stop context.CancelFunc) {
-	interval := g.settings.Heartbeat
+	interval := g.settings.HeartbeatInterval
 	if g.member == nil {
-		interval = g.settings.Election
+		interval = g.settings.ElectionTimeout
 	}
 	time.AfterFunc(interval, func() {
 		switch {
@@ -215,7 +215,7 @@
 // election time ago. The loop is then blocked by a stalled disk, so the status is stale and
 // proposals here would wait until the disk answers.
 func (g *Group) leaseLapsed(s Status) bool {
-	return !s.LeaseUntil.IsZero() && g.settings.Clock().After(s.LeaseUntil.Add(g.settings.Election))
+	return !s.LeaseUntil.IsZero() && g.settings.Clock().After(s.LeaseUntil.Add(g.settings.ElectionTimeout))
 }
 
 func (g *Group) callHost(ctx context.Context, h hingeids.HostID, operation string, body []byte) (outcome, error) {
--- a/internal/agreement/hingegroup/senders.go
+++ b/internal/agreement/hingegroup/senders.go
@@ -101,7 +101,7 @@
 // message is dropped; the log sends it again.
 func (s *senders) call(ctx context.Context, to hingeids.HostID, b []byte) {
 	if len(b) <= partSize*3 {
-		callCtx, stop := context.WithTimeout(ctx, s.group.settings.Election)
+		callCtx, stop := context.WithTimeout(ctx, s.group.settings.ElectionTimeout)
 		defer stop()
 		_, _ = s.group.link.Call(callCtx, to, s.group.method("log"), b)
 		return
@@ -112,7 +112,7 @@
 			Total:  len(b),
 			Bytes:  b[offset:min(offset+partSize, len(b))],
 		}
-		callCtx, stop := context.WithTimeout(ctx, s.group.settings.Election)
+		callCtx, stop := context.WithTimeout(ctx, s.group.settings.ElectionTimeout)
 		_, err := s.group.link.Call(callCtx, to, s.group.method("part"), encode(p))
 		stop()
 		if err != nil {
--- a/internal/capacity/hingeplacer/calls_test.go
+++ b/internal/capacity/hingeplacer/calls_test.go
@@ -166,7 +166,7 @@
 		servers := &countingServers{}
 		p := New(servers, nil, func() bool {
 			return true
-		}, time.Now, hingequota.DefaultTerms)
+		}, time.Now, hingequota.DefaultParams)
 		go func() {
 			_ = p.Run(ctx)
 		}()
--- a/internal/capacity/hingeplacer/placer_test.go
+++ b/internal/capacity/hingeplacer/placer_test.go
@@ -117,7 +117,7 @@
 			leads := &atomic.Bool{}
 			leads.Store(h == "control-1")
 			cl.leads[h] = leads
-			p := New(fixedServers{}, nil, leads.Load, time.Now, hingequota.DefaultTerms)
+			p := New(fixedServers{}, nil, leads.Load, time.Now, hingequota.DefaultParams)
 			p.RegisterHandlers(cl.network.Link(h), nil)
 			done = append(done, p.Done())
 			go func() {
@@ -130,7 +130,7 @@
 				entryHosts: 2,
 			}
 			known.placers.Store(&[]hingeids.HostID{"control-1", "control-2"})
-			o := NewOwner(h, cl.network.Link(h), known, time.Now, nil, hingequota.DefaultTerms)
+			o := NewOwner(h, cl.network.Link(h), known, time.Now, nil, hingequota.DefaultParams)
 			cl.owners = append(cl.owners, o)
 			cl.views = append(cl.views, known)
 			done = append(done, o.Done())
@@ -332,7 +332,7 @@
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	p := New(slowPrefill{}, nil, func() bool {
 		return true
-	}, nil, hingequota.DefaultTerms)
+	}, nil, hingequota.DefaultParams)
 	p.step(now)
 	now = now.Add(warmUp)
 	counts := make(map[hingeids.ServerID]int)
--- a/internal/capacity/hingeplacer/poison_test.go
+++ b/internal/capacity/hingeplacer/poison_test.go
@@ -39,7 +39,7 @@
 	}
 	p := New(l, l, func() bool {
 		return true
-	}, time.Now, hingequota.DefaultTerms)
+	}, time.Now, hingequota.DefaultParams)
 	p.wallTime = func() time.Time {
 		return l.wallTime
 	}
--- a/internal/capacity/hingeplacer/quotas_test.go
+++ b/internal/capacity/hingeplacer/quotas_test.go
@@ -40,7 +40,7 @@
 		c := busyCall(1000+i, 1)
 		c.Charge.Customer = "calm"
 		cl.call(i%2, c)
-		time.Sleep(hingequota.DefaultTerms.Window / 16)
+		time.Sleep(hingequota.DefaultParams.Window / 16)
 	}
 }
 
--- a/internal/config/hingecustomers/customers_test.go
+++ b/internal/config/hingecustomers/customers_test.go
@@ -128,7 +128,7 @@
 	return s
 }
 
-func BenchmarkHolder(b *testing.B) {
+func BenchmarkCustomerByKey(b *testing.B) {
 	set := newTestSet(b, 7300)
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/decide/hingefleet/assign_test.go
+++ b/internal/decide/hingefleet/assign_test.go
@@ -206,7 +206,7 @@
 	f.SetEngines(engines())
 	f.RecordOutcome(now, OutcomeReport{
 		Server:  "prefill",
-		Outcome: Unreachable,
+		Outcome: ConnectFailed,
 	})
 	f.Enqueue(now, requestOf("a", now))
 	d := f.Step(now)
--- a/internal/decide/hingefleet/health.go
+++ b/internal/decide/hingefleet/health.go
@@ -36,7 +36,7 @@
 	Succeeded Outcome = iota
 	Failed
 	Full
-	Unreachable
+	ConnectFailed
 	Started
 )
 
@@ -91,7 +91,7 @@
 	switch r.Outcome {
 	case Succeeded, Started:
 		f.zoneAnswered(now, e.Zone)
-	case Unreachable:
+	case ConnectFailed:
 		f.suspectZone(now, e.Zone)
 	}
 }
@@ -145,7 +145,7 @@
 	case Full:
 		h.unusableUntil = hingeclock.Later(h.unusableUntil, now.Add(min(minFullBackoff<<min(h.fullsInRow, 4), maxFullBackoff)))
 		h.fullsInRow++
-	case Unreachable:
+	case ConnectFailed:
 		h.eject(now)
 		h.unreachable = true
 	case Failed:
--- a/internal/decide/hingefleet/health_test.go
+++ b/internal/decide/hingefleet/health_test.go
@@ -29,7 +29,7 @@
 		ejectedFor(Failed),
 		ejectedFor(Failed, Failed),
 		ejectedFor(Failed, Succeeded, Succeeded, Failed),
-		ejectedFor(Unreachable),
+		ejectedFor(ConnectFailed),
 		ejectedFor(Full),
 	}
 	want := []time.Duration{0, minEjection, 0, minEjection, minFullBackoff}
@@ -49,7 +49,7 @@
 	f.SetEngines(list)
 	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-2",
-		Outcome: Unreachable,
+		Outcome: ConnectFailed,
 	})
 	now = now.Add(minEjection)
 	assigned := func(ids ...StreamID) int {
@@ -91,14 +91,14 @@
 		for _, id := range []hingeids.ServerID{"decode-1", "decode-2"} {
 			f.RecordOutcome(now, OutcomeReport{
 				Server:  id,
-				Outcome: Unreachable,
+				Outcome: ConnectFailed,
 			})
 		}
 		now = f.engines["decode-1"].health.unusableUntil
 	}
 	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-1",
-		Outcome: Unreachable,
+		Outcome: ConnectFailed,
 	})
 	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-2",
@@ -128,7 +128,7 @@
 	f.SetEngines(list)
 	f.RecordOutcome(now, OutcomeReport{
 		Server:  "decode-1",
-		Outcome: Unreachable,
+		Outcome: ConnectFailed,
 	})
 	inZone := 0
 	for i := range 8 {
@@ -172,7 +172,7 @@
 		now = now.Add(10 * time.Millisecond)
 		f.RecordOutcome(now, OutcomeReport{
 			Server:  "decode-2",
-			Outcome: Unreachable,
+			Outcome: ConnectFailed,
 		})
 	}
 }
--- a/internal/decide/hingequota/params.go
+++ b/internal/decide/hingequota/params.go
@@ -43,8 +43,8 @@
 	Slack hingeids.QuotaUnits
 }
 
-// DefaultTerms are the default parameters.
-var DefaultTerms = Params{
+// DefaultParams are the default parameters.
+var DefaultParams = Params{
 	Window: 8 * time.Second,
 	Over:   0.1,
 }
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -411,7 +411,7 @@
 		cluster: c,
 	}, nil, func() bool {
 		return true
-	}, time.Now, hingequota.DefaultTerms)
+	}, time.Now, hingequota.DefaultParams)
 	placer.RegisterHandlers(network.Link("control-1"), nil)
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
@@ -430,7 +430,7 @@
 
 func newTestProxyAt(t *testing.T, c *cluster, network *hingefake.Network, host hingeids.HostID) *testProxy {
 	t.Helper()
-	owner := hingeplacer.NewOwner(host, network.Link(host), c, time.Now, nil, hingequota.DefaultTerms)
+	owner := hingeplacer.NewOwner(host, network.Link(host), c, time.Now, nil, hingequota.DefaultParams)
 	p := New(Settings{
 		Self: hingeids.Instance{
 			Host:        host,
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -318,7 +318,7 @@
 func engineOutcome(err *hingeverdict.Error) hingefleet.Outcome {
 	switch err.Code {
 	case hingeverdict.CodeNoServer, hingeverdict.CodeServerGone:
-		return hingefleet.Unreachable
+		return hingefleet.ConnectFailed
 	case hingeverdict.CodeServerRefused:
 		return hingefleet.Full
 	}
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -163,18 +163,18 @@
 func (c *Control) newGroup(files hingejournal.Directory) (*hingegroup.Group, error) {
 	o := c.options
 	return hingegroup.New(hingegroup.Settings{
-		Name:      "config",
-		Self:      o.Instance.Host,
-		Hosts:     o.Seeds,
-		Open:      true,
-		JoinOnly:  !o.FirstStart,
-		Voters:    o.Voters,
-		Election:  electionTimeout,
-		Heartbeat: heartbeatInterval,
-		Clock:     hingeclock.BootTime,
-		WallClock: time.Now,
-		Seed:      uint64(o.Instance.Incarnation),
-		Recorder:  o.Recorder,
+		Name:              "config",
+		Self:              o.Instance.Host,
+		Hosts:             o.Seeds,
+		Open:              true,
+		JoinOnly:          !o.FirstStart,
+		Voters:            o.Voters,
+		ElectionTimeout:   electionTimeout,
+		HeartbeatInterval: heartbeatInterval,
+		Clock:             hingeclock.BootTime,
+		WallClock:         time.Now,
+		Seed:              uint64(o.Instance.Incarnation),
+		Recorder:          o.Recorder,
 	}, c.link, files, c.machine)
 }
 
