--- a/internal/core/hingeids/ids.go
+++ b/internal/core/hingeids/ids.go
@@ -25,9 +25,10 @@
 // occur in a name, because names are URL path segments and "#" ends a path.
 const incarnationSeparator = "#"
 
-// WithIncarnation returns the id of one incarnation of a server. State that is keyed by
-// it (health, streams, orders) isn't applied to a later incarnation. Incarnation
-// 1 has the bare name: servers that take a new name at each start have no other.
+// WithIncarnation returns the id of one incarnation of a server. State keyed by
+// it (health, streams, orders) isn't applied to a later incarnation.
+// Incarnation 1 has the bare name: servers that take a new name at each start
+// have no other.
 func (s ServerID) WithIncarnation(i Incarnation) ServerID {
 	if i <= 1 {
 		return s
@@ -61,8 +62,8 @@
 // CallerID identifies the customer on whose behalf a request is made.
 type CallerID string
 
-// Fingerprint is the fingerprint of a request: a digest that all resends of the same
-// request share, over all attempts, hosts and clients. Zero means no fingerprint.
+// Fingerprint is a digest that all resends of the same request share, over all
+// attempts, hosts and clients. Zero means no fingerprint.
 type Fingerprint uint64
 
 // String formats the fingerprint as 16 hexadecimal digits, the form in logs and
@@ -94,9 +95,9 @@
 // IdempotencyKey is the key under which a caller's request runs at most once.
 type IdempotencyKey string
 
-// Incarnation distinguishes successive starts of a process or successive disks of
-// a host. It only grows: a process uses the wall clock in nanoseconds at its
-// start, so a later start has a higher number even if the disk was lost.
+// Incarnation distinguishes successive starts of a process or successive disks
+// of a host. It only grows: it is the wall clock in nanoseconds at the start,
+// so that it grows even if the disk was lost.
 type Incarnation uint64
 
 // Revision is the number of an accepted configuration. Zero is the empty
