--- a/internal/decide/hingeadmit/due.go
+++ b/internal/decide/hingeadmit/due.go
@@ -63,7 +63,6 @@
 	return due.UnixNano() / int64(bucketSpan)
 }
 
-// workDueAfter is the waiting work that is due after a time.
 func (l *level) workDueAfter(now, due time.Time) time.Duration {
 	last := bucket(now) + bucketCount/2
 	var sum time.Duration
--- a/internal/decide/hingeadmit/expire.go
+++ b/internal/decide/hingeadmit/expire.go
@@ -38,11 +38,8 @@
 
 // postpone changes the order of a request that can wait. Rule 6. After it has
 // missed its first-token target it goes behind requests that can still meet
-// theirs. Close to its deadline it goes ahead of others, even if its caller is
-// ahead of its share.
-//
-// With a constant order, one late request in a slightly overloaded queue would
-// make all requests behind it late.
+// theirs, or it would make all behind it late. Close to its deadline it goes
+// ahead of others, even if its caller is ahead of its share.
 func (q *Queue) postpone(now time.Time, it *item) {
 	r := &it.request
 	urgentAt := r.Deadline.Add(-r.Work*3/2 - r.Deadline.Sub(r.Arrived)/8)
--- a/internal/decide/hingeadmit/heaps.go
+++ b/internal/decide/hingeadmit/heaps.go
@@ -51,7 +51,6 @@
 	return x
 }
 
-// flowHeap is a heap of flows ordered by less.
 type flowHeap struct {
 	list []*flow
 	less func(a, b *flow) bool
--- a/internal/decide/hingeadmit/level.go
+++ b/internal/decide/hingeadmit/level.go
@@ -7,7 +7,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// item is a waiting request.
 type item struct {
 	request Request
 	level   *level
@@ -17,8 +16,7 @@
 	expiry time.Time
 	bucket int64
 	// urgent is set when the deadline is near.
-	urgent bool
-	// flowIndex and expiryIndex are the item's positions in the two heaps.
+	urgent                 bool
 	flowIndex, expiryIndex int
 }
 
@@ -87,10 +85,10 @@
 	return min(dueBefore, fairWork*time.Duration(active))
 }
 
-// ownWait is how long a new request waits behind those of the same caller. A
-// caller with a long queue gets the capacity that callers with few requests
-// leave. That is measured by the caller's drain, since the callers that wait
-// at one moment don't show how many will arrive.
+// ownWait is how long a new request waits behind those of the same caller. It
+// uses the caller's measured drain, which includes the capacity that other
+// callers leave: the callers waiting at one moment don't show how many will
+// arrive.
 func (l *level) ownWait(now time.Time, r Request) time.Duration {
 	f := l.flows[r.Caller]
 	if f == nil || len(f.items.list) == 0 || now.Sub(f.backloggedSince) < drainTimeConstant {
@@ -107,7 +105,6 @@
 	}
 }
 
-// setDue changes the due time of a waiting item.
 func (l *level) setDue(it *item, due time.Time) {
 	l.addDue(it, -it.request.Work)
 	it.due = due
@@ -191,8 +188,8 @@
 	}
 }
 
-// charge charges a flow for a request that is dequeued. The caller removes the
-// request afterwards.
+// charge charges a flow for a request. The caller removes the request
+// afterwards.
 func (l *level) charge(now time.Time, it *item) {
 	f := it.flow
 	work := it.request.Work.Seconds()
--- a/internal/decide/hingeadmit/queue.go
+++ b/internal/decide/hingeadmit/queue.go
@@ -96,11 +96,10 @@
 	return nil
 }
 
-// answerAllowance is the time to allow for the answer after its first token.
-// On idle engines that is its duration. While others wait it is the request's
-// whole cost, which is far more for a long prompt: the margin covers the
-// requests of other entry hosts on the same engines, which this queue doesn't
-// know.
+// answerAllowance is the time to allow for the answer after its first token:
+// its duration on idle engines, but the request's whole cost, far more for a
+// long prompt, while others wait. The margin covers the requests of other entry
+// hosts, which this queue doesn't know.
 func answerAllowance(r Request, wait time.Duration) time.Duration {
 	if wait == 0 {
 		return r.AnswerTime
@@ -187,15 +186,15 @@
 	}
 }
 
-// lookahead is how many callers of a level Next tries. If the best prefill
-// engine of one request is busy, that of another may be idle. The number is
-// small to keep a pass over the queue short and the order nearly exact.
+// lookahead is how many callers of a level Next tries: the best prefill engine
+// of one request may be idle while that of another is busy. A small number
+// keeps a pass short and the order nearly exact.
 const lookahead = 8
 
 // Next dequeues a request. It calls try with the first few of each level in
 // turn until try returns true to accept one; try must not call the queue. A
-// level whose requests can't be placed doesn't block lower ones: placement
-// reserves slots for higher priorities itself.
+// blocked level doesn't block lower ones: placement reserves slots for higher
+// priorities itself.
 func (q *Queue) Next(now time.Time, try func(Request) bool) (Request, bool) {
 	q.drain.advance(now, len(q.items) > 0)
 	owed := q.owedLevel()
--- a/internal/decide/hingeadmit/rate.go
+++ b/internal/decide/hingeadmit/rate.go
@@ -82,11 +82,9 @@
 	noServerRetryAfter = 5 * time.Second
 )
 
-// refuse returns a refusal with its retry time. Rule 7. late is by how much
-// the request would have missed its target.
-//
-// Thousands of callers refused in the same second would return as the same
-// burst if all had the same retry time.
+// refuse returns a refusal with its retry time. Rule 7. late is by how much the
+// request would have missed its target. Retry times differ, or callers refused
+// in the same second would return as the same burst.
 func (q *Queue) refuse(
 	now time.Time, l *level, r Request, c hingeverdict.Code, late time.Duration,
 ) *hingeverdict.Error {
@@ -110,7 +108,6 @@
 	return refusal(c, max(retryAfter, minRetryAfter+time.Duration(unitFraction(r.JitterSeed)*float64(minRetryAfter))))
 }
 
-// reasons are the error texts of the refusals.
 var reasons = map[hingeverdict.Code]string{
 	hingeverdict.CodeQueueFull:        "the queue is full",
 	hingeverdict.CodeCallerShare:      "the caller's share of the queue is full",
--- a/internal/decide/hingeadmit/request.go
+++ b/internal/decide/hingeadmit/request.go
@@ -48,9 +48,8 @@
 	// waiting request needs about 600 bytes here, and its body elsewhere.
 	Limit int
 	// MinShare is the share of dequeued work credited to each lower level (rule
-	// 2). At 0.1 a flood of low-priority requests slows higher ones by a tenth at
-	// most, and low-priority requests progress even if higher ones could fill the
-	// engines.
+	// 2). At 0.1 a flood of low-priority requests slows higher ones by a tenth
+	// at most, and low-priority requests always progress.
 	MinShare float64
 }
 
--- a/internal/decide/hingebalance/balance.go
+++ b/internal/decide/hingebalance/balance.go
@@ -60,10 +60,10 @@
 // Outcome is the result of a request at a replica.
 type Outcome uint8
 
-// Answered means that the replica responded, with any status; Full that it refused the request for
-// lack of capacity; Failed that the response was missing or incomplete; ConnectFailed that no
-// connection was established; Replaced that another server now has the address; Unknown that the
-// outcome says nothing about the replica, for example because the caller disconnected.
+// Answered means that the replica responded, with any status; Full that it refused for lack of
+// capacity; Failed that the response was missing or incomplete; ConnectFailed that no connection
+// was established; Replaced that another server has the address; Unknown that the outcome says
+// nothing about the replica, for example because the caller disconnected.
 const (
 	Answered Outcome = iota
 	Full
@@ -87,10 +87,8 @@
 const (
 	// initialLatency is the expected latency of a replica before its first answer.
 	initialLatency = 25 * time.Millisecond
-	// latencyWeight is the weight of a new sample in the moving average of the latency. Ten answers
-	// move the average by two thirds.
+	// latencyWeight is the weight of a new sample: ten answers move the average by two thirds.
 	latencyWeight = 0.1
-	// failureWeight is the weight of a new outcome in the moving average of the failure rate.
 	failureWeight = 0.1
 	// toleratedFailureRate is the failure rate that adds no cost, so that a single failure changes
 	// nothing.
@@ -111,9 +109,8 @@
 	// occupancyCost is the relative latency added to a fully occupied replica, since some slow down
 	// when nearly full.
 	occupancyCost = 0.25
-	// minEjection and maxEjection bound the duration of an ejection.
-	minEjection = 700 * time.Millisecond
-	maxEjection = 6 * time.Second
+	minEjection   = 700 * time.Millisecond
+	maxEjection   = 6 * time.Second
 	// refusalPause is how long a replica is avoided after it refused a request for lack of
 	// capacity.
 	refusalPause = 60 * time.Millisecond
@@ -124,7 +121,6 @@
 	connectFailureLimit = 2
 )
 
-// ejection is a period in which a replica gets no requests.
 type ejection struct {
 	duration time.Duration
 	until    time.Time
@@ -161,8 +157,7 @@
 // state is the observed state of a replica.
 type state struct {
 	open int
-	// waitingSince is the time since which requests are outstanding without any response, zero if
-	// there are none.
+	// waitingSince is the time since which requests are outstanding without any response, or zero.
 	waitingSince time.Time
 	latency      time.Duration
 	// measured is set by the first answer; until then latency is a default.
@@ -178,7 +173,6 @@
 	replaced       bool
 }
 
-// reachability returns the reachability of the replica from a zone.
 func (s *state) reachability(z hingeids.Zone) *reachability {
 	r := s.zones[z]
 	if r == nil {
@@ -219,7 +213,6 @@
 	return s
 }
 
-// candidate is a replica with its cost and the end of its ejection.
 type candidate struct {
 	replica Replica
 	state   *state
@@ -267,7 +260,6 @@
 	return best.replica, Chosen
 }
 
-// recordSend records that a request is sent to the replica.
 func (s *state) recordSend(now time.Time) {
 	if s.waitingSince.IsZero() {
 		s.waitingSince = now
@@ -389,7 +381,6 @@
 	}
 }
 
-// recordResponse records that the replica has responded.
 func (s *state) recordResponse(now time.Time) {
 	s.waitingSince = time.Time{}
 	if s.open > 0 {
--- a/internal/decide/hingebalance/balance_test.go
+++ b/internal/decide/hingebalance/balance_test.go
@@ -14,7 +14,6 @@
 
 var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// fromCancale is the default constraint of requests in these tests.
 var fromCancale = Constraints{
 	Zone: "cancale",
 }
@@ -31,7 +30,6 @@
 	return out
 }
 
-// behavior returns what a replica does with a request and how long that takes.
 type behavior func(id hingeids.ServerID, random *rand.Rand) (Outcome, time.Duration)
 
 // simulate sends a request every 20 ms for the given duration. It returns the share of requests
@@ -302,7 +300,6 @@
 	}
 }
 
-// sixSlotReplica returns one replica with six slots.
 func sixSlotReplica() []Replica {
 	return []Replica{
 		{
--- a/internal/decide/hingebalance/limit.go
+++ b/internal/decide/hingebalance/limit.go
@@ -8,8 +8,7 @@
 )
 
 const (
-	// networkTime is the time that a request spends in transit to and from a replica: three trips
-	// between zones, and a millisecond for a new connection.
+	// networkTime covers three trips between zones, and a millisecond for a new connection.
 	networkTime = 2500 * time.Microsecond
 	// refusalReduction is the share of its requests in flight by which a refusal lowers the limit
 	// of a replica. The limit rises again by one for each round of answers.
@@ -36,7 +35,6 @@
 	s.limitReduction += max(refusalReduction*float64(s.open), 1)
 }
 
-// restoreLimit raises a lowered limit after an answer.
 func (s *state) restoreLimit() {
 	s.limitReduction = max(s.limitReduction-1/float64(max(s.open, 1)), 0)
 }
--- a/internal/decide/hingebaseline/baseline.go
+++ b/internal/decide/hingebaseline/baseline.go
@@ -23,11 +23,9 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingemodel"
 )
 
-// queueLimit is the capacity of the queue, about three seconds of work for nine
-// engines.
+// queueLimit is about three seconds of work for nine engines.
 const queueLimit = 100
 
-// retryAfter is the retry delay of every refusal.
 const retryAfter = time.Second
 
 // Router is a baseline policy: the queue of rule 1 with a choice of engines. It
--- a/internal/decide/hingefleet/assign.go
+++ b/internal/decide/hingefleet/assign.go
@@ -57,8 +57,8 @@
 }
 
 // ruledOut reports whether the current step already failed to find capacity for a smaller request,
-// or a prefill engine for another one. When the fleet is saturated, hundreds of requests are
-// queued, and evaluating every engine for each of them would be too expensive.
+// or a prefill engine for another one. Evaluating every engine for each of hundreds of queued
+// requests would be too expensive.
 func (f *Fleet) ruledOut(now time.Time, req *StreamRequest, limit float64) bool {
 	if f.prefillSaturated && !req.Cached && len(req.Avoid) == 0 && !f.nearDeadline(now, req) {
 		return true
@@ -71,7 +71,6 @@
 	return false
 }
 
-// record enters an assignment into the state of its engines.
 func (f *Fleet) record(now time.Time, req *StreamRequest, decode *engine, a Assignment, firstToken time.Time) {
 	f.removeStream(req.ID)
 	f.addStream(&stream{
@@ -121,10 +120,9 @@
 	return a, prefilledAt.Add(prefillOverhead), true
 }
 
-// decoderForPrompt returns a decode engine that prefills the prompt itself, if no prefill engine
-// can do so in time (rule 7). Unless the request is about to miss its target, the engine must have
-// capacity for a second stream of this size: prefilling pauses the engine's streams, so that they
-// hold their memory longer.
+// decoderForPrompt returns a decode engine to prefill the prompt, if no prefill engine can do so in
+// time (rule 7). Unless the request is about to miss its target, the engine must have capacity for
+// a second stream of this size, since its streams pause and hold their memory longer.
 func (f *Fleet) decoderForPrompt(now time.Time, req *StreamRequest, limit float64) (candidate, bool) {
 	urgent := f.nearDeadline(now, req) || !f.canPrefill(now, req)
 	c, found := f.candidate(now, req, limit, func(e *engine, share float64) bool {
--- a/internal/decide/hingefleet/assign_test.go
+++ b/internal/decide/hingefleet/assign_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// After an outage of all hosts, only the first engine is known, and it is full. Guards against
-// refusals just before further engines are announced.
+// Only the first engine is known after an outage, and it is full. Guards against refusals just
+// before further engines are announced.
 func TestNewFleetWaitsForItsEngines(t *testing.T) {
 	f := trainedFleet()
 	now := simStart
@@ -110,8 +110,8 @@
 	}
 }
 
-// A stream that crosses a zone border breaks when a zone is cut off. Guards against assigning more
-// than a fifth of the streams to other zones at the mean demand.
+// Guards against assigning more than a fifth of the streams to other zones at the mean demand: such
+// streams break when a zone is cut off.
 func TestStreamsStayInTheirZone(t *testing.T) {
 	f := trainedFleet()
 	list := engineList(loadPattern{
--- a/internal/decide/hingefleet/candidate.go
+++ b/internal/decide/hingefleet/candidate.go
@@ -20,7 +20,7 @@
 
 // crossZoneTolerance is how much fuller, as a share of its memory, an engine in the request's zone
 // may be than one in another zone (rule 2). A higher value breaks fewer streams when a zone is cut
-// off, but fills the engines less evenly, so that more streams are preempted.
+// off, but causes more preemptions, since engines fill less evenly.
 const crossZoneTolerance = 0.2
 
 // candidate is a decode engine evaluated for one request.
@@ -40,8 +40,8 @@
 }
 
 // candidate returns the best decode engine for a request whose predicted share stays within limit
-// (rules 2 and 6). The exact prediction is computed only for engines whose lower bound beats the
-// best engine so far. If accept isn't nil, it filters engines by their predicted share.
+// (rules 2 and 6). It computes the exact prediction only for engines whose lower bound beats the
+// best so far. If accept isn't nil, it filters engines by their predicted share.
 func (f *Fleet) candidate(
 	now time.Time, req *StreamRequest, limit float64, accept func(e *engine, share float64) bool,
 ) (candidate, bool) {
--- a/internal/decide/hingefleet/demand.go
+++ b/internal/decide/hingefleet/demand.go
@@ -29,9 +29,9 @@
 // demand averages all requests, including those that are refused: when the fleet is saturated,
 // only they show which role is short.
 type demand struct {
-	// promptTokens is the decayed sum of prompt tokens. decodeWork is the decayed sum of decode
-	// memory times generated tokens. It is divided by the decode rate when Demand is called, so
-	// that a rate learned later applies to all requests in the sum.
+	// promptTokens is the decayed sum of prompt tokens, decodeWork that of decode memory times
+	// generated tokens. Demand divides it by the decode rate, so that a rate learned later applies
+	// to all requests in the sum.
 	promptTokens float64
 	decodeWork   float64
 	requests     int
--- a/internal/decide/hingefleet/estimates.go
+++ b/internal/decide/hingefleet/estimates.go
@@ -52,9 +52,8 @@
 	// maxEventGap is the longest permitted time between events in the latest request; zero means
 	// no limit.
 	maxEventGap time.Duration
-	// prefillRate is the prompt tokens per second that an engine prefills.
-	prefillRate estimate
-	// promptTokens is the length of a prompt.
+	// prefillRate is in prompt tokens per second.
+	prefillRate  estimate
 	promptTokens estimate
 	// startOverhead is the seconds from an assignment to the first event without the prefill of
 	// the stream's own prompt: queued prompts, round trips, the transfer and the generation of the
@@ -67,7 +66,7 @@
 
 const (
 	// engineWeight is the weight of a new sample of an engine's decode rate. Samples come about
-	// every half second; five of them adapt the estimate to two thirds of a change.
+	// every half second, and five of them cover two thirds of a change.
 	engineWeight = 0.2
 	// fleetWeight is the weight of a new sample in the estimates for all engines. It is low, so
 	// that the samples of one slow engine don't dominate them.
@@ -75,9 +74,8 @@
 	// defaultRateFactor is the assumed ratio of an engine's decode rate to minDecodeRate before
 	// there are samples. An engine close to minDecodeRate couldn't serve several streams.
 	defaultRateFactor = 4
-	// defaultDecodeRate and defaultPrefillRate are used until the first event or prefill, in
-	// tokens per second. They are near the geometric means of the rates of common engines, 50 to
-	// 2,000 and 5,000 to 100,000.
+	// defaultDecodeRate and defaultPrefillRate are used until the first event or prefill, in tokens
+	// per second. They are near the geometric means of common engines' rates.
 	defaultDecodeRate  = 300
 	defaultPrefillRate = 25000
 	// defaultHintError is the assumed relative error of hints before any answer is complete.
@@ -111,7 +109,6 @@
 	return durationOf(float64(n) / e.usualPrefillRate())
 }
 
-// meanPrefillTime returns the prefill time of a prompt of the mean length.
 func (e *estimates) meanPrefillTime() time.Duration {
 	return durationOf(e.promptTokens.valueOr(0) / e.usualPrefillRate())
 }
@@ -121,7 +118,6 @@
 	return math.Sqrt(e.squaredHintError.valueOr(defaultHintError * defaultHintError))
 }
 
-// observeLength adds the length of a complete answer.
 func (e *estimates) observeLength(expected, generated hingeids.Tokens) {
 	relativeError := float64(generated-expected) / float64(max(expected, 1))
 	relativeError = min(relativeError, maxHintError)
--- a/internal/decide/hingefleet/estimates_test.go
+++ b/internal/decide/hingefleet/estimates_test.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Two of three prefill engines are five times slower, so prefill is the bottleneck. Guards against
-// refusals while decode engines have capacity to prefill the prompts themselves.
+// Prefill is the bottleneck, as two of three prefill engines are slow. Guards against refusals
+// while decode engines have capacity to prefill the prompts themselves.
 func TestDecodeEnginesPrefillWhenPrefillIsSaturated(t *testing.T) {
 	p := loadPattern{
 		duration: 30 * time.Second,
--- a/internal/decide/hingefleet/fleet.go
+++ b/internal/decide/hingefleet/fleet.go
@@ -147,10 +147,9 @@
 	Generated hingeids.Tokens `cbor:"5,keyasint,omitempty"`
 }
 
-// engine is an engine with what was learned about it.
 type engine struct {
 	Engine
-	// measuredRate is its decode rate, in tokens per second and stream.
+	// measuredRate is in tokens per second and stream.
 	measuredRate estimate
 	prefillQueue prefillQueue
 	health       health
@@ -262,7 +261,7 @@
 	return true
 }
 
-// decodeRateOf returns an engine's decode rate, in tokens per second and stream.
+// decodeRateOf returns tokens per second and stream.
 func (f *Fleet) decodeRateOf(e *engine) float64 {
 	return e.measuredRate.valueOr(f.estimates.usualDecodeRate())
 }
--- a/internal/decide/hingefleet/fleet_test.go
+++ b/internal/decide/hingefleet/fleet_test.go
@@ -61,8 +61,7 @@
 	checkShare(t, o, "preempted", o.Preempted, 0, 0.002)
 }
 
-// Guards against overfilled engines in repeated bursts with inaccurate hints. A placer that only
-// counts streams exceeds the memory of the engines and causes preemptions.
+// Guards against overfilled engines, and so preemptions, in repeated bursts with inaccurate hints.
 func TestBurstsDoNotOverfillEngines(t *testing.T) {
 	p := loadPattern{
 		duration:          40 * time.Second,
@@ -170,7 +169,6 @@
 	}
 }
 
-// trainedFleet returns a fleet that has learned decode rates, prefill rates and prompt lengths.
 func trainedFleet() *Fleet {
 	f := New()
 	for range minBoundSamples {
--- a/internal/decide/hingefleet/health.go
+++ b/internal/decide/hingefleet/health.go
@@ -17,8 +17,8 @@
 	// hundred milliseconds, but an engine with slow KV cache transfers keeps refusing.
 	minFullBackoff = 300 * time.Millisecond
 	maxFullBackoff = 2400 * time.Millisecond
-	// failureWeight is the weight of a new outcome in the share of failures. An engine whose share
-	// exceeds ejectionThreshold is ejected: two consecutive failures, or four of ten.
+	// failureWeight is the weight of a new outcome. An engine whose share of failures exceeds
+	// ejectionThreshold is ejected: two consecutive failures, or four of ten.
 	failureWeight     = 0.25
 	ejectionThreshold = 0.4
 	// probeTimeout is the time after which another probe is sent to an engine if the previous one
@@ -29,9 +29,9 @@
 // Outcome is the result of a request to an engine.
 type Outcome uint8
 
-// Succeeded means that the request succeeded, Failed that the answer was missing or broken, and Full
-// that the engine refused for lack of capacity. Unreachable means that the connection failed or
-// another server runs at the address, and Started that an answer has started, whatever its result.
+// Succeeded means that the request succeeded, Failed that the answer was missing or broken, Full
+// that the engine lacked capacity, Unreachable that the connection failed or another server runs at
+// the address, and Started that an answer has started, whatever its result.
 const (
 	Succeeded Outcome = iota
 	Failed
@@ -42,7 +42,7 @@
 
 // health is the health of an engine according to its recent outcomes (rule 6).
 type health struct {
-	// failureShare is the moving average of failures.
+	// failureShare is a moving average.
 	failureShare float64
 	// ejections is the number of consecutive ejections. The engine gets no streams before
 	// unusableUntil.
@@ -100,10 +100,9 @@
 // connection attempt that times out: two tries of 100 ms.
 const zoneAnswerTTL = 200 * time.Millisecond
 
-// suspectZone marks each engine of a zone for probing, unless the zone has answered recently. When
-// a zone is cut off, this avoids that many streams wait for connection timeouts at each of its
-// engines. The check for recent answers prevents that single crashed engines keep a large zone
-// suspect.
+// suspectZone marks each engine of a zone for probing, so that few streams wait for connection
+// timeouts while a zone is cut off. It does nothing if the zone has answered recently, so that
+// single crashed engines don't keep a large zone suspect.
 func (f *Fleet) suspectZone(now time.Time, zone hingeids.Zone) {
 	if now.Sub(f.zoneLastSeen[zone]) < zoneAnswerTTL {
 		return
@@ -117,8 +116,7 @@
 }
 
 // zoneAnswered records that an engine of a zone answered. If the zone was silent, its unreachable
-// engines become usable for probes at once, since their ejection times have grown with the length
-// of the outage.
+// engines become usable for probes at once, since their ejection times have grown with the outage.
 func (f *Fleet) zoneAnswered(now time.Time, zone hingeids.Zone) {
 	f.zoneLastSeen[zone] = now
 	if !f.silentZones[zone] {
--- a/internal/decide/hingefleet/lateoutcomes.go
+++ b/internal/decide/hingefleet/lateoutcomes.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// lateOutcomes is the share of late requests that were assigned after waiting behind new ones. In
-// a short burst most are assigned within their callers' maximum wait. Under lasting overload none
-// is, and waiting only uses up the time in which their callers could retry elsewhere.
+// lateOutcomes is the share of late requests that were assigned after waiting behind new ones: most
+// in a short burst, none under lasting overload, where waiting only uses up the time in which their
+// callers could retry elsewhere.
 type lateOutcomes struct {
 	assignedShare estimate
 	updatedAt     time.Time
@@ -12,7 +12,7 @@
 
 const (
 	// lateOutcomeWeight is the weight of a new outcome. Half a dozen failures reduce the share
-	// below minPlacedShare.
+	// below minAssignedShare.
 	lateOutcomeWeight = 0.1
 	// minAssignedShare is the share of assigned late requests below which further ones don't wait.
 	minAssignedShare = 0.5
@@ -21,7 +21,6 @@
 	lateOutcomeTTL = 10 * time.Second
 )
 
-// record adds whether a late request was assigned.
 func (o *lateOutcomes) record(now time.Time, assigned bool) {
 	o.expire(now)
 	o.updatedAt = now
@@ -37,7 +36,6 @@
 	o.assignedShare.add(outcome, lateOutcomeWeight)
 }
 
-// mayWait reports whether a late request may wait.
 func (o *lateOutcomes) mayWait(now time.Time) bool {
 	o.expire(now)
 	return o.assignedShare.valueOr(1) >= minAssignedShare
--- a/internal/decide/hingefleet/memory.go
+++ b/internal/decide/hingefleet/memory.go
@@ -118,9 +118,8 @@
 	return sum
 }
 
-// margin returns the memory kept free for answers of an engine's streams, with one more, that
-// exceed their hints. It grows with the square root of their number and with the error of past
-// hints, so it is small where hints are accurate or answers short.
+// margin returns the memory kept free for answers that exceed their hints, of an engine's streams
+// and one more. It grows with the square root of their number and with the error of past hints.
 func (f *Fleet) margin(e *engine, squares float64, req *StreamRequest) hingeids.Tokens {
 	squares += float64(req.ExpectedTokens) * float64(req.ExpectedTokens)
 	margin := marginDeviations * f.estimates.hintError() * math.Sqrt(squares)
--- a/internal/decide/hingefleet/prefill.go
+++ b/internal/decide/hingefleet/prefill.go
@@ -7,10 +7,10 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// fastestPrefill returns the engine that would finish the prefill first, and when. It favors
-// engines in the zone of the decode engine, since transfers between zones take twice as long. It
-// returns nil if all engines have their maximum backlog: a prompt queued at an engine holds decode
-// memory and can't be overtaken by a more urgent one.
+// fastestPrefill returns the engine that would finish the prefill first, and when, or nil if all
+// have their maximum backlog: a prompt queued at an engine holds decode memory and can't be
+// overtaken. It favors engines in the zone of the decode engine, since transfers between zones take
+// twice as long.
 func (f *Fleet) fastestPrefill(now time.Time, req *StreamRequest, zone hingeids.Zone) (*engine, time.Time) {
 	var best *engine
 	var bestAt time.Time
@@ -72,6 +72,6 @@
 	// pauseMargin is the safety factor for the predicted pause, since a longer one makes all
 	// streams of the engine late.
 	pauseMargin = 1.3
-	// eventLatency is the latency of an event from the engine to the entry host.
+	// eventLatency is from the engine to the entry host.
 	eventLatency = 10 * time.Millisecond
 )
--- a/internal/decide/hingefleet/prefillqueue.go
+++ b/internal/decide/hingefleet/prefillqueue.go
@@ -9,11 +9,10 @@
 
 const (
 	// prefillRateWeight is the weight of a new sample of an engine's prefill rate. Three prompts
-	// adapt it to two thirds of a change.
+	// cover two thirds of a change.
 	prefillRateWeight = 0.3
 	// prefillRateDecay is the time constant with which the rate of an engine without prompts
-	// returns to the usual rate. Without it, an engine that was slow once would never be assigned
-	// a prompt again.
+	// returns to the usual rate, so that an engine that was slow once is tried again.
 	prefillRateDecay = 3 * time.Second
 	// minSampleTime is the shortest prefill time that gives a sample. Shorter prefills are
 	// accumulated, since several completions can be reported together.
@@ -37,14 +36,12 @@
 // prefillQueue is the pending work of a prefill engine, as far as this fleet assigned it.
 type prefillQueue struct {
 	pending map[StreamID]queuedPrompt
-	// fleet is the estimates for all engines.
-	fleet *estimates
+	fleet   *estimates
 	// rate is the prompt tokens that the engine prefills per second, sampledAt the time of its
 	// last sample.
 	rate      float64
 	sampledAt time.Time
-	// lastDone is when the last completion was reported.
-	lastDone time.Time
+	lastDone  time.Time
 	// sampleFrom is when the engine started on sampleTokens, the tokens accumulated for the next
 	// sample.
 	sampleFrom   time.Time
@@ -104,7 +101,6 @@
 	q.sampleTokens = 0
 }
 
-// addSample adds a sample of the prefill rate.
 func (q *prefillQueue) addSample(now time.Time, sample float64) {
 	if usual := q.fleet.usualPrefillRate(); q.fleet.prefillRate.samples >= minBoundSamples {
 		sample = min(max(sample, minRateFactor*usual), maxRateFactor*usual)
@@ -156,7 +152,6 @@
 	return q.prefillTime(now, sum) - min(elapsed, q.prefillTime(now, oldest.tokens))
 }
 
-// prefillTime returns how long the engine needs to prefill n tokens.
 func (q *prefillQueue) prefillTime(now time.Time, n hingeids.Tokens) time.Duration {
 	return durationOf(float64(n) / q.rateAt(now))
 }
--- a/internal/decide/hingefleet/queue.go
+++ b/internal/decide/hingefleet/queue.go
@@ -30,7 +30,6 @@
 	}
 }
 
-// observeRequest updates the estimates from a new request.
 func (f *Fleet) observeRequest(req StreamRequest) {
 	f.estimates.promptTokens.add(float64(req.PromptTokens), fleetWeight)
 	f.estimates.maxEventGap = req.MaxEventGap
--- a/internal/decide/hingefleet/range_test.go
+++ b/internal/decide/hingefleet/range_test.go
@@ -86,7 +86,6 @@
 
 func (*mostFree) record(time.Time, OutcomeReport) {}
 
-// logUniform returns a random value from a range, uniform on a logarithmic scale.
 func logUniform(r *rand.Rand, least, most float64) float64 {
 	return least * math.Exp(r.Float64()*math.Log(most/least))
 }
@@ -126,14 +125,13 @@
 	}
 }
 
-// worth returns the value of an outcome to callers: a late answer counts a fifth of a timely one.
+// worth counts a late answer as a fifth of a timely one.
 func (o outcome) worth() float64 {
 	return float64(o.OnTime) + 0.2*float64(o.Late)
 }
 
-// Guards against figures that fit only one kind of engine, by comparison with simpler placers on
-// random kinds. A few patterns are exceptions: with answers much longer than their prompts and
-// demand above the capacity, overcommitted memory serves more in spite of the preemptions.
+// Guards against figures that fit only one kind of engine. A few patterns are exceptions: with long
+// answers above the capacity, overcommitted memory serves more in spite of preemptions.
 func TestAnyEngineKindMatchesSimplerPlacers(t *testing.T) {
 	const (
 		patterns = 200
--- a/internal/decide/hingefleet/sim_test.go
+++ b/internal/decide/hingefleet/sim_test.go
@@ -43,8 +43,7 @@
 	startsAt    time.Time
 	firstEvent  time.Time
 	// started is the order of assignment; the newest stream is preempted first.
-	started int
-	// preempted reports that it was preempted at least once.
+	started   int
 	preempted bool
 }
 
@@ -58,16 +57,13 @@
 	failing float64
 }
 
-// outcome counts the results of all requests, and preemptions.
 type outcome struct {
 	Requested, OnTime, Late, Refused, Failed, Preempted int
 	// RefusedLate counts refusals after more than an eighth of the target.
-	RefusedLate int
-	// DecodePrefilled counts prompts that were prefilled by a decode engine.
+	RefusedLate     int
 	DecodePrefilled int
 }
 
-// placer is a placement policy under test.
 type placer interface {
 	offer(now time.Time, req StreamRequest)
 	step(now time.Time) []Decision
@@ -75,7 +71,6 @@
 	record(now time.Time, r OutcomeReport)
 }
 
-// fleetPlacer is the policy of this package.
 type fleetPlacer struct {
 	*Fleet
 }
@@ -139,7 +134,6 @@
 
 func (l *leastStreams) record(time.Time, OutcomeReport) {}
 
-// loadPattern is a pattern of demand and the engines that serve it.
 type loadPattern struct {
 	duration          time.Duration
 	requestsPerSecond func(t time.Duration) float64
@@ -149,22 +143,20 @@
 	// prefill engines.
 	slow           int
 	slowPrefillers int
-	// failing is the share of streams that every decode engine fails.
-	failing float64
+	failing        float64
 	// spread is the standard deviation of the logarithm of hint over length.
 	spread float64
-	// kind is the engines and the sizes of requests; referenceKind if it is zero.
+	// kind is referenceKind if it is zero.
 	kind simKind
 }
 
-// simKind is a kind of engine with the sizes of its requests.
 type simKind struct {
 	slots  hingeids.Slots
 	memory float64
-	// decodeRate is the tokens per second of one stream, prefillRate the prompt tokens per second.
+	// Both rates are in tokens per second; decodeRate is that of one stream.
 	decodeRate  float64
 	prefillRate float64
-	// event is the tokens of an event, maxEventGap the longest permitted time between two events.
+	// event is the tokens of an event, maxEventGap the longest permitted time between two.
 	event       hingeids.Tokens
 	maxEventGap time.Duration
 	prompt      float64
@@ -172,7 +164,6 @@
 	deadline    time.Duration
 }
 
-// referenceKind is the kind of engines in the reference deployment.
 func referenceKind() simKind {
 	return simKind{
 		slots:       48,
@@ -367,7 +358,6 @@
 	return s.pattern.kind.prefillRate * e.decodeRate / s.pattern.kind.decodeRate
 }
 
-// recordPrefills reports the prompts that were prefilled since the last step.
 func (s *sim) recordPrefills(now time.Time) {
 	for _, id := range s.engineIDs {
 		for _, x := range s.engines[id].streams {
@@ -424,8 +414,7 @@
 	}
 }
 
-// preempt preempts the newest stream, which then has to be prefilled again, and returns its
-// memory.
+// preempt preempts the newest stream, which has to be prefilled again, and returns its memory.
 func (s *sim) preempt(now time.Time, e *simEngine) float64 {
 	newest := slices.MaxFunc(e.streams, func(a, b *simStream) int {
 		return a.started - b.started
--- a/internal/decide/hingefleet/streams.go
+++ b/internal/decide/hingefleet/streams.go
@@ -7,7 +7,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// stream is a stream in flight.
 type stream struct {
 	id        StreamID
 	owner     hingeids.HostID
@@ -23,8 +22,7 @@
 	// prefillSince is the time of an assignment with a prefill engine; zero otherwise, and after
 	// the first token.
 	prefillSince time.Time
-	// lastReport is the number of the last report that listed the stream.
-	lastReport uint64
+	lastReport   uint64
 }
 
 // owner is an entry host with the streams that it reported or that were assigned to it.
@@ -67,7 +65,6 @@
 	return o
 }
 
-// addStream adds a stream to its owner and its decode engine.
 func (f *Fleet) addStream(s *stream) {
 	f.streams[s.id] = s
 	o := f.ownerOf(s.owner)
@@ -118,7 +115,6 @@
 	})
 }
 
-// removeStreams removes the streams of an owner for which done returns true.
 func (f *Fleet) removeStreams(o *owner, done func(s *stream) bool) {
 	for i := len(o.streams) - 1; i >= 0; i-- {
 		if s := o.streams[i]; done(s) {
--- a/internal/decide/hingegate/bench_test.go
+++ b/internal/decide/hingegate/bench_test.go
@@ -14,8 +14,8 @@
 )
 
 // newLoadedGate returns a gate with the given number of engines, a third of
-// them for prefill, each decode engine three quarters full, and a function
-// that advances its clock by the time between two requests.
+// them for prefill, each decode engine three quarters full, and a function that
+// advances its clock by one request interval.
 func newLoadedGate(engines int) (g *Gate, advance func()) {
 	now := time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 	g = New(func() time.Time { return now }, hingeadmit.Defaults(), hingeplace.Defaults())
@@ -182,7 +182,7 @@
 }
 
 // Allocations of a decision must not grow with the number of engines, since
-// garbage collection delays requests. Unlike times, they are the same on every
+// garbage collection delays requests. Unlike times, they don't depend on the
 // machine.
 func TestDecisionsAllocateLittle(t *testing.T) {
 	for _, engines := range []int{9, 270} {
@@ -205,7 +205,6 @@
 	}
 }
 
-// BenchmarkReport measures the handling of one engine's load report.
 func BenchmarkReport(b *testing.B) {
 	for _, engines := range []int{9, 90, 1070} {
 		b.Run(fmt.Sprint("engines", engines), func(b *testing.B) {
--- a/internal/decide/hingegate/gate.go
+++ b/internal/decide/hingegate/gate.go
@@ -156,7 +156,6 @@
 	g.waiters[r.ID] = w
 }
 
-// request returns the admission request and the forecast for r.
 func (g *Gate) request(now time.Time, r *Request) (hingeadmit.Request, hingeadmit.Forecast) {
 	p := &r.Placement
 	if r.FirstToken > 0 {
@@ -285,8 +284,8 @@
 
 // Finish reports that a request has finished with the given number of output
 // tokens, or with 0 if it was cancelled, failed or evicted. It releases
-// everything that the request held. To place the request again, call Admit
-// with Resubmitted set.
+// everything that the request held. To place it again, call Admit with
+// Resubmitted set.
 func (g *Gate) Finish(id hingeids.RequestID, output hingeids.Tokens) {
 	g.update(func(now time.Time) {
 		g.queue.Cancel(id)
@@ -313,7 +312,6 @@
 	})
 }
 
-// record records an event of a request in the queue.
 func (g *Gate) record(now time.Time, n hingeevents.Number, r *Request, err *hingeverdict.Error) {
 	f := hingeevents.Fields{
 		Request: r.Placement.ID,
--- a/internal/decide/hingemodel/engines.go
+++ b/internal/decide/hingemodel/engines.go
@@ -6,7 +6,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// prefillEngine is one prefill engine with its prefix cache and its link.
 type prefillEngine struct {
 	current *Request
 	waiting []*Request
@@ -61,7 +60,6 @@
 	m.schedulePrefill(e)
 }
 
-// updatePrefillProgress accounts for the work on a running prefill up to now.
 func (m *model) updatePrefillProgress(r *Request) {
 	if r.state != prefilling || r.local || m.prefills[r.engine].current != r {
 		return
@@ -183,7 +181,6 @@
 	})
 }
 
-// decodeEngine is one decode engine.
 type decodeEngine struct {
 	// held is the number of slots in use.
 	held          int
--- a/internal/decide/hingemodel/model.go
+++ b/internal/decide/hingemodel/model.go
@@ -107,7 +107,6 @@
 	Warmup time.Duration
 }
 
-// state is the stage of a request.
 type state uint8
 
 const (
@@ -138,7 +137,6 @@
 // epoch is the simulated time at the start of each run.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// model is the state of a run.
 type model struct {
 	run      Run
 	now      time.Time
@@ -295,7 +293,6 @@
 	m.at(next.Arrived, func() { m.arrive(next) })
 }
 
-// countWasted adds the prefill computed for a request to a counter of wasted tokens.
 func (m *model) countWasted(r *Request, counter *float64) {
 	m.updatePrefillProgress(r)
 	*counter += r.computed
@@ -410,7 +407,6 @@
 	return last
 }
 
-// at schedules a call.
 func (m *model) at(t time.Time, do func()) {
 	m.serial++
 	heap.Push(&m.calls, timedCall{
--- a/internal/decide/hingemodel/policy.go
+++ b/internal/decide/hingemodel/policy.go
@@ -6,10 +6,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Policy is the scheduling policy under test. It receives what the request path of
-// an entry host sees: arrivals, events of requests and engines, and delayed load
-// reports. The methods add their actions to the last argument. They aren't called
-// concurrently.
+// Policy is the scheduling policy under test. It receives what the request path
+// of an entry host sees, with delayed load reports. The methods add their
+// actions to the last argument and aren't called concurrently.
 type Policy interface {
 	// HandleArrival handles a new request.
 	HandleArrival(now time.Time, r *Request, actions *Actions)
@@ -117,7 +116,6 @@
 	QueuedTokens hingeids.Tokens
 }
 
-// actionKind is the kind of an action.
 type actionKind uint8
 
 const (
--- a/internal/decide/hingeplace/demand.go
+++ b/internal/decide/hingeplace/demand.go
@@ -16,7 +16,6 @@
 	tokens float64
 }
 
-// demandTimeConstant is the time constant of the decay of demand.
 const demandTimeConstant = 3 * time.Second
 
 // recordDemand counts a request of a priority that starts with the given
@@ -83,14 +82,11 @@
 // priorities: about the duration of their prefill and transfer.
 const reserveWindow = 100 * time.Millisecond
 
-// reservedSlots is the number of free slots that a request may not use because
-// requests of a higher priority are expected to need them soon.
-//
-// On full engines, waiting long requests would otherwise occupy each slot as
-// soon as it is free, and the next interactive request would find none.
-//
-// Other entry hosts' high-priority requests compete for the same slots. Their
-// demand is estimated from this host's, in proportion to the slots held.
+// reservedSlots is the number of free slots that a request must leave for
+// expected requests of a higher priority: on full engines, waiting long
+// requests would otherwise occupy each slot as soon as it is free. The demand
+// of other entry hosts is estimated from this host's, in proportion to the
+// slots held.
 func (v *View) reservedSlots(now time.Time, priority int) int {
 	higher := v.higherRate(now, priority)
 	if higher <= 0 {
--- a/internal/decide/hingeplace/flight.go
+++ b/internal/decide/hingeplace/flight.go
@@ -9,7 +9,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// inflightRequest is a request that has started and has not finished.
 type inflightRequest struct {
 	request Request
 	prefill *engine
@@ -295,9 +294,8 @@
 }
 
 // SlotCost is the cost of a request as slot time: the time for which it would
-// hold a decode slot, or its share of the total prefill capacity, converted to
-// slot time, if that is more. Decode slots and prefill are alternately the
-// bottleneck, and the scarcer one determines the cost.
+// hold a decode slot or, if more, its share of the total prefill capacity,
+// converted to slot time. The scarcer resource determines the cost.
 func (v *View) SlotCost(r *Request) time.Duration {
 	v.index.mark(r.Prefix)
 	var hit hingeids.Tokens
--- a/internal/decide/hingeplace/index.go
+++ b/internal/decide/hingeplace/index.go
@@ -70,7 +70,6 @@
 	}
 }
 
-// add records that an engine has a block cached.
 func (x *index) add(e *engine, b Block) {
 	if el := x.find(e, b.Hash); el != nil {
 		x.lru.MoveToFront(el)
@@ -96,7 +95,6 @@
 	return nil
 }
 
-// remove records that an engine no longer has a block cached.
 func (x *index) remove(e *engine, hash uint64) {
 	if el := x.find(e, hash); el != nil {
 		x.removeEntry(el)
@@ -120,7 +118,6 @@
 	x.blocks[c.hash] = remaining
 }
 
-// removeEngine removes all entries of an engine.
 func (x *index) removeEngine(e *engine) {
 	for el := x.lru.Front(); el != nil; {
 		next := el.Next()
--- a/internal/decide/hingeplace/lengths.go
+++ b/internal/decide/hingeplace/lengths.go
@@ -5,10 +5,9 @@
 	"time"
 )
 
-// lengthStats estimates the distribution of output lengths of a class. Rule 4
-// needs the probability that an answer of a given length finishes soon: it is
-// low for one that has just started, so a burst of answers that started
-// together frees no slot for a while.
+// lengthStats estimates the distribution of output lengths of a class, for the
+// probability of rule 4. An answer that has just started is unlikely to finish
+// soon, so a burst of answers that started together frees no slot for a while.
 type lengthStats struct {
 	mean float64
 	// bins is a decaying histogram of lengths with binsPerDoubling bins for each
--- a/internal/decide/hingeplace/place.go
+++ b/internal/decide/hingeplace/place.go
@@ -40,12 +40,10 @@
 }
 
 // Place decides the next step for a request. It doesn't change the view: call
-// HandleStart when the decision is carried out.
-//
-// Cached prefix, prefill queue, link and decode slot are considered together,
-// since each is at times the bottleneck. Separate balancers for prefill and
-// decode would choose the best prefill engine while all decode slots are in
-// use, and the KV cache would be evicted.
+// HandleStart when the decision is carried out. It considers cached prefix,
+// prefill queue, link and decode slot together: a separate balancer for prefill
+// would start prefills while all decode slots are in use, and their KV caches
+// would be evicted.
 func (v *View) Place(now time.Time, r *Request) Decision {
 	v.refreshForecast(now)
 	best, remote := v.bestPrefill(now, r)
@@ -77,9 +75,8 @@
 }
 
 // maxWait is the time within which a slot must be free: before the finished KV
-// cache is evicted, and before the target of the first token is missed.
-// Without the second limit, requests with short targets would start prefill
-// and be answered too late.
+// cache is evicted, and before the first token misses its target, since prefill
+// would otherwise start for requests that are answered too late.
 func (v *View) maxWait(now time.Time, r *Request, d Decision) time.Duration {
 	cacheExpiry := d.prefillEnd + v.config.CacheRetention
 	if r.FirstTokenDeadline.IsZero() {
@@ -194,10 +191,10 @@
 	return best, free
 }
 
-// slotProbability is the probability that a slot is free for the request
-// within the given time. Rule 4. Releases are modelled as a Poisson process;
-// requests that have started go first unless this one has a higher priority
-// and their KV caches are ready later.
+// slotProbability is the probability that a slot is free for the request within
+// the given time. Rule 4. Releases are modelled as a Poisson process. Started
+// requests go first unless this one has a higher priority and their KV caches
+// are ready later.
 func (v *View) slotProbability(now time.Time, r *Request, free int, within time.Duration) float64 {
 	claims := 1
 	at := now.Add(within)
--- a/internal/decide/hingeplace/view.go
+++ b/internal/decide/hingeplace/view.go
@@ -70,8 +70,7 @@
 	LinkRate func(from, to hingeids.Zone) hingeids.BytesPerSecond
 	// MaxPrefillWait is the maximum time for which a prefill may wait at its
 	// engine. It only has to keep the engine busy: requests that wait in the
-	// entry host's queue instead can still be sent elsewhere or cancelled at no
-	// cost.
+	// entry host's queue can still be sent elsewhere or cancelled at no cost.
 	MaxPrefillWait time.Duration
 	// MaxLocalPrompt is the longest prompt that may be prefilled on a decode
 	// engine while there are prefill engines.
@@ -228,10 +227,10 @@
 	e.applyReport(now, measuredAt, a.Load)
 }
 
-// applyReport attributes the load beyond this process's own requests to other
-// entry hosts. Rule 1. Own requests are counted as of measuredAt. Prompt
-// tokens are attributed to others only if others have requests there:
-// otherwise the excess is prefixes of own requests that were not cached.
+// applyReport attributes the load beyond this process's own requests, counted
+// as of measuredAt, to other entry hosts. Rule 1. Prompt tokens are attributed
+// to others only if others have requests there: otherwise the excess is
+// uncached prefixes of own requests.
 func (e *engine) applyReport(now, measuredAt time.Time, l hingeannounce.Load) {
 	held := countAt(measuredAt, e.holding, e.finishedHolds, func(f *inflightRequest) time.Time { return f.boundAt })
 	e.finishedHolds = finishedAfter(measuredAt, e.finishedHolds)
--- a/internal/decide/hingepoison/detector.go
+++ b/internal/decide/hingepoison/detector.go
@@ -99,17 +99,14 @@
 	LiftedAgo time.Duration
 }
 
-// suspect is a request that was on servers when they crashed.
 type suspect struct {
-	service hingeids.Service
-	caller  hingeids.CallerID
-	// crashes are the crashes by server.
+	service   hingeids.Service
+	caller    hingeids.CallerID
 	crashes   map[hingeids.ServerID]crash
 	lastCrash time.Time
 	// completedAt is the time of the last completion. Earlier crashes don't count.
 	completedAt time.Time
-	// probedAt is the start of the last probe.
-	probedAt time.Time
+	probedAt    time.Time
 }
 
 // crash is the time of a crash and how long the server had held the request by then.
@@ -182,7 +179,6 @@
 	}
 }
 
-// recordRecent records the crash of a server for the crash rate of its service.
 func (d *Detector) recordRecent(service hingeids.Service, id hingeids.ServerID, at time.Time) {
 	r := d.recent[service]
 	if r == nil {
@@ -381,7 +377,6 @@
 	delete(d.suspects, fp)
 }
 
-// remove deletes a crash of a request.
 func (d *Detector) remove(fp hingeids.Fingerprint, s *suspect, id hingeids.ServerID) {
 	delete(s.crashes, id)
 	rest := slices.DeleteFunc(d.onServer[id], func(other hingeids.Fingerprint) bool {
--- a/internal/decide/hingepoison/detector_test.go
+++ b/internal/decide/hingepoison/detector_test.go
@@ -12,7 +12,6 @@
 
 var begin = time.Unix(1000, 0)
 
-// servers counts the servers of the tested service.
 func servers() int { return 9 }
 
 func newCrash(fp hingeids.Fingerprint, server string, held time.Duration) Crash {
@@ -166,8 +165,8 @@
 	}
 }
 
-// A refused request must be probed after a wait, in case the fault was fixed or the refusal was wrong. One probe may run at a time, and each
-// failed one doubles the wait.
+// A refused request must be probed after a wait, in case the fault was fixed or the refusal was wrong, by one probe at a time; a failed one
+// doubles the wait.
 func TestRefusedRequestIsProbedAfterAWait(t *testing.T) {
 	today := time.Unix(1_700_000_000, 0)
 	d := NewDetector()
--- a/internal/decide/hingepoison/fingerprint.go
+++ b/internal/decide/hingepoison/fingerprint.go
@@ -7,9 +7,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// FingerprintOf returns the fingerprint of a request, which is the same for all resends: a hash of the body and of parts such as the
-// caller and the path. The hash is cryptographic, so that a client can't craft a request with the fingerprint of another's. It is never
-// zero.
+// FingerprintOf returns the same fingerprint for all resends of a request: a hash of the body and of parts such as the caller and the path.
+// It is cryptographic, so that a client can't craft a request with another's fingerprint, and never zero.
 func FingerprintOf(body []byte, parts ...string) hingeids.Fingerprint {
 	h := sha256.New()
 	var length [8]byte
--- a/internal/decide/hingepoison/ledger.go
+++ b/internal/decide/hingepoison/ledger.go
@@ -13,8 +13,7 @@
 type Ledger struct {
 	crashes     reportLog[Crash]
 	completions reportLog[hingeids.Fingerprint]
-	// placer is the placer that receives the reports.
-	placer hingeids.HostID
+	placer      hingeids.HostID
 }
 
 // reportLog is a log of facts of one kind, oldest first. The placer has accepted the first reported of them.
@@ -36,7 +35,6 @@
 	l.drop(len(l.facts) - maxKept)
 }
 
-// drop removes the n oldest facts.
 func (l *reportLog[T]) drop(n int) {
 	if n <= 0 {
 		return
--- a/internal/decide/hingepoison/list.go
+++ b/internal/decide/hingepoison/list.go
@@ -25,10 +25,9 @@
 	Servers []hingeids.ServerID `cbor:"4,keyasint,omitempty"`
 	Crashes int                 `cbor:"5,keyasint"`
 	// First is the time of the first crash, Since that of the refusal or the last failed probe, in Unix milliseconds.
-	First int64 `cbor:"6,keyasint"`
-	Since int64 `cbor:"7,keyasint"`
-	// FailedProbes counts the failed probes.
-	FailedProbes int `cbor:"8,keyasint,omitempty"`
+	First        int64 `cbor:"6,keyasint"`
+	Since        int64 `cbor:"7,keyasint"`
+	FailedProbes int   `cbor:"8,keyasint,omitempty"`
 	// Doubtful says that another request was at all the same crashes.
 	Doubtful bool `cbor:"9,keyasint,omitempty"`
 	// Lifted is when an operator lifted the block, in Unix milliseconds; zero if the request is refused. Earlier crashes don't count any
@@ -61,7 +60,6 @@
 	return min(time.UnixMilli(r.Since).Add(wait).Sub(today), wait)
 }
 
-// afterFailedProbe returns the record with one more failed probe.
 func (r Record) afterFailedProbe(today time.Time, server hingeids.ServerID) Record {
 	r.FailedProbes++
 	r.Crashes++
--- a/internal/decide/hingepoison/sim_test.go
+++ b/internal/decide/hingepoison/sim_test.go
@@ -55,7 +55,6 @@
 	attempts = 2
 )
 
-// result is the outcome of a simulation.
 type result struct {
 	// crashed counts the crashes under poison requests, excess those beyond minCrashes for each.
 	crashed, excess int
@@ -148,12 +147,10 @@
 	return time.Unix(1000, 0).Add(s.now)
 }
 
-// count returns the number of engines.
 func (s *sim) count() int {
 	return s.engines
 }
 
-// resend schedules the arrival of a stream after a random delay.
 func (s *sim) resend(x *simStream, mean time.Duration) {
 	at := s.now + tick + time.Duration(s.random.ExpFloat64()*float64(mean))
 	at = at.Truncate(tick)
@@ -162,7 +159,6 @@
 	s.arrivals[at] = append(s.arrivals[at], x)
 }
 
-// detector returns the detector that decides on requests of a host.
 func (s *sim) detector(host int) *Detector {
 	if s.strategy == perHost {
 		return s.detectors[host]
@@ -249,7 +245,6 @@
 	}
 }
 
-// evaluate decides by the strategy whether a stream may run.
 func (s *sim) evaluate(x *simStream) Decision {
 	d := s.detector(x.host)
 	switch s.strategy {
@@ -347,7 +342,6 @@
 	}
 }
 
-// crash crashes an engine, under a poison request or for another reason.
 func (s *sim) crash(i int, cause any) {
 	e := s.engine[i]
 	if e.downUntil > s.now {
--- a/internal/decide/hingepolicy/hosts.go
+++ b/internal/decide/hingepolicy/hosts.go
@@ -13,7 +13,6 @@
 	slots   int
 	held    map[hingemodel.EngineID]int
 	engines map[*hingemodel.Request]hingemodel.EngineID
-	// refused counts slot requests to full engines.
 	refused int
 }
 
--- a/internal/decide/hingepolicy/loads_test.go
+++ b/internal/decide/hingepolicy/loads_test.go
@@ -9,7 +9,6 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingeplace"
 )
 
-// mix is a workload with its weights.
 type mix struct {
 	workload hingemodel.Workload
 	weights  hingeplace.Weights
@@ -30,10 +29,8 @@
 	},
 }
 
-// seeds is the number of seeds over which figures are averaged.
 const seeds = 2
 
-// steady returns a run with a constant load and a warm-up.
 func steady(workload hingemodel.Workload, load float64, seed uint64) hingemodel.Run {
 	return hingemodel.Run{
 		Cluster:  hingemodel.DefaultCluster(),
@@ -52,7 +49,6 @@
 	}
 }
 
-// simulatePolicy returns the figures of the policy under a constant load.
 func simulatePolicy(workload hingemodel.Workload, w hingeplace.Weights, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
@@ -62,7 +58,6 @@
 	return out
 }
 
-// simulateBaseline returns the figures of a baseline under a constant load.
 func simulateBaseline(workload hingemodel.Workload, baseline newBaselineFunc, load float64) sums {
 	out := make(sums)
 	for seed := range seeds {
--- a/internal/decide/hingepolicy/policy.go
+++ b/internal/decide/hingepolicy/policy.go
@@ -89,7 +89,6 @@
 	p.dispatch(now, actions)
 }
 
-// admissionRequest returns the arguments of the admission queue for a request.
 func (p *Policy) admissionRequest(
 	now time.Time, q *hingemodel.Request, r *hingeplace.Request,
 ) (hingeadmit.Request, hingeadmit.Forecast) {
--- a/internal/decide/hingepolicy/script_test.go
+++ b/internal/decide/hingepolicy/script_test.go
@@ -105,9 +105,8 @@
 
 // baselines are the four standard baselines and the one with a priority queue.
 var baselines = []struct {
-	name string
-	make newBaselineFunc
-	// standard is set for the standard baselines.
+	name     string
+	make     newBaselineFunc
 	standard bool
 }{
 	{
--- a/internal/decide/hingequeue/arrivals.go
+++ b/internal/decide/hingequeue/arrivals.go
@@ -9,7 +9,6 @@
 // but shorter than bursts that last for seconds.
 const averagingTime = 500 * time.Millisecond
 
-// arrivalRate is an exponentially decaying average of the rate at which requests arrive.
 type arrivalRate struct {
 	// average is the rate per second at updatedAt.
 	average   float64
--- a/internal/decide/hingequeue/maxwait.go
+++ b/internal/decide/hingequeue/maxwait.go
@@ -3,24 +3,21 @@
 import "time"
 
 const (
-	// maxWaitHalfLife is the time after which an observed maximum wait counts half. It is long
-	// enough for some hundred observations at low rates, and short enough to follow a change of the
-	// configuration.
+	// maxWaitHalfLife is the time after which an observed maximum wait counts half: long enough for
+	// some hundred observations at low rates, short enough to follow a change of the configuration.
 	maxWaitHalfLife = 5 * time.Second
 	// maxWaitStep is the resolution of targets and maximum waits. Smaller differences may come from
 	// the time that a request was in transit.
 	maxWaitStep = 50 * time.Millisecond
 )
 
-// maxWaits estimates whether a caller has been refused before and how long ago it started. Such a
-// caller announces a shorter maximum wait than on its first attempt, by the time that has passed;
-// nothing else marks it. First attempts mostly announce the same maximum wait, and those of later
-// attempts are spread out, so the most common value is that of a first attempt.
+// maxWaits estimates how long ago a caller started. A caller that was refused before announces a
+// maximum wait that is shorter by the time since; nothing else marks it. These values are spread
+// out, so the most common one is that of first attempts.
 type maxWaits struct {
 	classes map[time.Duration]*maxWaitCounts
 }
 
-// maxWaitCounts counts how often each maximum wait was announced.
 type maxWaitCounts struct {
 	counts     map[time.Duration]float64
 	mostCommon time.Duration
--- a/internal/decide/hingequeue/queue.go
+++ b/internal/decide/hingequeue/queue.go
@@ -81,11 +81,10 @@
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 2 * time.Second
 	// completionTimeoutFactor is the multiple of the expected latency after which a request without
-	// a reported completion no longer counts at its replica (rule 4). One answer in a hundred takes
-	// longer. Counting lost requests for longer would leave their slots idle.
+	// a reported completion no longer counts (rule 4). One answer in a hundred takes longer. A
+	// higher value would leave the slots of lost requests idle for longer.
 	completionTimeoutFactor = 4
-	// sweepInterval is the interval between searches for such requests.
-	sweepInterval = 20 * time.Millisecond
+	sweepInterval           = 20 * time.Millisecond
 	// minCompletionTimeout is the minimum of that timeout, since a host with a small share of a
 	// core may delay its reports.
 	minCompletionTimeout = 100 * time.Millisecond
@@ -97,7 +96,6 @@
 	turnaroundWeight = 0.025
 )
 
-// call is a request at a replica.
 type call struct {
 	server hingeids.ServerID
 	// placedAt is when the replica was chosen; from expiresAt on the request no longer counts at
@@ -116,7 +114,6 @@
 	late     []CallRequest
 	calls    map[CallID]call
 	arrivals arrivalRate
-	// maxWaits estimates how long callers had waited before their requests arrived.
 	maxWaits maxWaits
 	// turnaround is the average time that decisions and completion reports are in transit, per
 	// request.
--- a/internal/decide/hingequeue/queue_test.go
+++ b/internal/decide/hingequeue/queue_test.go
@@ -46,7 +46,6 @@
 	}
 }
 
-// script runs the lines of one file.
 type script struct {
 	t     *testing.T
 	queue *Queue
@@ -92,7 +91,6 @@
 	return time.Duration(n) * time.Millisecond
 }
 
-// options parses alternating names and values.
 func options(words []string) map[string]string {
 	out := make(map[string]string)
 	for i := 0; i+1 < len(words); i += 2 {
--- a/internal/decide/hingequeue/sim_test.go
+++ b/internal/decide/hingequeue/sim_test.go
@@ -72,7 +72,6 @@
 	networkDelay = 500 * time.Microsecond
 )
 
-// backend is a simulated replica.
 type backend struct {
 	busy    int
 	waiting []func(now time.Time)
@@ -80,7 +79,6 @@
 	silent  bool
 }
 
-// counts holds the number of requests by their results.
 type counts struct {
 	total, inTime, late, refused, failed int
 	refusedByReplica                     int
@@ -90,7 +88,6 @@
 	return float64(n) / float64(c.total)
 }
 
-// sim simulates a load.
 type sim struct {
 	load
 	random   *rand.Rand
@@ -102,7 +99,6 @@
 	chooser  chooser
 }
 
-// request is a simulated request.
 type request struct {
 	number   int
 	host     int
@@ -177,7 +173,6 @@
 	s.schedule(now, time.Duration(s.random.ExpFloat64()/rate*float64(time.Second)), s.arrive)
 }
 
-// send has a replica process a request.
 func (s *sim) send(now time.Time, r *request, id hingeids.ServerID) {
 	r.attempts++
 	b := s.backends[id]
--- a/internal/decide/hingequeue/sizes_test.go
+++ b/internal/decide/hingequeue/sizes_test.go
@@ -74,8 +74,8 @@
 	}
 }
 
-// With 6 to 560 hosts, in a burst beyond the capacity of the replicas or with a slow or silent
-// replica, nearly as many requests must be answered in time as without any network delay.
+// In a burst beyond the capacity, or with a slow or silent replica, nearly as many requests must be
+// answered in time as without any network delay.
 func TestOverloadIsServedAsByACentralQueue(t *testing.T) {
 	eachSize(t, func(t *testing.T, _ scenario, l load) {
 		ideal := simulate(l, newQueueChooser(0))
--- a/internal/decide/hingequota/account.go
+++ b/internal/decide/hingequota/account.go
@@ -9,7 +9,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// usage is the counted usage of one request.
 type usage struct {
 	id ChargeID
 	// at is in nanoseconds since Limiter.Start.
@@ -20,7 +19,6 @@
 	reporter   hingeids.HostID
 }
 
-// account holds the usage of one customer.
 type account struct {
 	// usages are sorted by time. Entries before index first have left the window.
 	usages []usage
@@ -56,7 +54,6 @@
 	return a.requested.value(now) * lookahead.Seconds() / decayTime.Seconds()
 }
 
-// usedBefore returns the usage in the window from before the given time.
 func (a *account) usedBefore(at int64) hingeids.QuotaUnits {
 	rest := a.usages[a.first:]
 	i := sort.Search(len(rest), func(i int) bool {
--- a/internal/decide/hingequota/decay.go
+++ b/internal/decide/hingequota/decay.go
@@ -8,7 +8,6 @@
 // decayTime is the time constant of decayingSum: a customer at its quota sends several requests in it.
 const decayTime = time.Second
 
-// decayingSum is an exponentially decaying sum.
 type decayingSum struct {
 	sum float64
 	at  time.Time
--- a/internal/decide/hingequota/ledger.go
+++ b/internal/decide/hingequota/ledger.go
@@ -57,7 +57,6 @@
 	}
 }
 
-// expire removes usage that has left the window.
 func (l *Ledger) expire(now time.Time) {
 	n := 0
 	for n < len(l.entries) && now.Sub(l.entries[n].at) > l.window {
@@ -85,7 +84,6 @@
 	return out, now.Sub(l.since)
 }
 
-// used returns a customer's usage since a time.
 func (l *Ledger) used(c hingeids.CallerID, since time.Time) hingeids.QuotaUnits {
 	var sum hingeids.QuotaUnits
 	for _, e := range l.entries {
@@ -114,7 +112,7 @@
 	}
 }
 
-// nearLimitTTL is how long the absence of a customer from the placer's list is relied on. It covers the half second between reports and an
+// nearLimitTTL is how long the absence of a customer from the placer's list is relied on. It covers the interval between reports and an
 // election; a customer that isn't near its limit needs longer to use up a quarter of its quota at its full rate.
 const nearLimitTTL = 3 * time.Second
 
--- a/internal/decide/hingequota/limiter.go
+++ b/internal/decide/hingequota/limiter.go
@@ -22,7 +22,6 @@
 	partitionTime = forgetAfter - 20*time.Second
 )
 
-// reporter is a host that reports usage.
 type reporter struct {
 	lastSeen time.Time
 	// complete says that the host has reported all its usage since it was last silent; everReported that it has reported at all.
@@ -149,7 +148,6 @@
 	}
 }
 
-// clearSilent removes the usage retained for a host while it was silent.
 func (l *Limiter) clearSilent(h hingeids.HostID) {
 	for _, a := range l.accounts {
 		a.clearSilent(h)
@@ -332,7 +330,6 @@
 	}
 }
 
-// expire removes usage that has left the window.
 func (l *Limiter) expire(now time.Time, a *account) {
 	a.expire(l.since(now)-int64(l.params.Window), func(h hingeids.HostID) bool {
 		r := l.reporters[h]
@@ -350,8 +347,7 @@
 }
 
 // NearLimit returns the customers near their limits, sorted, and whether enough hosts have reported for the list to be complete. During
-// graceTime it returns none: what is admitted then depends on the shares that hosts received earlier, and shares computed from it would
-// add sampling errors.
+// graceTime it returns none: admission then depends on the shares that hosts received earlier, and new ones would add sampling errors.
 func (l *Limiter) NearLimit(now time.Time, hosts int) (list []NearLimit, all bool) {
 	if now.Sub(l.startedAt) < graceTime {
 		return nil, false
--- a/internal/decide/hingequota/limiter_test.go
+++ b/internal/decide/hingequota/limiter_test.go
@@ -19,7 +19,6 @@
 	Burst: 10,
 }
 
-// noMarginParams have no margin.
 var noMarginParams = Params{
 	Window: 8 * time.Second,
 }
@@ -214,8 +213,8 @@
 	}
 }
 
-// During a long partition each side sees fewer hosts and must not compute shares as if it were the whole fleet. The partitioned side must
-// also stop using the share withheld for it once the leader has forgotten its hosts.
+// During a long partition a side must not compute shares as if it were the whole fleet, nor use the share withheld for it once the leader
+// has forgotten its hosts.
 func TestBothSidesOfALongPartitionStayWithinTheMargin(t *testing.T) {
 	const all, cut = 60, 20
 	leader, substitute := NewLimiter(modelParams), NewLimiter(modelParams)
--- a/internal/decide/hingequota/local.go
+++ b/internal/decide/hingequota/local.go
@@ -7,9 +7,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// LocalLimiter decides for an entry host that no placer answers. It applies rule 5 to a single host, except that with many hosts an even
-// share of the margin is smaller than one stream. A request that doesn't fit into the remaining share is therefore admitted with a
-// probability of the remaining share over its cost, so that all hosts together admit about what fits. It is not safe for concurrent use.
+// LocalLimiter decides for an entry host that no placer answers, by rule 5 applied to a single host. With many hosts an even share of the
+// margin is smaller than one stream, so a request that doesn't fit is admitted with a probability of the remaining share over its cost: all
+// hosts together admit about what fits. It is not safe for concurrent use.
 type LocalLimiter struct {
 	params Params
 	ledger *Ledger
--- a/internal/decide/hingequota/params.go
+++ b/internal/decide/hingequota/params.go
@@ -14,14 +14,14 @@
 //     a host started, and that assumed usage decreases as the window moves on.
 //  4. A host that falls silent while it has usage to report is assumed to continue admitting requests. Until it reports or is
 //     forgotten, its usage in the window keeps counting, or its even share of each quota if that is more.
-//  5. A control host that receives no leader's messages counts as a substitute. It admits the same amount for the hosts that query
-//     it, plus their even share of partitionMarginShare of the margin; after partitionTime, when the leader may have
+//  5. A control host that receives no leader's messages counts as a substitute. It admits the same amount for the hosts that
+//     query it, plus their even share of partitionMarginShare of the margin; after partitionTime, when the leader may have
 //     forgotten these hosts, only the latter. With rule 4, all sides of a partition together stay within quota and margin.
 //  6. For graceTime after a change of placer, when little usage is reported, requests of customers far below their quotas are
 //     admitted. The placer reports to hosts which customers are near their limits: those that have little left, or will have
-//     within the lookahead at their recent request rate. Their requests are refused until their usage is known. A host that
-//     no placer answers admits a random sample of them, as large a share as the placer last admitted, and treats all customers
-//     as near their limits if it has no recent list.
+//     within the lookahead at their recent request rate. Their requests are refused until their usage is known. A host that no
+//     placer answers admits a random sample of them, as large a share as the placer last admitted, and treats all customers as
+//     near their limits if it has no recent list.
 //  7. A refusal says when the request will fit, after the capacity reserved for earlier refusals.
 //  8. A lowered quota applies at once. Usage under the higher quota is scaled down in proportion, so that it doesn't block the
 //     customer for a whole window.
@@ -99,9 +99,8 @@
 }
 
 const (
-	// graceTime is how long after a change of placer customers that weren't near their limits are admitted (rule 6). It covers the time
-	// in which hosts detect the change and report their usage. Such a customer has at least a quarter of its quota left, more than two
-	// seconds of its full rate.
+	// graceTime is how long after a change of placer customers that weren't near their limits are admitted (rule 6), while hosts detect the
+	// change and report. Such a customer has at least a quarter of its quota left, more than two seconds of its full rate.
 	graceTime = time.Second
 	// nearLimitShare is the used share of its quota above which a customer is near its limit.
 	nearLimitShare = 0.75
@@ -123,8 +122,7 @@
 	partitionMarginShare = 0.5
 	// unknownMarginShare is the share of the margin that a leader admits against unreported usage (rule 3).
 	unknownMarginShare = 0.05
-	// minRetryAfter is the shortest retry delay.
-	minRetryAfter = 100 * time.Millisecond
+	minRetryAfter      = 100 * time.Millisecond
 	// unknownRetryAfter is the retry delay while usage is unknown: an election and the reports of all hosts take about that long.
 	unknownRetryAfter = time.Second
 )
--- a/internal/decide/hingequota/sim_test.go
+++ b/internal/decide/hingequota/sim_test.go
@@ -30,7 +30,6 @@
 	quota     hingecustomers.Quota
 }
 
-// modelQuota returns the quota of the simulated customers.
 func modelQuota(rate float64) hingecustomers.Quota {
 	return hingecustomers.Quota{
 		Unit:        hingecustomers.Tokens,
@@ -75,7 +74,6 @@
 
 func (*hostShares) tick(time.Time, func(int) bool) {}
 
-// bucket is a token bucket.
 type bucket struct {
 	rate, capacity, tokens float64
 	at                     time.Time
@@ -132,9 +130,8 @@
 	needsReport []bool
 	wasCut      []bool
 	// changed says that a host has started a stream since its last report.
-	changed []bool
-	random  *rand.Rand
-	// leaderlessUntil is the time until which no leader answers.
+	changed         []bool
+	random          *rand.Rand
 	leaderlessUntil time.Time
 	// zones are the placers of zones, which place while there is no leader; without any, each host uses its LocalLimiter.
 	// leaderlessSince is when the last leader was lost.
@@ -158,7 +155,6 @@
 	return f
 }
 
-// restart simulates a restart of all hosts.
 func (f *fleet) restart(now time.Time) {
 	f.ledgers, f.local, f.needsReport = nil, nil, make([]bool, f.hosts)
 	f.wasCut = make([]bool, f.hosts)
@@ -281,7 +277,6 @@
 	f.leaderLimiter.RemoveExpired(now)
 }
 
-// scenario is a sequence of faults and load changes.
 type scenario struct {
 	name string
 	// overload multiplies the load of the first customer from overloadAt on.
@@ -300,7 +295,6 @@
 	twice bool
 }
 
-// result is the outcome of a scenario.
 type result struct {
 	// refusedBelow is the refused share of requests that were below the quota, of all customers but the first.
 	refusedBelow float64
@@ -379,7 +373,6 @@
 	return sum(s, runs)
 }
 
-// customerRun records the requests and usage of one customer.
 type customerRun struct {
 	// admitted are the admitted requests; those from index first on are in the window. sum is their cost and peak its maximum.
 	admitted []admission
@@ -511,7 +504,6 @@
 	},
 }
 
-// sizes are the simulated fleets.
 var sizes = []setup{
 	{
 		hosts:     6,
@@ -531,8 +523,8 @@
 	},
 }
 
-// No failure may let a customer exceed its quota and margin over all hosts, and customers below their quotas must rarely be refused. Hosts
-// that use their LocalLimiter refuse more, so scenarios with such hosts are left out of the second check.
+// No failure may let a customer exceed its quota and margin over all hosts, and customers below their quotas must rarely be refused (not
+// checked where hosts use their LocalLimiter, which refuses more).
 func TestQuotaHoldsOverAllHostsWhateverFails(t *testing.T) {
 	for _, s := range sizes {
 		s.params = modelParams
@@ -556,8 +548,8 @@
 	}
 }
 
-// If the placer fails right after a customer's load rises, hosts still have the old list of customers near their limits. They must not admit
-// so much of that customer that it exceeds quota and margin.
+// If the placer fails right after a customer's load rises, hosts with the old list of customers near their limits must not let it exceed
+// quota and margin.
 func TestQuotaHoldsWhenThePlacerFailsAfterALoadIncrease(t *testing.T) {
 	for _, s := range []setup{sizes[0], sizes[1], sizes[3]} {
 		s.customers = 2
--- a/internal/decide/hingeshift/shift.go
+++ b/internal/decide/hingeshift/shift.go
@@ -167,9 +167,9 @@
 	return cost
 }
 
-// CanSpare reports whether the other role, which an engine would leave for the given one, can do
-// without the engine at the present demand. Requests for which the given role has no capacity don't
-// count, since the other role wouldn't serve them either.
+// CanSpare reports whether the role that an engine would leave for the given one can do without it
+// at the present demand. Requests for which the given role has no capacity don't count, since the
+// other role wouldn't serve them either.
 func CanSpare(engines []Engine, to hingeannounce.Kind, d Demand) bool {
 	if d.Current == nil {
 		return false
