--- a/internal/capacity/hingeslots/holder.go
+++ b/internal/capacity/hingeslots/holder.go
@@ -139,9 +139,9 @@
 }
 
 // handleGrant accepts a slot, or returns it if the request no longer waits or
-// has another slot. An expired grant is ignored and will be repeated. So is a
-// grant to an earlier instance of this host, whose request may be at the
-// engine: a release would free an occupied slot.
+// has another slot. An expired grant is ignored and will be repeated. A grant
+// to an earlier instance of this host is ignored too: its request may be at the
+// engine, and a release would free an occupied slot.
 func (s *State) handleGrant(now time.Time, e *engineState, m Message) {
 	if m.ID.Instance != s.instance {
 		return
