--- a/internal/path/hingecaller/bench_test.go
+++ b/internal/path/hingecaller/bench_test.go
@@ -313,9 +313,9 @@
 	return int64(m.Sys - m.HeapIdle)
 }
 
-// Guards against a router that adds too much to the time to the first token, in
-// comparison with direct requests to the same stand-in engine. The bounds
-// tolerate other load on the machine.
+// Guards against a router that adds too much to the time to the first token,
+// compared with direct requests to the same engine. The bounds tolerate other
+// load on the machine.
 func TestFirstTokenAgainstDirect(t *testing.T) {
 	engine, err := hingestandin.New(hingestandin.Options{
 		Server: "d",
--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -272,7 +272,6 @@
 	}
 }
 
-// handleUnreadable answers a request that could not be read or parsed.
 func (s *Server) handleUnreadable(ctx *fasthttp.RequestCtx, err error) {
 	code := hingeverdict.CodeMalformed
 	if _, tooSmall := err.(*fasthttp.ErrSmallBuffer); tooSmall || err == fasthttp.ErrBodyTooLarge {
@@ -310,10 +309,10 @@
 	return now.Add(limit), nil
 }
 
-// priorityOf returns the priority of a request: X-Priority, which must not exceed
-// the priority of the class, or that priority by default. Each priority in use
-// has a permanent queue with its own limits, so X-Priority is rounded down to a
-// multiple of a quarter of the class's priority to bound the number of queues.
+// priorityOf returns X-Priority, which must not exceed the priority of the
+// class, or that priority by default. Each priority in use has a permanent
+// queue, so X-Priority is rounded down to a multiple of a quarter of the
+// class's priority to bound their number.
 func priorityOf(ctx *fasthttp.RequestCtx, class hingeinventory.Class) (int, error) {
 	v := ctx.Request.Header.Peek("X-Priority")
 	if len(v) == 0 {
--- a/internal/path/hingecaller/completion.go
+++ b/internal/path/hingecaller/completion.go
@@ -167,7 +167,6 @@
 	return b.String()
 }
 
-// writeStream sends the answer's tokens to the caller as they arrive.
 func (s *Server) writeStream(ctx *fasthttp.RequestCtx, id hingeids.RequestID, a *hingedispatch.Answer, finish func()) {
 	setAnswerHeaders(ctx, id, hingeverdict.Ran)
 	ctx.SetContentType("text/event-stream")
--- a/internal/path/hingecaller/customer.go
+++ b/internal/path/hingecaller/customer.go
@@ -73,8 +73,6 @@
 	return hingecustomers.Key(key)
 }
 
-// effectivePriority returns the priority of the requester in a class with the
-// given priority.
 func (r requester) effectivePriority(classPriority int) int {
 	if r.priority != nil {
 		return *r.priority
--- a/internal/path/hingecaller/instance.go
+++ b/internal/path/hingecaller/instance.go
@@ -37,9 +37,9 @@
 }
 
 // EndInstance cancels all requests in progress and refuses new ones until
-// StartInstance is called with another instance. It is called when the other hosts have
-// declared that this instance has ended: they cancel its requests at the engines,
-// so its callers would wait for tokens that never arrive.
+// StartInstance is called with another instance. It is called when the other
+// hosts have declared this instance ended and cancel its requests at the
+// engines, so that no more tokens would arrive.
 func (s *Server) EndInstance() {
 	s.betweenInstances.Store(true)
 	s.requests.cancelAll()
--- a/internal/path/hingecaller/listener.go
+++ b/internal/path/hingecaller/listener.go
@@ -60,10 +60,10 @@
 	return w, nil
 }
 
-// watchedConn reads from the connection while a request is in progress to detect
-// a disconnected caller, whose request would otherwise keep holding engine
-// memory. The HTTP library doesn't report disconnections to handlers. Bytes that
-// are read ahead are kept for the next request.
+// watchedConn reads ahead while a request is in progress, to detect a
+// disconnected caller whose request would otherwise keep engine memory. The
+// HTTP library doesn't report disconnections. The bytes are kept for the next
+// request.
 type watchedConn struct {
 	net.Conn
 	maxWriteTime *atomic.Int64
@@ -108,9 +108,9 @@
 	lingerBytes = 64 << 20
 )
 
-// discardInput reads and discards the rest of a refused request. If a connection
-// is closed with unread bytes, the kernel resets it, and the caller may lose the
-// refusal. The caller would then have to assume that its request may have run.
+// discardInput reads and discards the rest of a refused request. Closing with
+// unread bytes would reset the connection, and a caller that loses the refusal
+// has to assume that its request may have run.
 func (c *watchedConn) discardInput() {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
--- a/internal/path/hingecaller/loadgen_test.go
+++ b/internal/path/hingecaller/loadgen_test.go
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// This file holds the load generator of the benchmarks: a source of events in
-// place of an engine, and callers that count tokens. It can run in a separate
-// process, so that the cost of the router can be measured alone.
+// Load generator of the benchmarks: a source of events in place of an engine,
+// and callers that count tokens. It can run in a separate process, to measure
+// the router alone.
 
 // loadProcessEnv is the environment variable that makes the test binary run as
 // the load process.
@@ -35,10 +35,10 @@
 	}
 }
 
-// runLoadProcess writes the address of its source, then reads one command a line
-// and answers each with the number of tokens read so far. "open ROUTER STREAMS
-// GAP" is answered once all streams have received a token, "count" at once. It
-// returns at the end of its input.
+// runLoadProcess writes the address of its source, then answers each line of
+// input with the number of tokens read so far: "open ROUTER STREAMS GAP" once
+// all streams have received a token, "count" at once. It returns at the end of
+// its input.
 func runLoadProcess(in io.Reader, out io.Writer) error {
 	source, err := newSource()
 	if err != nil {
--- a/internal/path/hingecaller/service.go
+++ b/internal/path/hingecaller/service.go
@@ -22,7 +22,6 @@
 	"Upgrade",
 }
 
-// handleService forwards a call of a plain service to a replica.
 func (s *Server) handleService(ctx *fasthttp.RequestCtx, id hingeids.RequestID, path string) {
 	service, ok := s.config.Catalogue.ServiceFor(path)
 	if !ok {
--- a/internal/path/hingedispatch/dispatch.go
+++ b/internal/path/hingedispatch/dispatch.go
@@ -67,7 +67,6 @@
 	Fingerprint hingeids.Fingerprint
 }
 
-// claim returns the ledger claim of the request.
 func (r *CompletionRequest) claim() Claim {
 	return Claim{
 		Request: r.Request,
--- a/internal/path/hingedispatch/meter.go
+++ b/internal/path/hingedispatch/meter.go
@@ -41,7 +41,6 @@
 	CountRetry(reason string)
 }
 
-// reportResult passes the result of the answer to the meter.
 func (a *Answer) reportResult(now time.Time, err error) {
 	result := Result{
 		CompletionRequest: a.request,
--- a/internal/path/hingedispatch/poison.go
+++ b/internal/path/hingedispatch/poison.go
@@ -45,8 +45,6 @@
 	return refused
 }
 
-// reportFailedExchange reports the failure of an exchange to the detection of
-// poison requests.
 func (a *Answer) reportFailedExchange(t hingeengine.Target, err error) {
 	d := a.dispatcher
 	d.PoisonDetector.HandleFailedExchange(a.ctx, FailedExchange{
--- a/internal/path/hingeengine/control.go
+++ b/internal/path/hingeengine/control.go
@@ -82,7 +82,6 @@
 	return readAllocations(t, x.resp.Body())
 }
 
-// readAllocations decodes a list of allocations.
 func readAllocations(t Target, body []byte) ([]Allocation, hingeids.Incarnation, error) {
 	var parsed struct {
 		Incarnation hingeids.Incarnation `json:"incarnation"`
--- a/internal/path/hingeengine/engine.go
+++ b/internal/path/hingeengine/engine.go
@@ -58,7 +58,6 @@
 	return readPrefill(t, r.Request, x.resp.Body())
 }
 
-// readPrefill decodes the response to a prefill.
 func readPrefill(t Target, id hingeids.RequestID, body []byte) (Cache, error) {
 	var parsed struct {
 		ID       string `json:"id"`
@@ -147,7 +146,7 @@
 	}, nil
 }
 
-// post sends a request. A response with a status other than 200 is an error.
+// post returns an error for a status other than 200.
 func (c *Client) post(
 	ctx context.Context, t Target, path string, id hingeids.RequestID,
 	body []byte, idleTimeout time.Duration, stream bool,
--- a/internal/path/hingeproxy/admit.go
+++ b/internal/path/hingeproxy/admit.go
@@ -50,9 +50,8 @@
 	return a
 }
 
-// admit looks up a request and confirms a denial against the newest configuration (rule 8). Hosts receive a new
-// configuration within milliseconds, but seconds later if they are partitioned or starting; until then they would
-// wrongly deny a key that was just added.
+// admit looks up a request and confirms a denial against the newest configuration (rule 8). A partitioned or starting
+// host receives it seconds late, and would deny a key that was just added.
 func (p *Proxy) admit(ctx context.Context, r *hingewire.Request, info RequestInfo, t *hingeroutes.Table) admission {
 	a := lookUp(t, r, info.Key)
 	if a.denial == nil {
--- a/internal/path/hingeproxy/admit_test.go
+++ b/internal/path/hingeproxy/admit_test.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// A host that is cut off from all control hosts may have missed any change. It must not deny a key or a route for
-// good, but refuse with a Retry-After.
+// A host that is cut off from all control hosts may have missed a change. It must refuse with a Retry-After and not
+// deny a key or a route for good.
 func TestHostWithStaleConfigurationDeniesNothing(t *testing.T) {
 	d := newTestProxy(t, newStandin(t, "app-1", 0, nil))
 	d.cluster.set(withCustomers(t, 2, "old"))
@@ -120,8 +120,7 @@
 	}
 }
 
-// The check for a newer configuration must leave the caller time to retry at another host if nobody answers the
-// check.
+// The check for a newer configuration must leave the caller time to retry at another host if nobody answers.
 func TestConfigurationCheckUsesPartOfTheCallersTime(t *testing.T) {
 	d := newTestProxy(t)
 	d.maxWait = 600 * time.Millisecond
--- a/internal/path/hingeproxy/crash.go
+++ b/internal/path/hingeproxy/crash.go
@@ -37,7 +37,6 @@
 	p.owner.RecordCrash(crash)
 }
 
-// recordPoisonRefusal records the refusal of a request that crashes servers.
 func (p *Proxy) recordPoisonRefusal(j *job, err *hingeverdict.Error) {
 	p.meter.poisonRefusals.Inc()
 	now := p.settings.Clock()
--- a/internal/path/hingeproxy/metrics.go
+++ b/internal/path/hingeproxy/metrics.go
@@ -30,7 +30,6 @@
 	outcomeCallerGone outcome = "callerGone"
 )
 
-// outcomeOfError returns the outcome of a request that failed with an error.
 func outcomeOfError(e *hingeverdict.Error) outcome {
 	switch {
 	case e.Verdict != hingeverdict.NotRun:
@@ -41,7 +40,6 @@
 	return outcomeRefused
 }
 
-// meter holds the proxy's metrics.
 type meter struct {
 	mu    sync.Mutex
 	named map[hingeids.CallerID]bool
@@ -69,7 +67,7 @@
 	}
 }
 
-// countRequest counts a request and its outcome for a customer. Requests without a customer are not counted.
+// countRequest ignores requests without a customer.
 func (m *meter) countRequest(c hingeids.CallerID, o outcome) {
 	if c == "" {
 		return
@@ -77,7 +75,6 @@
 	m.set.GetOrCreateCounter(fmt.Sprintf("swifthinge_customer_requests_total{customer=%q,outcome=%q}", m.label(c), o)).Inc()
 }
 
-// label returns the value of a customer's metric label.
 func (m *meter) label(c hingeids.CallerID) hingeids.CallerID {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/path/hingeproxy/plain.go
+++ b/internal/path/hingeproxy/plain.go
@@ -89,7 +89,6 @@
 	p.failRequest(j, err)
 }
 
-// recordCallerGone records that the caller disconnected before its answer.
 func (p *Proxy) recordCallerGone(j *job) {
 	p.refundCharge(j)
 	p.meter.countRequest(j.caller(), outcomeCallerGone)
--- a/internal/path/hingeproxy/proxy.go
+++ b/internal/path/hingeproxy/proxy.go
@@ -155,13 +155,10 @@
 	// drainingSince is the start of the drain, zero before.
 	drainingSince time.Time
 	sequence      uint64
-	// quotaRefusals limits the log lines on requests beyond a quota.
 	quotaRefusals logLimiter
 	// waiting counts the requests that wait for the first configuration.
-	waiting int
-	// denials limits the log lines on denied requests.
-	denials logLimiter
-	// poisonRefusals limits the log lines on requests that crash servers.
+	waiting        int
+	denials        logLimiter
 	poisonRefusals logLimiter
 }
 
@@ -301,7 +298,6 @@
 	return address
 }
 
-// remaining returns the time until a request's deadline.
 func (p *Proxy) remaining(j *job) time.Duration {
 	return j.deadline.Sub(p.settings.Clock())
 }
@@ -318,7 +314,6 @@
 	return path
 }
 
-// message builds the message to one backend server.
 func (j *job) message(d Dialect, f ForwardInfo) hingewire.OutgoingRequest {
 	if j.customer != nil {
 		f.Customer = j.customer.Name
@@ -332,7 +327,6 @@
 	}
 }
 
-// recordVerdict records the verdict of an attempt.
 func (j *job) recordVerdict(v hingeverdict.Verdict) {
 	if v != hingeverdict.NotRun {
 		j.verdict = v
--- a/internal/path/hingeproxy/proxy_test.go
+++ b/internal/path/hingeproxy/proxy_test.go
@@ -17,7 +17,6 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// closeConnection closes the connection without an answer.
 func closeConnection(int, *http.Request, net.Conn) bool {
 	return true
 }
--- a/internal/path/hingeproxy/quota.go
+++ b/internal/path/hingeproxy/quota.go
@@ -53,7 +53,6 @@
 	return fallback
 }
 
-// recordOverQuota records a request beyond its customer's quota.
 func (p *Proxy) recordOverQuota(j *job, err *hingeverdict.Error) {
 	now := p.settings.Clock()
 	if count, ok := p.quotaRefusals.allow(now); ok {
--- a/internal/path/hingeproxy/quota_test.go
+++ b/internal/path/hingeproxy/quota_test.go
@@ -14,8 +14,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// A status that means "not run" must not be returned for a request that may have run. Requests beyond a quota get
-// 429, those of a customer whose quota is unknown 503.
+// A request that may have run must not get a status that means "not run". The status beyond a quota is 429, with an
+// unknown quota 503.
 func TestQuotaRefusalStatuses(t *testing.T) {
 	got := make(map[string]int)
 	for _, c := range []struct {
--- a/internal/path/hingeproxy/relay.go
+++ b/internal/path/hingeproxy/relay.go
@@ -31,7 +31,6 @@
 	headSent bool
 }
 
-// recordEvent records the time of a forwarded event.
 func (r *relay) recordEvent(now time.Time) {
 	if r.firstAt.IsZero() {
 		r.firstAt = now
@@ -41,7 +40,6 @@
 	r.lastAt = now
 }
 
-// errMissingEvent is returned if the ids of a stream skip an event.
 var errMissingEvent = eris.New("stream is missing an event")
 
 // forward forwards the events of one engine until the stream is complete. It calls onEvent after each event with the
--- a/internal/path/hingeproxy/retry.go
+++ b/internal/path/hingeproxy/retry.go
@@ -43,9 +43,9 @@
 	return true
 }
 
-// unpaidMessages returns the messages to charge for the next attempt. Every request has a regular prefill message and
-// a regular decode message; a retry is assumed to send as many extra messages as were sent so far, so that a request
-// that has reached no server costs nothing.
+// unpaidMessages returns the messages to charge for the next attempt. Each request has one regular prefill and one
+// regular decode message. A retry is assumed to send as many extra ones as were sent so far, so a request that reached
+// no server costs nothing.
 func (j *job) unpaidMessages() int {
 	return max(j.messages-j.paidMessages, 0)
 }
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -101,8 +101,8 @@
 	}
 }
 
-// responder answers the n-th request to a stand-in, counted from 1. It returns true if it has written to the
-// connection itself or wants it closed, false for the standard answer.
+// responder handles the n-th request to a stand-in, counted from 1. It returns false for the standard answer, true if
+// it has written to the connection itself or wants it closed.
 type responder func(n int, q *http.Request, c net.Conn) bool
 
 // standin is a backend server that counts its requests.
@@ -238,14 +238,12 @@
 	newest func(ctx context.Context) bool
 }
 
-// servers returns the present stand-ins.
 func (c *cluster) servers() []*standin {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return slices.Clone(c.standins)
 }
 
-// replace replaces a server that has crashed.
 func (c *cluster) replace(old, replacement *standin) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -256,7 +254,6 @@
 
 func (c *cluster) Table() *hingeroutes.Table { return c.table.Load() }
 
-// ConfirmNewest calls newest, and returns true if that is nil.
 func (c *cluster) ConfirmNewest(ctx context.Context) bool { return c.newest == nil || c.newest(ctx) }
 
 func (c *cluster) Changed() <-chan struct{} { return c.table.Changed() }
@@ -515,7 +512,6 @@
 	RetryAfter bool
 }
 
-// send sends one request and reads its answer.
 func (d *testProxy) send(target string) result {
 	d.t.Helper()
 	d.requests++
--- a/internal/path/hingeproxy/start.go
+++ b/internal/path/hingeproxy/start.go
@@ -8,9 +8,8 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// After a power loss of all hosts, callers retry at hosts that have just started, most of them for the last time. A
-// host receives its configuration after an election and a round trip, so it holds the request for that time rather
-// than refusing it.
+// After a power loss callers retry at hosts that have just started, most of them for the last time. A host holds their
+// requests until it has its configuration, which takes an election and a round trip.
 const (
 	// startupTime is the usual maximum time from the start of a host to its first configuration: the expiry of the
 	// previous leader's lease, an election and the concurrent queries of all hosts.
--- a/internal/path/hingeproxy/stream.go
+++ b/internal/path/hingeproxy/stream.go
@@ -30,7 +30,6 @@
 	drainStreamTime = 1500 * time.Millisecond
 )
 
-// streamJob is a stream in flight.
 type streamJob struct {
 	*job
 	engine *hingeroutes.Engine
@@ -40,8 +39,7 @@
 	// engine after the stream had begun.
 	waitStart time.Time
 	// sentAt is the time of the last message to an engine.
-	sentAt time.Time
-	// prefillDuration is the time that the prefill took.
+	sentAt          time.Time
 	prefillDuration time.Duration
 	// streamingServer is the engine that has sent the last event.
 	streamingServer hingeids.ServerID
@@ -136,7 +134,6 @@
 	return p.allowRetry(r.job, err)
 }
 
-// streamRequest builds the request for engines from the state of a stream.
 func (p *Proxy) streamRequest(r *streamJob) hingeplacer.StreamRequest {
 	generated := r.generated()
 	waited := p.settings.Clock().Sub(r.waitStart)
@@ -250,7 +247,6 @@
 	stream *hingeplacer.Stream
 }
 
-// address returns the address of one of the placed engines.
 func (p placement) address(id hingeids.ServerID) string {
 	if id == p.Prefill {
 		return p.PrefillAddress
@@ -287,7 +283,6 @@
 	}, nil
 }
 
-// refusal returns the error of a stream that the placer refused.
 func refusal(a hingeplacer.Placement) *hingeverdict.Error {
 	if a.Cause != hingeplacer.NoCapacity {
 		return hingeverdict.New(hingeverdict.NotRun, refusalCode(a.Cause, 0), a.RetryAfter, nil)
@@ -314,7 +309,6 @@
 	placed.stream.RecordOutcome(id, engineOutcome(err))
 }
 
-// engineOutcome returns the outcome that an error is reported with.
 func engineOutcome(err *hingeverdict.Error) hingefleet.Outcome {
 	switch err.Code {
 	case hingeverdict.CodeNoServer, hingeverdict.CodeServerGone:
--- a/internal/path/hingerelay/relay_test.go
+++ b/internal/path/hingerelay/relay_test.go
@@ -73,7 +73,6 @@
 	}
 }
 
-// repeatingReader returns the same event forever.
 type repeatingReader struct {
 	event     []byte
 	remaining []byte
--- a/internal/path/hingewire/crash.go
+++ b/internal/path/hingewire/crash.go
@@ -12,9 +12,9 @@
 // which the process has terminated refuses the connection within a round trip.
 const crashProbeTimeout = 100 * time.Millisecond
 
-// RefusesConnections reports whether the server at an address refuses connections, as after a crash.
-// It distinguishes a crash from a network failure if an exchange fails with an error for
-// which IsDisconnect is true, so that a request isn't blamed for the network.
+// RefusesConnections reports whether the server at an address refuses connections, as
+// after a crash. It distinguishes a crash from a network failure after an error for which
+// IsDisconnect is true, so that a request isn't blamed for the network.
 func RefusesConnections(ctx context.Context, address string) bool {
 	dialCtx, cancel := context.WithTimeout(ctx, crashProbeTimeout)
 	defer cancel()
--- a/internal/path/hingewire/exchange.go
+++ b/internal/path/hingewire/exchange.go
@@ -18,15 +18,13 @@
 )
 
 const (
-	// dialTimeout limits a connection attempt to a backend server. It is far above the
-	// round trip between zones, and below the second after which the system would
-	// retransmit a lost SYN packet; so after a timeout the dial is retried, with at
-	// most dialAttempts attempts.
+	// dialTimeout limits each of the dialAttempts connection attempts to a backend
+	// server. It is far above the round trip between zones, and below the second after
+	// which the system would retransmit a lost SYN packet.
 	dialTimeout  = 100 * time.Millisecond
 	dialAttempts = 2
 	// userTimeout is the maximum time that sent data may stay unacknowledged.
-	userTimeout = 3 * time.Second
-	// readBufferSize is the size of the read buffer of an exchange.
+	userTimeout    = 3 * time.Second
 	readBufferSize = 4 << 10
 	// maxInlineWrite is the size up to which a request is written before its response
 	// is read. It fits in the socket's send buffer, so that the write doesn't block.
--- a/internal/path/hingewire/server.go
+++ b/internal/path/hingewire/server.go
@@ -167,7 +167,6 @@
 	return s.draining
 }
 
-// conn is the connection of a caller.
 type conn struct {
 	server *Server
 	raw    net.Conn
@@ -178,7 +177,6 @@
 	idle bool
 }
 
-// setIdle records whether the connection waits for a request.
 func (c *conn) setIdle(idle bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,7 +267,6 @@
 	return r.cause.Error()
 }
 
-// read reads the next request from the connection.
 func (c *conn) read() (*Request, error) {
 	limits := c.server.limits()
 	head, arrived, err := c.readHead(limits)
--- a/internal/path/hingewire/wire_test.go
+++ b/internal/path/hingewire/wire_test.go
@@ -62,7 +62,6 @@
 	})
 }
 
-// handlerFunc is a function that implements Handler.
 type handlerFunc func(ctx context.Context, r *Request, w *Writer)
 
 func (f handlerFunc) Serve(ctx context.Context, r *Request, w *Writer) {
@@ -119,7 +118,6 @@
 	w.WriteResponse(http.StatusOK, http.Header{}, []byte(r.Method+" "+r.Target+" "+string(r.Body)))
 }
 
-// readResponse reads a response with its body.
 func readResponse(t *testing.T, r *bufio.Reader) (int, string, error) {
 	t.Helper()
 	a, err := http.ReadResponse(r, nil)
