--- a/internal/capacity/hingeplacer/local.go
+++ b/internal/capacity/hingeplacer/local.go
@@ -14,8 +14,7 @@
 )
 
 // localShare restricts the servers to what one entry host may use when it places locally (rule 3). With many hosts an
-// equal share of every engine would be smaller than one stream, so each uses a larger share of a few pseudo-random
-// engines.
+// equal share of every engine would be smaller than one stream, so each uses a larger share of a few engines.
 type localShare struct {
 	self hingeids.HostID
 	view ClusterView
--- a/internal/capacity/hingeplacer/placecall.go
+++ b/internal/capacity/hingeplacer/placecall.go
@@ -137,7 +137,8 @@
 	}
 }
 
-// CompleteCall reports the completion of a request to the preferred placer, or to the local placer if that chose the replica.
+// CompleteCall reports the completion of a request to the preferred placer, or to the local one if that chose the
+// replica.
 func (o *Owner) CompleteCall(s hingeids.Service, a CallPlacement, c hingequeue.Completion) {
 	completion := callCompletion{
 		Service:    s,
--- a/internal/capacity/hingeplacer/placer.go
+++ b/internal/capacity/hingeplacer/placer.go
@@ -66,7 +66,8 @@
 	EntryHosts() int
 	// PoisonEntry returns the poison list's entry for a fingerprint.
 	PoisonEntry(fingerprint hingeids.Fingerprint) hingepoison.Listed
-	// IsElectedLeader reports whether this host is the elected leader. A control host without a leader places too, for its zone.
+	// IsElectedLeader reports whether this host is the elected leader. A control host without a leader also places, for
+	// its zone.
 	IsElectedLeader() bool
 }
 
