--- a/internal/path/hingecaller/bench_test.go
+++ b/internal/path/hingecaller/bench_test.go
@@ -314,8 +314,7 @@
 }
 
 // Guards against a router that adds too much to the time to the first token,
-// compared with direct requests to the same engine. The bounds tolerate other
-// load on the machine.
+// compared with direct requests to the engine. The bounds tolerate other load.
 func TestFirstTokenAgainstDirect(t *testing.T) {
 	engine, err := hingestandin.New(hingestandin.Options{
 		Server: "d",
--- a/internal/path/hingecaller/customer_test.go
+++ b/internal/path/hingecaller/customer_test.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// Guards against trusting X-Caller from callers that don't come through the
-// operators' own gateway.
+// Guards against trusting X-Caller from callers that bypass the operators'
+// gateway.
 func TestCallerHeaderIsTrustedOnlyBehindGateway(t *testing.T) {
 	b, server, address := startServer(t)
 	got := make(map[bool]string)
--- a/internal/path/hingecaller/refuse.go
+++ b/internal/path/hingecaller/refuse.go
@@ -69,7 +69,6 @@
 	}, v
 }
 
-// refuse writes an error as the request's final answer.
 func refuse(ctx *fasthttp.RequestCtx, id hingeids.RequestID, err error) {
 	body, v := refusalOf(id, err)
 	status, ok := statuses[v.Code]
