--- a/internal/path/hingecaller/loadgen_test.go
+++ b/internal/path/hingecaller/loadgen_test.go
@@ -143,7 +143,6 @@
 	return append(dst, "\r\n"...)
 }
 
-// callers read streams and count their tokens.
 type callers struct {
 	tokens atomic.Int64
 }
--- a/internal/path/hingeengine/faults_test.go
+++ b/internal/path/hingeengine/faults_test.go
@@ -90,7 +90,6 @@
 	Sequence: 1,
 }
 
-// requestKinds has the three kinds of requests that are sent to a server.
 var requestKinds = []struct {
 	name string
 	do   func(ctx context.Context, t Target) error
--- a/internal/path/hingeproxy/decode.go
+++ b/internal/path/hingeproxy/decode.go
@@ -53,7 +53,6 @@
 	}()
 }
 
-// decode sends a stream to a decode engine and forwards its events to the caller.
 func (p *Proxy) decode(ctx context.Context, r *streamJob, placed placement, dial *pendingDial, cache Cache) *hingeverdict.Error {
 	defer dial.close()
 	<-dial.done
--- a/internal/path/hingeproxy/prefill.go
+++ b/internal/path/hingeproxy/prefill.go
@@ -12,7 +12,6 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingewire"
 )
 
-// prefill sends a request to a prefill engine and returns the KV cache that the engine exports.
 func (p *Proxy) prefill(ctx context.Context, r *streamJob, id hingeids.ServerID, address string) (Cache, *hingeverdict.Error) {
 	if address == "" {
 		return Cache{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNoServer, minRetryAfter, nil)
--- a/internal/path/hingeproxy/standin_test.go
+++ b/internal/path/hingeproxy/standin_test.go
@@ -226,7 +226,6 @@
 	}
 }
 
-// cluster is a simulated cluster of stand-ins.
 type cluster struct {
 	table    hingeboard.Cell[hingeroutes.Table]
 	placers  []hingeids.HostID
