--- a/internal/serve/hingecontrol/announce.go
+++ b/internal/serve/hingecontrol/announce.go
@@ -42,19 +42,17 @@
 	})
 }
 
-// refusalInterval is the minimum time between two events on rejected announcements, so that a sender
-// of thousands per second doesn't fill the log.
+// A sender of thousands of announcements per second must not fill the log.
 const refusalInterval = time.Second
 
-// refusals counts the announcements that were rejected since the last event.
 type refusals struct {
 	mu           sync.Mutex
 	count        int64
 	lastRecorded time.Time
 }
 
-// add counts a rejected announcement. If an event is to be recorded now, it returns the number since
-// the last event, and true.
+// add returns the number of rejections since the last event, and true if an event is to be recorded
+// now.
 func (r *refusals) add(now time.Time) (int64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/serve/hingecontrol/control.go
+++ b/internal/serve/hingecontrol/control.go
@@ -68,12 +68,11 @@
 
 const (
 	// electionTimeout is how long a leader may send no heartbeat, and how long after its start a host
-	// may not vote. It delays the first requests after a power failure of all hosts, so it is short,
-	// but longer than a slow sync of the disk (0.3 s). Four heartbeats in a row must be lost.
+	// may not vote. It delays the first requests after a power failure of all hosts, but must exceed a
+	// slow sync of the disk (0.3 s).
 	electionTimeout   = 500 * time.Millisecond
 	heartbeatInterval = 125 * time.Millisecond
-	// cleanupInterval is how often expired records of backend servers are removed.
-	cleanupInterval = 250 * time.Millisecond
+	cleanupInterval   = 250 * time.Millisecond
 	// maxOpenAttempts and openRetryDelay limit how long New waits for a disk that rejects writes.
 	maxOpenAttempts = 100
 	openRetryDelay  = 300 * time.Millisecond
@@ -94,8 +93,8 @@
 	unavailable hingeboard.Cell[map[hingeids.ServerID]bool]
 	settled     hingeboard.Cell[hingeids.Fence]
 	view        hingeboard.Cell[hingeworld.ClusterView]
-	// entryHosts is the last counted number of entry hosts. The placer reads it with each report and
-	// must not wait for the lock of source, which serves hundreds of followers.
+	// entryHosts is the last counted number of entry hosts. It is atomic as the placer must not wait
+	// for the lock of source, which serves hundreds of followers.
 	entryHosts atomic.Int64
 	// pendingRecords are changes of the list of poison requests that wait to be proposed.
 	pendingRecords chan hingepoison.Record
@@ -135,8 +134,7 @@
 	return c, nil
 }
 
-// openGroup opens the journal and creates the group. It retries, as the disk may be full when the
-// process starts.
+// openGroup retries, as the disk may be full when the process starts.
 func (c *Control) openGroup(ctx context.Context) (*hingegroup.Group, error) {
 	var last error
 	for range maxOpenAttempts {
@@ -230,8 +228,7 @@
 	}
 }
 
-// watchView rebuilds the cluster view, by which streams are placed, after each change of the
-// configuration or of a backend server.
+// watchView rebuilds the cluster view after each change of the configuration or of a backend server.
 func (c *Control) watchView(ctx context.Context) error {
 	var table *hingeroutes.Table
 	for {
--- a/internal/serve/hingecontrol/operators.go
+++ b/internal/serve/hingecontrol/operators.go
@@ -47,7 +47,6 @@
 	}
 }
 
-// record is the JSON form of a poison request on the list.
 type record struct {
 	Fingerprint hingeids.Fingerprint `json:"print"`
 	Service     hingeids.Service     `json:"service,omitempty"`
--- a/internal/serve/hingecontrol/poison.go
+++ b/internal/serve/hingecontrol/poison.go
@@ -49,7 +49,6 @@
 	_, _ = fmt.Fprintf(w, "swifthinge_poison_requests %d\n", len(c.PoisonRequests().Load().Refused()))
 }
 
-// proposeRecords proposes the queued changes of the list.
 func (c *Control) proposeRecords(ctx context.Context) error {
 	for {
 		select {
--- a/internal/serve/hingecontrol/roles.go
+++ b/internal/serve/hingecontrol/roles.go
@@ -18,23 +18,21 @@
 	// minDemandShare is the minimum demand, as a share of all engines, at which roles are planned:
 	// below it the mix of a few requests isn't representative.
 	minDemandShare = 0.2
-	// prefillReserve is the factor by which the demand on prefill is raised in the plan. Prompts
-	// arrive in bursts and a first token waits for all prompts before it, so the queue of an engine
-	// grows steeply when it is used at more than three quarters of its rate.
+	// prefillReserve is the factor by which the demand on prefill is raised in the plan: prompts
+	// arrive in bursts, and the queue of an engine grows steeply above three quarters of its rate.
 	prefillReserve = 1.3
 	// decodePrefillCost is the number of decode engines that replace one prefill engine: they prefill
 	// at half its rate, and generate almost nothing meanwhile.
 	decodePrefillCost = 2
-	// planInterval is the interval at which roles are planned.
-	planInterval = 500 * time.Millisecond
-	// holdFor is how long the same change must be worthwhile before it is made. The demand is already
-	// an average over seconds. cooldown is the minimum time between two changes: longer than a change
-	// takes, so that its effect is visible before the next.
+	planInterval      = 500 * time.Millisecond
+	// holdFor is how long the same change must be worthwhile before it is made. cooldown is the
+	// minimum time between two changes: longer than a change takes, so that its effect is visible
+	// before the next.
 	holdFor  = time.Second
 	cooldown = 9 * time.Second
 	// enginesPerChange limits the concurrent role changes to one for each enginesPerChange engines
 	// beyond smallPool, unless the plan can spare the engine. Pools up to that size change one engine
-	// at a time, as a wrong decision there affects a large part of the pool.
+	// at a time.
 	enginesPerChange = 4
 	smallPool        = 5
 	// maxDemandDuration limits the expected duration of a demand.
@@ -56,7 +54,6 @@
 	tenure   tenure
 }
 
-// change is a role change in progress.
 type change struct {
 	role  hingefleet.Role
 	since time.Time
@@ -96,7 +93,6 @@
 	return hingeids.Fence(s.Term), s.LeaseUntil, now.Before(s.LeaseUntil)
 }
 
-// run plans roles until the context is canceled.
 func (r *roles) run(ctx context.Context) error {
 	ticker := time.NewTicker(planInterval)
 	defer ticker.Stop()
@@ -145,8 +141,7 @@
 	r.publish(nil)
 }
 
-// removeFinished removes role changes that are finished, have timed out, or whose engine is no longer
-// known.
+// removeFinished removes role changes that are finished, have timed out, or whose engine is gone.
 func (r *roles) removeFinished(now time.Time, engines map[hingeids.Service][]hingefleet.Engine) {
 	present := make(map[hingeids.ServerID]hingefleet.Role)
 	for _, list := range engines {
@@ -167,10 +162,9 @@
 	hingefleet.Decode:  hingeannounce.Decode,
 }
 
-// plan scales the demand to the load that would just fill all engines. At the present demand both
+// plan scales the demand to the load that would just fill all engines: at the present demand both
 // roles may have enough engines, while the next burst exceeds one of them sooner than a role can be
-// changed. Only the proportion of the demands matters, so a burst in progress isn't counted twice. It
-// returns false if the demand is below minDemandShare.
+// changed. It returns false if the demand is below minDemandShare.
 func plan(engines int, d hingefleet.Demand) (hingeshift.Demand, bool) {
 	d.Prefill *= prefillReserve
 	requested := d.Prefill + d.Decode
@@ -225,7 +219,6 @@
 	}
 }
 
-// change starts the role change of an engine.
 func (r *roles) change(now time.Time, roleChange hingeshift.RoleChange) {
 	role := hingefleet.Prefill
 	if roleChange.To == hingeannounce.Decode {
--- a/internal/serve/hingecontrol/roles_test.go
+++ b/internal/serve/hingecontrol/roles_test.go
@@ -6,8 +6,8 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingefleet"
 )
 
-// Guards against a plan that follows the size of the demand: a burst of twice the mean with the same
-// proportion of prefill and decode must lead to the same plan.
+// Guards against a plan that changes with the size of the demand at the same proportion of prefill
+// and decode.
 func TestPlanIgnoresTotalDemand(t *testing.T) {
 	mean, _ := plan(9, hingefleet.Demand{
 		Prefill: 1,
--- a/internal/serve/hingecontrol/tenure_test.go
+++ b/internal/serve/hingecontrol/tenure_test.go
@@ -11,9 +11,8 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingefleet"
 )
 
-// Guards against two leaders that order different roles of an engine that doesn't check fencing
-// numbers. One is cut off, and the other is elected after its lease has expired; the engine must not
-// receive orders of both within the pause.
+// Guards against two successive leaders whose orders reach an engine that doesn't check fencing
+// numbers within the pause.
 func TestTwoLeadersKeepThePauseBetweenTheirOrders(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		start := time.Unix(1_700_000_000, 0)
--- a/internal/serve/hingedemo/callers.go
+++ b/internal/serve/hingedemo/callers.go
@@ -14,7 +14,6 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// kind is a kind of request.
 type kind int
 
 const (
@@ -38,7 +37,6 @@
 	duplicated
 )
 
-// task is one request of the run.
 type task struct {
 	number int
 	kind   kind
@@ -49,7 +47,6 @@
 	resend bool
 }
 
-// tasks generates the mix of requests from a seed.
 func tasks(n int, seed uint64) []task {
 	random := rand.New(rand.NewPCG(seed, 0))
 	out := make([]task, n)
--- a/internal/serve/hingedemo/demo.go
+++ b/internal/serve/hingedemo/demo.go
@@ -70,7 +70,6 @@
 	return result, r.print(result)
 }
 
-// run is the state of one demo run.
 type run struct {
 	fleet   *fleet
 	options Options
--- a/internal/serve/hingedemo/fleet.go
+++ b/internal/serve/hingedemo/fleet.go
@@ -6,8 +6,8 @@
 //  1. Callers retry as behind a load balancer: when an entry host can't be reached or its
 //     refusal isn't final, the next one is tried.
 //  2. A request is lost if it received no final answer, truncated if its answer looked complete and
-//     wasn't, duplicated if a part of the answer was received twice. A stream that is cut off with its entry
-//     host is not an answer; its caller retries.
+//     wasn't, duplicated if a part of the answer was received twice. A stream that is cut off with
+//     its entry host is not an answer; its caller retries.
 //  3. After a third of the requests an engine is killed, after two thirds an entry host.
 package hingedemo
 
@@ -42,7 +42,6 @@
 	serviceName hingeids.Service = "darshan-app"
 )
 
-// fleet holds all running entry hosts and stand-ins.
 type fleet struct {
 	ctx     context.Context
 	stop    context.CancelFunc
@@ -87,7 +86,6 @@
 	return f, nil
 }
 
-// close stops all hosts and stand-ins and removes the data folders.
 func (f *fleet) close() {
 	f.stop()
 	f.running.Wait()
@@ -145,7 +143,7 @@
 	return nil
 }
 
-// settingsOf returns the settings of a host with free addresses, whose listeners it adds to reserved.
+// settingsOf returns settings with free addresses, whose listeners it adds to reserved.
 func (f *fleet) settingsOf(
 	z, n int, zone hingeids.Zone, reserved *[]io.Closer,
 ) (hingesettings.Settings, error) {
@@ -235,7 +233,6 @@
 	return nil
 }
 
-// inventory returns the inventory of the demo's configuration.
 func (f *fleet) inventory() hingeinventory.Inventory {
 	inv := hingeinventory.Inventory{
 		Models: []hingeinventory.Model{
@@ -355,7 +352,6 @@
 	return true
 }
 
-// allocations counts the allocations that the running engines hold.
 func (f *fleet) allocations() int {
 	n := 0
 	for _, e := range f.engines {
--- a/internal/serve/hingefront/front.go
+++ b/internal/serve/hingefront/front.go
@@ -163,7 +163,6 @@
 	return group.Wait()
 }
 
-// watchConfiguration applies each newer configuration.
 func (f *Front) watchConfiguration(ctx context.Context) error {
 	for {
 		changed := f.follower.State().Changed()
@@ -214,7 +213,7 @@
 	f.options.Recorder.Record(time.Now(), n, fields)
 }
 
-// publishView publishes a new cluster view. The caller holds the lock.
+// publishView requires the lock.
 func (f *Front) publishView() {
 	f.view.Store(hingeworld.Build(f.table, f.directory.Since(0)))
 }
--- a/internal/serve/hingeserver/announce.go
+++ b/internal/serve/hingeserver/announce.go
@@ -8,7 +8,6 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// handleAnnouncements serves the address to which backend servers send their announcements.
 func (s *Server) handleAnnouncements(ctx *fasthttp.RequestCtx) {
 	if string(ctx.Path()) != "/v1/announce" || !ctx.IsPost() {
 		ctx.Error(`{"error":{"message":"POST /v1/announce is what this address takes"}}`, fasthttp.StatusNotFound)
--- a/internal/serve/hingeserver/collector.go
+++ b/internal/serve/hingeserver/collector.go
@@ -130,7 +130,6 @@
 	return int64(len(c.onReleased))
 }
 
-// cancelPollInterval is how often waitForCancels checks for pending cancels.
 const cancelPollInterval = 20 * time.Millisecond
 
 // waitForCancels waits until every cancel is confirmed, at most for the limit. The limit
--- a/internal/serve/hingeserver/collector_test.go
+++ b/internal/serve/hingeserver/collector_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// openStreams starts n long streams at a host and waits for their first tokens.
+// openStreams starts n long streams and waits for their first tokens.
 func (f *fleet) openStreams(id hingeids.HostID, n, tokens int) ([]*callerRequest, context.CancelFunc) {
 	f.t.Helper()
 	ctx, cancel := context.WithCancel(f.ctx)
@@ -64,9 +64,8 @@
 	}
 }
 
-// An entry host is suspended until the others declare its instance ended and cancel its
-// streams. Guards against callers that get no final response when the host resumes, and
-// against a host that doesn't serve again.
+// Guards against callers that get no final response, and a host that doesn't serve again,
+// when a suspended host resumes after the others have declared its instance ended.
 func TestSuspendedEntryHostAnswersItsCallers(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 50*time.Millisecond)
@@ -109,8 +108,8 @@
 	})
 }
 
-// Guards against work that is still sent to an engine after it has announced its shutdown to
-// only one entry host: the shutdown would cut those requests off.
+// Guards against work that is sent to an engine after it has announced its shutdown to only
+// one entry host.
 func TestALeavingEngineGetsNoNewWorkAnywhere(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 2*time.Millisecond)
@@ -132,9 +131,8 @@
 	}
 }
 
-// Seven hosts offer more load than the engines have slots, and know each other's load only
-// from delayed reports. Guards against requests that are sent to a full engine and wait
-// there while their KV cache is evicted.
+// Guards against requests that wait at a full engine while their KV cache is evicted, as
+// hosts know each other's load only from delayed reports.
 func TestEnginesGetNoMoreRequestsThanSlots(t *testing.T) {
 	f := newEnginesOf(t, 5*time.Millisecond, 5)
 	var all sync.WaitGroup
--- a/internal/serve/hingeserver/fleet_test.go
+++ b/internal/serve/hingeserver/fleet_test.go
@@ -32,9 +32,8 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// hostSettingsEnv names the settings file of an entry host. If it is set, the test binary
-// runs that host instead of the tests, so that tests can kill, suspend and restart real
-// processes.
+// hostSettingsEnv names the settings file of an entry host. If it is set, the test binary runs
+// that host instead of the tests, so that tests can kill and suspend real processes.
 const hostSettingsEnv = "SWIFTHINGE_TEST_HOST"
 
 func TestMain(m *testing.M) {
@@ -48,8 +47,7 @@
 	os.Exit(m.Run())
 }
 
-// runHost runs an entry host. It reads commands that cut and restore its links from standard
-// input.
+// runHost reads commands that cut and restore the host's links from standard input.
 func runHost(file string) error {
 	data, err := os.ReadFile(file)
 	if err != nil {
@@ -83,8 +81,7 @@
 	return server.Run(ctx)
 }
 
-// fleet is a deployment: a process for each entry host, and stand-ins for the backend
-// servers.
+// fleet is a process for each entry host, and stand-ins for the backend servers.
 type fleet struct {
 	t         *testing.T
 	ctx       context.Context
@@ -111,11 +108,10 @@
 // slowed down until its peers consider it dead.
 var fleetSlots = make(chan struct{}, 3)
 
-// fleetCount numbers the fleets, each of which has a network of its own.
+// fleetCount numbers the fleets, as each has a network of its own.
 var fleetCount atomic.Int64
 
-// newFleet starts the hosts of the example deployment: seven in three zones. The first host
-// of each zone has a disk.
+// newFleet starts seven hosts in three zones. The first host of each zone has a disk.
 func newFleet(t *testing.T) *fleet {
 	t.Helper()
 	fleetSlots <- struct{}{}
@@ -172,8 +168,7 @@
 
 func (f *fleet) writeSettings() {
 	var peers []hingesettings.Peer
-	// Fleets that run at the same time have different networks: otherwise one could bind a port
-	// that another has found free but doesn't use yet.
+	// Otherwise one fleet could bind a port that another has found free but doesn't use yet.
 	network := 16 + fleetCount.Add(1)%200
 	free := &addresses{
 		t: f.t,
@@ -216,7 +211,6 @@
 	}
 }
 
-// write writes a host's settings to its file.
 func (f *fleet) write(id hingeids.HostID) {
 	h := f.hosts[id]
 	data, err := toml.Marshal(h.settings)
@@ -265,7 +259,6 @@
 	return h.log.Write(p)
 }
 
-// start starts a host's process, for the first time or after a kill.
 func (f *fleet) start(id hingeids.HostID) {
 	f.t.Helper()
 	h := f.hosts[id]
@@ -292,13 +285,11 @@
 	_ = f.hosts[id].command.Process.Signal(s)
 }
 
-// kill ends a host's process with SIGKILL.
 func (f *fleet) kill(id hingeids.HostID) {
 	f.signal(id, syscall.SIGKILL)
 	<-f.hosts[id].exited
 }
 
-// loseDisk removes the data folder of a killed host.
 func (f *fleet) loseDisk(id hingeids.HostID) {
 	if err := os.RemoveAll(f.hosts[id].settings.DataFolder); err != nil {
 		f.t.Fatal(err)
@@ -320,8 +311,7 @@
 	}
 }
 
-// await waits until a check passes, and returns the elapsed time. It fails the test at the
-// limit.
+// await returns the elapsed time. It fails the test at the limit.
 func (f *fleet) await(what string, limit time.Duration, check func() error) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -346,8 +336,7 @@
 	return 0
 }
 
-// standin starts a stand-in in the test process. It announces itself to the hosts of its
-// zone.
+// standin starts a stand-in that announces itself to the hosts of its zone.
 func (f *fleet) standin(o hingestandin.Options) *hingestandin.Server {
 	f.t.Helper()
 	if o.Kind == hingeannounce.Service {
@@ -372,17 +361,15 @@
 	return s
 }
 
-// apply sends a change to a host's operator API, and returns the HTTP status.
 func (f *fleet) apply(at hingeids.HostID, change hingeadmin.Change) (hingeadmin.AcceptedChange, int, error) {
 	var accepted hingeadmin.AcceptedChange
 	status, err := f.post(f.hosts[at].settings.Listen.Operators, "/v1/changes", change, &accepted)
 	return accepted, status, err
 }
 
-// keepKeysPath is the configuration item that the tests change.
 const keepKeysPath = "rules/keepKeys"
 
-// change returns a change of one rule on top of an expected revision.
+// change sets one rule on top of an expected revision.
 func (f *fleet) change(expected hingeids.Revision, keepKeys time.Duration) hingeadmin.Change {
 	f.changes++
 	return hingeadmin.Change{
@@ -397,7 +384,6 @@
 	}
 }
 
-// fullChange returns the change that sets the example's whole configuration.
 func (f *fleet) fullChange() hingeadmin.Change {
 	c := f.change(0, 24*time.Hour)
 	for path, document := range hingeinventory.Split(&f.inventory, &f.rules) {
@@ -494,7 +480,6 @@
 	return status.Leader
 }
 
-// callResult is the response to a call of the plain service.
 type callResult struct {
 	status  int
 	verdict string
@@ -565,7 +550,6 @@
 	})
 }
 
-// usableServers counts the servers at which a host may place requests.
 func usableServers(s hingeadmin.Status) int {
 	n := 0
 	for _, x := range s.Servers {
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -21,8 +21,7 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingeengine"
 )
 
-// gates has an admission gate for each model, and keeps the gates' view of the engines up to
-// date. It is safe for concurrent use.
+// gates has an admission gate for each model. It is safe for concurrent use.
 type gates struct {
 	server *Server
 	group  errgroup.Group
@@ -34,8 +33,7 @@
 	byModel map[hingeids.Model]*modelGate
 }
 
-// modelGate is a model's gate, with the latest announcement of each engine that the gate
-// knows.
+// modelGate is a model's gate, with the latest announcement of each engine that it knows.
 type modelGate struct {
 	*hingegate.Gate
 	announced map[hingeids.ServerID]hingeannounce.Announcement
@@ -51,7 +49,7 @@
 
 var _ hingedispatch.Gate = (*gates)(nil)
 
-// forModel returns the gate of a model. It creates the gate at the model's first request.
+// forModel creates the gate at the model's first request.
 func (g *gates) forModel(m hingeids.Model) *modelGate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -71,7 +69,6 @@
 	return gate
 }
 
-// weights returns the placement weights of the rules in force.
 func (g *gates) weights() hingeplace.Weights {
 	w := g.server.configuration.Load().Rules.Weights
 	return hingeplace.Weights{
@@ -80,7 +77,6 @@
 	}
 }
 
-// cacheBytesPerToken returns the KV cache size per prompt token from the inventory in force.
 func (g *gates) cacheBytesPerToken(m hingeids.Model) hingeids.Bytes {
 	if bytes := g.server.configuration.Load().models[m].CacheBytesPerToken; bytes > 0 {
 		return bytes
@@ -98,8 +94,6 @@
 	}
 }
 
-// config returns the placement configuration of a model from the inventory and rules in
-// force.
 func (g *gates) config(m hingeids.Model) hingeplace.Config {
 	c := hingeplace.Defaults()
 	c.Weights = g.weights()
@@ -116,7 +110,7 @@
 	return c
 }
 
-// update passes the announced engines to the gates. The control loop calls it.
+// update is called by the control loop.
 func (g *gates) update(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -147,9 +141,8 @@
 	}
 }
 
-// engines returns the engines at which this host places requests of a model: those of its
-// own zone, or all if its zone has no decode engine. Engines of another zone grant their
-// slots to the hosts of that zone, and transfers to them are slower.
+// engines returns the engines of this host's zone, or all if it has no decode engine. Engines of
+// another zone grant their slots to the hosts of that zone, and transfers to them are slower.
 func (g *gates) engines(m hingeids.Model) []hingeannounce.Server {
 	var own, all []hingeannounce.Server
 	canDecode := false
@@ -169,7 +162,6 @@
 	return all
 }
 
-// waiting counts the requests in the queues of all gates.
 func (g *gates) waiting() int64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -180,7 +172,6 @@
 	return int64(n)
 }
 
-// wait waits until all gates have stopped.
 func (g *gates) wait() error {
 	return g.group.Wait()
 }
@@ -240,8 +231,7 @@
 }
 
 // A request that can wait is also queued while no engine can accept it, such as shortly after
-// the engines' first announcements. The number of such requests is limited like the gate's
-// own queue.
+// the engines' first announcements.
 const (
 	engineRetryInterval  = 100 * time.Millisecond
 	maxWaitingForEngines = 2000
@@ -275,9 +265,8 @@
 	return errors.As(err, &v) && v.Code == hingeverdict.CodeNoServer
 }
 
-// serversToAvoid returns the servers that failed the request, without those of a kind for
-// which no other server exists: a failure such as a stalled connection may be temporary, so
-// retrying the same server is better than waiting for one that doesn't exist.
+// serversToAvoid returns the servers that failed the request, without those of a kind for which
+// no other server exists: a failure such as a stalled connection may be temporary.
 func (g *gates) serversToAvoid(m hingeids.Model, failed map[hingeids.ServerID]bool) map[hingeids.ServerID]bool {
 	if len(failed) == 0 {
 		return nil
@@ -300,9 +289,8 @@
 	return out
 }
 
-// target returns the current incarnation of a server. The gate is updated shortly after the
-// view changes, so it may choose a server that was just removed. In that case target removes
-// the server from the gate, and the gate has to choose again.
+// target returns the current incarnation of a server. The gate may choose a server that was just
+// removed from the view; target then removes it from the gate, which has to choose again.
 func (g *gates) target(gate *modelGate, id hingeids.ServerID) (hingeengine.Target, bool) {
 	if s, ok := g.server.servers.Load().Find(id); ok {
 		return targetOf(s), true
--- a/internal/serve/hingeserver/instances.go
+++ b/internal/serve/hingeserver/instances.go
@@ -29,7 +29,6 @@
 	return instancesPrefix + hingeconfig.Path(h) + startedSuffix
 }
 
-// instanceStarted returns the change that records the start of an instance.
 func instanceStarted(instance hingeids.Instance, now time.Time) hingeconfig.Change {
 	return hingeconfig.Change{
 		ID: hingeconfig.ChangeID("lifeBegan." + hingeids.RequestID{
@@ -44,7 +43,6 @@
 	}
 }
 
-// registryOf extracts the instance registry from a configuration view.
 func registryOf(v *hingeconfig.View) hingemembers.Registry {
 	registry := make(hingemembers.Registry)
 	for path, document := range v.Documents {
@@ -64,13 +62,11 @@
 	return registry
 }
 
-// registryInterval is how often the registry is compared with the members' view. It is well
-// below the second within which the surviving hosts should get the share of slots of a dead
-// host.
+// The surviving hosts should get the share of slots of a dead host within a second.
 const registryInterval = 200 * time.Millisecond
 
-// runInstanceRegistry records this host's instance in the log and passes the registry to the
-// members. On the leader it also records instances that have ended.
+// runInstanceRegistry records this host's instance and passes the registry to the members. On
+// the leader it also records instances that have ended.
 func (s *Server) runInstanceRegistry(ctx context.Context) error {
 	ticker := time.NewTicker(registryInterval)
 	defer ticker.Stop()
@@ -111,10 +107,9 @@
 	}
 }
 
-// endedInstances returns the instances that may be recorded as ended: those from which no
-// host receives messages any more, and those that announced their own end at shutdown.
-// Without the latter, allocations that a host could not cancel before its end would never be
-// released.
+// endedInstances returns the instances from which no host receives messages any more, and
+// those that announced their own end at shutdown: otherwise allocations that a host could not
+// cancel before its end would never be released.
 func endedInstances(v *hingemembers.View) []hingeids.Instance {
 	out := slices.Clone(v.Expired)
 	for _, h := range v.Hosts {
@@ -125,8 +120,7 @@
 	return out
 }
 
-// systemChangeTimeout is the timeout of one attempt to propose a system change. The next
-// comparison retries it.
+// The next comparison retries a proposal that timed out.
 const systemChangeTimeout = time.Second
 
 func (s *Server) proposeSystemChange(ctx context.Context, c hingeconfig.Change) bool {
@@ -136,9 +130,9 @@
 	return err == nil
 }
 
-// endInstance ends all requests with a final response. It is called when other hosts have
-// declared this host's instance ended: from then on they may cancel its allocations. The
-// next instance starts when it returns.
+// endInstance ends all requests with a final response, as other hosts may cancel the
+// allocations of an instance that they declared ended. The next instance starts when it
+// returns.
 func (s *Server) endInstance(ended hingeids.Instance) {
 	s.recorder.Record(time.Now(), hingeevents.LifeDeclaredOver, hingeevents.Fields{
 		Host: ended.Host,
--- a/internal/serve/hingeserver/listeners.go
+++ b/internal/serve/hingeserver/listeners.go
@@ -8,7 +8,6 @@
 	"github.com/swifthinge/swifthinge/internal/config/hingesettings"
 )
 
-// listeners are the TCP listeners of the process.
 type listeners struct {
 	callers   net.Listener
 	servers   net.Listener
--- a/internal/serve/hingeserver/meter.go
+++ b/internal/serve/hingeserver/meter.go
@@ -13,7 +13,6 @@
 	"github.com/swifthinge/swifthinge/internal/path/hingedispatch"
 )
 
-// meter updates the metrics of the request path.
 type meter struct {
 	metrics *hingemetrics.Metrics
 }
@@ -58,7 +57,6 @@
 	}
 }
 
-// countClaim counts the claim of an idempotency key.
 func (m meter) countClaim(key hingeids.IdempotencyKey, replayed bool, err error) {
 	kind := "free"
 	if hingeledger.IsIssued(key) {
--- a/internal/serve/hingeserver/once_test.go
+++ b/internal/serve/hingeserver/once_test.go
@@ -16,7 +16,6 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// newServices starts a fleet with a replica of the plain service in each zone.
 func newServices(t *testing.T) *fleet {
 	f := newFleet(t)
 	for n, zone := range f.inventory.Zones {
@@ -86,9 +85,8 @@
 	}
 }
 
-// A host is killed while its call is running, and the caller resends the call to another
-// host. Guards against a second run: the outcome of the first is unknown, and the response
-// must say so.
+// Guards against a second run of a call whose first outcome is unknown, as its host was
+// killed; the response must say so.
 func TestAKilledHostsCallIsNotRunAgain(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
@@ -123,8 +121,8 @@
 	}
 }
 
-// A zone that is cut off serves only calls with keys that it issued itself. Guards against
-// running a call with another key, which may already have run in another zone.
+// Guards against a cut-off zone that runs a call with a key of another zone, where it may
+// have run already.
 func TestACutOffZoneServesItsOwnKeysAndRefusesOthers(t *testing.T) {
 	t.Parallel()
 	f := newServices(t)
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -124,7 +124,6 @@
 // methodHistory requests the accepted changes that a host with a disk keeps.
 const methodHistory hingelink.Method = "operators.history"
 
-// historyTimeout is the timeout of the request to one host.
 const historyTimeout = time.Second
 
 // History returns the accepted changes that are kept, newest first. A host without a disk
@@ -193,7 +192,7 @@
 	return int(o.server.callers.Active())
 }
 
-// isVoter reports whether this host counts towards the quorums of both groups.
+// isVoter considers both groups.
 func (s *Server) isVoter() bool {
 	for _, group := range []*hingegroup.Group{s.shared.config, s.shared.ledgerGroup} {
 		state := group.Status()
@@ -204,7 +203,7 @@
 	return true
 }
 
-// ChangeVoters adds a host to the voters of both groups, or removes it from them.
+// ChangeVoters adds a host to the voters of both groups, or removes it.
 func (o operatorAPI) ChangeVoters(ctx context.Context, v hingeadmin.VoterChange) error {
 	for _, group := range []*hingegroup.Group{o.server.shared.config, o.server.shared.ledgerGroup} {
 		var err error
@@ -266,8 +265,8 @@
 // still returns a status.
 const lagsTimeout = 500 * time.Millisecond
 
-// hosts returns the state of each entry host as this host sees it. Only the host that
-// another one follows knows which revision that one has applied.
+// hosts returns the state of each entry host. Only the host that another one follows knows which
+// revision that one has applied.
 func (o operatorAPI) hosts() []hingeadmin.HostStatus {
 	s := o.server
 	members := s.shared.members.Hosts().Load()
--- a/internal/serve/hingeserver/orders.go
+++ b/internal/serve/hingeserver/orders.go
@@ -29,8 +29,8 @@
 	_ hingeorders.Issuer  = (*orders)(nil)
 )
 
-// orderTimeout is the timeout of an order: an engine responds before it starts loading. The
-// timeout has to be well below the leader's lease, or no order could be sent.
+// orderTimeout has to be well below the leader's lease, or no order could be sent. An engine
+// responds before it starts loading.
 const orderTimeout = 150 * time.Millisecond
 
 func newOrders(s *Server) *orders {
@@ -103,8 +103,7 @@
 	}
 }
 
-// update passes the desired states and the announced engines to the driver. The control loop
-// calls it.
+// update is called by the control loop.
 func (o *orders) update() {
 	configuration := o.server.configuration.Load()
 	if configuration == nil {
--- a/internal/serve/hingeserver/orders_test.go
+++ b/internal/serve/hingeserver/orders_test.go
@@ -12,7 +12,6 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// roleChange returns a change of an engine's role and model version.
 func (f *fleet) roleChange(expected hingeids.Revision, engine hingeids.ServerID, role string) hingeadmin.Change {
 	f.changes++
 	inventory := f.inventory
@@ -34,9 +33,8 @@
 	}
 }
 
-// Operators change an engine's role several times while the host that issues the orders is
-// suspended and killed. Guards against a delayed order of an earlier issuer that takes effect
-// after newer ones.
+// Guards against a delayed order of an earlier issuer that takes effect after newer ones, as
+// the issuer is suspended and killed.
 func TestOrdersAcrossIssuerChanges(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 2*time.Millisecond)
--- a/internal/serve/hingeserver/pipelining_test.go
+++ b/internal/serve/hingeserver/pipelining_test.go
@@ -12,9 +12,8 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// A caller sends further requests on a connection while the first response is streaming.
-// Guards against the disconnect detection losing bytes of these requests or mistaking them for
-// a disconnect.
+// Guards against a disconnect detection that loses pipelined requests or mistakes them for a
+// disconnect.
 func TestPipelinedRequestsAreAnsweredInOrder(t *testing.T) {
 	s := newScript(t)
 	for _, engine := range []string{"p prefill", "d decode gap=2ms"} {
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -36,9 +36,9 @@
 	maxListQueries    = 20
 )
 
-// poisonDetector detects poison requests. Each host decides for itself; all hosts exchange
-// their observations, so that their decisions agree. The block list is kept in memory only:
-// it is lost with the last host that has it. It is safe for concurrent use.
+// poisonDetector decides for its own host; the hosts exchange observations, so that their decisions
+// agree. The block list is kept in memory only: it is lost with the last host that has it. It is safe
+// for concurrent use.
 type poisonDetector struct {
 	link     hingelink.Link
 	peers    []hingeids.HostID
@@ -56,7 +56,6 @@
 	report    poisonReport
 }
 
-// poisonReport is what one host sends to others.
 type poisonReport struct {
 	Crashes     []hingepoison.Crash      `cbor:"1,keyasint,omitempty"`
 	Completions []hingepoison.Completion `cbor:"2,keyasint,omitempty"`
@@ -90,7 +89,6 @@
 	return d
 }
 
-// newPoisonDetector creates the detector with this host's peers and view of the servers.
 func (s *Server) newPoisonDetector() *poisonDetector {
 	var peers []hingeids.HostID
 	for _, p := range s.settings.Peers {
@@ -147,8 +145,7 @@
 	return decision
 }
 
-// addRecord adds a record to the block list and reports it to the other hosts. The caller
-// holds the lock.
+// addRecord reports the record to the other hosts. The caller holds the lock.
 func (d *poisonDetector) addRecord(r hingepoison.Record) {
 	d.blockList = d.blockList.With(r)
 	d.report.Records = append(d.report.Records, r)
@@ -237,7 +234,6 @@
 	})
 }
 
-// receive handles a report of another host.
 func (d *poisonDetector) receive(from hingeids.HostID, body []byte) {
 	var report poisonReport
 	if err := cbor.Unmarshal(body, &report); err != nil {
@@ -266,8 +262,7 @@
 	}
 }
 
-// run sends this host's observations to the other hosts. At first it fetches their block
-// list.
+// run fetches the block list, then sends this host's observations to the other hosts.
 func (d *poisonDetector) run(ctx context.Context) error {
 	defer close(d.done)
 	fetched := make(chan struct{})
@@ -300,8 +295,7 @@
 	}
 }
 
-// fetchBlockList queries the other hosts one after the other for their block list, until one
-// responds.
+// fetchBlockList queries the other hosts one after the other, until one responds.
 func (d *poisonDetector) fetchBlockList(ctx context.Context) {
 	if len(d.peers) == 0 {
 		return
@@ -319,7 +313,6 @@
 	}
 }
 
-// messages splits the report into messages that fit into a datagram.
 func (r poisonReport) messages() [][]byte {
 	var out [][]byte
 	add := func(part poisonReport) {
--- a/internal/serve/hingeserver/poisons_test.go
+++ b/internal/serve/hingeserver/poisons_test.go
@@ -13,7 +13,6 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingefake"
 )
 
-// crashedEngines counts the stand-ins that a request has crashed.
 func (s *script) crashedEngines() int {
 	n := 0
 	for _, e := range s.engines {
@@ -26,9 +25,8 @@
 	return n
 }
 
-// Callers resend a prompt that crashes engines and a call that crashes replicas, as new
-// requests. Guards against the loss of all servers when crashes aren't counted over
-// requests.
+// Guards against the loss of all servers when a poison request is resent as new requests and
+// its crashes aren't counted over them.
 func TestPoisonRequestIsBlocked(t *testing.T) {
 	s := newScript(t)
 	for i := range 6 {
@@ -80,7 +78,6 @@
 	}
 }
 
-// startPoisonDetectors starts the detectors of n entry hosts.
 func startPoisonDetectors(t *testing.T, n int) []*poisonDetector {
 	t.Helper()
 	network := hingefake.NewNetwork()
@@ -119,8 +116,8 @@
 	return d
 }
 
-// Each attempt of a poison request reaches another host, so that every host observes only
-// one crash. Guards against hosts that don't exchange their observations.
+// Guards against hosts that don't exchange their observations, when every host observes only
+// one crash.
 func TestHostsExchangeCrashReports(t *testing.T) {
 	all := startPoisonDetectors(t, 4)
 	for i := range 3 {
@@ -172,8 +169,8 @@
 	}
 }
 
-// Many servers with many requests crash at the same time. Guards against reports that don't
-// fit into a datagram and are lost.
+// Guards against reports on the crash of many servers that don't fit into a datagram and are
+// lost.
 func TestPoisonReportsFitDatagrams(t *testing.T) {
 	var r poisonReport
 	for i := range 100 {
--- a/internal/serve/hingeserver/proofs_test.go
+++ b/internal/serve/hingeserver/proofs_test.go
@@ -11,8 +11,8 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// A change is applied while the leader is killed. Guards against hosts that stay at
-// different revisions, and against a change that takes too long without the leader.
+// Guards against hosts that stay at different revisions, and a change that takes too long, when
+// the leader is killed.
 func TestChangeIsInForceEverywhereThroughALeadersKill(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -52,8 +52,7 @@
 	}
 }
 
-// awaitChange applies a change at a host, and returns the time until all hosts have it in
-// force.
+// awaitChange returns the time until all hosts have the change in force.
 func (f *fleet) awaitChange(at hingeids.HostID, expected hingeids.Revision, keepKeys time.Duration) time.Duration {
 	f.t.Helper()
 	began := time.Now()
@@ -65,8 +64,8 @@
 	return time.Since(began)
 }
 
-// Two operators concurrently send different changes of the same revision. Guards against
-// accepting both, since one would silently revert the other.
+// Guards against accepting two concurrent changes of the same revision, as one would silently
+// revert the other.
 func TestConcurrentOperatorChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -131,9 +130,8 @@
 	}
 }
 
-// System changes advance the revision after an operator's last change. Guards against
-// a history that is then empty at a host without a disk, and against a change at the
-// operator's revision that skips validation.
+// Guards against an empty history at a host without a disk, and a change that skips validation,
+// after system changes have advanced the revision.
 func TestHistoryAndValidationAfterSystemChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -158,8 +156,8 @@
 	}
 }
 
-// A host loses its disk and is repaired, and right after that a second host is lost. Guards
-// against the loss of accepted changes and of the quorum.
+// Guards against the loss of accepted changes and of the quorum when a second host is lost right
+// after the first was repaired.
 func TestSecondHostLostRightAfterARepair(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -188,8 +186,8 @@
 	f.awaitRevision(accepted, cancale, f.order[1], f.order[2], f.order[4], f.order[5], f.order[6])
 }
 
-// An operator replaces a voter that is lost for good. Guards against a quorum that still
-// counts the lost voter, so that the next loss blocks all changes, orders and keys.
+// Guards against a quorum that still counts a replaced voter, so that the next loss blocks all
+// changes, orders and keys.
 func TestOperatorReplacesAVoterThatIsLost(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -229,8 +227,7 @@
 	})
 }
 
-// The leader is suspended while changes are accepted without it. Guards against hosts that
-// return to an older revision when it resumes.
+// Guards against hosts that return to an older revision when a suspended leader resumes.
 func TestSuspendedLeaderDoesNotRevert(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/serve/hingeserver/replicas.go
+++ b/internal/serve/hingeserver/replicas.go
@@ -35,9 +35,9 @@
 	}
 }
 
-// leastLoaded chooses the server with the least load, and counts one more request there. It
-// prefers servers that aren't to be avoided, but chooses one of those if there is no other:
-// a failure such as a stalled connection may be temporary.
+// leastLoaded counts one more request at the server that it chooses. It chooses one of those
+// to be avoided if there is no other: a failure such as a stalled connection may be
+// temporary.
 func (f *inFlight) leastLoaded(servers []hingeannounce.Server, avoid map[hingeids.ServerID]bool) (hingeengine.Target, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -70,8 +70,7 @@
 	return max(f.count[s.Server], s.Load.Running+s.Load.Queued)
 }
 
-// noServerRetry is the retry time for callers if no server is available: about as long as an
-// announcement takes to reach every host.
+// noServerRetry is about as long as an announcement takes to reach every host.
 const noServerRetry = 2 * time.Second
 
 func targetOf(s hingeannounce.Server) hingeengine.Target {
@@ -82,7 +81,6 @@
 	}
 }
 
-// target returns the current incarnation of an announced server.
 func (s *Server) target(id hingeids.ServerID) (hingeengine.Target, error) {
 	server, ok := s.servers.Load().Find(id)
 	if !ok {
--- a/internal/serve/hingeserver/restart_test.go
+++ b/internal/serve/hingeserver/restart_test.go
@@ -16,7 +16,6 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// changeMany applies n changes one after the other, and returns the last revision.
 func (f *fleet) changeMany(at hingeids.HostID, n int) hingeids.Revision {
 	f.t.Helper()
 	status, err := f.status(at)
@@ -54,9 +53,8 @@
 	t.Logf("both applied revision %d %v after their start", newest, elapsed)
 }
 
-// A host without a disk restarts in a zone that is cut off. Guards against a host that
-// becomes ready with an older configuration than it had before; its zone's peers have the
-// newest.
+// Guards against a host without a disk that restarts in a cut-off zone and becomes ready with
+// an older configuration than its zone's peers have.
 func TestDisklessHostRestartsCutOff(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -89,7 +87,6 @@
 	})
 }
 
-// newEngines starts a fleet with one prefill and two decode engines in each zone.
 func newEngines(t *testing.T, gap time.Duration) *fleet {
 	return newEnginesOf(t, gap, 20)
 }
@@ -115,7 +112,6 @@
 	return f
 }
 
-// held counts the allocations of all engines.
 func (f *fleet) held() int {
 	n := 0
 	for _, s := range f.standins {
@@ -124,8 +120,8 @@
 	return n
 }
 
-// Every entry host is restarted in turn while callers stream. Guards against streams that
-// are cut off, and against allocations that are never released.
+// Guards against streams that are cut off and allocations that are never released in a rolling
+// restart.
 func TestRollingRestartCutsNothingOff(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 10*time.Millisecond)
@@ -166,8 +162,8 @@
 	})
 }
 
-// streamWithFailover sends a request to the hosts in turn, as a balancer does, until one
-// accepts it. It reports whether the stream was complete.
+// streamWithFailover tries the hosts in turn, as a balancer does, until one accepts the
+// request. It reports whether the stream was complete.
 func (f *fleet) streamWithFailover(n int, prompt string) bool {
 	for i := range 100 {
 		id := f.order[(n+i)%len(f.order)]
--- a/internal/serve/hingeserver/run.go
+++ b/internal/serve/hingeserver/run.go
@@ -15,8 +15,7 @@
 )
 
 // shutdownCancelTimeout is how long a shutdown waits until engines have confirmed its
-// cancels. An engine responds within its timeout of one second, so this allows for two lost
-// attempts.
+// cancels. It allows for two lost attempts, as an engine responds within one second.
 const shutdownCancelTimeout = 3 * time.Second
 
 // Run serves until the context ends, then drains and waits for the requests in progress. It
@@ -61,9 +60,8 @@
 	return s.gates.wait()
 }
 
-// serveCallers serves until the context ends. It then shuts down in the order that leaves no
-// allocations behind: first the callers' requests, then the cancels at engines, then the
-// announcement that this instance has ended.
+// serveCallers shuts down in the order that leaves no allocations behind: first the callers'
+// requests, then the cancels at engines, then the announcement that this instance has ended.
 func (s *Server) serveCallers(ctx, control context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -85,10 +83,8 @@
 	return nil
 }
 
-// controlReadTimeout limits how long reading an announcement or an operator's command takes.
 const controlReadTimeout = 10 * time.Second
 
-// serveControl starts the HTTP servers for backend servers and operators.
 func (s *Server) serveControl(control context.Context, g *errgroup.Group) {
 	admin := hingeadmin.NewHandler(hingeadmin.Config{
 		Configuration: operatorAPI{
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -156,7 +156,6 @@
 	return now.Add(stepInterval)
 }
 
-// recordReadiness records an event when the host becomes ready or unready.
 func (s *Server) recordReadiness(now time.Time) {
 	ready, reason := s.ready(now)
 	if ready == s.wasReady {
@@ -207,7 +206,7 @@
 	})
 }
 
-// ready reports whether this host should receive requests, and the reason if not.
+// ready also returns the reason if the host is not ready.
 func (s *Server) ready(now time.Time) (ready bool, reason string) {
 	configuration := s.configuration.Load()
 	switch {
@@ -222,10 +221,9 @@
 	}
 }
 
-// defaultSettleTimeout is longer than the start of the slot pools, about 2.5 s: without the
-// wait, a starting host would refuse requests for which other hosts have slots. After it, a
-// host without engines in its zone, or that is cut off, becomes ready anyway, since it can
-// still serve plain services.
+// defaultSettleTimeout is longer than the start of the slot pools, about 2.5 s: without the wait, a
+// starting host would refuse requests for which other hosts have slots. After it, a host that is cut
+// off or has no engines in its zone becomes ready for plain services.
 const defaultSettleTimeout = 5 * time.Second
 
 // defaultKeyRetention applies until there is a configuration.
--- a/internal/serve/hingeserver/shared.go
+++ b/internal/serve/hingeserver/shared.go
@@ -44,7 +44,6 @@
 	allowCut        bool
 }
 
-// openShared opens the links and the durable state.
 func openShared(c sharedConfig) (*shared, error) {
 	link, err := openLink(c)
 	if err != nil {
@@ -243,7 +242,7 @@
 	return out
 }
 
-// votersNearestFirst returns the hosts with a disk, those of the own zone first.
+// votersNearestFirst returns the hosts of the own zone first.
 func votersNearestFirst(s hingesettings.Settings) []hingeids.HostID {
 	var near, far []hingeids.HostID
 	for _, p := range s.Peers {
@@ -258,7 +257,7 @@
 	return append(near, far...)
 }
 
-// run runs all parts until the context ends or one of them fails.
+// run ends when the context ends or a part fails.
 func (s *shared) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	parts := []func(context.Context) error{
--- a/internal/serve/hingeserver/slots.go
+++ b/internal/serve/hingeserver/slots.go
@@ -80,8 +80,7 @@
 	return out, nil
 }
 
-// update passes the membership view and the zone's engines to the driver. The control loop
-// calls it.
+// update is called by the control loop.
 func (s *slots) update() {
 	members := s.server.shared.members.Hosts().Load()
 	if members.Self != s.instance {
@@ -95,7 +94,6 @@
 	}
 }
 
-// engines returns the decode engines of the own zone.
 func (s *slots) engines() []hingeslots.Engine {
 	if s.server.configuration.Load() == nil {
 		return nil
@@ -118,8 +116,8 @@
 }
 
 // canGrant reports whether a slot on an engine can be expected. It is true for servers that
-// need no grant. Without this check, as in a zone with too few hosts for a valid lease, a
-// request would be prefilled repeatedly for a slot that no host may grant.
+// need no grant. Without this check, a request in a zone with too few hosts for a valid
+// lease would be prefilled repeatedly for a slot that no host may grant.
 func (s *slots) canGrant(now time.Time, x hingeannounce.Server) bool {
 	if x.Zone != s.server.settings.Zone || !x.Performs(hingeannounce.Decode) {
 		return true
@@ -193,7 +191,6 @@
 	s.driver.Release(id)
 }
 
-// heldCount counts the slots that this host's requests hold.
 func (s *slots) heldCount() int64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
