--- a/internal/operate/hingeadmin/bodies.go
+++ b/internal/operate/hingeadmin/bodies.go
@@ -32,8 +32,7 @@
 	At       time.Time         `json:"at"`
 	// Paths lists the items that the change put or deleted.
 	Paths []string `json:"paths"`
-	// Repeated reports that the change had been accepted before and that this
-	// is the response to a resend.
+	// Repeated reports that the change had been accepted before.
 	Repeated bool `json:"repeated,omitempty"`
 }
 
--- a/internal/operate/hingeadmin/change.go
+++ b/internal/operate/hingeadmin/change.go
@@ -70,9 +70,8 @@
 	})
 }
 
-// parseChange decodes a change and rejects unknown fields. A misspelt
-// expectedRevision would otherwise be ignored, and the change could overwrite
-// another operator's change.
+// parseChange rejects unknown fields. A misspelt expectedRevision would otherwise
+// be ignored, and the change could overwrite another operator's change.
 func parseChange(body []byte) (Change, error) {
 	if len(body) > MaxChangeBytes {
 		return Change{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeTooLarge, 0,
@@ -108,7 +107,7 @@
 	return hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeMalformed, 0, err)
 }
 
-// check validates a change (Rules 1 and 2).
+// check implements Rules 1 and 2.
 func (h *Handler) check(change Change) ([]hingetoml.Problem, error) {
 	if change.ExpectedRevision == 0 {
 		return validateChange(nil, change), nil
--- a/internal/operate/hingeadmin/events.go
+++ b/internal/operate/hingeadmin/events.go
@@ -8,7 +8,6 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingetimeline"
 )
 
-// events responds with the retained events since a wall clock time.
 func (h *Handler) events(c *fasthttp.RequestCtx) {
 	since, err := numberArgument(c, "since")
 	if err != nil {
@@ -18,7 +17,6 @@
 	respond(c, h.source(int64(since)))
 }
 
-// explain responds with the retained events of one request.
 func (h *Handler) explain(c *fasthttp.RequestCtx) {
 	request, err := hingeids.ParseRequestID(string(c.QueryArgs().Peek("request")))
 	if err != nil {
--- a/internal/operate/hingeadmin/handler.go
+++ b/internal/operate/hingeadmin/handler.go
@@ -187,7 +187,6 @@
 	c.SetBody(b)
 }
 
-// respondError writes an error response with the code and verdict of err.
 func respondError(c *fasthttp.RequestCtx, err error) {
 	f := Failure{
 		Verdict: hingeverdict.Of(err).String(),
@@ -218,7 +217,6 @@
 	c.SetStatusCode(status)
 }
 
-// httpStatus returns the HTTP status for a verdict code.
 func httpStatus(code hingeverdict.Code) int {
 	switch code {
 	case hingeverdict.CodeMalformed:
--- a/internal/operate/hingecommand/account.go
+++ b/internal/operate/hingecommand/account.go
@@ -11,7 +11,6 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeaccount"
 )
 
-// defaultAccountInterval is the default time interval that a row of the account covers.
 const defaultAccountInterval = 2 * time.Second
 
 func (p *program) accountCommand() *cli.Command {
--- a/internal/operate/hingecommand/apply.go
+++ b/internal/operate/hingecommand/apply.go
@@ -62,7 +62,6 @@
 	}
 }
 
-// applyResult is the JSON output of apply.
 type applyResult struct {
 	hingeadmin.AcceptedChange
 	InForce bool `json:"inForce"`
@@ -142,7 +141,6 @@
 	}
 }
 
-// provesNotAccepted reports whether the error proves that the change was not accepted.
 func provesNotAccepted(err error) bool {
 	var r *refusedError
 	if errors.As(err, &r) {
@@ -179,7 +177,6 @@
 	return eris.Errorf("refused: %v", err)
 }
 
-// statusPollInterval is the interval at which apply and drain poll the status.
 const statusPollInterval = 250 * time.Millisecond
 
 // reportRollout prints the accepted revision, waits up to --wait until every host
--- a/internal/operate/hingecommand/basis.go
+++ b/internal/operate/hingecommand/basis.go
@@ -20,11 +20,10 @@
 }
 
 // baseConfiguration returns the configuration at the expected revision (Rule 3),
-// or the newest one if hosts no longer retain the expected one. Newer revisions
-// need not be operators' changes, because the log also records the instances of
-// hosts. The log rejects the change if an operator's change lies between the two
-// revisions. Requiring the newest revision instead would invalidate the operators'
-// files whenever a host restarts.
+// or the newest one if hosts no longer retain the expected one: newer revisions
+// may only record the instances of hosts, and requiring the newest would
+// invalidate the operators' files whenever a host restarts. The log rejects the
+// change if an operator's change lies between the two revisions.
 func (p *program) baseConfiguration(ctx context.Context, c *cli.Command, entries []string) (baseConfiguration, error) {
 	var b baseConfiguration
 	expected := c.Uint64("expect")
--- a/internal/operate/hingecommand/client.go
+++ b/internal/operate/hingecommand/client.go
@@ -25,7 +25,6 @@
 // maxResponseBytes is larger than all events that a process retains.
 const maxResponseBytes = 64 << 20
 
-// client calls the operators' HTTP API of entry hosts.
 type client struct {
 	http *fasthttp.Client
 }
@@ -63,7 +62,6 @@
 	return e.status < fasthttp.StatusInternalServerError
 }
 
-// call sends a request and decodes the JSON response into result.
 func (c *client) call(method, address, path string, body, result any) error {
 	request := fasthttp.AcquireRequest()
 	defer fasthttp.ReleaseRequest(request)
@@ -138,13 +136,12 @@
 	return errors.As(err, &r) && r.final()
 }
 
-// isRevisionNotRetained reports whether the host no longer retains the revision.
 func isRevisionNotRetained(err error) bool {
 	var r *refusedError
 	return errors.As(err, &r) && r.status == fasthttp.StatusGone
 }
 
-// sleep waits for d. It returns false if the context ends first.
+// sleep returns false if the context ends first.
 func sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -156,8 +153,7 @@
 	}
 }
 
-// isConnectionRefused reports whether the connection was refused, which proves
-// that no request was sent.
+// A refused connection proves that no request was sent.
 func isConnectionRefused(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial" && errors.Is(err, syscall.ECONNREFUSED)
--- a/internal/operate/hingecommand/command.go
+++ b/internal/operate/hingecommand/command.go
@@ -52,7 +52,6 @@
 	HasConfiguration bool
 }
 
-// program is a single invocation of the command line.
 type program struct {
 	Config
 	client *client
--- a/internal/operate/hingecommand/drain.go
+++ b/internal/operate/hingecommand/drain.go
@@ -59,7 +59,6 @@
 	return nil
 }
 
-// drainResult is the JSON output of drain.
 type drainResult struct {
 	// InProgress is the last reported number of requests. If the process ended
 	// later, the timeline shows whether they finished or the process was killed.
--- a/internal/operate/hingecommand/fake_test.go
+++ b/internal/operate/hingecommand/fake_test.go
@@ -33,7 +33,6 @@
 	noQuorum      int
 }
 
-// entryHost is a fake entry host.
 type entryHost struct {
 	*cluster
 	name       hingeids.HostID
@@ -248,7 +247,6 @@
 	return s
 }
 
-// Drain returns the number of requests in progress.
 func (h *entryHost) Drain(time.Time) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/operate/hingecommand/read.go
+++ b/internal/operate/hingecommand/read.go
@@ -115,7 +115,6 @@
 	}
 }
 
-// maxShownPaths is the maximum number of paths in a table cell.
 const maxShownPaths = 4
 
 func formatPaths(paths []string) string {
@@ -172,7 +171,6 @@
 	})
 }
 
-// answeringHostState describes the state of the host that responded.
 func answeringHostState(s hingeadmin.Status) string {
 	state := "takes requests"
 	switch {
@@ -226,7 +224,6 @@
 	return "no"
 }
 
-// table writes aligned columns.
 func (p *program) table(fill func(row func(cells ...any))) error {
 	w := tabwriter.NewWriter(p.Out, 0, 0, 2, ' ', 0)
 	fill(func(cells ...any) {
--- a/internal/operate/hingekeys/keys_test.go
+++ b/internal/operate/hingekeys/keys_test.go
@@ -32,7 +32,6 @@
 	}
 }
 
-// handshake connects a client and a server and returns the errors of both.
 func handshake(t *testing.T, dial, accept Paths, now time.Time) error {
 	t.Helper()
 	clock := func() time.Time {
--- a/internal/operate/hingekeys/load.go
+++ b/internal/operate/hingekeys/load.go
@@ -13,9 +13,9 @@
 	"github.com/rotisserie/eris"
 )
 
-// LoadTLS loads a process's key and certificates into a configuration for both
-// ends of a link. It fails if a file is missing, the files don't match or a
-// certificate has expired. Renewed files are loaded without a restart (Rule 4).
+// LoadTLS loads a process's key and certificates for both ends of a link. It
+// fails if a file is missing, the files don't match or a certificate has expired.
+// Renewed files are loaded without a restart (Rule 4).
 func LoadTLS(p Paths) (*tls.Config, error) {
 	return loadTLS(p, time.Now)
 }
@@ -44,7 +44,6 @@
 	}, nil
 }
 
-// fileSet holds the parsed contents of the files.
 type fileSet struct {
 	certificate *tls.Certificate
 	authority   *x509.CertPool
@@ -114,7 +113,7 @@
 	return r.current().check(s.PeerCertificates[0], r.clock())
 }
 
-// check verifies a certificate (Rule 5).
+// check implements Rule 5.
 func (f fileSet) check(c *x509.Certificate, now time.Time) error {
 	_, err := c.Verify(x509.VerifyOptions{
 		Roots:       f.authority,
