--- a/internal/observe/hingeaccount/account.go
+++ b/internal/observe/hingeaccount/account.go
@@ -232,7 +232,7 @@
 	a.fills[l.At.Unix()] = f
 }
 
-// finish sets the outcome; a later final event replaces an earlier one (rule 1).
+// A later final event replaces an earlier one (rule 1).
 func (r *Request) finish(at time.Time, o Outcome, reason string) {
 	r.finished = true
 	r.EndedAt = at
@@ -240,7 +240,7 @@
 	r.Reason = reason
 }
 
-// finishWithError handles the final error of a request. The detail has the form "verdict (code): cause".
+// The detail of a final error has the form "verdict (code): cause".
 func (r *Request) finishWithError(l hingelines.Line) {
 	outcome := Failed
 	if strings.HasPrefix(l.Fields.Detail, "notRun") {
@@ -277,7 +277,6 @@
 	return verdictAndCode(detail)
 }
 
-// verdictAndCode returns the part of a detail before its first cause.
 func verdictAndCode(detail string) string {
 	verdict, _, _ := strings.Cut(detail, ": ")
 	return verdict
--- a/internal/observe/hingeaccount/tables.go
+++ b/internal/observe/hingeaccount/tables.go
@@ -92,7 +92,6 @@
 	b.WriteString("\n")
 }
 
-// reasonRow counts the requests with one outcome and one reason.
 type reasonRow struct {
 	outcome Outcome
 	reason  string
@@ -170,7 +169,6 @@
 	}
 }
 
-// crashTimeLayout formats the times of the crash table.
 const crashTimeLayout = "2006-01-02T15:04:05.000Z"
 
 // Plot draws the number of requests by outcome for each interval into account.png in the folder.
--- a/internal/observe/hingefigure/figure.go
+++ b/internal/observe/hingefigure/figure.go
@@ -25,7 +25,6 @@
 	Points plotter.XYs
 }
 
-// The size of a plot.
 const (
 	width  = 18 * vg.Centimeter
 	height = 10 * vg.Centimeter
--- a/internal/observe/hingelines/lines_test.go
+++ b/internal/observe/hingelines/lines_test.go
@@ -13,7 +13,6 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// output is a buffer that is safe for concurrent use.
 type output struct {
 	mu sync.Mutex
 	b  bytes.Buffer
--- a/internal/observe/hingemetrics/health.go
+++ b/internal/observe/hingemetrics/health.go
@@ -9,10 +9,9 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Health tracks whether a process is ready for requests, for the load balancer,
-// and whether it is alive, for the supervisor. A process that waits for its
-// configuration is alive but not ready; a restart would only make it wait again.
-// Its methods are safe for concurrent use.
+// Health tracks whether a process is ready for requests, for the load balancer, and
+// whether it is alive, for the supervisor. A process that waits for its configuration is
+// alive but not ready. Its methods are safe for concurrent use.
 type Health struct {
 	events *hingeevents.Recorder
 	// maxStall is the longest time between two iterations of the control loop.
@@ -24,10 +23,10 @@
 	lastIteration time.Time
 }
 
-// NewHealth returns the health of a process that becomes ready when every
-// condition is met. The process counts as hung if the control loop hasn't called
-// RecordIteration for more than maxStall, which should be many times the loop's longest
-// sleep, since a false positive terminates every stream of the process.
+// NewHealth returns the health of a process that becomes ready when every condition is
+// met. The process counts as hung if the control loop hasn't called RecordIteration for
+// more than maxStall. A false positive terminates every stream, so maxStall should be
+// many times the loop's longest sleep.
 func NewHealth(events *hingeevents.Recorder, maxStall time.Duration, now time.Time, conditions ...string) *Health {
 	return &Health{
 		events:        events,
--- a/internal/observe/hingetimeline/picture.go
+++ b/internal/observe/hingetimeline/picture.go
@@ -29,9 +29,9 @@
 	hingeevents.Failure: "#b3261e",
 }
 
-// WriteSVG writes an SVG with a lane for each process and a mark for each event,
-// whose tooltip has the event. If there are at most maxDetailed requests, a line
-// joins the marks of each. Missing hosts have an empty, dashed lane.
+// WriteSVG writes an SVG with a lane for each process and a mark with a tooltip for each event. If
+// there are at most maxDetailed requests, a line joins the marks of each. Missing hosts have a dashed
+// lane.
 func (t Timeline) WriteSVG(w io.Writer) error {
 	p := newPicture(t)
 	height := topMargin + laneHeight*(len(t.Instances)+len(t.Missing)) + 20
@@ -107,7 +107,6 @@
 	fmt.Fprintf(&p.b, `<line x1="%d" y1="%d" x2="%d" y2="%d" stroke="#bbb"%s/>`+"\n", labelWidth, y, labelWidth+plotWidth, y, style)
 }
 
-// requests draws a line through the marks of each request.
 func (p *picture) requests() {
 	paths := make(map[hingeids.RequestID][]string)
 	var order []hingeids.RequestID
