--- a/internal/config/hingecustomers/customers.go
+++ b/internal/config/hingecustomers/customers.go
@@ -103,7 +103,6 @@
 	return s, nil
 }
 
-// add validates the customer at an index of the list and adds it.
 func (s *Set) add(index int, c *Customer) error {
 	switch {
 	case c.Name == "":
--- a/internal/config/hingecustomers/customers_test.go
+++ b/internal/config/hingecustomers/customers_test.go
@@ -42,8 +42,8 @@
 	return c
 }
 
-// Guards against customers with a shared key, whose requests would be charged to each other, and against an empty key,
-// which would admit every caller.
+// Guards against customers with a shared key, whose requests would be charged to each other, and
+// against an empty key, which would admit every caller.
 func TestNewSetRejectsInvalidCustomers(t *testing.T) {
 	data, err := os.ReadFile("testdata/check.txt")
 	if err != nil {
--- a/internal/config/hingeinventory/check.go
+++ b/internal/config/hingeinventory/check.go
@@ -9,7 +9,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// problemReporter adds problems at key paths of a document or of items.
 type problemReporter interface {
 	Problem(path, text, want string)
 	CheckName(path, name string)
--- a/internal/config/hingeinventory/checkrules.go
+++ b/internal/config/hingeinventory/checkrules.go
@@ -80,9 +80,8 @@
 	}
 }
 
-// checkServiceRoute adds a problem if the route of a class is outside the route
-// of its service. Such a class matches no request, so the requests that it is
-// meant for would run without its neverRepeat.
+// checkServiceRoute adds a problem if the route of a class is outside the route of its service:
+// such a class matches no request, so its requests would run without its neverRepeat.
 func checkServiceRoute(d problemReporter, inv *Inventory, at string, c *Class) {
 	i := slices.IndexFunc(inv.Services, func(s Service) bool {
 		return s.Name == c.Service
--- a/internal/config/hingeinventory/classify.go
+++ b/internal/config/hingeinventory/classify.go
@@ -27,9 +27,8 @@
 	Deadline:   2 * time.Minute,
 }
 
-// Classify returns the class of a request (Rule 4). It is called once per
-// request and doesn't allocate. It scans the classes, which is cheaper than an
-// index for some tens of them.
+// Classify returns the class of a request (Rule 4). It doesn't allocate. It
+// scans the classes, which is cheaper than an index for some tens of them.
 func (r *Rules) Classify(attributes RequestAttributes) Class {
 	for i := range r.Classes {
 		if r.Classes[i].matches(attributes) {
@@ -84,8 +83,7 @@
 	return "", false
 }
 
-// underRoute reports whether a path is the route itself or is below it: the
-// route /lots matches /lots/7 but not /lotsize.
+// The route /lots matches /lots/7 but not /lotsize.
 func underRoute(path, route string) bool {
 	route = strings.TrimSuffix(route, "/")
 	if !strings.HasPrefix(path, route) {
--- a/internal/config/hingeinventory/classify_test.go
+++ b/internal/config/hingeinventory/classify_test.go
@@ -7,9 +7,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Guards against routes that match partial path segments, which would classify
-// a request that must not be retried as one that may be, and against allocations
-// per request.
+// Guards against routes that match partial path segments, so that a request that must not be
+// retried gets another class, and against allocations per request.
 func TestClassify(t *testing.T) {
 	classes := make(map[string]string)
 	want := map[string]string{
--- a/internal/config/hingeinventory/customers_test.go
+++ b/internal/config/hingeinventory/customers_test.go
@@ -10,8 +10,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Guards against API keys from the operator's rules in items or formatted files, which are stored on every disk host and
-// shown to other operators. Their digests must still identify the customers.
+// Guards against API keys in items or formatted files, which other operators can read. Their
+// digests must still identify the customers.
 func TestItemsAndFilesHoldOnlyKeyDigests(t *testing.T) {
 	const secret = "kwq81-secret"
 	inv, r := example(t, "viviers")
--- a/internal/config/hingeinventory/join.go
+++ b/internal/config/hingeinventory/join.go
@@ -8,7 +8,6 @@
 	"github.com/swifthinge/swifthinge/internal/config/hingetoml"
 )
 
-// joiner builds an inventory and rules from items.
 type joiner struct {
 	inventory Inventory
 	rules     Rules
@@ -19,9 +18,8 @@
 	problems  []hingetoml.Problem
 }
 
-// add decodes one item. The name in the document must match the path.
-// Otherwise two items could define the same entry, and deleting one of them
-// would leave the other.
+// add requires the name in the document to match the path. Otherwise two items
+// could define the same entry, and deleting one of them would leave the other.
 func (j *joiner) add(path string, document []byte) {
 	switch path {
 	case weightStorePath:
--- a/internal/config/hingetoml/check.go
+++ b/internal/config/hingetoml/check.go
@@ -31,7 +31,7 @@
 
 // CheckAddress adds a problem at the path unless the address is an IP address
 // with a port above 0. Host names are rejected, since a process must be able to
-// start while DNS is unavailable.
+// start without DNS.
 func (d *Document) CheckAddress(path, address string) {
 	if address == "" {
 		d.Problem(path, "is missing", `an IP number and port such as "127.0.0.1:7100"`)
--- a/internal/config/hingetoml/lines.go
+++ b/internal/config/hingetoml/lines.go
@@ -7,7 +7,6 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// lineIndex records the line of each key path.
 type lineIndex struct {
 	parser unstable.Parser
 	lines  map[string]int
