--- a/internal/link/hingelink/bench_test.go
+++ b/internal/link/hingelink/bench_test.go
@@ -11,9 +11,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// BenchmarkMesh measures the cost of an idle connection in a full mesh of hosts.
-// Memory and CPU time include both ends, which share this process. QUIC counts
-// bytes and packets without UDP and IP headers.
+// BenchmarkMesh measures an idle connection in a full mesh of hosts. Memory and CPU
+// time include both ends. QUIC counts bytes and packets without UDP and IP headers.
 func BenchmarkMesh(b *testing.B) {
 	for _, hosts := range []int{4, 8, 16, 32} {
 		b.Run(fmt.Sprintf("hosts=%d", hosts), func(b *testing.B) {
@@ -63,7 +62,6 @@
 	return hingeids.HostID(fmt.Sprintf("host-%d", i))
 }
 
-// connect waits until all connections are open.
 func connect(ctx context.Context, b *testing.B, links []*QUIC) {
 	for _, q := range links {
 		for _, p := range q.peers {
@@ -80,7 +78,6 @@
 	}
 }
 
-// traffic returns the totals sent and received on all connections.
 func traffic(b *testing.B, links []*QUIC) (bytes, packets uint64) {
 	for _, q := range links {
 		for host, p := range q.peers {
--- a/internal/link/hingelink/call.go
+++ b/internal/link/hingelink/call.go
@@ -54,7 +54,6 @@
 	return response, err
 }
 
-// exchange sends the message on a stream and reads the response.
 func (q *QUIC) exchange(p *peer, s *quic.Stream, method Method, body []byte) ([]byte, error) {
 	complete, err := writeMessage(s, q.header(method), body)
 	if err != nil {
@@ -77,7 +76,6 @@
 	return response, nil
 }
 
-// callSelf runs the handler for a call to the link's own host.
 func (q *QUIC) callSelf(ctx context.Context, method Method, body []byte) ([]byte, error) {
 	h := q.calls[method]
 	if h == nil {
@@ -187,7 +185,7 @@
 	return hingeverdict.New(f.Verdict, f.Code, f.RetryAfter, eris.Errorf("host %s: %s", from, f.Text))
 }
 
-// newFailure encodes a handler's error. The verdict of an error without one is MayHaveRun.
+// newFailure encodes an error without a verdict as MayHaveRun.
 func newFailure(err error) *failure {
 	f := &failure{
 		Verdict: hingeverdict.MayHaveRun,
--- a/internal/link/hingelink/identity.go
+++ b/internal/link/hingelink/identity.go
@@ -22,8 +22,8 @@
 }
 
 // ownName returns the host ID in the own certificate, or "" if there is none. It
-// is checked at startup, since otherwise each peer would reject the connection,
-// which looks like a network failure.
+// is checked at startup: otherwise each peer would reject the connection, which
+// looks like a network failure.
 func ownName(t *tls.Config) hingeids.HostID {
 	var own *tls.Certificate
 	if t.GetCertificate != nil {
@@ -61,9 +61,9 @@
 	})
 }
 
-// withNameCheck returns a TLS config that checks the host ID after the configured
-// verification of the chain. The host ID is compared byte for byte and not by
-// crypto/tls, since it isn't a DNS name and wildcards must not match it.
+// withNameCheck checks the host ID after the configured verification of the
+// chain. The ID is compared byte for byte and not by crypto/tls, since it isn't a
+// DNS name and wildcards must not match it.
 func (q *QUIC) withNameCheck(check func(hingeids.HostID) error) *tls.Config {
 	t := q.config.TLS.Clone()
 	verifyChain := t.VerifyConnection
--- a/internal/link/hingelink/peer.go
+++ b/internal/link/hingelink/peer.go
@@ -14,7 +14,6 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// peer is the state of the link to one other host.
 type peer struct {
 	host        hingeids.HostID
 	address     *net.UDPAddr
@@ -159,11 +158,10 @@
 	}
 }
 
-// serveConnection serves one connection until it is closed, and reports whether it
-// lasted. A connection that is closed immediately was rejected by the peer, which
-// verifies the certificate only after this end has completed the handshake. It is
-// redialled after a pause and recorded only once, so that repeated rejections
-// neither cause a busy loop nor evict other events.
+// serveConnection serves one connection until it is closed, and reports whether
+// it lasted. A peer that rejects the certificate closes the connection right
+// after the handshake. It is then redialled after a pause and recorded only once,
+// so that repeated rejections neither cause a busy loop nor evict other events.
 func (q *QUIC) serveConnection(ctx context.Context, p *peer, d *dialled, wasConnected bool) (lasted bool) {
 	defer d.close()
 	start := q.clock()
@@ -188,8 +186,8 @@
 	return false
 }
 
-// recordLost records an event if the failure is the first since the peer was
-// connected, and none for later failures to dial.
+// recordLost records an event only for the first failure since the peer was
+// connected.
 func (q *QUIC) recordLost(p *peer, first bool, cause error) {
 	if !first {
 		return
--- a/internal/link/hingelink/quic.go
+++ b/internal/link/hingelink/quic.go
@@ -17,24 +17,23 @@
 )
 
 const (
-	// keepAliveInterval is the interval of keep-alive packets on a connection without
-	// traffic. Five of them fit into idleTimeout, so four consecutive lost packets
-	// don't close the connection.
+	// keepAliveInterval allows for four consecutive lost packets within
+	// idleTimeout.
 	keepAliveInterval = 300 * time.Millisecond
 	// idleTimeout is the time after which a connection that receives nothing is
 	// closed. A longer one makes calls hang on a connection whose packets a
 	// middlebox drops; a shorter one makes a pause of the peer process fail calls
 	// as MayHaveRun.
 	idleTimeout = 1500 * time.Millisecond
-	// dialTimeout is the maximum time of a handshake. Calls wait for a dial in
-	// progress, so it also bounds how long the first calls to an unreachable host
-	// take to fail.
+	// dialTimeout is the maximum time of a handshake. It also bounds how long the
+	// first calls to an unreachable host take to fail, as calls wait for a dial in
+	// progress.
 	dialTimeout = time.Second
 	// redialInterval is the time between dials to an unreachable host.
 	redialInterval = 200 * time.Millisecond
 	// maxConcurrentCalls is the maximum number of calls in progress per peer.
-	// Further calls wait at the peer, so that the burst of one host can't exhaust the
-	// memory of another.
+	// Further calls wait at the peer, so that one host can't exhaust the memory of
+	// another.
 	maxConcurrentCalls = 256
 	// maxConcurrentBodyBytes is the maximum total size of the call bodies in progress
 	// over all peers, since maxConcurrentCalls alone allows 1 GiB per peer.
@@ -273,9 +272,9 @@
 )
 
 // Cut blocks traffic with a peer in one direction, or unblocks it if cut is false.
-// Blocking Outgoing makes calls to the peer fail and drops responses and datagrams
-// to it. Blocking Incoming drops everything from the peer. It returns an error if
-// AllowCut isn't set or the host isn't a peer.
+// Blocking Outgoing makes calls fail and drops responses and datagrams; blocking
+// Incoming drops everything from the peer. It returns an error if AllowCut isn't
+// set or the host isn't a peer.
 func (q *QUIC) Cut(host hingeids.HostID, d Direction, cut bool) error {
 	if !q.config.AllowCut {
 		return eris.New("cutting links is not allowed by the settings")
--- a/internal/link/hingelink/serve.go
+++ b/internal/link/hingelink/serve.go
@@ -7,7 +7,6 @@
 	"github.com/rotisserie/eris"
 )
 
-// accept serves incoming connections until the context ends.
 func (q *QUIC) accept(ctx context.Context, listener *quic.Listener) error {
 	for {
 		conn, err := listener.Accept(ctx)
--- a/internal/link/hingelink/wire.go
+++ b/internal/link/hingelink/wire.go
@@ -21,8 +21,8 @@
 
 const (
 	lengthsSize = 8
-	// maxHeader is the maximum size of a header in bytes. A header has a method or
-	// an error text, and a few numbers.
+	// maxHeader is the maximum size in bytes of a header: a method or an error
+	// text, and a few numbers.
 	maxHeader = 2048
 	// maxErrorText is the maximum size of an error text in bytes, so that it fits a header.
 	maxErrorText = 1024
@@ -31,20 +31,17 @@
 	maxDatagramHeader = 60
 )
 
-// callHeader is the header of a call or datagram.
 type callHeader struct {
 	Method      Method               `cbor:"1,keyasint"`
 	Incarnation hingeids.Incarnation `cbor:"2,keyasint"`
 	Stamp       hingeevents.Stamp    `cbor:"3,keyasint"`
 }
 
-// responseHeader is the header of a response.
 type responseHeader struct {
 	Stamp   hingeevents.Stamp `cbor:"1,keyasint"`
 	Failure *failure          `cbor:"2,keyasint,omitempty"`
 }
 
-// failure is the encoding of a handler's error.
 type failure struct {
 	Verdict    hingeverdict.Verdict `cbor:"1,keyasint"`
 	Code       hingeverdict.Code    `cbor:"2,keyasint"`
