--- a/internal/load/hingecompare/compare.go
+++ b/internal/load/hingecompare/compare.go
@@ -45,7 +45,6 @@
 	TimedOut float64 `json:"timedOut"`
 }
 
-// candidate is a placement policy under comparison.
 type candidate struct {
 	name      string
 	newPolicy func(w hingemodel.Workload, c hingemodel.Cluster, seed uint64) hingemodel.Policy
--- a/internal/load/hingeload/client.go
+++ b/internal/load/hingeload/client.go
@@ -45,12 +45,10 @@
 	}
 }
 
-// nextHost returns the index of the next host in round-robin order.
 func (c *client) nextHost() int {
 	return int(c.sequence.Add(1) % uint64(len(c.hosts)))
 }
 
-// httpRequest describes the HTTP request of one attempt.
 type httpRequest struct {
 	method, path, body string
 	caller             hingeids.CallerID
@@ -127,7 +125,6 @@
 	return string(b)
 }
 
-// expectedAnswer returns the text with which a stand-in answers the request.
 func (a Arrival) expectedAnswer(q httpRequest, run string) string {
 	switch a.Class.Kind {
 	case Chat:
@@ -139,7 +136,6 @@
 	}
 }
 
-// issueKey requests an idempotency key from a host.
 func (c *client) issueKey(ctx context.Context, host string, caller hingeids.CallerID) (string, reply) {
 	var body struct {
 		Key string `json:"key"`
@@ -155,7 +151,6 @@
 	return body.Key, r
 }
 
-// do makes one attempt.
 func (c *client) do(ctx context.Context, host string, q httpRequest) reply {
 	if q.stream {
 		return c.exchange(ctx, host, q, readStream)
@@ -203,7 +198,7 @@
 	return r
 }
 
-// codeOf returns the verdict code in the body of a refusal, or 0 if there is none.
+// codeOf returns 0 if there is no verdict code.
 func codeOf(body []byte) int {
 	var refusal struct {
 		Error struct {
--- a/internal/load/hingeload/finding_test.go
+++ b/internal/load/hingeload/finding_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// The schedule must be the same for the same seed, so that runs are comparable,
-// and no two requests may have the same prompt, or their answers couldn't be told apart.
+// Guards against runs of one seed that aren't comparable, and against equal prompts, whose answers
+// can't be told apart.
 func TestNewSchedule(t *testing.T) {
 	phases := []Phase{
 		{
--- a/internal/load/hingeload/reply.go
+++ b/internal/load/hingeload/reply.go
@@ -6,7 +6,6 @@
 	"time"
 )
 
-// reply is the result of one attempt as seen by the caller.
 type reply struct {
 	status  int
 	verdict string
@@ -27,7 +26,6 @@
 	err       error
 }
 
-// outcome classifies an attempt from the caller's point of view.
 type outcome uint8
 
 const (
--- a/internal/load/hingeload/reply_test.go
+++ b/internal/load/hingeload/reply_test.go
@@ -8,8 +8,8 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A call that may have run must not be resent without a key, or it runs twice,
-// and an answer that was cut off must be retried, or the request is lost.
+// Guards against resending a call without a key that may have run, and against losing a request
+// whose answer was cut off.
 func TestRetry(t *testing.T) {
 	type step struct {
 		Outcome outcome
--- a/internal/load/hingeload/run.go
+++ b/internal/load/hingeload/run.go
@@ -38,7 +38,6 @@
 	Progress func(sent, open int, at time.Duration)
 }
 
-// run is a run in progress.
 type run struct {
 	Options
 	name      string
@@ -47,10 +46,10 @@
 	startedAt time.Time
 }
 
-// Run sends all requests of the schedule, waits for the last answer, at most
-// until the longest deadline and two seconds have passed, and then at most
-// Options.SettleTimeout for the stand-ins. If the context is done before all
-// requests are sent, it returns the partial result with an error.
+// Run sends the schedule and waits for the last answer, at most until two
+// seconds after the longest deadline, then at most Options.SettleTimeout for the
+// stand-ins. If the context is done before all requests are sent, it returns the
+// partial result with an error.
 func Run(ctx context.Context, o Options) (*Result, error) {
 	if len(o.Hosts) == 0 {
 		return nil, eris.New("no entry hosts given")
@@ -109,7 +108,6 @@
 	return nil
 }
 
-// openCount returns the number of requests without a final answer.
 func (r *Result) openCount() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -198,7 +196,7 @@
 	return got
 }
 
-// counts reads the counters of all stand-ins that answer, by address.
+// counts leaves out stand-ins that don't answer.
 func (r *run) counts(ctx context.Context) map[string]hingestandin.Counts {
 	counts := make(map[string]hingestandin.Counts, len(r.Standins))
 	for _, address := range r.Standins {
@@ -227,7 +225,6 @@
 	return c, json.NewDecoder(resp.Body).Decode(&c)
 }
 
-// settleInterval is the time between polls of the stand-ins' counters.
 const settleInterval = 200 * time.Millisecond
 
 // settle waits until the stand-ins have released all allocations, such as those
--- a/internal/load/hingeload/run_test.go
+++ b/internal/load/hingeload/run_test.go
@@ -63,7 +63,6 @@
 	return host.Addresses()
 }
 
-// startStandins runs two prefill and two decode engines and a plain service.
 func startStandins(t *testing.T, announce string) (running []*hingestandin.Server, addresses []string) {
 	ctx, cancel := context.WithCancel(context.Background())
 	for _, o := range []hingestandin.Options{
@@ -140,9 +139,8 @@
 	}
 }
 
-// Runs the mix through an entry host while one of the two configured addresses
-// is unreachable. No guarantee may be violated, every call runs at most once,
-// and the report is written.
+// Guards against violated guarantees and a missing report when one of the hosts is
+// unreachable.
 func TestRunAgainstAnEntryHost(t *testing.T) {
 	t.Parallel()
 	host := startHost(t)
@@ -181,9 +179,8 @@
 	}
 }
 
-// The load generator must detect faults. Without a router, a call that is resent
-// after its connection was closed runs twice, and must count as duplicated; without
-// any reachable host, every request must count as lost.
+// Guards against faults that go undetected: a call that runs twice must count as
+// duplicated, and a request that reaches no host as lost.
 func TestRunDetectsFaults(t *testing.T) {
 	t.Parallel()
 	running, addresses := startStandins(t, "127.0.0.1:1")
--- a/internal/load/hingeprogram/program.go
+++ b/internal/load/hingeprogram/program.go
@@ -18,7 +18,6 @@
 	"github.com/urfave/cli/v3"
 )
 
-// program is one invocation of swifthinge-load.
 type program struct {
 	out, err io.Writer
 	now      func() time.Time
@@ -72,7 +71,6 @@
 	_, _ = fmt.Fprintf(p.err, format, args...)
 }
 
-// outFlag returns the flag for the report folder.
 func outFlag() cli.Flag {
 	return &cli.StringFlag{
 		Name:  "out",
