--- a/internal/soak/hingesoak/checker.go
+++ b/internal/soak/hingesoak/checker.go
@@ -23,7 +23,6 @@
 	propagationTime  = 3 * time.Second
 )
 
-// requestRecord has the runs and refusals of one request.
 type requestRecord struct {
 	atMostOnce bool
 	runs       int
@@ -52,7 +51,6 @@
 	}
 }
 
-// recordCrash counts a server crash under the poison request with the path.
 func (c *checker) recordCrash(path, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -75,7 +73,6 @@
 	}
 }
 
-// recordViolation adds a violated guarantee to the report.
 func (c *checker) recordViolation(guarantee, id, detail string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -107,7 +104,6 @@
 	}
 }
 
-// recordRun counts a run of a request at a server.
 func (c *checker) recordRun(id, server string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -179,7 +175,6 @@
 	return c.poisons[path].crashes
 }
 
-// recordAccepted counts an accepted change of the configuration.
 func (c *checker) recordAccepted(v uint64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/soak/hingesoak/fleet.go
+++ b/internal/soak/hingesoak/fleet.go
@@ -34,7 +34,6 @@
 	exited  chan struct{}
 }
 
-// fleet has all processes of a run.
 type fleet struct {
 	options     Options
 	controls    []*process
@@ -207,7 +206,6 @@
 	return true
 }
 
-// callTimeout bounds one call to a control host or a readiness check.
 const callTimeout = time.Second
 
 var client = &http.Client{
--- a/internal/soak/hingesoak/load.go
+++ b/internal/soak/hingesoak/load.go
@@ -167,7 +167,6 @@
 	return true
 }
 
-// nextControl returns the address of the next control host in round-robin order.
 func (o *operator) nextControl() string {
 	return o.fleet.controls[int(o.sequence.Add(1))%len(o.fleet.controls)].settings.ControlAddress
 }
--- a/internal/soak/hingesoak/plan.go
+++ b/internal/soak/hingesoak/plan.go
@@ -23,7 +23,6 @@
 	link            kind = "link"
 )
 
-// fault is one entry of a plan.
 type fault struct {
 	at   time.Duration
 	kind kind
@@ -152,7 +151,6 @@
 	})
 }
 
-// killAllControls kills and restarts all control hosts at the same time.
 func (x *fleet) killAllControls() {
 	if !x.controlDown.TryLock() {
 		return
--- a/internal/soak/hingesoak/poison.go
+++ b/internal/soak/hingesoak/poison.go
@@ -17,7 +17,6 @@
 // poisonMarker is the part of the path that identifies a poison request.
 const poisonMarker = "/poison-"
 
-// poisoner sends one poison request repeatedly.
 type poisoner struct {
 	fleet   *fleet
 	checker *checker
@@ -80,7 +79,6 @@
 	return err == nil && isPoison(a.StatusCode, text)
 }
 
-// isPoison reports whether an answer refuses a request as a poison request.
 func isPoison(status int, body []byte) bool {
 	return status == http.StatusServiceUnavailable &&
 		strings.Contains(string(body), fmt.Sprintf("(%d)", hingeverdict.CodePoison))
@@ -116,9 +114,8 @@
 }
 
 // checkLists checks after recovery that poison requests are refused, that every control host lists
-// them, and that a request runs again after an operator has lifted its block. A request that wasn't
-// detected at its third crash, because of other crashes at the time, may crash further servers; their
-// number is bounded by maxLateCrashes.
+// them, and that a request runs again after an operator has lifted its block. The number of servers
+// that undetected requests may still crash is bounded by maxLateCrashes.
 func (s *soak) checkLists(ctx context.Context) {
 	for _, path := range s.checker.detectable() {
 		p := newPoisoner(s.fleet, s.checker, s.options.Seed, 0)
--- a/internal/soak/hingesoak/server.go
+++ b/internal/soak/hingesoak/server.go
@@ -44,7 +44,6 @@
 	return fmt.Sprintf("%s.%d", x.id, x.restarts.Load())
 }
 
-// restartDelay is the time between a crash and the restart of a server.
 const restartDelay = 2 * time.Second
 
 // crash simulates a crash under the request with the path, and a restart after restartDelay.
--- a/internal/soak/hingesoak/soak.go
+++ b/internal/soak/hingesoak/soak.go
@@ -80,7 +80,6 @@
 	finalRequests = 40
 )
 
-// soak is one run.
 type soak struct {
 	options   Options
 	startedAt time.Time
