--- a/internal/standin/hingestandin/decode.go
+++ b/internal/standin/hingestandin/decode.go
@@ -83,8 +83,8 @@
 	s.decode(ctx, r)
 }
 
-// decode acquires a slot, imports the KV cache and streams the answer. The slot
-// is held during the import, since a partial import occupies memory too.
+// decode holds the slot during the import, since a partial import occupies memory
+// too.
 func (s *Server) decode(ctx *fasthttp.RequestCtx, r completionRequest) {
 	g := &generation{
 		digest:   xxhash.Sum64String(r.text()),
@@ -273,7 +273,6 @@
 	return -1
 }
 
-// tokenStream is a response body with the server-sent events of a generation.
 type tokenStream struct {
 	server     *Server
 	id         string
--- a/internal/standin/hingestandin/faults.go
+++ b/internal/standin/hingestandin/faults.go
@@ -33,7 +33,6 @@
 	EvictExport Fault = "loseCache"
 )
 
-// lateDelay is the delay of the fault Late.
 const lateDelay = 2 * time.Second
 
 type faults struct {
--- a/internal/standin/hingestandin/orders.go
+++ b/internal/standin/hingestandin/orders.go
@@ -10,7 +10,6 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// order is the body of a controller's order.
 type order struct {
 	Fence   hingeids.Fence     `json:"fence"`
 	Kind    string             `json:"kind"`
@@ -28,8 +27,7 @@
 	fence    hingeids.Fence
 }
 
-// loadDuration is the time to load a model or an adapter. The order is answered
-// before the load is complete.
+// An order is answered before the load is complete.
 const loadDuration = 100 * time.Millisecond
 
 func (s *Server) kind() hingeannounce.Kind {
--- a/internal/standin/hingestandin/prefill.go
+++ b/internal/standin/hingestandin/prefill.go
@@ -49,7 +49,6 @@
 	})
 }
 
-// prefillResponse is the response body of a prefill.
 type prefillResponse struct {
 	ID       string         `json:"id"`
 	Transfer transferParams `json:"kv_transfer_params"`
