--- a/cmd/swifthinge/main_test.go
+++ b/cmd/swifthinge/main_test.go
@@ -26,9 +26,8 @@
 	})
 }
 
-// Guards against operators' commands that fail against real entry hosts. $A, $B
-// and $C are the operators' addresses of an entry host in each of three zones. The
-// first zone also has engines.
+// Guards against operators' commands that fail against real entry hosts. $A, $B and $C are the
+// operators' addresses of an entry host in each of three zones; the first also has engines.
 func TestOperatorWorkflow(t *testing.T) {
 	testscript.Run(t, testscript.Params{
 		Dir:   "testdata",
@@ -75,7 +74,6 @@
 	return strings.TrimSuffix(host, "-1")
 }
 
-// freeAddresses returns unused loopback addresses.
 func freeAddresses(n int) ([]string, error) {
 	var out []string
 	for range n {
