--- a/internal/observe/hingeevents/events.go
+++ b/internal/observe/hingeevents/events.go
@@ -125,9 +125,9 @@
 	}
 }
 
-// NewRecorderTo returns a recorder that passes every event to sink instead of the log. Events are
-// stamped with wallClock and not with the time passed to Record, as callers may pass the boot clock's
-// times, which are before all other stamps.
+// NewRecorderTo returns a recorder that passes every event to sink instead of the
+// log. Events are stamped with wallClock and not with the time passed to Record,
+// as callers may pass the boot clock's times, which are before all other stamps.
 func NewRecorderTo(instance hingeids.Instance, sink func(Event), wallClock func() time.Time) *Recorder {
 	r := NewRecorder(instance)
 	r.sink = sink
--- a/internal/observe/hingemetrics/health.go
+++ b/internal/observe/hingemetrics/health.go
@@ -10,8 +10,8 @@
 )
 
 // Health tracks whether a process is ready for requests, for the load balancer, and
-// whether it is alive, for the supervisor. A process that waits for its configuration is
-// alive but not ready. Its methods are safe for concurrent use.
+// whether it is alive, for the supervisor. A process that waits for its configuration
+// is alive but not ready. Its methods are safe for concurrent use.
 type Health struct {
 	events *hingeevents.Recorder
 	// maxStall is the longest time between two iterations of the control loop.
--- a/internal/observe/hingetimeline/picture.go
+++ b/internal/observe/hingetimeline/picture.go
@@ -30,8 +30,8 @@
 }
 
 // WriteSVG writes an SVG with a lane for each process and a mark with a tooltip for each event. If
-// there are at most maxDetailed requests, a line joins the marks of each. Missing hosts have a dashed
-// lane.
+// there are at most maxDetailed requests, a line joins the marks of each. Missing hosts have a
+// dashed lane.
 func (t Timeline) WriteSVG(w io.Writer) error {
 	p := newPicture(t)
 	height := topMargin + laneHeight*(len(t.Instances)+len(t.Missing)) + 20
--- a/internal/operate/hingeadmin/change.go
+++ b/internal/operate/hingeadmin/change.go
@@ -70,8 +70,8 @@
 	})
 }
 
-// parseChange rejects unknown fields. A misspelt expectedRevision would otherwise
-// be ignored, and the change could overwrite another operator's change.
+// parseChange rejects unknown fields. A misspelt expectedRevision would otherwise be ignored, and
+// the change could overwrite another operator's change.
 func parseChange(body []byte) (Change, error) {
 	if len(body) > MaxChangeBytes {
 		return Change{}, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeTooLarge, 0,
--- a/internal/serve/hingefront/front_test.go
+++ b/internal/serve/hingefront/front_test.go
@@ -11,8 +11,8 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// Guards against log volume that grows with the number of entry hosts: only control hosts
-// record the change of a server.
+// Guards against log volume that grows with the number of entry hosts: only control hosts record
+// the change of a server.
 func TestEntryHostRecordsNoServerChanges(t *testing.T) {
 	events := 0
 	instance := hingeids.Instance{
--- a/internal/serve/hingeserver/collector_test.go
+++ b/internal/serve/hingeserver/collector_test.go
@@ -108,8 +108,8 @@
 	})
 }
 
-// Guards against work that is sent to an engine after it has announced its shutdown to only
-// one entry host.
+// Guards against work that is sent to an engine after it has announced its shutdown to
+// only one entry host.
 func TestALeavingEngineGetsNoNewWorkAnywhere(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 2*time.Millisecond)
--- a/internal/serve/hingeserver/fleet_test.go
+++ b/internal/serve/hingeserver/fleet_test.go
@@ -32,8 +32,8 @@
 	"github.com/swifthinge/swifthinge/internal/standin/hingestandin"
 )
 
-// hostSettingsEnv names the settings file of an entry host. If it is set, the test binary runs
-// that host instead of the tests, so that tests can kill and suspend real processes.
+// hostSettingsEnv names the settings file of an entry host. If it is set, the test binary
+// runs that host instead of the tests, so that tests can kill and suspend real processes.
 const hostSettingsEnv = "SWIFTHINGE_TEST_HOST"
 
 func TestMain(m *testing.M) {
@@ -285,6 +285,7 @@
 	_ = f.hosts[id].command.Process.Signal(s)
 }
 
+// kill ends a host's process with SIGKILL.
 func (f *fleet) kill(id hingeids.HostID) {
 	f.signal(id, syscall.SIGKILL)
 	<-f.hosts[id].exited
--- a/internal/serve/hingeserver/gates.go
+++ b/internal/serve/hingeserver/gates.go
@@ -141,8 +141,9 @@
 	}
 }
 
-// engines returns the engines of this host's zone, or all if it has no decode engine. Engines of
-// another zone grant their slots to the hosts of that zone, and transfers to them are slower.
+// engines returns the engines of this host's zone, or all if it has no decode engine. Engines
+// of another zone grant their slots to the hosts of that zone, and transfers to them are
+// slower.
 func (g *gates) engines(m hingeids.Model) []hingeannounce.Server {
 	var own, all []hingeannounce.Server
 	canDecode := false
@@ -265,8 +266,8 @@
 	return errors.As(err, &v) && v.Code == hingeverdict.CodeNoServer
 }
 
-// serversToAvoid returns the servers that failed the request, without those of a kind for which
-// no other server exists: a failure such as a stalled connection may be temporary.
+// serversToAvoid returns the servers that failed the request, without those of a kind for
+// which no other server exists: a failure such as a stalled connection may be temporary.
 func (g *gates) serversToAvoid(m hingeids.Model, failed map[hingeids.ServerID]bool) map[hingeids.ServerID]bool {
 	if len(failed) == 0 {
 		return nil
@@ -289,8 +290,8 @@
 	return out
 }
 
-// target returns the current incarnation of a server. The gate may choose a server that was just
-// removed from the view; target then removes it from the gate, which has to choose again.
+// target returns the current incarnation of a server. The gate may choose a server that was
+// just removed from the view; target then removes it from the gate, which has to choose again.
 func (g *gates) target(gate *modelGate, id hingeids.ServerID) (hingeengine.Target, bool) {
 	if s, ok := g.server.servers.Load().Find(id); ok {
 		return targetOf(s), true
--- a/internal/serve/hingeserver/instances.go
+++ b/internal/serve/hingeserver/instances.go
@@ -65,8 +65,8 @@
 // The surviving hosts should get the share of slots of a dead host within a second.
 const registryInterval = 200 * time.Millisecond
 
-// runInstanceRegistry records this host's instance and passes the registry to the members. On
-// the leader it also records instances that have ended.
+// runInstanceRegistry records this host's instance and passes the registry to the members.
+// On the leader it also records instances that have ended.
 func (s *Server) runInstanceRegistry(ctx context.Context) error {
 	ticker := time.NewTicker(registryInterval)
 	defer ticker.Stop()
@@ -108,8 +108,8 @@
 }
 
 // endedInstances returns the instances from which no host receives messages any more, and
-// those that announced their own end at shutdown: otherwise allocations that a host could not
-// cancel before its end would never be released.
+// those that announced their own end at shutdown: otherwise allocations that a host could
+// not cancel before its end would never be released.
 func endedInstances(v *hingemembers.View) []hingeids.Instance {
 	out := slices.Clone(v.Expired)
 	for _, h := range v.Hosts {
--- a/internal/serve/hingeserver/operators.go
+++ b/internal/serve/hingeserver/operators.go
@@ -265,8 +265,8 @@
 // still returns a status.
 const lagsTimeout = 500 * time.Millisecond
 
-// hosts returns the state of each entry host. Only the host that another one follows knows which
-// revision that one has applied.
+// hosts returns the state of each entry host. Only the host that another one follows knows
+// which revision that one has applied.
 func (o operatorAPI) hosts() []hingeadmin.HostStatus {
 	s := o.server
 	members := s.shared.members.Hosts().Load()
--- a/internal/serve/hingeserver/orders_test.go
+++ b/internal/serve/hingeserver/orders_test.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Guards against a delayed order of an earlier issuer that takes effect after newer ones, as
-// the issuer is suspended and killed.
+// Guards against a delayed order of an earlier issuer that takes effect after newer ones, as the
+// issuer is suspended and killed.
 func TestOrdersAcrossIssuerChanges(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 2*time.Millisecond)
--- a/internal/serve/hingeserver/poisons.go
+++ b/internal/serve/hingeserver/poisons.go
@@ -36,9 +36,9 @@
 	maxListQueries    = 20
 )
 
-// poisonDetector decides for its own host; the hosts exchange observations, so that their decisions
-// agree. The block list is kept in memory only: it is lost with the last host that has it. It is safe
-// for concurrent use.
+// poisonDetector decides for its own host; the hosts exchange observations, so that their
+// decisions agree. The block list is kept in memory only: it is lost with the last host that
+// has it. It is safe for concurrent use.
 type poisonDetector struct {
 	link     hingelink.Link
 	peers    []hingeids.HostID
--- a/internal/serve/hingeserver/proofs_test.go
+++ b/internal/serve/hingeserver/proofs_test.go
@@ -11,8 +11,8 @@
 	"github.com/swifthinge/swifthinge/internal/operate/hingeadmin"
 )
 
-// Guards against hosts that stay at different revisions, and a change that takes too long, when
-// the leader is killed.
+// Guards against hosts that stay at different revisions, and a change that takes too long,
+// when the leader is killed.
 func TestChangeIsInForceEverywhereThroughALeadersKill(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -64,8 +64,8 @@
 	return time.Since(began)
 }
 
-// Guards against accepting two concurrent changes of the same revision, as one would silently
-// revert the other.
+// Guards against accepting two concurrent changes of the same revision, as one would
+// silently revert the other.
 func TestConcurrentOperatorChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -130,8 +130,8 @@
 	}
 }
 
-// Guards against an empty history at a host without a disk, and a change that skips validation,
-// after system changes have advanced the revision.
+// Guards against an empty history at a host without a disk, and a change that skips
+// validation, after system changes have advanced the revision.
 func TestHistoryAndValidationAfterSystemChanges(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -156,8 +156,8 @@
 	}
 }
 
-// Guards against the loss of accepted changes and of the quorum when a second host is lost right
-// after the first was repaired.
+// Guards against the loss of accepted changes and of the quorum when a second host is lost
+// right after the first was repaired.
 func TestSecondHostLostRightAfterARepair(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -186,8 +186,8 @@
 	f.awaitRevision(accepted, cancale, f.order[1], f.order[2], f.order[4], f.order[5], f.order[6])
 }
 
-// Guards against a quorum that still counts a replaced voter, so that the next loss blocks all
-// changes, orders and keys.
+// Guards against a quorum that still counts a replaced voter, so that the next loss blocks
+// all changes, orders and keys.
 func TestOperatorReplacesAVoterThatIsLost(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
--- a/internal/serve/hingeserver/replicas.go
+++ b/internal/serve/hingeserver/replicas.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// leastLoaded counts one more request at the server that it chooses. It chooses one of those
-// to be avoided if there is no other: a failure such as a stalled connection may be
+// leastLoaded counts one more request at the server that it chooses. It chooses one of
+// those to be avoided if there is no other: a failure such as a stalled connection may be
 // temporary.
 func (f *inFlight) leastLoaded(servers []hingeannounce.Server, avoid map[hingeids.ServerID]bool) (hingeengine.Target, bool) {
 	f.mu.Lock()
--- a/internal/serve/hingeserver/restart_test.go
+++ b/internal/serve/hingeserver/restart_test.go
@@ -53,8 +53,8 @@
 	t.Logf("both applied revision %d %v after their start", newest, elapsed)
 }
 
-// Guards against a host without a disk that restarts in a cut-off zone and becomes ready with
-// an older configuration than its zone's peers have.
+// Guards against a host without a disk that restarts in a cut-off zone and becomes ready
+// with an older configuration than its zone's peers have.
 func TestDisklessHostRestartsCutOff(t *testing.T) {
 	t.Parallel()
 	f := newFleet(t)
@@ -120,8 +120,8 @@
 	return n
 }
 
-// Guards against streams that are cut off and allocations that are never released in a rolling
-// restart.
+// Guards against streams that are cut off and allocations that are never released in a
+// rolling restart.
 func TestRollingRestartCutsNothingOff(t *testing.T) {
 	t.Parallel()
 	f := newEngines(t, 10*time.Millisecond)
--- a/internal/serve/hingeserver/server.go
+++ b/internal/serve/hingeserver/server.go
@@ -221,9 +221,9 @@
 	}
 }
 
-// defaultSettleTimeout is longer than the start of the slot pools, about 2.5 s: without the wait, a
-// starting host would refuse requests for which other hosts have slots. After it, a host that is cut
-// off or has no engines in its zone becomes ready for plain services.
+// defaultSettleTimeout is longer than the start of the slot pools, about 2.5 s: without the
+// wait, a starting host would refuse requests for which other hosts have slots. After it, a
+// host that is cut off or has no engines in its zone becomes ready for plain services.
 const defaultSettleTimeout = 5 * time.Second
 
 // defaultKeyRetention applies until there is a configuration.
