--- a/internal/ledger/hingeledger/bench_test.go
+++ b/internal/ledger/hingeledger/bench_test.go
@@ -18,8 +18,8 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// blockingStore blocks its first Append until unblock is closed, so that a test decides
-// which commands are queued for the second.
+// blockingStore blocks its first Append until unblock is closed, so that a test
+// decides which commands the second one writes.
 type blockingStore struct {
 	memoryStore
 	entered chan struct{}
@@ -190,7 +190,7 @@
 	runtime.KeepAlive(s)
 }
 
-// quicHosts starts real hosts that are connected over QUIC on loopback.
+// The hosts are connected over QUIC on loopback.
 func quicHosts(b *testing.B) *realHosts {
 	r := &realHosts{
 		links: make(map[hingeids.HostID]hingelink.Link),
@@ -220,8 +220,8 @@
 	return r
 }
 
-// BenchmarkClaim measures the latency of a claim by a host without a disk, with QUIC
-// links, the real group and real files.
+// BenchmarkClaim measures the latency of a claim by a host without a disk, over QUIC,
+// with the real group and real files.
 func BenchmarkClaim(b *testing.B) {
 	r := quicHosts(b)
 	defer r.stopAll()
--- a/internal/ledger/hingeledger/breaker.go
+++ b/internal/ledger/hingeledger/breaker.go
@@ -5,20 +5,17 @@
 	"time"
 )
 
-// probeInterval is the time between two calls to an unreachable target.
 const probeInterval = 500 * time.Millisecond
 
-// breaker is a circuit breaker that rejects calls while a target is unreachable.
-// Without it, requests of an isolated zone would each wait for claimTimeout and use
-// memory meanwhile. One call in each probeInterval is let through as a probe.
-// It is safe for concurrent use.
+// breaker is a circuit breaker: while a target is unreachable, only one call in each
+// probeInterval is let through. Without it, requests of an isolated zone would each
+// wait for claimTimeout and use memory meanwhile. It is safe for concurrent use.
 type breaker struct {
 	mu        sync.Mutex
 	tripped   bool
 	nextProbe time.Time
 }
 
-// allow reports whether the target may be called now.
 func (b *breaker) allow(now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -32,8 +29,7 @@
 	return true
 }
 
-// record stores the result of a call. It reports whether this result tripped the
-// breaker.
+// tripped is set if this result tripped the breaker.
 func (b *breaker) record(now time.Time, reached bool) (tripped bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/ledger/hingeledger/claim.go
+++ b/internal/ledger/hingeledger/claim.go
@@ -83,7 +83,6 @@
 	Answer []byte `cbor:"4,keyasint,omitempty"`
 }
 
-// verb selects the operation of a command.
 type verb uint8
 
 const (
@@ -107,7 +106,6 @@
 // it is claimed (rule 8).
 const issuedPrefix = "hinge."
 
-// issuedKey contains the parsed parts of an issued key.
 type issuedKey struct {
 	zone        hingeids.Zone
 	incarnation hingeids.Incarnation
@@ -129,7 +127,7 @@
 	return ok
 }
 
-// parseIssued parses hinge.zone.incarnation.random. The zone may contain dots.
+// The format is hinge.zone.incarnation.random. The zone may contain dots.
 func parseIssued(key hingeids.IdempotencyKey) (issuedKey, bool) {
 	rest, ok := strings.CutPrefix(string(key), issuedPrefix)
 	if !ok {
--- a/internal/ledger/hingeledger/group_test.go
+++ b/internal/ledger/hingeledger/group_test.go
@@ -18,7 +18,6 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// countingLink counts the messages between a host and others.
 type countingLink struct {
 	hingelink.Link
 	messages *atomic.Int64
@@ -117,7 +116,6 @@
 	r.all = append(r.all, h)
 }
 
-// kill stops a host and removes it from the network.
 func (r *realHosts) kill(id hingeids.HostID) {
 	r.network.Remove(id)
 	for i, h := range r.all {
@@ -154,9 +152,8 @@
 	})
 }
 
-// Every entry host claims each key at the same time, and a voter is lost meanwhile. At
-// most one claim per key may be granted, and keys are granted again after the
-// election of a leader.
+// Every entry host claims each key at the same time while a voter is lost. At most
+// one claim per key may be granted, and the remaining voters must grant keys again.
 func TestAtMostOneConcurrentAttemptIsGranted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := startRealHosts(t)
--- a/internal/ledger/hingeledger/keyowner.go
+++ b/internal/ledger/hingeledger/keyowner.go
@@ -16,9 +16,9 @@
 	// maxBatch bounds the commands of one synced write, and with it the time that
 	// the first command waits for the others to be encoded.
 	maxBatch = 256
-	// compactAfter is the minimum journal size in bytes at which a snapshot
-	// replaces the journal. The journal must also exceed twice the size of the last
-	// snapshot, so that compaction writes at most as much as the commands did.
+	// compactAfter is the minimum journal size in bytes for compaction. The journal
+	// must also exceed twice the size of the last snapshot, so that compaction writes
+	// at most as much as the commands did.
 	compactAfter = 4 << 20
 )
 
@@ -30,11 +30,9 @@
 	Commands    [][]byte             `cbor:"3,keyasint,omitempty"`
 }
 
-// KeyOwner is the key owner of a zone: it processes the claims of the zone's issued
-// keys and stores them on one disk (rules 8 and 9).
-//
-// Commands that arrive during a sync are written together by the next one (group
-// commit), so the disk's sync rate doesn't bound the rate of claims.
+// KeyOwner processes the claims of a zone's issued keys and stores them on one disk
+// (rules 8 and 9). Commands that arrive during a sync are written together by the
+// next one (group commit), so the disk's sync rate doesn't bound the rate of claims.
 type KeyOwner struct {
 	zone          hingeids.Zone
 	incarnation   hingeids.Incarnation
@@ -49,7 +47,6 @@
 	syncs         atomic.Int64
 }
 
-// submission is a queued command with the channel for its outcome.
 type submission struct {
 	command command
 	outcome chan Outcome
@@ -168,7 +165,7 @@
 	return batch
 }
 
-// commit applies a batch and syncs it before it returns the outcomes.
+// The batch is synced before its outcomes are returned.
 func (k *KeyOwner) commit(batch []*submission) error {
 	now := k.clock().UnixNano()
 	f := frame{
@@ -195,7 +192,7 @@
 	return nil
 }
 
-// submit queues a command and waits until it is synced.
+// submit returns once the command is synced.
 func (k *KeyOwner) submit(ctx context.Context, c command) (Outcome, error) {
 	if key, ok := parseIssued(c.Claim.Key); !ok || key.zone != k.zone || key.incarnation != k.incarnation {
 		// Rule 9.
@@ -235,7 +232,7 @@
 	})
 }
 
-// decodeCommand decodes a command received over a link.
+// The body was received over a link and may be malformed.
 func decodeCommand(body []byte) (command, error) {
 	var c command
 	err := cbor.Unmarshal(body, &c)
--- a/internal/ledger/hingeledger/kill_test.go
+++ b/internal/ledger/hingeledger/kill_test.go
@@ -13,8 +13,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// childFolder is the environment variable that makes this test binary run a key owner
-// in the given folder instead of the tests.
+// If set, it makes this test binary run a key owner in the given folder instead of
+// the tests.
 const childFolder = "HINGELEDGER_CHILD_FOLDER"
 
 // runKeyOwnerChild claims new keys from several goroutines and prints each granted one,
--- a/internal/ledger/hingeledger/ledger.go
+++ b/internal/ledger/hingeledger/ledger.go
@@ -82,13 +82,13 @@
 	return l
 }
 
-// Claim requests the right to send a request. After Granted, the request must be
-// sent before the claim's Until and then be finished or released. After Answered,
-// the stored answer is returned instead of sending the request. Every other case
-// is a *hingeverdict.Error for the caller.
+// Claim requests the right to send a request. After Granted, the request must be sent
+// before the claim's Until and then be finished or released. After Answered, the
+// stored answer is returned instead. Every other case is a *hingeverdict.Error for
+// the caller.
 //
-// After an error the request must not be sent. If the claim may have been accepted
-// although the call failed, it is released as soon as the ledger is reachable.
+// After an error the request must not be sent. A claim that may have been accepted
+// although the call failed is released as soon as the ledger is reachable.
 func (l *Ledger) Claim(ctx context.Context, c Claim) (Outcome, error) {
 	now := l.clock()
 	target, err := l.targetOf(c.Key)
@@ -122,7 +122,6 @@
 	return outcome, verdictOf(outcome, c, now)
 }
 
-// recordSend records the result of a call in the target's breaker.
 func (l *Ledger) recordSend(t target, err error) {
 	now := l.clock()
 	if t.breaker.record(now, err == nil) {
@@ -226,7 +225,7 @@
 	return decodeOutcome(answer)
 }
 
-// serveSubmit handles commands on voters and key owners.
+// serveSubmit runs on voters and key owners.
 func (l *Ledger) serveSubmit(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
 	c, err := decodeCommand(body)
 	if err != nil {
--- a/internal/ledger/hingeledger/ledger_test.go
+++ b/internal/ledger/hingeledger/ledger_test.go
@@ -11,7 +11,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// refusal contains the fields of a *hingeverdict.Error that tests compare.
 type refusal struct {
 	Verdict       hingeverdict.Verdict
 	Code          hingeverdict.Code
@@ -125,8 +124,7 @@
 	}
 }
 
-// An answer that can't be delivered during a partition must be delivered afterwards, so
-// that a resend gets it.
+// An answer that can't be delivered during a partition must be delivered afterwards.
 func TestAnswerIsDeliveredAfterPartition(t *testing.T) {
 	sc := newReliableCluster(t)
 	h, other := sc.hosts["cancale-2"], sc.hosts["roscoff-2"]
--- a/internal/ledger/hingeledger/limits.go
+++ b/internal/ledger/hingeledger/limits.go
@@ -35,19 +35,17 @@
 // maxRetention bounds the retention that a claim may request.
 const maxRetention = 31 * 24 * time.Hour
 
-// entryOverhead is the memory, in bytes, that an entry is counted with besides its
-// strings and answer. It includes a reserve for the temporary memory of a growing
-// map.
+// entryOverhead is what an entry counts, in bytes, besides its strings and answer. It
+// includes a reserve for the temporary memory of a growing map.
 const entryOverhead = 420
 
-// usage is the size of one caller's entries.
 type usage struct {
 	entries int
 	bytes   hingeids.Bytes
 }
 
-// size returns the counted memory of the entry. The two strings count twice because
-// encoded contains a copy of them; answer is a slice of encoded.
+// The two strings count twice because encoded contains a copy of them; answer is a
+// slice of encoded.
 func (e *entry) size() hingeids.Bytes {
 	return hingeids.Bytes(entryOverhead + 2*len(e.id.caller) + 2*len(e.id.key) + len(e.answer))
 }
@@ -90,8 +88,7 @@
 	e.expires = max(e.expires, s.now+int64(retention), min(e.until, s.now+int64(maxRetention)))
 }
 
-// expire removes expired entries. An entry whose expiry was extended since it was
-// queued is queued again.
+// An entry whose expiry was extended since it was queued is queued again.
 func (s *State) expire() {
 	for len(s.queue) > 0 && s.queue[0].checkAt < s.now {
 		e := s.queue[0]
@@ -121,7 +118,7 @@
 	}
 }
 
-// expiryQueue is a heap of entries ordered by checkAt.
+// A heap ordered by checkAt.
 type expiryQueue []*entry
 
 func (q expiryQueue) Len() int {
--- a/internal/ledger/hingeledger/retryqueue.go
+++ b/internal/ledger/hingeledger/retryqueue.go
@@ -11,9 +11,8 @@
 )
 
 const (
-	// retryInterval is the time between two rounds of retries.
 	retryInterval = 500 * time.Millisecond
-	// maxQueuedCommands and maxQueuedBytes bound the queue during a long partition.
+	// The bounds of the queue during a long partition.
 	maxQueuedCommands = 4096
 	maxQueuedBytes    = 16 << 20
 	// retryExpiry is the time after the claim's Until at which a command is dropped.
@@ -21,9 +20,9 @@
 	retryExpiry = 10 * time.Minute
 )
 
-// retryQueue contains the finish and release commands that are not delivered to the
-// ledger yet. A command dropped because of the queue's limits or its age leaves its
-// key uncertain, which is safe. It is safe for concurrent use.
+// retryQueue contains the undelivered finish and release commands. A command dropped
+// because of the queue's limits or its age leaves its key uncertain, which is safe.
+// It is safe for concurrent use.
 type retryQueue struct {
 	mu       sync.Mutex
 	commands []command
--- a/internal/ledger/hingeledger/schedule_test.go
+++ b/internal/ledger/hingeledger/schedule_test.go
@@ -114,8 +114,7 @@
 	sc.network.Cut(p.from, p.to)
 }
 
-// deliverDelayedOrEndInstance delivers a delayed message, or reports to a host that an
-// instance has ended, which may be false.
+// The report of an ended instance may be false.
 func (sc *simCluster) deliverDelayedOrEndInstance() {
 	if len(sc.delayed) > 0 && rapid.Bool().Draw(sc.random, "deliver delayed") {
 		i := sc.pick("which", len(sc.delayed))
@@ -147,8 +146,7 @@
 	}
 }
 
-// checkRecovery checks that new keys of both kinds are granted after all faults are
-// repaired.
+// New keys of both kinds must be granted after all faults are repaired.
 func (sc *simCluster) checkRecovery() {
 	sc.reliable = true
 	for p := range sc.cuts {
--- a/internal/ledger/hingeledger/script_test.go
+++ b/internal/ledger/hingeledger/script_test.go
@@ -42,7 +42,7 @@
 	now   time.Duration
 }
 
-// scriptLimits returns limits that are small enough for a script to reach.
+// The limits are small enough for a script to reach.
 func scriptLimits() Limits {
 	l := DefaultLimits()
 	l.Entries = 4
--- a/internal/ledger/hingeledger/simcluster_test.go
+++ b/internal/ledger/hingeledger/simcluster_test.go
@@ -56,7 +56,7 @@
 	claimDuration = 10 * time.Second
 )
 
-// memoryStore is a Store in memory that simulates a disk.
+// memoryStore simulates a disk.
 type memoryStore struct {
 	frames [][]byte
 	// failAppend makes the next Append fail like a kill during a write. persists is
@@ -224,7 +224,6 @@
 	return sc.now
 }
 
-// start starts a new instance of a host.
 func (sc *simCluster) start(h *host) {
 	sc.now = sc.now.Add(time.Millisecond)
 	h.incarnation = hingeids.Incarnation(sc.now.UnixNano())
@@ -341,8 +340,7 @@
 	return up[sc.pick("host", len(up))]
 }
 
-// request sends or resends an operation to a host, which claims its key. A granted claim
-// is added to attempts.
+// The host claims the operation's key. A granted claim is added to attempts.
 func (sc *simCluster) request(op *operation, h *host, body string) error {
 	h.nextSequence++
 	a := &attempt{
--- a/internal/ledger/hingeledger/snapshot.go
+++ b/internal/ledger/hingeledger/snapshot.go
@@ -10,10 +10,9 @@
 )
 
 // A snapshot consists of a header and the entries in the order of the expiry queue.
-// The header and each entry are preceded by their size in bytes, and the size of an
-// entry by its checkAt. These numbers are big-endian and have eight bytes.
+// The size in bytes precedes the header and each entry; the entry's checkAt precedes
+// its size. These numbers are big-endian and have eight bytes.
 
-// snapshotHeader contains the parts of a State other than its entries.
 type snapshotHeader struct {
 	Now             int64                                    `cbor:"1,keyasint"`
 	MinIncarnations map[hingeids.HostID]hingeids.Incarnation `cbor:"2,keyasint"`
@@ -41,8 +40,7 @@
 	return m
 }
 
-// encode returns v in CBOR. It panics on types that can't be encoded, which none of
-// this package's are.
+// encode panics on types that can't be encoded, which none of this package's are.
 func encode(v any) []byte {
 	b, err := encoder.Marshal(v)
 	if err != nil {
@@ -51,8 +49,8 @@
 	return b
 }
 
-// encode sets encoded. The answer is the last encoded field, so e.answer becomes
-// a slice of encoded to share its memory.
+// The answer is the last encoded field, so e.answer becomes a slice of encoded to
+// share its memory.
 func (e *entry) encode() {
 	e.encoded = encode(snapshotEntry{
 		Caller:  e.id.caller,
@@ -157,7 +155,7 @@
 
 const numberSize = 8
 
-// snapshotReader parses a snapshot. It sets truncated if a read exceeds the data.
+// truncated is set if a read exceeds the data.
 type snapshotReader struct {
 	remaining []byte
 	truncated bool
--- a/internal/ledger/hingeledger/state.go
+++ b/internal/ledger/hingeledger/state.go
@@ -115,8 +115,7 @@
 	return s.existingOutcome(e, c)
 }
 
-// existingOutcome returns the outcome of a claim for a key that is already claimed or
-// finished (rules 1 and 3).
+// existingOutcome implements rules 1 and 3.
 func (s *State) existingOutcome(e *entry, c *Claim) Outcome {
 	switch e.phase {
 	case phaseAnswered:
@@ -143,7 +142,7 @@
 	return s.outcome(Granted, e.request, e.until)
 }
 
-// grantReleased grants a released key to another request (rule 2).
+// grantReleased implements rule 2.
 func (s *State) grantReleased(e *entry, c *Claim) Outcome {
 	if e.request == c.Request {
 		return s.outcome(Withdrawn, e.request, e.until)
@@ -157,8 +156,8 @@
 	return s.outcome(Granted, e.request, e.until)
 }
 
-// finish stores the answer. It is accepted from an ended instance, too, because the
-// answer to its own request is still correct.
+// An answer is accepted from an ended instance, too, because the answer to its own
+// request is still correct.
 func (s *State) finish(c *Claim, answer []byte) Outcome {
 	e := s.entries[entryID{caller: c.Caller, key: c.Key}]
 	if e != nil && e.phase == phaseClaimed && e.request == c.Request {
@@ -178,8 +177,8 @@
 	}
 }
 
-// release releases the key. A release that arrives before its own claim creates
-// a released entry, so that the late claim is refused (rule 2).
+// A release that arrives before its own claim creates a released entry, so that the
+// late claim is refused (rule 2).
 func (s *State) release(c *Claim) Outcome {
 	e := s.entries[entryID{caller: c.Caller, key: c.Key}]
 	if e == nil {
@@ -193,7 +192,7 @@
 	}
 }
 
-// endInstancesBefore ends the instances of a host with a lower incarnation (rule 3).
+// endInstancesBefore implements rule 3.
 func (s *State) endInstancesBefore(host hingeids.HostID, i hingeids.Incarnation) {
 	if i > s.minIncarnation[host] {
 		s.minIncarnation[host] = i
--- a/internal/ledger/hingeledger/store.go
+++ b/internal/ledger/hingeledger/store.go
@@ -39,10 +39,9 @@
 // FileStore is a Store in one file.
 //
 // A power loss can damage only the last frame, since all earlier ones were synced. An
-// invalid frame without a valid one after it was never acknowledged and is
-// truncated. An invalid frame before a valid one means that the disk lost synced
-// data. This is an error for the operator, because skipping the frame would lose
-// claims.
+// invalid frame without a valid one after it was never acknowledged and is truncated.
+// One before a valid frame means that the disk lost synced data, which is an error,
+// because skipping the frame would lose claims.
 type FileStore struct {
 	path string
 	file *os.File
@@ -134,7 +133,7 @@
 	return append(out, body...)
 }
 
-// readFrames returns the valid frames at the start of raw and the offset of their end.
+// validBytes is the offset of the end of the last valid frame.
 func readFrames(raw []byte) (frames [][]byte, validBytes int, err error) {
 	for validBytes < len(raw) {
 		body, ok := readFrame(raw[validBytes:])
@@ -167,10 +166,9 @@
 	return length, length <= maxFrameBytes
 }
 
-// checkTail returns an error unless the invalid frame at offset bad is a torn last one,
-// which has no valid frame after it. The first frame can't be torn, since Replace
-// writes it before a rename: a file without one is damaged or not a journal, and must
-// not be truncated.
+// checkTail returns an error unless the invalid frame at offset bad is a torn last
+// one. The first frame can't be torn, since Replace writes it before a rename: a file
+// without one is damaged or not a journal, and must not be truncated.
 func checkTail(raw []byte, bad int) error {
 	if bad == 0 {
 		return eris.New("offset 0: not a key owner journal, or its first frame is corrupt")
--- a/internal/ledger/hingeledger/store_test.go
+++ b/internal/ledger/hingeledger/store_test.go
@@ -33,8 +33,7 @@
 	return filepath.Join(folder, "keeper.journal")
 }
 
-// writeJournal writes a file of a base frame and two others, and returns the offset of
-// the end of each.
+// The journal has a base frame and two others; ends are their end offsets.
 func writeJournal(t *testing.T, folder string) (frames [][]byte, ends []int) {
 	t.Helper()
 	s := openStore(t, folder)
--- a/internal/ledger/hingeledger/verdicts.go
+++ b/internal/ledger/hingeledger/verdicts.go
@@ -19,7 +19,7 @@
 	zone    hingeids.Zone
 }
 
-// targetOf returns where a key is claimed (rules 7 and 8).
+// targetOf implements rules 7 and 8.
 func (l *Ledger) targetOf(key hingeids.IdempotencyKey) (target, error) {
 	issued, ok := parseIssued(key)
 	if !ok {
@@ -47,8 +47,8 @@
 	return hingeverdict.New(hingeverdict.NotRun, t.code, retryDelay(time.Second, r), eris.Wrap(cause, "ledger unreachable"))
 }
 
-// retryDelay returns a delay from minimum to twice minimum, spread by request id so
-// that callers refused together don't retry together.
+// The delay is minimum to twice minimum, spread by request id so that callers refused
+// together don't retry together.
 func retryDelay(minimum time.Duration, r hingeids.RequestID) time.Duration {
 	return minimum + time.Duration(xxhash.Sum64String(r.String())%uint64(minimum))
 }
