--- a/internal/membership/hingeannounce/announce_test.go
+++ b/internal/membership/hingeannounce/announce_test.go
@@ -71,8 +71,8 @@
 	})
 }
 
-// Delivers the announcements of a leaving server reordered and twice. None may revive the
-// server, or it would be sent requests that it rejects.
+// The announcements of a leaving server arrive reordered and twice. None may revive
+// the server, or it would be sent requests that it rejects.
 func TestLeavingIsFinalInEveryOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var all []Announcement
--- a/internal/membership/hingeannounce/bench_test.go
+++ b/internal/membership/hingeannounce/bench_test.go
@@ -9,7 +9,7 @@
 )
 
 // BenchmarkTable measures a View, made up to ten times a second, and an announcement,
-// received twice a second for each server, by the number of servers.
+// received twice a second for each server.
 func BenchmarkTable(b *testing.B) {
 	for _, servers := range []int{100, 1000, 6400} {
 		names := make([]hingeids.ServerID, servers)
--- a/internal/membership/hingeannounce/directory.go
+++ b/internal/membership/hingeannounce/directory.go
@@ -23,10 +23,9 @@
 	return !r.Announcement.Leaving && !r.Silent
 }
 
-// Directory holds the record of each server and the revision of its last change, so that
-// followers are sent only the records that they lack. Heartbeats that change nothing are
-// not propagated beyond the owner (rule 8), which bounds the traffic between hosts. It is
-// not safe for concurrent use.
+// Directory holds the record of each server and the revision of its last change, so
+// that followers are sent only the records that they lack (rule 8). It is not safe
+// for concurrent use.
 type Directory struct {
 	self     hingeids.HostID
 	records  map[hingeids.ServerID]*directoryEntry
@@ -82,13 +81,13 @@
 	return !unchanged
 }
 
-// leavingAs reports whether the server has announced that incarnation i leaves (rule 3).
+// leavingAs reports whether incarnation i has announced that it leaves (rule 3).
 func (r Record) leavingAs(i hingeids.Incarnation) bool {
 	return r.Announcement.Leaving && r.Announcement.Incarnation == i
 }
 
-// startInstance resets what belongs to the previous incarnation of a server if i is a
-// newer one: the revision at which it became known and its heartbeat intervals.
+// startInstance resets the heartbeat intervals and the revision at which the server
+// became known if i is a newer incarnation.
 func (d *Directory) startInstance(e *directoryEntry, i hingeids.Incarnation) {
 	if i <= e.record.Announcement.Incarnation {
 		return
--- a/internal/membership/hingeannounce/directory_test.go
+++ b/internal/membership/hingeannounce/directory_test.go
@@ -23,7 +23,6 @@
 	}
 }
 
-// usable returns for each server of a directory whether it may be sent work.
 func usable(d *Directory) map[hingeids.ServerID]bool {
 	out := make(map[hingeids.ServerID]bool)
 	for _, r := range d.Since(0) {
@@ -52,8 +51,8 @@
 	}
 }
 
-// A server leaves at a host that has received none of its heartbeats, which went to
-// another host. The heartbeats that follow must not make it usable.
+// A server leaves at a host that has received none of its heartbeats. The heartbeats
+// that follow must not make it usable.
 func TestLeavingIsRememberedBeforeTheFirstHeartbeat(t *testing.T) {
 	d := NewDirectory("control-1")
 	if !d.MarkLeaving(startTime, "engine", 0) {
@@ -68,8 +67,8 @@
 	}
 }
 
-// Only the owner may report a crashed engine as silent: a host that doesn't receive its
-// heartbeats directly would report every server as silent.
+// Only the owner may report an engine as silent: a host that doesn't receive its
+// heartbeats directly would report every server.
 func TestOnlyTheOwnerFindsSilence(t *testing.T) {
 	owner, other := NewDirectory("control-1"), NewDirectory("control-2")
 	owner.Receive(startTime, heartbeat("engine", 1))
@@ -118,9 +117,8 @@
 	}
 }
 
-// Three control hosts receive servers that start, become silent and leave, and exchange
-// records in any order. They must converge, or entry hosts that follow different ones
-// would route to different servers forever.
+// Three control hosts exchange the records of changing servers in any order. They
+// must converge, or their followers would route to different servers forever.
 func TestDirectoriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names := []hingeids.HostID{"control-1", "control-2", "control-3"}
--- a/internal/membership/hingeannounce/instances_test.go
+++ b/internal/membership/hingeannounce/instances_test.go
@@ -13,9 +13,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// An engine restarts under the same ID while announcements of both incarnations arrive
-// delayed and in any order. Mistaking the new incarnation for the old one leaves a good
-// engine idle; reviving the old one sends requests to a process that has ended.
+// An engine restarts under the same ID, and announcements of both incarnations arrive
+// in any order. The new one must be usable and the old one not.
 func TestInstancesOfOneServerAreDistinguished(t *testing.T) {
 	data, err := os.ReadFile("testdata/lives.txt")
 	if err != nil {
--- a/internal/membership/hingeannounce/table.go
+++ b/internal/membership/hingeannounce/table.go
@@ -8,9 +8,9 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Limits on the permitted silence. Heartbeats come twice a second, so the lower one is
-// three missed heartbeats. If a dead server is detected too late, requests sent to it have
-// to be retried; if a live one is declared dead, its memory stays unused for a while.
+// Limits on the permitted silence. Heartbeats come twice a second, so the lower one
+// is three missed heartbeats. Late detection of a dead server causes retries; a false
+// one leaves a server unused for a while.
 const (
 	minSilenceBound = 1500 * time.Millisecond
 	maxSilenceBound = 5 * time.Second
@@ -28,9 +28,9 @@
 // Outcome is the effect of an announcement on a Table.
 type Outcome uint8
 
-// The outcomes: Stale changed nothing, Refreshed was a heartbeat without other changes, Changed
-// altered the server's state or description (new, restarted, leaving, alive again, another
-// role).
+// The outcomes: Stale changed nothing, Refreshed was a heartbeat without other
+// changes, Changed altered the server's state or description (new, restarted,
+// leaving, alive again, another role).
 const (
 	Stale Outcome = iota
 	Refreshed
@@ -77,8 +77,7 @@
 	return cmp.Or(cmp.Compare(a.Incarnation, b.Incarnation), cmp.Compare(a.Sequence, b.Sequence)) > 0
 }
 
-// mergeStale applies an announcement that is not newer: only its leaving flag counts (rule
-// 3).
+// Only the leaving flag of an announcement that isn't newer counts (rule 3).
 func (e *entry) mergeStale(a Announcement) Outcome {
 	if a.Incarnation != e.newest.Incarnation || !a.Leaving || e.newest.Leaving {
 		return Stale
@@ -106,13 +105,12 @@
 	return Refreshed
 }
 
-// sameServer reports whether two announcements differ only in sequence and load.
 func sameServer(a, b Announcement) bool {
 	a.Sequence, a.Load = b.Sequence, b.Load
 	return a == b
 }
 
-// dead reports whether the silence exceeds deadFactor times the permitted one (rule 5).
+// dead implements rule 5.
 func (e *entry) dead(now time.Time) bool {
 	return now.Sub(e.lastSeen) > deadFactor*e.intervals.Bound(minSilenceBound, maxSilenceBound)
 }
--- a/internal/membership/hingefollow/follow.go
+++ b/internal/membership/hingefollow/follow.go
@@ -1,32 +1,37 @@
-// Package hingefollow replicates the state of the control hosts to all other hosts: the
-// configuration in force, the directory of backend servers and the list of poison requests.
+// Package hingefollow replicates the state of the control hosts to all other hosts:
+// the configuration in force, the directory of backend servers and the list of poison
+// requests.
 //
-//  1. A follower polls a few control hosts (maxFollowed), each with one long poll
-//     at a time. It prefers those of its own zone, then orders by a hash. The leader
-//     isn't preferred, because it needs its processor to place requests. A control host responds
-//     after a change, or when the long-poll time is over. Each response is complete
-//     in itself, so a lost one costs only another poll.
-//  2. A follower applies the newest state that it receives: the highest version
-//     of the configuration, and the newest record of each backend server. A partitioned control host
-//     therefore can't delay a follower, and no state in force is ever replaced by an older one.
-//  3. A follower learns of control hosts from its seeds and from responses. It removes one
-//     that no control host names and that doesn't respond.
-//  4. A follower is ready once a control host has confirmed with the leader
-//     that its configuration is no older than any accepted before the
-//     request. A restarted process therefore never serves with an older configuration.
-//  5. Control hosts follow each other too, so a follower that reaches only one of them
-//     still receives all changes. Merging a record twice changes nothing, which
+//  1. A follower polls a few control hosts (maxFollowed), each with one long poll at
+//     a time. It prefers those of its own zone, then orders by a hash. The leader
+//     isn't preferred, because it needs its processor to place requests. A control
+//     host responds after a change, or when the long-poll time is over. Each response
+//     is complete in itself, so a lost one costs only another poll.
+//  2. A follower applies the newest state that it receives: the highest version of
+//     the configuration, and the newest record of each backend server. A partitioned
+//     control host therefore can't delay a follower, and no state in force is ever
+//     replaced by an older one.
+//  3. A follower learns of control hosts from its seeds and from responses. It
+//     removes one that no control host names and that doesn't respond.
+//  4. A follower is ready once a control host has confirmed with the leader that its
+//     configuration is no older than any accepted before the request. A restarted
+//     process therefore never serves with an older configuration.
+//  5. Control hosts follow each other too, so a follower that reaches only one of
+//     them still receives all changes. Merging a record twice changes nothing, which
 //     ends the propagation.
-//  6. Only the first of the polled control hosts sends new configurations. The others send
-//     the version, and the configuration on the next poll if it hasn't arrived by then.
+//  6. Only the first of the polled control hosts sends new configurations. The others
+//     send the version, and the configuration on the next poll if it hasn't arrived
+//     by then.
 //  7. A change of servers has to be sent to hundreds of followers. A control host
-//     batches such changes for about as long as it takes to send the responses, so that a series
-//     of changes (a healed partition, a cold start) doesn't keep it from
-//     placing requests. Followers with the same state get the same encoded response. A new leader
-//     or configuration is sent without batching.
-//  8. A follower that may be behind doesn't reject a caller for something that its configuration lacks. It first queries
-//     whether there is a newer configuration, which a control host confirms with the leader.
-//  9. The list of poison requests is replicated the same way, complete and without batching: it is short and changes a few times a day.
+//     batches such changes for about as long as it takes to send the responses, so
+//     that a series of changes (a healed partition, a cold start) doesn't keep it
+//     from placing requests. Followers with the same state get the same encoded
+//     response. A new leader or configuration is sent without batching.
+//  8. A follower that may be behind doesn't reject a caller for something that its
+//     configuration lacks. It first queries whether there is a newer configuration,
+//     which a control host confirms with the leader.
+//  9. The list of poison requests is replicated the same way, complete and without
+//     batching: it is short and changes a few times a day.
 package hingefollow
 
 import (
@@ -50,8 +55,8 @@
 const methodFollow hingelink.Method = "follow.ask"
 
 const (
-	// longPollTime is how long a control host holds a request while nothing changes. With 560
-	// followers it causes at most 280 small responses per second.
+	// longPollTime is how long a control host holds a request while nothing changes.
+	// With 560 followers it causes at most 280 small responses per second.
 	longPollTime = 2 * time.Second
 	// responseGrace is added to longPollTime for the timeout of a request, to detect
 	// a connection that has failed without an error.
@@ -60,30 +65,33 @@
 	leaderReadTimeout = time.Second
 	// retryDelay is the delay after a failed request.
 	retryDelay = 150 * time.Millisecond
-	// removeAfter is how long a host may be unnamed and unresponsive before it is removed (rule 3).
+	// removeAfter is how long a host may be unnamed and unresponsive before it is
+	// removed (rule 3).
 	removeAfter = 10 * time.Second
-	// maxFollowed is the number of control hosts that an entry host polls. With three,
-	// one may be partitioned and another shutting down. Polling all of 15 control hosts
-	// would cost 560 entry hosts 4,200 requests per second instead of 840.
+	// maxFollowed is the number of control hosts that an entry host polls. With
+	// three, one may be partitioned and another shutting down. Polling all of 15
+	// control hosts would cost five times the requests.
 	maxFollowed = 3
 	// documentWait is how long a configuration may arrive after its version (rule 6).
 	documentWait = 150 * time.Millisecond
-	// minBatchDelay is the shortest delay between a change and the response: a control host that
-	// reconnects receives dozens of announcements in a burst.
+	// minBatchDelay is the shortest delay between a change and the response: a
+	// control host that reconnects receives dozens of announcements in a burst.
 	minBatchDelay = 2 * time.Millisecond
-	// batchDelayPerFollower makes the delay proportional to the number of followers (rule 7). At 0.17 ms of processor time per
-	// response, it leaves two thirds of half a core for placing requests.
+	// batchDelayPerFollower makes the delay proportional to the number of followers
+	// (rule 7). A response takes a fraction of it in processor time, which leaves the
+	// rest for placing requests.
 	batchDelayPerFollower = time.Millisecond
-	// maxBatchDelay bounds the delay. A change may be batched by two control hosts in a row, and a leaving server must get no
-	// work after two seconds.
+	// maxBatchDelay bounds the delay. A change may be batched by two control hosts in
+	// a row, and a leaving server must get no work after two seconds.
 	maxBatchDelay = 300 * time.Millisecond
-	// responseCacheTime is how long an encoded response is reused for followers with the same state (rule 7).
+	// responseCacheTime is how long an encoded response is reused for followers with
+	// the same state (rule 7).
 	responseCacheTime = 20 * time.Millisecond
 )
 
-// followRequest is a follower's long poll.
 type followRequest struct {
-	// Incarnation is the control host's incarnation when it sent Change, the number of the last change that the follower has.
+	// Incarnation is the control host's incarnation when it sent Change, the number
+	// of the last change that the follower has.
 	Incarnation hingeids.Incarnation `cbor:"1,keyasint"`
 	Change      uint64               `cbor:"2,keyasint"`
 	// Version is the version of the follower's configuration.
@@ -94,19 +102,19 @@
 	EntryHost bool `cbor:"5,keyasint,omitempty"`
 	// VersionOnly requests a newer configuration's version without its content (rule 6).
 	VersionOnly bool `cbor:"6,keyasint,omitempty"`
-	// Single marks a query of rule 8: the control host doesn't count the sender as its follower.
+	// Single marks a query of rule 8: the control host doesn't count the sender as
+	// its follower.
 	Single bool `cbor:"7,keyasint,omitempty"`
 	// PoisonRequests is the revision of the follower's list of poison requests (rule 9).
 	PoisonRequests uint64 `cbor:"8,keyasint,omitempty"`
 }
 
-// memberInfo names a control host in a response. Zone is empty if it isn't known.
+// Zone is empty if it isn't known.
 type memberInfo struct {
 	Host hingeids.HostID `cbor:"1,keyasint"`
 	Zone hingeids.Zone   `cbor:"2,keyasint,omitempty"`
 }
 
-// followResponse is a control host's response to a follower.
 type followResponse struct {
 	Incarnation  hingeids.Incarnation   `cbor:"1,keyasint"`
 	Change       uint64                 `cbor:"2,keyasint"`
@@ -116,15 +124,16 @@
 	ControlHosts []memberInfo           `cbor:"6,keyasint,omitempty"`
 	// Version is the version of the newest configuration, also if Document is nil.
 	Version hingeversion.Version `cbor:"12,keyasint,omitempty"`
-	// FollowerSet are the entry hosts that follow the control host; it is sent only to control hosts. EntryHosts counts the entry
-	// hosts of all control hosts.
+	// FollowerSet are the entry hosts that follow the control host; it is sent only
+	// to control hosts. EntryHosts counts the entry hosts of all control hosts.
 	FollowerSet     FollowerSet   `cbor:"15,keyasint,omitempty"`
 	EntryHosts      int           `cbor:"7,keyasint,omitempty"`
 	NewestConfirmed bool          `cbor:"8,keyasint,omitempty"`
 	HasLeader       bool          `cbor:"9,keyasint,omitempty"`
 	Term            uint64        `cbor:"10,keyasint,omitempty"`
 	Zone            hingeids.Zone `cbor:"11,keyasint,omitempty"`
-	// PoisonRequests is the list of poison requests if it is newer than the follower's, otherwise nil.
+	// PoisonRequests is the list of poison requests if it is newer than the
+	// follower's, otherwise nil.
 	PoisonRequests *hingepoison.List `cbor:"16,keyasint,omitempty"`
 }
 
@@ -150,7 +159,8 @@
 type ControlHost struct {
 	Host hingeids.HostID
 	Zone hingeids.Zone
-	// HasLeader is set if it heard a leader at its last response. LastSeen is the time of that response, zero before the first.
+	// HasLeader is set if it heard a leader at its last response. LastSeen is the
+	// time of that response, zero before the first.
 	HasLeader bool
 	LastSeen  time.Time
 	// FollowerSet are the entry hosts that follow it.
@@ -161,11 +171,12 @@
 type Settings struct {
 	Self hingeids.HostID
 	Zone hingeids.Zone
-	// EntryHost is set on hosts that accept requests from callers. Other followers are control hosts,
-	// which follow all control hosts (rule 5).
+	// EntryHost is set on hosts that accept requests from callers. Other followers
+	// are control hosts, which follow all control hosts (rule 5).
 	EntryHost bool
 	Clock     func() time.Time
-	// OnRecords is called with the records of each response, from the goroutine that received it.
+	// OnRecords is called with the records of each response, from the goroutine that
+	// received it.
 	OnRecords func(now time.Time, records []hingeannounce.Record)
 }
 
@@ -214,7 +225,6 @@
 	f.seeds = slices.Clone(seeds)
 }
 
-// refreshInterval is the interval at which the choice of polled control hosts is updated.
 const refreshInterval = 250 * time.Millisecond
 
 // Run polls the control hosts until the context is done, and then waits for the pollers.
@@ -233,7 +243,6 @@
 	}
 }
 
-// poll sends long polls to one control host until the context is done.
 func (f *Follower) poll(ctx context.Context, id hingeids.HostID, h *host) {
 	for ctx.Err() == nil {
 		resp, err := f.pollOnce(ctx, id, h)
@@ -250,12 +259,13 @@
 	}
 }
 
-// documentMissing reports whether the follower lacks the configuration of a version (rule 6).
+// documentMissing implements rule 6.
 func (f *Follower) documentMissing(newest hingeversion.Version) bool {
 	return f.state.Load().Document.Version < newest
 }
 
-// setDocumentLate records whether the host's next response has to include the configuration.
+// setDocumentLate records whether the host's next response has to include the
+// configuration.
 func (f *Follower) setDocumentLate(h *host, late bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -280,7 +290,6 @@
 	return f.call(callCtx, id, q)
 }
 
-// call sends a request to a control host.
 func (f *Follower) call(ctx context.Context, id hingeids.HostID, q followRequest) (followResponse, error) {
 	body, err := cbor.Marshal(q)
 	if err != nil {
@@ -294,7 +303,7 @@
 	return resp, eris.Wrap(cbor.Unmarshal(b, &resp), "decode a control host's response")
 }
 
-// apply merges a response into the state (rule 2).
+// apply implements rule 2.
 func (f *Follower) apply(now time.Time, h *host, resp followResponse) {
 	if len(resp.Records) > 0 {
 		f.settings.OnRecords(now, resp.Records)
--- a/internal/membership/hingefollow/follow_test.go
+++ b/internal/membership/hingefollow/follow_test.go
@@ -19,7 +19,6 @@
 	"github.com/swifthinge/swifthinge/internal/membership/hingeannounce"
 )
 
-// origin is the state of a simulated control host.
 type origin struct {
 	documents hingeboard.Cell[hingeversion.Document]
 	poisons   hingeboard.Cell[hingepoison.List]
@@ -45,7 +44,6 @@
 	o.status = s
 }
 
-// directory holds the server records that a follower received.
 type directory struct {
 	mu      sync.Mutex
 	records *hingeannounce.Directory
@@ -92,7 +90,6 @@
 	})
 }
 
-// testControl is a simulated control host.
 type testControl struct {
 	*origin
 	source    *Source
@@ -103,7 +100,7 @@
 
 func (c *testControl) FollowerSets() []FollowerSet { return c.followers }
 
-// cluster is a simulated cluster of two control hosts and their followers, under a fake clock.
+// The cluster has two control hosts and their followers, under a fake clock.
 type cluster struct {
 	t         *testing.T
 	network   *hingefake.Network
@@ -134,7 +131,6 @@
 	})
 }
 
-// start starts an instance of a control host.
 func (x *cluster) start(h hingeids.HostID, incarnation hingeids.Incarnation) *testControl {
 	c := &testControl{
 		origin: &origin{
@@ -156,7 +152,6 @@
 	return c
 }
 
-// startFollower starts an entry host's follower with one seed.
 func (x *cluster) startFollower(self, seed hingeids.HostID) (*Follower, *directory) {
 	d := &directory{
 		records: hingeannounce.NewDirectory(self),
@@ -183,8 +178,8 @@
 	}
 }
 
-// A follower with one seed must discover the other control host through it, and receive
-// records that only the other one holds.
+// A follower with one seed must discover the other control host and receive records
+// that only the other one holds.
 func TestFollowerFindsAllControlHosts(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		f, d := x.startFollower("entry-1", "control-1")
@@ -201,7 +196,8 @@
 	})
 }
 
-// Guards against a follower that gets an accepted change only at the end of the long-poll time.
+// Guards against a follower that gets an accepted change only at the end of the
+// long-poll time.
 func TestChangeIsAppliedImmediately(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		f, _ := x.startFollower("entry-1", "control-1")
@@ -237,8 +233,9 @@
 	})
 }
 
-// The control host that sends configurations is partitioned and responds with an outdated one.
-// The follower must fetch the newer one from a host that sent only its version.
+// The control host that sends configurations is partitioned and responds with an
+// outdated one. The follower must fetch the newer one from a host that sent only its
+// version.
 func TestConfigurationIsFetchedFromAnotherHost(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		f, _ := x.startFollower("entry-1", "control-1")
@@ -261,8 +258,8 @@
 	})
 }
 
-// followerSets returns the set of each control host if each entry host follows maxFollowed of them, and the first ones, which are
-// switching, one more.
+// Each entry host follows maxFollowed control hosts; the first ones, which are
+// switching, follow one more.
 func followerSets(controls, entries, switching int) []FollowerSet {
 	out := make([]FollowerSet, controls)
 	for i := range out {
@@ -280,8 +277,8 @@
 	return out
 }
 
-// Guards against entry hosts that are counted by one control host only, or several times while they switch between control
-// hosts. Either would give each host a wrong share of the quotas.
+// Guards against entry hosts that are counted by one control host only, or several
+// times while they switch. Either would give hosts a wrong share of the quotas.
 func TestAllEntryHostsAreCounted(t *testing.T) {
 	for _, c := range []struct {
 		controls  int
@@ -380,8 +377,8 @@
 	})
 }
 
-// Guards against a follower that compares the change numbers of two incarnations of a restarted
-// control host, and so never receives its new records.
+// Guards against a follower that compares the change numbers of two incarnations of a
+// restarted control host, and so never receives its new records.
 func TestRestartedControlHostSendsItsNewRecords(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		_, d := x.startFollower("entry-1", "control-1")
@@ -428,8 +425,8 @@
 	})
 }
 
-// Guards against a control host that sends each of 80 changes in a row to each of its 100 followers separately, and has no
-// processor time left to place requests.
+// Guards against a control host that sends each of 80 changes in a row to each of 100
+// followers separately, and has no processor time left to place requests.
 func TestChangesAreBatched(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		const followers, servers = 100, 80
@@ -458,14 +455,16 @@
 				t.Fatalf("follower %d knows %d servers", i, got)
 			}
 		}
-		// Batching allows about 250 responses during the 0.2 s of changes, and one round to all followers before and after them.
+		// Batching allows about 250 responses during the 0.2 s of changes, and one
+		// round to all followers before and after them.
 		if limit := 10 * followers; updates > limit {
 			t.Fatalf("%d responses with records, want at most %d", updates, limit)
 		}
 	})
 }
 
-// Guards against a leader change that is delayed by the batching of server changes. Entry hosts need the leader to place requests.
+// Guards against a leader change that is delayed by the batching of server changes.
+// Entry hosts need the leader to place requests.
 func TestLeaderChangeIsNotBatched(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		var all []*Follower
@@ -492,7 +491,8 @@
 	})
 }
 
-// Guards against other control hosts that get a server record only after the batch delay for 100 entry hosts.
+// Guards against other control hosts that get a server record only after the batch
+// delay for 100 entry hosts.
 func TestControlHostsGetChangesAfterMinimumDelay(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		for i := range 100 {
@@ -520,8 +520,8 @@
 	})
 }
 
-// Guards against rejecting a key that was added a moment ago: NewestVersion must fetch the newer configuration through a control host
-// with a leader, and must confirm nothing without a leader.
+// Guards against rejecting a key that was just added: NewestVersion must fetch the
+// newer configuration, and must confirm nothing without a leader.
 func TestNewestVersionIsConfirmedByTheLeader(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		for _, c := range x.hosts {
@@ -564,7 +564,8 @@
 	})
 }
 
-// Guards against a follower that gets the list of poison requests late, or replaces it by an older list from another control host.
+// Guards against a follower that gets the list late, or replaces it by an older one
+// from another control host.
 func TestListOfPoisonRequestsReachesEveryHost(t *testing.T) {
 	withCluster(t, func(t *testing.T, x *cluster) {
 		x.hosts["control-1"].accept(1)
--- a/internal/membership/hingefollow/followerset.go
+++ b/internal/membership/hingefollow/followerset.go
@@ -9,12 +9,13 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// followerSetBits is the size of the bitmap. In 512 bytes it counts 69 hosts to within two, and 560 to within two percent.
+// followerSetBits is the size of the bitmap. In 512 bytes it counts 69 hosts to
+// within two, and 560 to within two percent.
 const followerSetBits = 4096
 
-// FollowerSet is the set of entry hosts that follow a control host, a bitmap indexed by a hash of the host name (linear counting).
-// An entry host follows several control hosts, and for a few seconds one more while it switches between them, so the sum of
-// the control hosts' counts is too high. A union of their sets counts each entry host once.
+// FollowerSet is the set of entry hosts that follow a control host: a bitmap indexed
+// by a hash of the host name (linear counting). A union of the sets counts each entry
+// host once, although each follows several control hosts.
 type FollowerSet []byte
 
 // NewFollowerSet returns an empty set.
@@ -28,7 +29,8 @@
 	s[bit/8] |= 1 << (bit % 8)
 }
 
-// Join adds all hosts of another set. It ignores a set of another size, which comes from a different build.
+// Join adds all hosts of another set. It ignores a set of another size, which comes
+// from a different build.
 func (s FollowerSet) Join(o FollowerSet) {
 	if len(o) != len(s) {
 		return
@@ -38,7 +40,8 @@
 	}
 }
 
-// Count estimates the number of hosts in the set. It corrects for hosts whose hashes share a bit.
+// Count estimates the number of hosts in the set. It corrects for hosts whose hashes
+// share a bit.
 func (s FollowerSet) Count() int {
 	set := 0
 	for _, b := range s {
--- a/internal/membership/hingefollow/hosts.go
+++ b/internal/membership/hingefollow/hosts.go
@@ -13,7 +13,6 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// host is a follower's state for one control host.
 type host struct {
 	lastNamed   time.Time
 	lastSeen    time.Time
@@ -26,13 +25,12 @@
 	// reported the version of one that hasn't arrived (rule 6).
 	sendsDocuments bool
 	documentLate   bool
-	// pollingSince is when the follower started to poll the host.
-	pollingSince time.Time
-	stop         context.CancelFunc
-	polling      bool
+	pollingSince   time.Time
+	stop           context.CancelFunc
+	polling        bool
 }
 
-// refreshHosts starts to poll the best control hosts, stops polling the others and removes those that are unnamed and unresponsive (rules 1 and 3).
+// refreshHosts implements rules 1 and 3.
 func (f *Follower) refreshHosts(ctx context.Context, now time.Time) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -92,12 +90,13 @@
 	return list
 }
 
-// hashRank orders the control hosts differently for each follower, which spreads the followers over them.
+// The order differs for each follower, which spreads the followers over the control
+// hosts.
 func (f *Follower) hashRank(id hingeids.HostID) uint64 {
 	return xxhash.Sum64String(string(f.settings.Self) + "/" + string(id))
 }
 
-// markNamed records that a seed or response names a control host. The caller holds the lock.
+// The caller holds the lock.
 func (f *Follower) markNamed(now time.Time, id hingeids.HostID) {
 	if id == f.settings.Self {
 		return
@@ -110,7 +109,7 @@
 	h.lastNamed = now
 }
 
-// controlHosts returns the known control hosts, ordered by name. The caller holds the lock.
+// The hosts are ordered by name. The caller holds the lock.
 func (f *Follower) controlHosts() []ControlHost {
 	out := make([]ControlHost, 0, len(f.hosts))
 	for id, h := range f.hosts {
--- a/internal/membership/hingefollow/newest.go
+++ b/internal/membership/hingefollow/newest.go
@@ -10,15 +10,18 @@
 )
 
 const (
-	// versionQueryMaxAge is how long callers share a query, which limits a host to ten queries per second. A configuration
-	// that was accepted within this time before the call may be missed.
+	// versionQueryMaxAge is how long callers share a query, which limits a host to
+	// ten queries per second. A configuration that was accepted within this time
+	// before the call may be missed.
 	versionQueryMaxAge = 100 * time.Millisecond
-	// versionQueryHosts is the number of control hosts that are queried in turn, each with versionQueryTimeout.
+	// versionQueryHosts is the number of control hosts that are queried in turn, each
+	// with versionQueryTimeout.
 	versionQueryHosts   = 3
 	versionQueryTimeout = 200 * time.Millisecond
 )
 
-// versionQuery is a query for the newest version. version and known are set before done is closed.
+// versionQuery is a query for the newest version. version and known are set before
+// done is closed.
 type versionQuery struct {
 	started time.Time
 	done    chan struct{}
@@ -26,8 +29,9 @@
 	known   bool
 }
 
-// NewestVersion returns the version of the newest configuration accepted before the call, to within versionQueryMaxAge. The follower
-// holds that configuration when NewestVersion returns. It returns false if no control host confirmed one (rule 8).
+// NewestVersion returns the version of the newest configuration accepted before the
+// call, to within versionQueryMaxAge. The follower holds that configuration when
+// NewestVersion returns. It returns false if no control host confirmed one (rule 8).
 func (f *Follower) NewestVersion(ctx context.Context) (hingeversion.Version, bool) {
 	q := f.currentQuery(f.settings.Clock())
 	select {
@@ -38,7 +42,6 @@
 	}
 }
 
-// currentQuery returns the last query if it is recent enough, else it starts one.
 func (f *Follower) currentQuery(now time.Time) *versionQuery {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -54,7 +57,8 @@
 	return q
 }
 
-// runQuery queries control hosts in turn, for at most versionQueryHosts times versionQueryTimeout.
+// runQuery queries hosts in turn, for at most versionQueryHosts times
+// versionQueryTimeout.
 func (f *Follower) runQuery(q *versionQuery) {
 	defer close(q.done)
 	for _, id := range f.queryCandidates() {
@@ -69,7 +73,8 @@
 	}
 }
 
-// queryCandidates returns the control hosts to query: those that reported a leader in their last response come first, in order of rank.
+// The hosts that reported a leader in their last response come first, in order of
+// rank.
 func (f *Follower) queryCandidates() []hingeids.HostID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -88,8 +93,8 @@
 	return 0
 }
 
-// confirmNewest has a control host confirm the newest version with the leader. It applies the response and reports whether the
-// follower now holds that version.
+// confirmNewest applies the host's response and reports whether the follower now
+// holds the newest version, as confirmed by the leader.
 func (f *Follower) confirmNewest(ctx context.Context, id hingeids.HostID) bool {
 	f.mu.Lock()
 	h := f.hosts[id]
--- a/internal/membership/hingefollow/source.go
+++ b/internal/membership/hingefollow/source.go
@@ -35,7 +35,8 @@
 	Documents() *hingeboard.Cell[hingeversion.Document]
 	// PoisonRequests returns the cell in which the list of poison requests is published.
 	PoisonRequests() *hingeboard.Cell[hingepoison.List]
-	// Read waits until the published configuration is no older than any accepted before the call.
+	// Read waits until the published configuration is no older than any accepted
+	// before the call.
 	Read(ctx context.Context) error
 	GroupStatus() GroupStatus
 }
@@ -48,7 +49,8 @@
 	FollowerSets() []FollowerSet
 }
 
-// Source responds to followers and holds the directory of a control host. Its methods are safe for concurrent use.
+// Source responds to followers and holds the directory of a control host. Its methods
+// are safe for concurrent use.
 type Source struct {
 	// self is the incarnation of this control host.
 	self   hingeids.Incarnation
@@ -80,7 +82,6 @@
 	entryHost          bool
 }
 
-// cached is an encoded response.
 type cached struct {
 	body      []byte
 	createdAt time.Time
@@ -104,7 +105,8 @@
 	return s
 }
 
-// HandleAnnouncement merges a backend server's announcement to this host, and reports whether it changed the directory.
+// HandleAnnouncement merges a backend server's announcement to this host, and reports
+// whether it changed the directory.
 func (s *Source) HandleAnnouncement(now time.Time, a hingeannounce.Announcement) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -113,7 +115,8 @@
 	return changed
 }
 
-// HandleLeave records that a backend server leaves. The incarnation is zero if the server didn't send it.
+// HandleLeave records that a backend server leaves. The incarnation is zero if the
+// server didn't send it.
 func (s *Source) HandleLeave(now time.Time, id hingeids.ServerID, i hingeids.Incarnation) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,7 +167,7 @@
 	return s.directory.Since(0)
 }
 
-// notifyIfChanged wakes waiting long polls. The caller holds the lock.
+// The caller holds the lock.
 func (s *Source) notifyIfChanged(changed bool) {
 	if changed {
 		close(s.changed)
@@ -172,7 +175,6 @@
 	}
 }
 
-// handleFollow handles a follower's request.
 func (s *Source) handleFollow(ctx context.Context, from hingeids.HostID, body []byte) ([]byte, error) {
 	var q followRequest
 	if err := cbor.Unmarshal(body, &q); err != nil {
@@ -195,7 +197,7 @@
 	return s.respond(q, confirmed)
 }
 
-// respond returns a cached response to a follower with the same state, or a new one.
+// respond uses a cached response if there is one for the same state.
 func (s *Source) respond(q followRequest, confirmed bool) ([]byte, error) {
 	status := s.origin.GroupStatus()
 	k := responseKey{
@@ -237,7 +239,7 @@
 	return b, nil
 }
 
-// readFromLeader reads the newest configuration from the leader. The timeout covers a leader that has failed silently.
+// The timeout covers a leader that has failed silently.
 func (s *Source) readFromLeader(ctx context.Context) bool {
 	readCtx, stop := context.WithTimeout(ctx, leaderReadTimeout)
 	defer stop()
@@ -286,7 +288,7 @@
 	return s.countEntryHosts(s.followerSet())
 }
 
-// followerSet returns the entry hosts that follow this host. The caller holds the lock.
+// The caller holds the lock.
 func (s *Source) followerSet() FollowerSet {
 	out := NewFollowerSet()
 	for h := range s.entryHosts {
@@ -295,7 +297,6 @@
 	return out
 }
 
-// countEntryHosts counts the entry hosts that follow this or another control host.
 func (s *Source) countEntryHosts(own FollowerSet) int {
 	all := NewFollowerSet()
 	all.Join(own)
@@ -305,7 +306,7 @@
 	return all.Count()
 }
 
-// memberInfo returns the members of the group with their zones, where these are known.
+// Zones are set where they are known.
 func (s *Source) memberInfo(members []hingeids.HostID) []memberInfo {
 	out := make([]memberInfo, 0, len(members))
 	for _, h := range members {
@@ -317,7 +318,8 @@
 	return out
 }
 
-// waitForChange returns shortly after a change that the follower lacks, or after longPollTime.
+// waitForChange returns shortly after a change that the follower lacks, or after
+// longPollTime.
 func (s *Source) waitForChange(ctx context.Context, q followRequest) {
 	timer := time.NewTimer(longPollTime)
 	defer timer.Stop()
@@ -352,8 +354,9 @@
 	}
 }
 
-// batchDelay returns how long changes of servers are batched (rule 7). Other control hosts get the minimum: they are few, and
-// place requests by these records. The caller holds the lock.
+// batchDelay returns how long changes of servers are batched (rule 7). Other control
+// hosts get the minimum: they are few, and place requests by these records. The
+// caller holds the lock.
 func (s *Source) batchDelay(q followRequest) time.Duration {
 	if !q.EntryHost {
 		return minBatchDelay
--- a/internal/membership/hingemembers/bench_test.go
+++ b/internal/membership/hingemembers/bench_test.go
@@ -14,9 +14,9 @@
 	benchDuration = 2 * time.Second
 )
 
-// BenchmarkSlopes measures the traffic, CPU time and heap of a member and the age of its
-// load reports, by the number of members and of servers, each of which announces itself
-// twice a second. The CPU time is that of the whole simulation divided by the members.
+// BenchmarkSlopes measures a member's traffic, CPU time and heap and the age of its
+// load reports, by the number of members and of servers. The CPU time is that of the
+// whole simulation divided by the members.
 func BenchmarkSlopes(b *testing.B) {
 	for _, size := range []struct{ hosts, servers int }{
 		{hosts: 7, servers: 12},
@@ -65,7 +65,7 @@
 	runtime.KeepAlive(s)
 }
 
-// announce sends the servers' announcements to the hosts, twice a second for each server.
+// Each server announces itself twice a second.
 func announce(s *simulation, servers int, until time.Duration) {
 	pause := time.Second / time.Duration(2*servers)
 	for i := int(s.now / pause); s.now < until; i++ {
@@ -77,8 +77,7 @@
 	}
 }
 
-// reports returns the number of servers in all members' views and the mean age of their
-// reports in ms.
+// The age is the mean in ms over all members' views.
 func reports(s *simulation) (known, age float64) {
 	for _, h := range s.hosts {
 		now := s.clock(h)
@@ -98,8 +97,8 @@
 }
 
 // BenchmarkLeases measures the share of the time in which members hold a valid lease
-// (rule 7) without failures, in three zones with one voter each, by the number of hosts in
-// a zone.
+// without failures, in three zones with one voter each, by the number of hosts in a
+// zone.
 func BenchmarkLeases(b *testing.B) {
 	for _, inZone := range []int{2, 3, 6, 12, 31} {
 		b.Run(fmt.Sprintf("hostsInZone=%d", inZone), func(b *testing.B) {
--- a/internal/membership/hingemembers/driver_test.go
+++ b/internal/membership/hingemembers/driver_test.go
@@ -12,9 +12,8 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingefake"
 )
 
-// Three hosts run on a fake network: a server announced to one becomes usable at all, a
-// host declared ended gets a new instance after OnDeclaredEnded, and no goroutine is left at the
-// end.
+// A server announced to one of three hosts must become usable at all, a host declared
+// ended must get a new instance, and no goroutine may be left.
 func TestDriversFindEachOther(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	network := hingefake.NewNetwork()
@@ -84,8 +83,7 @@
 	}
 }
 
-// waitFor waits for a view that meets a condition, limited only by the test binary's
-// timeout.
+// The wait is limited only by the test binary's timeout.
 func waitFor(t *testing.T, m *Members, ready func(v *View) bool) {
 	t.Helper()
 	for {
--- a/internal/membership/hingemembers/facts.go
+++ b/internal/membership/hingemembers/facts.go
@@ -46,8 +46,8 @@
 	Ended       bool                 `json:"over,omitempty"`
 }
 
-// Registry is the registry of instances in the configuration log. A host that starts has its
-// instance added; the leader records instances as ended.
+// Registry is the registry of instances in the configuration log. A host that starts
+// has its instance added; the leader records instances as ended.
 type Registry map[hingeids.HostID]RegistryEntry
 
 // Has reports whether an instance is in the registry and has not ended.
--- a/internal/membership/hingemembers/gossip.go
+++ b/internal/membership/hingemembers/gossip.go
@@ -60,7 +60,6 @@
 	return q.remaining > 0 && (!q.heartbeat || !q.sentTo[to])
 }
 
-// recordSent counts a transmission of the fact to a peer.
 func (q *queuedFact) recordSent(to hingeids.HostID, datagram uint64) {
 	q.remaining--
 	if q.sentTo == nil {
@@ -90,7 +89,7 @@
 	peer   hingeids.HostID
 }
 
-// lastingFactSends is how often a fact is sent that no later one replaces.
+// A lasting fact is one that no later one replaces.
 func (s *State) lastingFactSends() int {
 	if len(s.peers) <= fullProbePeers {
 		return 2 * len(s.peers)
@@ -158,8 +157,7 @@
 	s.queue.items[key] = item
 }
 
-// pruneHeartbeats removes items that are kept only for their lastSent, of servers that are
-// no longer in the table.
+// Items that are kept only for their lastSent are removed with their server.
 func (s *State) pruneHeartbeats(now time.Time) {
 	for key, q := range s.queue.items {
 		if key.server == "" || q.remaining > 0 {
@@ -171,7 +169,7 @@
 	}
 }
 
-// flushUrgent returns datagrams with urgent facts, which don't wait for the next round.
+// Urgent facts don't wait for the next round.
 func (s *State) flushUrgent(now time.Time) []Outgoing {
 	if !s.queue.urgent {
 		return nil
@@ -240,8 +238,7 @@
 	return out
 }
 
-// attach adds a fact to a message. It returns false if the fact is of a server that is no
-// longer in the table.
+// attach returns false if the fact is of a server that is no longer in the table.
 func (s *State) attach(now time.Time, m *Message, q *queuedFact) bool {
 	switch {
 	case q.key.host != "":
--- a/internal/membership/hingemembers/lease.go
+++ b/internal/membership/hingemembers/lease.go
@@ -7,9 +7,10 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// instanceLease is the duration of the lease of rule 7. It outlasts seven lost probes, and
-// a dead host's slots stay idle for about as long. The host that renewed it waits longer by
-// one part in clockMarginDivisor: the clock rates of both hosts may be wrong by a twentieth.
+// instanceLease (rule 7) outlasts seven lost probes; a dead host's slots stay idle
+// for about as long. The host that renewed it waits longer by one part in
+// clockMarginDivisor, since the clock rates of both hosts may be wrong by a
+// twentieth.
 const (
 	instanceLease      = 1500 * time.Millisecond
 	clockMarginDivisor = 10
@@ -23,8 +24,7 @@
 	return s.registry.Has(s.instance) && !s.registry.HasEnded(instance) && !s.hasVoted(instance)
 }
 
-// hasVoted reports whether any instance of this host has cast a failure vote against an
-// instance.
+// A vote by any instance of this host counts.
 func (s *State) hasVoted(against hingeids.Instance) bool {
 	for v := range s.votes {
 		if v.Against == against && v.By.Host == s.instance.Host {
@@ -55,8 +55,6 @@
 	})
 }
 
-// zoneHasVoted reports whether a host of the peer's own zone has cast a failure vote
-// against it.
 func (s *State) zoneHasVoted(p *peer) bool {
 	for v := range s.votes {
 		if v.Against == p.fact.Instance && s.zoneOf(v.By.Host) == p.Zone {
--- a/internal/membership/hingemembers/members.go
+++ b/internal/membership/hingemembers/members.go
@@ -29,9 +29,9 @@
 	Events *hingeevents.Recorder
 	// Clock returns the present time; nil means time.Now.
 	Clock func() time.Time
-	// OnDeclaredEnded is called on its own goroutine when this host's instance has been declared
-	// ended by others. It must send every caller a final response; after it returns, a new
-	// instance starts, which has to be added to the registry.
+	// OnDeclaredEnded is called on its own goroutine when this host's instance has
+	// been declared ended by others. It must send every caller a final response;
+	// after it returns, a new instance starts, which has to be added to the registry.
 	OnDeclaredEnded func(ended hingeids.Instance)
 }
 
--- a/internal/membership/hingemembers/members_test.go
+++ b/internal/membership/hingemembers/members_test.go
@@ -89,8 +89,8 @@
 }
 
 // The hosts of a zone that is cut off for a minute must keep their leases, or their
-// callers would be rejected although the zone's engines work; and no instance may be
-// recorded as ended, or all its requests would be lost.
+// callers would be rejected; and no instance may be recorded as ended, or its
+// requests would be lost.
 func TestIsolatedZoneKeepsItsLeases(t *testing.T) {
 	s := newSimulation(2, 3, 2, true)
 	s.run(5*time.Second, nil)
@@ -124,8 +124,8 @@
 	}
 }
 
-// A backend server announces itself to one entry host and leaves. With lost datagrams and
-// a cut path every host must find it usable before, and unusable within 2 s after.
+// With lost datagrams and a cut path, every host must find an announced server
+// usable, and unusable within 2 s after it leaves.
 func TestLeavingServerIsKnownEverywhereSoon(t *testing.T) {
 	for seed := range uint64(50) {
 		s := newSimulation(seed, 3, 2, true)
@@ -217,9 +217,9 @@
 	})
 }
 
-// Hosts are killed, restarted, frozen, slow and cut off in random combinations, with clock
-// rates that differ by up to 6 %. An instance recorded as ended must hold no valid lease,
-// or two hosts could grant one slot; and after the faults all hosts must converge.
+// Under random kills, restarts, freezes, delays, cut paths and clock rates, an
+// instance recorded as ended must hold no valid lease, or two hosts could grant one
+// slot. After the faults all hosts must converge.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(rapid.Uint64().Draw(t, "seed"), 3, 2, true)
@@ -347,9 +347,8 @@
 	}
 }
 
-// Every peer must get each server's heartbeats even if the datagrams to the peers always
-// go out in the same order. Otherwise the first peers use up the sends, and the last ones
-// consider the server dead.
+// Every peer must get each server's heartbeats even if the peers are always served in
+// the same order. Otherwise the last ones consider the server dead.
 func TestEachPeerGetsTheHeartbeats(t *testing.T) {
 	s := newSimulation(1, 3, 2, false)
 	s.run(3*time.Second, nil)
--- a/internal/membership/hingemembers/probe.go
+++ b/internal/membership/hingemembers/probe.go
@@ -52,7 +52,7 @@
 	return send, s.nextRoundAt
 }
 
-// probeTargets returns the peers to probe this round (rule 3).
+// probeTargets implements rule 3.
 func (s *State) probeTargets(now time.Time) []*peer {
 	if len(s.peers) <= fullProbePeers {
 		return s.peers
@@ -81,7 +81,6 @@
 	return p
 }
 
-// silenceBound is the longest expected delay of an answer from the peer.
 func (p *peer) silenceBound() time.Duration {
 	return p.intervals.Bound(minSilenceBound, maxSilenceBound)
 }
@@ -90,8 +89,8 @@
 	return !p.unansweredSince.IsZero() && now.Sub(p.unansweredSince) > p.silenceBound()
 }
 
-// silent reports whether the peer has answered neither direct nor indirect probes for
-// twice its silence bound.
+// A peer is silent after twice its silence bound, without answers to direct or
+// indirect probes.
 func (p *peer) silent(now time.Time) bool {
 	return p.silentFor(now) > 2*p.silenceBound()
 }
@@ -129,7 +128,7 @@
 	return send
 }
 
-// requestIndirectProbes requests that other hosts probe a peer (rule 4).
+// requestIndirectProbes implements rule 4.
 func (s *State) requestIndirectProbes(now time.Time, about *peer) []Outgoing {
 	var send []Outgoing
 	for _, i := range s.random.Perm(len(s.peers)) {
@@ -176,7 +175,7 @@
 	return nil
 }
 
-// replyEnded notifies an instance that it has ended, since it may still be running.
+// The instance may still be running.
 func (s *State) replyEnded(now time.Time, p *peer) []Outgoing {
 	o := s.outgoing(now, p.Host, Message{
 		Kind: kindGossip,
@@ -199,7 +198,7 @@
 	}
 }
 
-// acknowledge answers a probe. An indirect probe renews no lease.
+// An indirect probe renews no lease.
 func (s *State) acknowledge(now time.Time, p *peer, m Message) []Outgoing {
 	answer := Message{
 		Kind:   kindAck,
@@ -250,7 +249,6 @@
 	return nil
 }
 
-// handleRelayedAck records that a peer answered an indirect probe of this host.
 func (s *State) handleRelayedAck(sent time.Time, about hingeids.Instance) {
 	p := s.byHost[about.Host]
 	if p != nil && p.fact.Instance == about && sent.After(p.lastSeen) {
@@ -258,7 +256,6 @@
 	}
 }
 
-// relayProbe sends a probe on behalf of another host.
 func (s *State) relayProbe(now time.Time, m Message) []Outgoing {
 	if s.byHost[m.About.Host] == nil {
 		return nil
--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -89,7 +89,7 @@
 	return s
 }
 
-// start starts a new instance of a host and adds it to the registry.
+// The new instance is added to the registry.
 func (s *simulation) start(h *simHost) {
 	h.incarnations++
 	h.dead = false
@@ -126,7 +126,7 @@
 	}
 }
 
-// isolated reports whether a host can receive from no voter other than itself.
+// A host is isolated if it can receive from no voter other than itself.
 func (s *simulation) isolated(h *simHost) bool {
 	for _, o := range s.hosts {
 		if o != h && o.config.Voter && !s.cuts[[2]hingeids.HostID{o.config.Instance.Host, h.config.Instance.Host}] {
@@ -249,10 +249,10 @@
 	})
 }
 
-// checkEvery is the interval between checks, in simulated time.
+// In simulated time.
 const checkEvery = 10 * time.Millisecond
 
-// run advances the simulated time to until and calls check, if not nil, at intervals.
+// The check, if not nil, runs at intervals of checkEvery.
 func (s *simulation) run(until time.Duration, check func()) {
 	checked := s.now
 	for len(s.events) > 0 && s.events[0].at <= until {
@@ -267,9 +267,8 @@
 	s.now = until
 }
 
-// recordExpired records an expired instance as the leader of the configuration log does:
-// the change is committed some time after it was proposed, and only if the registry hasn't
-// changed meanwhile.
+// As with the leader of the configuration log, the change is committed some time
+// after it was proposed, and only if the registry hasn't changed meanwhile.
 func (s *simulation) recordExpired(h *simHost) {
 	if h.dead || s.proposing || s.isolated(h) || !sameRegistry(h.state.registry, s.registry) {
 		return
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -110,8 +110,8 @@
 	return s.instance
 }
 
-// StartInstance replaces this host's instance, which was declared ended, by a new one. The new
-// incarnation is higher than every one received for this host.
+// StartInstance replaces this host's instance, which was declared ended, by a new
+// one. The new incarnation is higher than every one received for this host.
 func (s *State) StartInstance(now time.Time) hingeids.Instance {
 	s.highestSeen = max(s.highestSeen+1, hingeids.Incarnation(now.UnixNano()))
 	s.instance.Incarnation = s.highestSeen
@@ -185,7 +185,6 @@
 	s.queueHost(p.fact, false)
 }
 
-// resetInstance clears what belongs to the peer's previous instance.
 func (p *peer) resetInstance() {
 	p.unansweredSince, p.lastSeen, p.renewedAt = time.Time{}, time.Time{}, time.Time{}
 	p.intervals = hingeannounce.IntervalEstimator{}
--- a/internal/membership/hingeworld/world.go
+++ b/internal/membership/hingeworld/world.go
@@ -55,11 +55,10 @@
 	return v
 }
 
-// usable returns the records of usable servers, sorted by ID. If two of them have the same
-// address, the one that became known last gets it: the other has crashed, and it is marked
-// as silent only later, or never if one of its heartbeats was delayed. Such a delayed
-// heartbeat must not take the address from its successor. A server that matches no service can't claim an
-// address, since anybody may announce one.
+// usable returns the records of usable servers, sorted by ID. Of two with the same
+// address, the one that became known last gets it: the other has crashed, even if it
+// isn't marked as silent yet or a delayed heartbeat of it arrived. A server that
+// matches no service can't claim an address, since anybody may announce one.
 func usable(t *hingeroutes.Table, records []hingeannounce.Record) []hingeannounce.Record {
 	byAddress := make(map[string]hingeannounce.Record, len(records))
 	for _, r := range records {
@@ -157,7 +156,7 @@
 	return notIn(v.addresses, earlier.addresses), notIn(earlier.addresses, v.addresses)
 }
 
-// notIn returns the servers of one map that the other lacks, sorted by ID.
+// The result is sorted by ID.
 func notIn(from, in map[hingeids.ServerID]string) []hingeids.ServerID {
 	var out []hingeids.ServerID
 	for id := range from {
--- a/internal/membership/hingeworld/world_test.go
+++ b/internal/membership/hingeworld/world_test.go
@@ -15,7 +15,7 @@
 
 const fleetService = hingeids.Service("redacteur")
 
-// heartbeat returns an engine's heartbeat; all engines have the same address.
+// All engines have the same address.
 func heartbeat(id hingeids.ServerID, sequence uint64) hingeannounce.Announcement {
 	return hingeannounce.Announcement{
 		Server:      id,
@@ -28,7 +28,6 @@
 	}
 }
 
-// placeableEngines returns the engines on which streams may be placed.
 func placeableEngines(d *hingeannounce.Directory) []hingeids.ServerID {
 	var out []hingeids.ServerID
 	for _, e := range Build(nil, d.Since(0)).Engines()[fleetService] {
@@ -37,9 +36,8 @@
 	return out
 }
 
-// An engine crashes and restarts at the same address under a new ID. When the old instance
-// is found silent later, the address must stay with the new one, or a healthy engine gets
-// no work.
+// An engine crashes and restarts at the same address under a new ID. When the old
+// instance is found silent later, the new one must keep the address.
 func TestRestartedEngineIsUsedAfterOldInstanceGoesSilent(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
 	now := startTime
@@ -61,9 +59,8 @@
 	}
 }
 
-// A delayed heartbeat of a crashed engine arrives after the first one of its successor.
-// The old instance must not get the address back, since the new one would reject its
-// requests.
+// A delayed heartbeat of a crashed engine must not take the address back from its
+// successor.
 func TestDelayedHeartbeatDoesNotReclaimAddress(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
 	d.Receive(startTime, heartbeat("engine-before", 1))
@@ -78,9 +75,9 @@
 	}
 }
 
-// An engine restarts under the same ID at another address. The instances must have
-// different server IDs, so that failures and streams counted for the old one are not
-// attributed to the new one.
+// An engine that restarts under the same ID at another address must get another
+// server ID, so that failures and streams of the old instance are not attributed to
+// it.
 func TestNewInstanceHasItsOwnServerID(t *testing.T) {
 	d := hingeannounce.NewDirectory("control-1")
 	old := heartbeat("engine", 9)
@@ -106,7 +103,7 @@
 }
 
 // A server of an unconfigured service, or a plain replica announced for a service of
-// engines, must not take the address of an engine, which would then get no work.
+// engines, must not take the address of an engine.
 func TestUnconfiguredServerGetsNoAddress(t *testing.T) {
 	table := &hingeroutes.Table{
 		Services: map[hingeids.Service]hingeroutes.Service{
@@ -141,8 +138,8 @@
 	}
 }
 
-// Hosts that know the same servers must report the same version in whatever order they
-// received them, so that the logs of different hosts can be compared.
+// Hosts that know the same servers must report the same version in any order of
+// arrival, so that the logs of different hosts can be compared.
 func TestVersionIdentifiesServersAndConfiguration(t *testing.T) {
 	other := heartbeat("other", 1)
 	other.Address = "10.0.0.2:80"
