--- a/internal/agreement/hingeconfig/change.go
+++ b/internal/agreement/hingeconfig/change.go
@@ -127,7 +127,8 @@
 // Answer is the state machine's answer to a change.
 type Answer struct {
 	Result Result `cbor:"1,keyasint" json:"result"`
-	// Revision is the revision that the change created, or the newest one if it was refused.
+	// Revision is the revision that the change created, or the newest one if it was
+	// refused.
 	Revision       hingeids.Revision `cbor:"2,keyasint" json:"revision"`
 	AcceptedChange AcceptedChange    `cbor:"3,keyasint,omitzero" json:"winner,omitzero"`
 	Problem        string            `cbor:"4,keyasint,omitempty" json:"problem,omitempty"`
--- a/internal/agreement/hingeconfig/instances.go
+++ b/internal/agreement/hingeconfig/instances.go
@@ -14,7 +14,8 @@
 	return strings.HasPrefix(string(p), instancesPrefix)
 }
 
-// EndedIncarnationPath returns the path of the document that holds a host's highest ended incarnation.
+// EndedIncarnationPath returns the path of the document that holds a host's highest
+// ended incarnation.
 func EndedIncarnationPath(h hingeids.HostID) Path {
 	return Path(instancesPrefix) + Path(h)
 }
--- a/internal/agreement/hingeconfig/machine.go
+++ b/internal/agreement/hingeconfig/machine.go
@@ -22,7 +22,6 @@
 	Answer      Answer   `cbor:"3,keyasint"`
 }
 
-// state is the content of a snapshot.
 type state struct {
 	Revision  hingeids.Revision `cbor:"1,keyasint"`
 	Documents map[Path][]byte   `cbor:"2,keyasint"`
@@ -165,7 +164,8 @@
 	return r+hingeids.Revision(len(m.state.History)) >= m.state.Revision
 }
 
-// acceptSystemChange keeps only the incarnations that are higher than the stored ones (rule 3).
+// acceptSystemChange keeps only the incarnations that are higher than the stored ones
+// (rule 3).
 func (m *Machine) acceptSystemChange(c Change) Answer {
 	higher := make(map[Path][]byte)
 	for p, d := range c.Puts {
--- a/internal/agreement/hingeconfig/view.go
+++ b/internal/agreement/hingeconfig/view.go
@@ -32,7 +32,8 @@
 	To      hingeids.Revision `cbor:"2,keyasint"`
 	Puts    map[Path][]byte   `cbor:"3,keyasint,omitempty"`
 	Deletes []Path            `cbor:"4,keyasint,omitempty"`
-	// OperatorRevision is View.OperatorRevision at revision To, or To where that isn't known.
+	// OperatorRevision is View.OperatorRevision at revision To, or To where that
+	// isn't known.
 	OperatorRevision hingeids.Revision `cbor:"5,keyasint,omitempty"`
 }
 
--- a/internal/agreement/hingegroup/apply.go
+++ b/internal/agreement/hingegroup/apply.go
@@ -75,7 +75,6 @@
 	}))
 }
 
-// eventNumbers maps the events of the log to those of the event catalogue.
 var eventNumbers = map[hingelog.EventKind]hingeevents.Number{
 	hingelog.ElectionStarted:   hingeevents.ElectionStarted,
 	hingelog.BecameLeader:      hingeevents.LeaderElected,
--- a/internal/agreement/hingegroup/group.go
+++ b/internal/agreement/hingegroup/group.go
@@ -15,7 +15,8 @@
 	"github.com/swifthinge/swifthinge/internal/observe/hingeevents"
 )
 
-// StateMachine is the state that the group replicates. The group calls it from one goroutine.
+// StateMachine is the state that the group replicates. The group calls it from one
+// goroutine.
 type StateMachine interface {
 	// Apply applies a committed proposal and returns its result. It must be deterministic:
 	// only its arguments and earlier calls may influence it.
@@ -38,12 +39,14 @@
 	JoinOnly bool
 	// Voters is the number of voters to keep; zero means all members (hingelog rule 13).
 	Voters int
-	// ElectionTimeout and Heartbeat are the times of hingelog.Settings; zero means the defaults of that package.
+	// ElectionTimeout and Heartbeat are the times of hingelog.Settings; zero means
+	// the defaults of that package.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
 	// CompactAfter is the number of entries between snapshots; zero means 4096.
 	CompactAfter int
-	// Clock is the clock of the leases. It must include the time for which a host is suspended.
+	// Clock is the clock of the leases. It must include the time for which a host is
+	// suspended.
 	Clock func() time.Time
 	// WallClock returns the time of day, the incarnation of a new disk; nil means Clock.
 	WallClock func() time.Time
@@ -128,14 +131,15 @@
 	return g, nil
 }
 
-// SetExtraHosts sets the hosts to contact besides those of the settings, which may be outdated.
-// It replaces the hosts of the previous call.
+// SetExtraHosts sets the hosts to contact besides those of the settings, which may be
+// outdated. It replaces the hosts of the previous call.
 func (g *Group) SetExtraHosts(hosts []hingeids.HostID) {
 	list := slices.Clone(hosts)
 	g.extraHosts.Store(&list)
 }
 
-// knownHosts returns the hosts of the settings and of SetExtraHosts, and those of all members.
+// knownHosts returns the hosts of the settings and of SetExtraHosts, and those of all
+// members.
 func (g *Group) knownHosts() []hingeids.HostID {
 	list := slices.Clone(g.settings.Hosts)
 	if extra := g.extraHosts.Load(); extra != nil {
--- a/internal/agreement/hingegroup/group_test.go
+++ b/internal/agreement/hingegroup/group_test.go
@@ -21,7 +21,6 @@
 
 var diskHosts = []hingeids.HostID{"cancale-1", "quiberon-1", "roscoff-1"}
 
-// host is one simulated process.
 type host struct {
 	id      hingeids.HostID
 	disk    *memoryDisk
@@ -31,7 +30,7 @@
 	runErr  chan error
 }
 
-// cluster is a simulated cluster under a fake clock: three hosts with a disk and one without.
+// The cluster has three hosts with a disk and one without, under a fake clock.
 type cluster struct {
 	t       *testing.T
 	network *hingefake.Network
@@ -87,7 +86,7 @@
 	return x
 }
 
-// kill stops a host whose peers get no notice.
+// The peers get no notice.
 func (c *cluster) kill(id hingeids.HostID) *host {
 	x := c.hosts[id]
 	c.network.Remove(id)
@@ -210,8 +209,7 @@
 	})
 }
 
-// A host that is cut off from the others must refuse changes at once as not run, and
-// neither block nor report that they may have run.
+// A host that is cut off from the others must refuse changes at once as not run.
 func TestPartitionedHostRefusesChangesImmediately(t *testing.T) {
 	withCluster(t, func(t *testing.T, c *cluster) {
 		l := c.leader()
@@ -299,7 +297,7 @@
 	})
 }
 
-// measure returns the number of syncs at a host and the time that a call of f takes.
+// measure returns the number of syncs at a host and the duration of f.
 func (c *cluster) measure(x *host, f func()) (int64, time.Duration) {
 	before, start := x.group.Status().Journal.Syncs, time.Now()
 	f()
--- a/internal/agreement/hingegroup/handlers.go
+++ b/internal/agreement/hingegroup/handlers.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// registerHandlers registers the methods of a host with a disk at the link.
+// Only a host with a disk handles these methods.
 func (g *Group) registerHandlers() {
 	g.link.HandleDatagram(g.method("log"), func(from hingeids.HostID, body []byte) {
 		g.receive(from, body)
@@ -34,8 +34,7 @@
 	g.link.HandleCall(g.method("members"), g.onMembers)
 }
 
-// receive passes a message to the loop, or drops it if the inbox is full or the message is
-// malformed (rule 2).
+// A message is dropped if it is malformed or the inbox is full (rule 2).
 func (g *Group) receive(from hingeids.HostID, body []byte) {
 	var m hingelog.Message
 	if err := cbor.Unmarshal(body, &m); err != nil || m.From.Host != from {
@@ -49,7 +48,6 @@
 	}
 }
 
-// runInLoop runs a function in the loop and returns its result.
 func runInLoop[T any](ctx context.Context, g *Group, f func(now time.Time) T) (T, error) {
 	answer := make(chan T, 1)
 	var zero T
--- a/internal/agreement/hingegroup/history_test.go
+++ b/internal/agreement/hingegroup/history_test.go
@@ -18,14 +18,14 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeverdict"
 )
 
-// reported is the result of one change as reported to its operator, over all resends.
+// reported covers all resends of a change.
 type reported struct {
 	change  hingeconfig.Change
 	answer  hingeconfig.Answer
 	refused bool
 }
 
-// workload simulates operators that change and read the configuration while faults are injected.
+// workload simulates operators that change and read the configuration under faults.
 type workload struct {
 	*cluster
 	random   *rand.Rand
@@ -35,7 +35,7 @@
 	accepted hingeids.Revision
 }
 
-// randomHost returns a running host, with or without a disk.
+// The host may have no disk.
 func (r *workload) randomHost() *host {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -69,8 +69,7 @@
 	}
 }
 
-// read reads at a random host with a disk, and checks that it returns at least the newest
-// revision accepted before.
+// The revision must be at least the newest one accepted before the read.
 func (r *workload) read() hingeids.Revision {
 	x := r.randomHost()
 	for x.disk == nil {
@@ -89,7 +88,7 @@
 	return got
 }
 
-// send sends a change until its result is known, at most six times.
+// send resends a change until its result is known, at most six times.
 func (r *workload) send(c hingeconfig.Change) reported {
 	mayHaveRun := false
 	for range 6 {
@@ -124,7 +123,6 @@
 	}
 }
 
-// injectFault injects a random fault, heals all links or waits.
 func (r *workload) injectFault() {
 	a, b := diskHosts[r.randomInt(3)], diskHosts[r.randomInt(3)]
 	switch r.randomInt(6) {
@@ -156,8 +154,8 @@
 	r.start(id, disk)
 }
 
-// repaired reports whether the leader has committed the present disks of all hosts as
-// voters. Only then may another disk be lost.
+// Another disk may be lost only once the leader has committed the present disks of
+// all hosts as voters.
 func (r *workload) repaired() bool {
 	for _, x := range r.hosts {
 		if x.disk == nil {
@@ -187,7 +185,6 @@
 	}
 }
 
-// checkHistory compares the reported results with the history of the state machine.
 func (r *workload) checkHistory() {
 	v := r.newestView()
 	revisions := make(map[hingeconfig.ChangeID]hingeids.Revision)
@@ -210,9 +207,8 @@
 	}
 }
 
-// Under restarts, one-way cuts and lost disks, the history must be linear and match every
-// reported result, and a read must see all changes accepted before it.
-// HISTORIES sets the number of seeds.
+// Under restarts, one-way cuts and lost disks, the history must be linear and match
+// every reported result and read. HISTORIES sets the number of seeds.
 func TestHistoryIsLinearAndMatchesAnswers(t *testing.T) {
 	seeds := 20
 	if n, err := strconv.Atoi(os.Getenv("HISTORIES")); err == nil {
--- a/internal/agreement/hingegroup/member.go
+++ b/internal/agreement/hingegroup/member.go
@@ -29,13 +29,12 @@
 	batch         []submission
 }
 
-// waiter is a proposal in the log whose entry isn't committed yet.
+// The waiter's entry is in the log, but isn't committed yet.
 type waiter struct {
 	term   hingelog.Term
 	answer chan<- outcome
 }
 
-// journalRecord is the content of one record in the journal.
 type journalRecord struct {
 	HardState *hingelog.HardState `cbor:"1,keyasint,omitempty"`
 	Entries   []hingelog.Entry    `cbor:"2,keyasint,omitempty"`
@@ -57,7 +56,6 @@
 	return m, m.startLog(now)
 }
 
-// openJournal opens the journal and decodes its content into stored.
 func (m *member) openJournal(now time.Time) error {
 	s := m.group.settings
 	j, recovered, err := hingejournal.Open(m.directory, s.Self, s.Name, s.WallClock())
@@ -84,7 +82,6 @@
 	return nil
 }
 
-// reopenInterval is the time between attempts to reopen a journal after a failed write.
 const reopenInterval = 250 * time.Millisecond
 
 // reopen restarts the member from the content of the disk as soon as the journal can be
@@ -145,7 +142,6 @@
 	return nil
 }
 
-// startLog restores the state machine from the stored snapshot and starts the log.
 func (m *member) startLog(now time.Time) error {
 	s := m.group.settings
 	if err := m.group.machine.Restore(m.stored.Snapshot.Data); err != nil {
@@ -167,7 +163,7 @@
 	return nil
 }
 
-// loop processes the inbox and the log's output until the context is done (rule 1).
+// loop implements rule 1.
 func (m *member) loop(ctx context.Context) error {
 	// Heartbeats are at most a quarter of their interval late.
 	ticker := time.NewTicker(m.group.settings.HeartbeatInterval / 4)
@@ -261,7 +257,8 @@
 func encode(v any) []byte {
 	b, err := cbor.Marshal(v)
 	if err != nil {
-		// All callers pass types of this package or of hingelog, which can always be encoded.
+		// All callers pass types of this package or of hingelog, which can always be
+		// encoded.
 		panic(err)
 	}
 	return b
--- a/internal/agreement/hingegroup/membership.go
+++ b/internal/agreement/hingegroup/membership.go
@@ -24,7 +24,7 @@
 // member of an open group requests to join again. An ordinary election takes at most three.
 const rejoinAfterElections = 4
 
-// diskState is a host's answer to the method "empty".
+// diskState is the answer to the method "empty".
 type diskState struct {
 	Member hingelog.Member `cbor:"1,keyasint"`
 	Empty  bool            `cbor:"2,keyasint"`
@@ -62,7 +62,7 @@
 	}
 }
 
-// tryBootstrap bootstraps the group if this host sorts first and all disks are empty (rule 3).
+// tryBootstrap implements rule 3.
 func (g *Group) tryBootstrap(ctx context.Context) bool {
 	hosts := slices.Clone(g.settings.Hosts)
 	slices.Sort(hosts)
@@ -115,7 +115,7 @@
 	}
 }
 
-// bootstrap writes the bootstrap snapshot if this disk is empty and one of the voters.
+// bootstrap returns an error unless this disk is empty and one of the voters.
 func (m *member) bootstrap(now time.Time, members hingelog.Members) error {
 	if m.log.Status().LastIndex > 0 || !members.HasVoter(m.self) {
 		return eris.New("bootstrap refused: this disk isn't empty or isn't among the voters")
@@ -148,7 +148,8 @@
 	return m.startLog(now)
 }
 
-// propagateBootstrap sends the bootstrap members to the other voters unless there is a leader.
+// propagateBootstrap sends the bootstrap members to the other voters unless there is
+// a leader.
 func (g *Group) propagateBootstrap(ctx context.Context) {
 	s := g.Status()
 	if !s.Leader.IsZero() {
@@ -177,7 +178,6 @@
 	return nil, failed
 }
 
-// joinAnswer is the answer to a request to join.
 type joinAnswer struct {
 	// Newest is the newest known disk of the requesting host if it is newer than the one in
 	// the request.
@@ -219,7 +219,8 @@
 		}
 		calls.Go(func() {
 			var a joinAnswer
-			// A failed call is retried after membershipInterval. The log shows when this host is a member.
+			// A failed call is retried after membershipInterval. The log shows when
+			// this host is a member.
 			if b, err := g.link.Call(ctx, h, g.method("join"), encode(self)); err == nil && cbor.Unmarshal(b, &a) == nil {
 				answers <- a
 			}
@@ -234,7 +235,7 @@
 	return out
 }
 
-// renewDisk claims this host's disk with an incarnation above one that the group knows of it (rule 4).
+// renewDisk implements rule 4.
 func (g *Group) renewDisk(ctx context.Context, above hingeids.Incarnation) {
 	failed, err := runInLoop(ctx, g, func(now time.Time) error {
 		return g.member.renewDisk(now, above)
@@ -315,7 +316,6 @@
 	})
 }
 
-// memberChange is an operator's command to admit or remove a host.
 type memberChange struct {
 	Admit  hingeids.HostID `cbor:"1,keyasint,omitempty"`
 	Remove hingeids.HostID `cbor:"2,keyasint,omitempty"`
--- a/internal/agreement/hingegroup/open_test.go
+++ b/internal/agreement/hingegroup/open_test.go
@@ -16,7 +16,6 @@
 
 var seeds = []hingeids.HostID{"core-1", "core-2", "core-3"}
 
-// errDiskFull is the error of a write to a full disk.
 var errDiskFull = eris.New("no space left on device")
 
 // fillableDisk is a memoryDisk whose writes fail while full is set.
@@ -53,7 +52,6 @@
 	return f.File.Write(b)
 }
 
-// openHost is one simulated process of an open group.
 type openHost struct {
 	disk    *fillableDisk
 	machine *hingeversion.Machine
@@ -62,7 +60,7 @@
 	runErr  chan error
 }
 
-// openGroup is a simulated open group under a fake clock.
+// The group runs under a fake clock.
 type openGroup struct {
 	t       *testing.T
 	network *hingefake.Network
@@ -209,8 +207,8 @@
 	})
 }
 
-// A host that was replaced while it was down must join again as a learner when it returns
-// with its old disk, on which it is still a voter.
+// A host that was replaced while it was down must join again as a learner, although
+// its old disk says that it is a voter.
 func TestReplacedHostJoinsAgain(t *testing.T) {
 	withOpenGroup(t, func(t *testing.T, g *openGroup) {
 		g.mustChange("core-1", 1)
@@ -295,8 +293,8 @@
 	})
 }
 
-// A host whose clock is behind claims a new disk with a lower incarnation than its lost one.
-// It must claim it again and get its vote back; otherwise the next loss leaves no quorum.
+// A host whose clock is behind claims a new disk with a lower incarnation than its
+// lost one. It must claim it again and get its vote back.
 func TestDiskWithClockBehindJoins(t *testing.T) {
 	withOpenGroup(t, func(t *testing.T, g *openGroup) {
 		g.mustChange("core-1", 1)
@@ -314,7 +312,6 @@
 }
 
 // A host with a new disk must be redirected to a leader that isn't among its seeds.
-// Otherwise it couldn't join until the leader changes.
 func TestLostDiskJoinsThroughNonSeedLeader(t *testing.T) {
 	withOpenGroup(t, func(t *testing.T, g *openGroup) {
 		g.mustChange("core-1", 1)
--- a/internal/agreement/hingegroup/propose.go
+++ b/internal/agreement/hingegroup/propose.go
@@ -28,7 +28,6 @@
 	Index     hingelog.Index  `cbor:"5,keyasint,omitempty"`
 }
 
-// submission is a proposal in the next batch.
 type submission struct {
 	data   []byte
 	answer chan<- outcome
@@ -73,8 +72,8 @@
 // is refused.
 const maxLeaderAttempts = 4
 
-// requestLeader sends a proposal or a read to the leader, and to the next one if it was
-// refused. It never sends again what may have run.
+// requestLeader sends a proposal or a read to the leader, or the next one if it was
+// refused. It never resends what may have run.
 func (g *Group) requestLeader(ctx context.Context, operation string, body []byte) (outcome, error) {
 	for range maxLeaderAttempts {
 		leader := g.findLeader(ctx)
@@ -94,7 +93,8 @@
 		}
 		g.setLeaderHint(o.Leader)
 		if g.member != nil && (o.Leader == "" || o.Leader == leader) {
-			// There is no redirect, and this member learns of the next leader from its own log.
+			// There is no redirect, and this member learns of the next leader from
+			// its own log.
 			break
 		}
 	}
@@ -102,7 +102,7 @@
 		eris.Errorf("group %s has no reachable leader", g.settings.Name))
 }
 
-// setLeaderHint stores the leader that findLeader and Leader return on a host without a disk.
+// The hint is used on a host without a disk.
 func (g *Group) setLeaderHint(h hingeids.HostID) {
 	g.hint.Store(&leaderHint{
 		host:   h,
@@ -116,10 +116,9 @@
 	seenAt time.Time
 }
 
-// findLeader returns the leader, or "" if none is known. A host with a disk uses its own
-// log. One without a disk discovers the leader first unless its hint is newer than an
-// election time, since discovery can be canceled without harm, but a proposal that was
-// sent to an unresponsive host may have run.
+// findLeader returns the leader, or "" if none is known. A host without a disk
+// discovers the leader unless its hint is newer than an election time. Discovery can
+// be canceled without harm, but a proposal sent to an unresponsive host may have run.
 func (g *Group) findLeader(ctx context.Context) hingeids.HostID {
 	if g.member != nil {
 		return g.Status().Leader.Host
@@ -184,8 +183,7 @@
 	return g.callHost(callCtx, leader, operation, body)
 }
 
-// watchLeader checks periodically whether a host still leads, and calls stop if it
-// doesn't. It ends with the context.
+// watchLeader calls stop if the host no longer leads, and ends with the context.
 func (g *Group) watchLeader(ctx context.Context, leader hingeids.HostID, stop context.CancelFunc) {
 	interval := g.settings.HeartbeatInterval
 	if g.member == nil {
@@ -237,7 +235,7 @@
 	return hingelink.Method(g.settings.Name + "." + name)
 }
 
-// handleLocal runs a proposal or a read in the local loop, which refuses it unless this host leads.
+// The loop refuses proposals and reads unless this host leads.
 func (g *Group) handleLocal(ctx context.Context, operation string, body []byte) outcome {
 	answer := make(chan outcome, 1)
 	enqueued := g.enqueue(ctx, func(now time.Time) {
@@ -284,7 +282,7 @@
 	return ""
 }
 
-// proposeBatch passes all waiting proposals to the log, so that they share one sync.
+// All waiting proposals share one sync.
 func (m *member) proposeBatch(now time.Time) {
 	for _, s := range m.batch {
 		at, err := m.log.Propose(now, s.data)
--- a/internal/agreement/hingegroup/senders.go
+++ b/internal/agreement/hingegroup/senders.go
@@ -16,15 +16,15 @@
 	// maxQueuedMessages limits the messages queued for one peer. More would be stale by the
 	// time that a slow link has sent them, and the log sends them again.
 	maxQueuedMessages = 64
-	// partSize is the size of the parts of a message that doesn't fit into one call, such as
-	// a large snapshot.
+	// partSize is the size of the parts of a message that doesn't fit into one call,
+	// such as a large snapshot.
 	partSize = 1 << 20
 	// maxMessageSize limits the memory that a peer's incomplete message may use.
 	maxMessageSize = 256 << 20
 )
 
-// senders sends messages to the peers, with one goroutine for each peer. It also
-// reassembles received messages that were sent in parts.
+// senders has one goroutine for each peer. It also reassembles received messages that
+// were sent in parts.
 type senders struct {
 	group      *Group
 	mu         sync.Mutex
@@ -121,7 +121,7 @@
 	}
 }
 
-// part is a piece of a large message. A peer sends its parts in order, one message at a time.
+// A peer sends its parts in order, one message at a time.
 type part struct {
 	Offset int    `cbor:"1,keyasint"`
 	Total  int    `cbor:"2,keyasint"`
--- a/internal/agreement/hingejournal/fakedisk_test.go
+++ b/internal/agreement/hingejournal/fakedisk_test.go
@@ -14,8 +14,8 @@
 	synced  int
 }
 
-// fakeDisk simulates a disk that loses power. Files keep their synced content and part of
-// the unsynced rest; the names are those of the last folder sync or of any later moment.
+// fakeDisk simulates power cuts. Files keep their synced content and part of the
+// rest; names are those of the last folder sync or later.
 type fakeDisk struct {
 	random       *rand.Rand
 	names        map[string]*inode
@@ -52,7 +52,7 @@
 	d.durableNames = append(d.durableNames, c)
 }
 
-// crash replaces the contents by a random state that a power cut could leave.
+// The new contents are a random state that a power cut could leave.
 func (d *fakeDisk) crash() {
 	d.names = d.durableNames[d.random.IntN(len(d.durableNames))]
 	d.durableNames = []map[string]*inode{d.names}
--- a/internal/agreement/hingejournal/files.go
+++ b/internal/agreement/hingejournal/files.go
@@ -16,7 +16,8 @@
 	Close() error
 }
 
-// Directory is the folder that holds the journal. File names are relative to it and have no path.
+// Directory is the folder that holds the journal. File names are relative to it and
+// have no path.
 type Directory interface {
 	List() ([]string, error)
 	Read(name string) ([]byte, error)
--- a/internal/agreement/hingejournal/frames.go
+++ b/internal/agreement/hingejournal/frames.go
@@ -17,10 +17,10 @@
 	maxFrameSize = 256 << 20
 )
 
-// identityHash is the checksum of an identity. Headers contain it, and frame checksums cover it.
+// identityHash is the checksum of an identity. Headers contain it, and frame
+// checksums cover it.
 type identityHash uint64
 
-// encodeHeader returns a file header: file type, identity and first sequence number.
 func encodeHeader(magic string, identity identityHash, first uint64) []byte {
 	b := make([]byte, 0, headerSize)
 	b = append(b, magic...)
@@ -42,12 +42,12 @@
 	return binary.BigEndian.Uint64(b[24:]), nil
 }
 
-// isHeaderDamaged reports whether the file doesn't start with a complete header of any identity.
+// isHeaderDamaged reports whether the file doesn't start with a complete header of
+// any identity.
 func isHeaderDamaged(b []byte) bool {
 	return len(b) < headerSize || binary.BigEndian.Uint64(b[32:]) != xxhash.Sum64(b[:32])
 }
 
-// appendFrame appends the records to b, encoded as one frame.
 func appendFrame(b []byte, identity identityHash, sequence uint64, records [][]byte) []byte {
 	start := len(b)
 	b = append(b, make([]byte, frameSize)...)
@@ -73,8 +73,7 @@
 	return d.Sum64()
 }
 
-// readFrame decodes the frame at the start of b and returns its size in bytes, 0 if the
-// frame is invalid.
+// The size is in bytes, 0 if the frame is invalid.
 func readFrame(b []byte, identity identityHash) (sequence uint64, records [][]byte, size int) {
 	if len(b) < frameSize {
 		return 0, nil, 0
@@ -107,8 +106,8 @@
 	return out, true
 }
 
-// hasValidFrameAfter reports whether a frame with a valid checksum follows the invalid frame
-// at the start of b, with a sequence number at or shortly after the expected one.
+// hasValidFrameAfter ignores frames whose sequence number isn't at or shortly after
+// the expected one.
 func hasValidFrameAfter(b []byte, identity identityHash, expected uint64) bool {
 	const window = 1 << 20
 	for i := 1; i+frameSize <= len(b); i++ {
@@ -123,8 +122,8 @@
 	return false
 }
 
-// readSegment returns the records of a segment, the next sequence number and the size in bytes
-// of the valid part. Only the last segment may end with a torn frame.
+// readSegment returns the records of a segment, the next sequence number and the size
+// in bytes of the valid part. Only the last segment may end with a torn frame.
 func readSegment(name string, b []byte, identity identityHash, expected uint64, last bool) ([][]byte, uint64, int, error) {
 	first, err := readHeader(b, segmentMagic, identity)
 	if err != nil {
--- a/internal/agreement/hingejournal/identity.go
+++ b/internal/agreement/hingejournal/identity.go
@@ -27,7 +27,7 @@
 	snapshotSuffix  = ".snapshot"
 )
 
-// loadOrCreateIdentity reads the identity or creates one in an empty folder. The result is true if it was created.
+// The result is true if the identity was created, in an empty folder.
 func loadOrCreateIdentity(dir Directory, host hingeids.HostID, group string, now time.Time) (Identity, bool, error) {
 	names, err := dir.List()
 	if err != nil {
@@ -60,16 +60,16 @@
 	return id, true, writeAtomically(dir, identityFile, encodeIdentity(id))
 }
 
-// RenewIdentity replaces the identity of a folder whose journal is empty by one with a disk incarnation above the
-// given one. A host needs it if its clock was behind when its folder was created: the other members would
-// consider its disk older than one that it has lost and would never admit it.
+// RenewIdentity replaces the identity of a folder whose journal is empty by one with
+// a disk incarnation above the given one. Without it, a host whose clock was behind
+// would never be admitted, since its disk would seem older than one that it has lost.
 func RenewIdentity(dir Directory, host hingeids.HostID, group string, above hingeids.Incarnation, now time.Time) error {
 	names, err := dir.List()
 	if err != nil {
 		return eris.Wrap(err, "list data folder")
 	}
-	// Segments contain the hash of the old identity. They are removed first, so that a crash in
-	// between leaves an empty folder with its old identity.
+	// Segments contain the hash of the old identity. They are removed first, so that
+	// a crash in between leaves an empty folder with its old identity.
 	for _, n := range names {
 		if n == identityFile {
 			continue
@@ -129,8 +129,7 @@
 	return identityHash(xxhash.Sum64(encodeIdentity(id)))
 }
 
-// writeAtomically writes a file so that after a crash either its new or its previous content
-// is there, and whole (rule 5).
+// After a crash either the new or the previous content is there, and whole (rule 5).
 func writeAtomically(dir Directory, name string, content []byte) error {
 	if err := writeSynced(dir, name+temporarySuffix, content); err != nil {
 		return eris.Wrapf(err, "write %s", name)
--- a/internal/agreement/hingejournal/journal.go
+++ b/internal/agreement/hingejournal/journal.go
@@ -89,8 +89,8 @@
 	return j.loadSegments(segments, recovered)
 }
 
-// loadSnapshot reads the newest snapshot. Falling back from a damaged one to an older one
-// would silently lose records, so damage is an error.
+// Falling back from a damaged snapshot to an older one would silently lose records,
+// so damage is an error.
 func (j *Journal) loadSnapshot(names []string, recovered *Recovered) error {
 	newest := ""
 	for _, n := range names {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// removeObsolete removes temporary files and all files that the newest snapshot replaces; a
-// crash may have left them. It returns the remaining segments.
+// A crash may have left temporary files and files that the newest snapshot replaces.
+// The remaining segments are returned.
 func (j *Journal) removeObsolete(names []string) ([]string, error) {
 	var segments []string
 	for _, n := range names {
@@ -169,7 +169,7 @@
 	return j.startSegment()
 }
 
-// openLastSegment opens the last segment for appending and truncates a torn frame at its end.
+// A torn frame at the end of the segment is truncated.
 func (j *Journal) openLastSegment(name string, validSize int64, torn bool) error {
 	if torn {
 		if err := j.directory.Truncate(name, validSize); err != nil {
@@ -186,7 +186,6 @@
 	return nil
 }
 
-// startSegment creates a new segment and closes the previous one.
 func (j *Journal) startSegment() error {
 	name := fileName(j.nextSequence, segmentSuffix)
 	file, err := j.directory.Create(name)
@@ -257,8 +256,8 @@
 }
 
 func (j *Journal) compact(snapshot []byte, kept [][]byte) error {
-	// The snapshot consumes a sequence number, so that its file name differs from that of an
-	// earlier snapshot even if nothing was appended in between.
+	// The snapshot consumes a sequence number, so that its file name differs from
+	// that of an earlier snapshot even if nothing was appended in between.
 	j.nextSequence++
 	b := encodeHeader(snapshotMagic, j.identityHash, j.nextSequence)
 	b = appendFrame(b, j.identityHash, j.nextSequence, append([][]byte{snapshot}, kept...))
@@ -282,7 +281,8 @@
 	return j.totals
 }
 
-// Close closes the current segment without a sync; all appended records are durable already.
+// Close closes the current segment without a sync; all appended records are durable
+// already.
 func (j *Journal) Close() error {
 	j.failed = true
 	return j.segmentFile.Close()
--- a/internal/agreement/hingejournal/journal_test.go
+++ b/internal/agreement/hingejournal/journal_test.go
@@ -29,8 +29,8 @@
 	return string(recovered.Snapshot) + "|" + string(bytes.Join(recovered.Records, []byte(",")))
 }
 
-// Guards against lost records and a journal that can't be opened after a power cut at any
-// operation, such as within a frame or between a snapshot's rename and the removal of old files.
+// Guards against lost records and a journal that can't be opened after a power cut at
+// any operation.
 func TestPowerCutLosesNothingThatWasAppended(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := newFakeDisk(rapid.Uint64().Draw(t, "seed"))
@@ -90,8 +90,8 @@
 	})
 }
 
-// Guards against silently dropped or mixed records after disk corruption or after a file was
-// copied into the wrong folder: Open must fail and name the file and the offset.
+// Guards against skipped or mixed records after disk corruption or in the wrong
+// folder: Open must fail and name the file and the offset.
 func TestDamageIsNamedAndNeverSkipped(t *testing.T) {
 	const segment = "0000000000000003.segment"
 	const snapshot = "0000000000000003.snapshot"
@@ -183,7 +183,8 @@
 	}
 }
 
-// Guards against records lost across segments, compaction and reopening on a real file system.
+// Guards against records lost across segments, compaction and reopening on a real
+// file system.
 func TestRealFolderIsReadBack(t *testing.T) {
 	f, err := OpenDirectory(t.TempDir() + "/config")
 	if err != nil {
--- a/internal/agreement/hingelog/checkin.go
+++ b/internal/agreement/hingelog/checkin.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// peerState is the highest term of a member's messages and the highest committed index that it is
-// known to hold durably.
+// peerState is the highest term of a member's messages and the highest committed
+// index that it is known to hold durably.
 type peerState struct {
 	term  Term
 	index Index
 }
 
-// startCheckIn starts the check-in of rule 12.
+// startCheckIn implements rule 12.
 func (l *Log) startCheckIn() {
 	l.checkInRound = l.random.Uint64()
 	l.checkInPassed[l.settings.Self] = true
 	l.countCheckIns()
 }
 
-// countCheckIns completes the check-in once a quorum has answered. It counts the answers of all
-// members, because this member's list of voters may be out of date: an entry that it lacks may have
-// promoted it or another member, which may then be needed to elect the leader that sends the entry.
+// The answers of all members count, because this member's list of voters may be
+// outdated: an entry that it lacks may have promoted a member that is needed to elect
+// the leader that sends the entry.
 func (l *Log) countCheckIns() {
 	if len(l.currentMembers().Voters) > 0 && len(l.checkInPassed) >= l.currentMembers().Quorum() {
 		l.checkedIn = true
@@ -58,9 +58,9 @@
 	})
 }
 
-// extendCheckIn includes the sender of a message in the check-in, since it may be a member that
-// this one doesn't know. A member with an empty log knows no members and needs the answer of the
-// leader only.
+// extendCheckIn includes the sender of a message in the check-in, since it may be a
+// member that this one doesn't know. A member with an empty log knows no members and
+// needs the answer of the leader only.
 func (l *Log) extendCheckIn(m Message) {
 	empty := len(l.currentMembers().Voters) == 0
 	switch {
@@ -71,8 +71,8 @@
 	}
 }
 
-// onCheckIn answers even if this member's own check-in is incomplete: after a power failure all
-// members check in with each other at once.
+// onCheckIn answers even if this member's own check-in is incomplete: after a power
+// failure all members check in with each other at once.
 func (l *Log) onCheckIn(m Message) {
 	peer := l.peerStates[m.From]
 	l.send(Message{
@@ -100,8 +100,9 @@
 	}
 }
 
-// recordPeerTerm records the highest term of a member's messages. Check-ins don't count, as they
-// are verified against it, nor do pre-votes, whose term the sender hasn't adopted.
+// recordPeerTerm records the highest term of a member's messages. Check-ins don't
+// count, as they are verified against it, nor do pre-votes, whose term the sender
+// hasn't adopted.
 func (l *Log) recordPeerTerm(m Message) {
 	if m.Kind == PreVote || m.Kind == PreVoteResponse || m.Kind == CheckIn {
 		return
@@ -119,7 +120,8 @@
 	}
 }
 
-// HasStaleDisk reports whether the member has stopped because its disk is an older copy (rule 12).
+// HasStaleDisk reports whether the member has stopped because its disk is an older
+// copy (rule 12).
 func (l *Log) HasStaleDisk() bool {
 	return l.staleDisk
 }
--- a/internal/agreement/hingelog/cluster_test.go
+++ b/internal/agreement/hingelog/cluster_test.go
@@ -12,7 +12,7 @@
 
 var simStart = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// node is a host of the simulated cluster. Its log is nil while its process isn't running.
+// The log is nil while the process isn't running.
 type node struct {
 	self           Member
 	log            *Log
@@ -29,7 +29,7 @@
 	m  Message
 }
 
-// cluster simulates the hosts and the network and records the history that the invariants need.
+// cluster records the history that the invariants need.
 type cluster struct {
 	random           *rand.Rand
 	now              time.Duration
@@ -124,12 +124,12 @@
 	})
 }
 
-// kill stops a process. State that isn't synced is lost.
+// State that isn't synced is lost.
 func (c *cluster) kill(n *node) {
 	n.log = nil
 }
 
-// loseDisk restarts a host with an empty disk, as a new member.
+// The host restarts as a new member.
 func (c *cluster) loseDisk(n *node) {
 	c.lastIncarnation++
 	n.self.Disk = hingeids.Incarnation(c.lastIncarnation)
@@ -154,8 +154,7 @@
 	}
 }
 
-// processOutput stores a member's output, sends its messages and applies its entries. With crash
-// point 1 the process dies before the sync, with 2 after it.
+// With crash point 1 the process dies before the sync, with 2 after it.
 func (c *cluster) processOutput(n *node, crashPoint int) {
 	for n.log != nil {
 		o := n.log.DrainOutput()
@@ -283,8 +282,8 @@
 	}
 }
 
-// checkInvariants checks that at most one member may lead, and that a read within a lease sees all
-// entries that any member knows to be committed.
+// At most one member may lead, and a read within a lease must see all entries that
+// any member knows to be committed.
 func (c *cluster) checkInvariants() {
 	var leaders []Member
 	for _, n := range c.nodes {
@@ -313,7 +312,7 @@
 
 const simStep = 20 * time.Millisecond
 
-// run advances the time. Each step delivers the messages that are due, in a random order.
+// Each step delivers the messages that are due, in a random order.
 func (c *cluster) run(d time.Duration) {
 	for end := c.now + d; c.now < end && c.violation == ""; {
 		c.now += simStep
@@ -428,7 +427,8 @@
 	}
 }
 
-// fullyRepaired reports whether the current disks of all hosts are voters, so that one may be lost.
+// The cluster is repaired once the current disks of all hosts are voters, so that one
+// may be lost.
 func (c *cluster) fullyRepaired() bool {
 	for _, m := range c.members.Voters {
 		n := c.host(m.Host)
--- a/internal/agreement/hingelog/election.go
+++ b/internal/agreement/hingelog/election.go
@@ -10,10 +10,10 @@
 	l.electionDeadline = now.Add(e + time.Duration(l.random.Int64N(int64(e))))
 }
 
-// retryElection sets the deadline of another attempt. It is shorter than the first one: the others
-// may have received the leader's last heartbeat slightly later or may have become candidates at the
-// same time. Pre-votes don't disrupt them. Each voter adds a delay by its position, so that two
-// voters don't split the votes repeatedly.
+// The wait is shorter than the first one, since the others may have received the last
+// heartbeat slightly later or have become candidates at the same time, and pre-votes
+// don't disrupt them. Each voter adds a delay by its position, so that two voters
+// don't split the votes repeatedly.
 func (l *Log) retryElection(now time.Time) {
 	e := l.settings.ElectionTimeout
 	voterIndex := max(slices.Index(l.currentMembers().Voters, l.settings.Self), 0)
@@ -46,9 +46,8 @@
 	l.requestVotes(now, PreVote, l.hardState.Term+1)
 }
 
-// mayCampaign reports whether this member may become a candidate. A member whose removal is in its
-// log but not committed may: if no other log is as up to date, no other member could be elected to
-// complete the removal.
+// A member whose removal is in its log but not committed may campaign: if no other
+// log is as up to date, no other member could be elected to complete the removal.
 func (l *Log) mayCampaign() bool {
 	if l.membersAt(l.commit).HasVoter(l.settings.Self) {
 		return true
@@ -100,8 +99,8 @@
 	}
 }
 
-// leaseMayBeValid reports whether the lease of this leader, or of the leader last heard from, may
-// still be valid (rule 5).
+// leaseMayBeValid implements rule 5 for the lease of this leader, or of the leader
+// last heard from.
 func (l *Log) leaseMayBeValid(now time.Time) bool {
 	if l.role == leader {
 		return now.Before(l.leaseEnd(now))
@@ -113,7 +112,7 @@
 	return !at.LessUpToDate(l.last())
 }
 
-// onPreVote answers whether this member would grant its vote. It changes no state.
+// onPreVote changes no state.
 func (l *Log) onPreVote(now time.Time, m Message) {
 	granted := m.Term > l.hardState.Term && !l.leaseMayBeValid(now) && l.isUpToDate(m.At)
 	t := l.hardState.Term
--- a/internal/agreement/hingelog/lease.go
+++ b/internal/agreement/hingelog/lease.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// quorumSendTime returns the newest send time that a quorum has answered, or the zero time if there
-// is none. The leader counts itself with the current time.
+// quorumSendTime returns the newest send time that a quorum has answered, or the zero
+// time if there is none. The leader counts itself with the current time.
 func (l *Log) quorumSendTime(now time.Time) time.Time {
 	times := make([]time.Time, 0, 8)
 	for _, m := range l.currentMembers().Voters {
@@ -36,20 +36,20 @@
 	return sent.Add(l.settings.LeaseDuration())
 }
 
-// MayLead reports whether this member is the leader and holds a valid lease, so that no other can
-// have been elected (rule 6), and has committed an entry of its term, so that it knows all
-// committed entries (rule 8).
+// MayLead reports whether this member is the leader and holds a valid lease, so that
+// no other can have been elected (rule 6), and has committed an entry of its term, so
+// that it knows all committed entries (rule 8).
 func (l *Log) MayLead(now time.Time) bool {
 	return l.role == leader && l.commit >= l.termStartIndex && now.Before(l.leaseEnd(now))
 }
 
-// ReadIndex returns the index that must be applied before a read, so that the read sees every
-// change committed before now. It returns false outside the lease.
+// ReadIndex returns the index that must be applied before a read, so that the read
+// sees every change committed before now. It returns false outside the lease.
 func (l *Log) ReadIndex(now time.Time) (Index, bool) {
 	return l.commit, l.MayLead(now)
 }
 
-// tickLeader sends heartbeats, and steps down without answers of a quorum (rule 7).
+// tickLeader implements rule 7.
 func (l *Log) tickLeader(now time.Time) {
 	lastContact := l.quorumSendTime(now)
 	if lastContact.Before(l.leaderSince) {
@@ -65,7 +65,8 @@
 	l.repair(now)
 }
 
-// Status is a member's view of the log and its members. MatchIndexes is set only on a leader.
+// Status is a member's view of the log and its members. MatchIndexes is set only on a
+// leader.
 type Status struct {
 	Self         Member
 	Leader       Member
--- a/internal/agreement/hingelog/log.go
+++ b/internal/agreement/hingelog/log.go
@@ -18,7 +18,8 @@
 type Log struct {
 	settings Settings
 	random   *rand.Rand
-	// started is the base of send times, so that setting the wall clock doesn't move a lease.
+	// started is the base of send times, so that setting the wall clock doesn't move
+	// a lease.
 	started time.Time
 
 	hardState       HardState
@@ -63,14 +64,14 @@
 	members Members
 }
 
-// progress is the replication state of another member, kept by the leader.
+// progress is kept by the leader for each other member.
 type progress struct {
 	match Index
 	next  Index
 	// firstSentAt is the time of the first message to the member in this term.
 	firstSentAt time.Time
-	// ackedSendTime is the send time, by the leader's clock, of the newest message that the member
-	// answered.
+	// ackedSendTime is the send time, by the leader's clock, of the newest message
+	// that the member answered.
 	ackedSendTime   time.Time
 	snapshotRetryAt time.Time
 }
@@ -112,8 +113,8 @@
 	return l
 }
 
-// Tick runs timed work: check-ins, elections, heartbeats and repairs. The caller runs it several
-// times per heartbeat interval.
+// Tick runs timed work: check-ins, elections, heartbeats and repairs. The caller runs
+// it several times per heartbeat interval.
 func (l *Log) Tick(now time.Time) {
 	if l.staleDisk {
 		return
@@ -143,8 +144,9 @@
 		l.onCheckInResponse(m)
 	default:
 		if !l.checkedIn {
-			// Rule 12. Term and log don't change before the check-in completes. Otherwise a delayed
-			// check-in would look older than messages sent after it.
+			// Rule 12. Term and log don't change before the check-in completes.
+			// Otherwise a delayed check-in would look older than messages sent after
+			// it.
 			l.extendCheckIn(m)
 			return
 		}
@@ -163,7 +165,7 @@
 	}
 }
 
-// stepInTerm processes the messages whose later term a member adopts at once.
+// Members adopt the later term of these messages at once.
 func (l *Log) stepInTerm(now time.Time, m Message) {
 	if preVoteGranted := m.Kind == PreVoteResponse && m.Granted; m.Term > l.hardState.Term && !preVoteGranted {
 		l.becomeFollower(now, m.Term)
@@ -180,8 +182,9 @@
 	}
 }
 
-// DrainOutput returns the output to process and clears it. Before any other call the caller makes the
-// output durable, sends its messages, calls MarkSynced and applies the committed entries.
+// DrainOutput returns the output to process and clears it. Before any other call the
+// caller makes the output durable, sends its messages, calls MarkSynced and applies
+// the committed entries.
 func (l *Log) DrainOutput() Output {
 	o := Output{
 		InstallSnapshot: l.pendingSnapshot,
@@ -237,7 +240,7 @@
 	}
 }
 
-// termAt returns the term of an entry, or false if the entry is compacted or doesn't exist.
+// termAt returns false if the entry is compacted or doesn't exist.
 func (l *Log) termAt(i Index) (Term, bool) {
 	switch {
 	case i == l.base.Index:
@@ -250,7 +253,7 @@
 	return l.entries[i-l.base.Index-1].Term, true
 }
 
-// entriesBetween copies the entries of an index range, both ends included.
+// Both ends are included.
 func (l *Log) entriesBetween(from, to Index) []Entry {
 	if from > to || to <= l.base.Index {
 		return nil
--- a/internal/agreement/hingelog/log_test.go
+++ b/internal/agreement/hingelog/log_test.go
@@ -28,7 +28,7 @@
 	}
 )
 
-// newTestLeader returns a leader of term 4 that holds an entry of term 2 that isn't known to be
+// The leader has term 4 and holds an entry of term 2 that isn't known to be
 // committed.
 func newTestLeader(t *testing.T) (*Log, time.Time) {
 	t.Helper()
@@ -100,8 +100,8 @@
 	l.MarkSynced(now)
 }
 
-// Guards against committing an entry of an earlier term by counting replicas: a member without it
-// could still be elected and replace it.
+// Guards against committing an entry of an earlier term by counting replicas: a
+// member without it could still be elected and replace it.
 func TestEntryOfAnEarlierTermIsNotCommittedByCounting(t *testing.T) {
 	l, now := newTestLeader(t)
 	confirm(l, now, 2)
@@ -112,8 +112,8 @@
 	}
 }
 
-// Guards against concurrent membership changes and against promoting a learner that lacks entries:
-// either could make two quorums without a common member.
+// Guards against concurrent membership changes and against promoting a learner that
+// lacks entries: either could make two quorums without a common member.
 func TestMembersChangeOneStepAtATime(t *testing.T) {
 	l, now := newTestLeader(t)
 	add := Change{
@@ -141,8 +141,8 @@
 	}
 }
 
-// Guards against slow elections: a killed leader must be replaced within the limit, with clocks 4 %
-// fast or slow.
+// Guards against slow elections: a killed leader must be replaced within the limit,
+// with clocks 4 % fast or slow.
 func TestLeaderIsReplacedWithinTwoSeconds(t *testing.T) {
 	const limit = 2 * time.Second
 	worst, sum, tries := time.Duration(0), time.Duration(0), 0
@@ -165,8 +165,8 @@
 	}
 }
 
-// Guards against a crash or a change of committed entries on invalid messages, as from a faulty
-// peer or one of another version.
+// Guards against a crash or a change of committed entries on invalid messages, as
+// from a faulty peer or one of another version.
 func FuzzStep(f *testing.F) {
 	for _, m := range []Message{
 		{
--- a/internal/agreement/hingelog/members.go
+++ b/internal/agreement/hingelog/members.go
@@ -17,8 +17,9 @@
 	Remove
 )
 
-// lostLearnerFactor times the silence of rule 13 is the time without answers after which a learner
-// is removed. An unreachable learner costs only its messages, so it is removed later than a voter.
+// lostLearnerFactor times the silence of rule 13 is the time without answers after
+// which a learner is removed. An unreachable learner costs only its messages, so it
+// is removed later than a voter.
 const lostLearnerFactor = 3
 
 // Change is a membership change (rule 10).
@@ -35,8 +36,7 @@
 	ErrUnknownMember      = eris.New("the host or disk is not a member of the group")
 )
 
-// currentMembers returns the members in force, those of the newest change in the log, committed or
-// not.
+// The members in force are those of the newest change in the log, committed or not.
 func (l *Log) currentMembers() Members {
 	return l.members[len(l.members)-1].members
 }
@@ -73,8 +73,8 @@
 	}
 }
 
-// ChangeMembers proposes a membership change (rule 10). It returns nil if the change is in force
-// already.
+// ChangeMembers proposes a membership change (rule 10). It returns nil if the change
+// is in force already.
 func (l *Log) ChangeMembers(now time.Time, c Change) error {
 	if !l.MayLead(now) {
 		return ErrNotLeader
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// membersAfterChange returns the members after a change, or nil if the change is in force already.
+// membersAfterChange returns nil if the change is in force already.
 func (l *Log) membersAfterChange(c Change) (*Members, error) {
 	m := l.currentMembers()
 	next := Members{
@@ -149,15 +149,15 @@
 	})
 }
 
-// stepDownIfRemoved makes a leader step down once its own removal is committed.
+// stepDownIfRemoved waits until the removal is committed.
 func (l *Log) stepDownIfRemoved(now time.Time) {
 	if !l.currentMembers().HasVoter(l.settings.Self) && l.members[len(l.members)-1].index <= l.commit {
 		l.becomeFollower(now, l.hardState.Term)
 	}
 }
 
-// MembersEvent returns the event for the change between two consecutive sets of members, 0 if they
-// are equal.
+// MembersEvent returns the event for the change between two consecutive sets of
+// members, 0 if they are equal.
 func MembersEvent(old, next Members) (EventKind, Member) {
 	for _, m := range next.Voters {
 		if !old.HasVoter(m) {
@@ -177,7 +177,7 @@
 	return 0, Member{}
 }
 
-// repair takes the next step to promote a learner or to remove a lost one (rules 11 and 13).
+// repair implements rules 11 and 13.
 func (l *Log) repair(now time.Time) {
 	if len(l.currentMembers().Learners) == 0 || !l.MayLead(now) {
 		return
@@ -224,8 +224,7 @@
 	return l.promoteOrReplaceVoter(now, x)
 }
 
-// promoteOrReplaceVoter promotes a learner if there are too few voters, and otherwise removes a
-// silent voter to make room for it (rule 13).
+// promoteOrReplaceVoter implements rule 13.
 func (l *Log) promoteOrReplaceVoter(now time.Time, x Member) (Change, bool) {
 	if l.settings.Voters == 0 || len(l.currentMembers().Voters) < l.settings.Voters {
 		return Change{
@@ -244,8 +243,8 @@
 	return Change{}, false
 }
 
-// unansweredFor returns how long a member hasn't answered this leader, counted from the first
-// message to it in this term at the earliest.
+// The time is counted from the first message to the member in this term at the
+// earliest.
 func (l *Log) unansweredFor(now time.Time, m Member) time.Duration {
 	p := l.progressOf(m)
 	switch {
@@ -257,8 +256,8 @@
 	return now.Sub(p.firstSentAt)
 }
 
-// lostLearner finds a learner that hasn't answered for long, if hosts join by themselves (rule 13).
-// A learner that was removed wrongly requests to join again.
+// lostLearner implements rule 13 if hosts join by themselves. A learner that was
+// removed wrongly requests to join again.
 func (l *Log) lostLearner(now time.Time) (Member, bool) {
 	if l.settings.Voters == 0 {
 		return Member{}, false
--- a/internal/agreement/hingelog/replicate.go
+++ b/internal/agreement/hingelog/replicate.go
@@ -13,9 +13,9 @@
 	ErrTooManyUncommitted = eris.New("too many uncommitted proposals")
 )
 
-// Propose appends data to the log and returns its position. It fails with ErrNotLeader outside the
-// lease (rule 6), so a partitioned leader rejects proposals at once, and with
-// ErrTooManyUncommitted if too many entries are uncommitted.
+// Propose appends data to the log and returns its position. It fails with
+// ErrNotLeader outside the lease (rule 6), so a partitioned leader rejects proposals
+// at once, and with ErrTooManyUncommitted if too many entries are uncommitted.
 func (l *Log) Propose(now time.Time, data []byte) (Position, error) {
 	if !l.MayLead(now) {
 		return Position{}, ErrNotLeader
@@ -38,8 +38,8 @@
 	return e.Index
 }
 
-// Flush sends the entries proposed since the last message. The caller runs it once after a batch of
-// proposals, so that the batch is sent and synced together.
+// Flush sends the entries proposed since the last message. The caller runs it once
+// after a batch of proposals, so that the batch is sent and synced together.
 func (l *Log) Flush(now time.Time) {
 	if l.role == leader {
 		l.replicate(now)
@@ -67,7 +67,6 @@
 	return p
 }
 
-// replicate sends new entries to all members that lack them.
 func (l *Log) replicate(now time.Time) {
 	for _, m := range l.others() {
 		if p := l.progressOf(m); p.next <= l.last().Index {
@@ -113,7 +112,7 @@
 	l.send(m)
 }
 
-// batch returns the entries of one message, starting at an index: at least one if there is any.
+// A batch has at least one entry if there is any.
 func (l *Log) batch(from Index) []Entry {
 	out := l.entriesBetween(from, l.last().Index)
 	size := 0
@@ -126,8 +125,8 @@
 	return out
 }
 
-// matches returns the committed index that each member is known to hold durably. Followers need it
-// for check-ins (rule 12).
+// Followers need the committed index that each member holds durably for check-ins
+// (rule 12).
 func (l *Log) matches() []MatchIndex {
 	var out []MatchIndex
 	for _, m := range l.currentMembers().All() {
@@ -196,8 +195,7 @@
 	l.answerAppend(m, true)
 }
 
-// areConsecutive reports whether the indexes of entries directly follow a position. A faulty peer
-// could otherwise make this member truncate committed entries.
+// A faulty peer could otherwise make this member truncate committed entries.
 func areConsecutive(at Position, entries []Entry) bool {
 	for i, e := range entries {
 		if e.Index != at.Index+Index(i)+1 || e.Kind == MembersChange && e.Members == nil {
@@ -207,9 +205,9 @@
 	return true
 }
 
-// storeEntries adds entries to the log. It truncates the log only from the first entry whose term
-// differs, since a delayed message must not remove newer entries. It returns false if an entry
-// conflicts with a committed one.
+// storeEntries adds entries to the log. It truncates the log only from the first
+// entry whose term differs, since a delayed message must not remove newer entries. It
+// returns false if an entry conflicts with a committed one.
 func (l *Log) storeEntries(entries []Entry) bool {
 	for i, e := range entries {
 		if t, known := l.termAt(e.Index); known && t == e.Term {
@@ -244,8 +242,8 @@
 	if granted {
 		at = m.At
 	} else if m.At.Index <= at.Index && m.At.Index > 0 {
-		// The terms differ. Committed entries are equal on all members, so the leader resumes after
-		// them instead of probing one entry at a time.
+		// The terms differ. Committed entries are equal on all members, so the leader
+		// resumes after them instead of probing one entry at a time.
 		at.Index = l.commit
 	}
 	l.send(Message{
@@ -267,8 +265,8 @@
 		p.ackedSendTime = sent
 	}
 	if !m.Granted && now.Before(p.snapshotRetryAt) {
-		// A snapshot is in transit. Reacting to each rejection would cause needless messages back
-		// and forth.
+		// A snapshot is in transit. Reacting to each rejection would cause needless
+		// messages back and forth.
 		return
 	}
 	if !m.Granted {
@@ -285,7 +283,7 @@
 	}
 }
 
-// advanceCommit commits the entries that a quorum holds durably (rule 8).
+// advanceCommit implements rule 8.
 func (l *Log) advanceCommit(now time.Time) {
 	var matched []Index
 	for _, m := range l.currentMembers().Voters {
@@ -304,8 +302,8 @@
 		return
 	}
 	l.commit = i
-	// Followers learn the commit index from the next message. Sending it early saves them most of a
-	// heartbeat interval.
+	// Followers learn the commit index from the next message. Sending it early saves
+	// them most of a heartbeat interval.
 	if earliest := now.Add(l.settings.HeartbeatInterval / 8); earliest.Before(l.nextHeartbeatAt) {
 		l.nextHeartbeatAt = earliest
 	}
--- a/internal/agreement/hingelog/schedules_test.go
+++ b/internal/agreement/hingelog/schedules_test.go
@@ -11,7 +11,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// action is one step of a random schedule. A and B select hosts; N is an amount.
+// A and B select hosts; N is an amount.
 type action struct {
 	Kind int
 	A    int
@@ -19,7 +19,6 @@
 	N    int
 }
 
-// The kinds of actions.
 const (
 	runShort = iota
 	runLong
@@ -120,7 +119,7 @@
 	}
 }
 
-// removeSpareVoter removes a voter, as an operator does, if four members vote.
+// removeSpareVoter acts as an operator who removes a voter if four members vote.
 func (c *cluster) removeSpareVoter(n *node) {
 	l := c.activeLeader()
 	if l == nil || len(l.log.currentMembers().Voters) < 4 || !c.fullyRepaired() {
@@ -173,8 +172,8 @@
 	}
 }
 
-// recoverAndCheck ends all faults and checks that the cluster commits a proposal and that all
-// members apply it.
+// Once all faults have ended, the cluster must commit a proposal that all members
+// apply.
 func (c *cluster) recoverAndCheck() {
 	clear(c.cutLinks)
 	c.loss = 0
@@ -200,9 +199,8 @@
 	}
 }
 
-// Guards against two leaders, lost committed entries and stale reads under random faults: lost,
-// duplicated, delayed and reordered messages, one-way partitions, crashes around a sync, frozen
-// processes, lost disks, clock drift and replaced hosts.
+// Guards against two leaders, lost committed entries and stale reads under random
+// faults of messages, links, processes, disks and clocks.
 func TestFaultSchedulesPreserveInvariants(t *testing.T) {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() == f.DefValue {
 		if err := f.Value.Set("300"); err != nil {
@@ -225,8 +223,8 @@
 	})
 }
 
-// Guards against a lost quorum or lost entries when another host is killed at any moment of a
-// disk's repair, and a second disk is lost once the repair is complete.
+// Guards against a lost quorum or lost entries when a host is killed at any moment of
+// the repair of another's disk.
 func TestSecondLossAtAnyMomentOfARepair(t *testing.T) {
 	for after := time.Duration(0); after < 600*time.Millisecond; after += simStep {
 		for scenario := range 3 {
--- a/internal/agreement/hingelog/script_test.go
+++ b/internal/agreement/hingelog/script_test.go
@@ -14,8 +14,8 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// Runs the scripts of testdata. The first lines of each say which failure it guards against; each
-// other line is a step.
+// Runs the scripts of testdata. The first lines of each say which failure it guards
+// against; each other line is a step.
 func TestScripts(t *testing.T) {
 	files, err := filepath.Glob("testdata/scripts/*.txt")
 	if err != nil || len(files) == 0 {
@@ -46,7 +46,7 @@
 	}
 }
 
-// expandRepeats repeats the lines between "repeat N" and "end" N times.
+// The lines between "repeat N" and "end" are repeated N times.
 func expandRepeats(text string) []string {
 	var out, body []string
 	times := 0
@@ -91,7 +91,7 @@
 	return s.c.host(hingeids.HostID(name))
 }
 
-// name assigns the names "old" to the leader and "other" and "third" to the followers.
+// The names are "old" for the leader, "other" and "third" for the followers.
 func (s *script) name() error {
 	s.oldLeader = s.c.activeLeader()
 	if s.oldLeader == nil {
@@ -173,7 +173,7 @@
 	return nil
 }
 
-// propose proposes entries at a host. With "refused" the host must reject them.
+// With "refused" the host must reject the entries.
 func (s *script) propose(w []string) error {
 	n := s.host(w[1])
 	count, err := strconv.Atoi(w[2])
--- a/internal/agreement/hingelog/snapshot.go
+++ b/internal/agreement/hingelog/snapshot.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// Compact replaces the entries up to an applied index by a snapshot of the state machine at that
-// index. It keeps the newest of these entries for members that lag slightly. It returns the state
-// to store, or false if the index can't be compacted.
+// Compact replaces the entries up to an applied index by a snapshot at that index,
+// but keeps the newest of them for members that lag slightly. It returns the state to
+// store, or false if the index can't be compacted.
 func (l *Log) Compact(at Index, data []byte, keep int) (DurableState, bool) {
 	t, known := l.termAt(at)
 	if !known || at > l.applied || at <= l.snapshot.At.Index {
@@ -31,7 +31,6 @@
 	return l.stored(), true
 }
 
-// stored returns the whole state to store for a compaction.
 func (l *Log) stored() DurableState {
 	return DurableState{
 		HardState:    l.hardState,
@@ -41,7 +40,7 @@
 	}
 }
 
-// sendSnapshot sends the snapshot, and repeats it only after an election time.
+// The snapshot is repeated only after an election time.
 func (l *Log) sendSnapshot(now time.Time, to Member, p *progress) {
 	m := Message{
 		Kind:   InstallSnapshot,
@@ -91,7 +90,7 @@
 	l.answerAppend(m, true)
 }
 
-// answerHeartbeat confirms that the heartbeat was received. It confirms no entries.
+// The answer confirms no entries.
 func (l *Log) answerHeartbeat(m Message) {
 	l.send(Message{
 		Kind:    AppendResponse,
--- a/internal/agreement/hingelog/types.go
+++ b/internal/agreement/hingelog/types.go
@@ -53,8 +53,8 @@
 // EntryKind is the kind of a log entry.
 type EntryKind uint8
 
-// Data is a proposal, NoOp the empty entry at the start of a leader's term, and MembersChange
-// holds the new Members.
+// Data is a proposal, NoOp the empty entry at the start of a leader's term, and
+// MembersChange holds the new Members.
 const (
 	Data EntryKind = iota
 	NoOp
@@ -76,7 +76,8 @@
 	Index Index `cbor:"2,keyasint"`
 }
 
-// LessUpToDate reports whether a log that ends at p is less up to date than one that ends at o.
+// LessUpToDate reports whether a log that ends at p is less up to date than one that
+// ends at o.
 func (p Position) LessUpToDate(o Position) bool {
 	if p.Term != o.Term {
 		return p.Term < o.Term
@@ -97,9 +98,9 @@
 	Data    []byte   `cbor:"3,keyasint"`
 }
 
-// DurableState is the durable state of a member. BasePosition is the position before the first of Entries.
-// Entries may start before the end of the snapshot, so that a member that lags slightly needs no
-// snapshot.
+// DurableState is the durable state of a member. BasePosition is the position before
+// the first of Entries. Entries may start before the end of the snapshot, so that a
+// member that lags slightly needs no snapshot.
 type DurableState struct {
 	HardState    HardState
 	Snapshot     Snapshot
@@ -135,13 +136,13 @@
 	From Member      `cbor:"2,keyasint"`
 	To   Member      `cbor:"3,keyasint"`
 	Term Term        `cbor:"4,keyasint"`
-	// At is the sender's last position in votes and check-ins, the position before Entries in an
-	// Append, and the last confirmed position in an AppendResponse.
+	// At is the sender's last position in votes and check-ins, the position before
+	// Entries in an Append, and the last confirmed position in an AppendResponse.
 	At      Position `cbor:"5,keyasint"`
 	Entries []Entry  `cbor:"6,keyasint,omitempty"`
 	Commit  Index    `cbor:"7,keyasint,omitempty"`
-	// SentAt is the time since the leader's start by its own clock, in nanoseconds. Answers echo
-	// it.
+	// SentAt is the time since the leader's start by its own clock, in nanoseconds.
+	// Answers echo it.
 	SentAt       int64        `cbor:"8,keyasint,omitempty"`
 	Granted      bool         `cbor:"9,keyasint,omitempty"`
 	Snapshot     *Snapshot    `cbor:"10,keyasint,omitempty"`
@@ -176,13 +177,15 @@
 
 // Output is what the caller processes, in the order of the fields.
 type Output struct {
-	// InstallSnapshot is stored and restored into the state machine, and replaces all earlier state.
+	// InstallSnapshot is stored and restored into the state machine, and replaces all
+	// earlier state.
 	InstallSnapshot *Snapshot
 	// HardState is stored if it isn't nil.
 	HardState *HardState
 	// Entries are stored. They replace all stored entries from the first one's index on.
 	Entries []Entry
-	// Messages are sent once all of the above is durable, except the early ones of SplitMessages.
+	// Messages are sent once all of the above is durable, except the early ones of
+	// SplitMessages.
 	Messages []Message
 	// Committed entries are applied in order.
 	Committed []Entry
@@ -199,9 +202,10 @@
 	return o.InstallSnapshot != nil || o.HardState != nil || len(o.Entries) > 0
 }
 
-// SplitMessages splits the messages into those that may be sent before the sync and the others. A leader's
-// entries don't depend on its own disk: it counts itself only after MarkSynced, and it can't lead the
-// same term again after a crash. Its sync thus runs in parallel with those of the followers.
+// SplitMessages splits the messages into those that may be sent before the sync and
+// the others. A leader's entries may be, since it counts itself only after MarkSynced
+// and can't lead the same term again after a crash. Its sync thus runs in parallel
+// with those of the followers.
 func (o Output) SplitMessages() (early, late []Message) {
 	if o.HardState != nil || o.InstallSnapshot != nil {
 		return nil, o.Messages
@@ -223,20 +227,20 @@
 	ElectionTimeout time.Duration
 	// HeartbeatInterval is the interval between a leader's heartbeats.
 	HeartbeatInterval time.Duration
-	// Seed is the random seed of election timeouts (rule 3) and of the check-in round (rule 12). It
-	// must differ from start to start.
+	// Seed is the random seed of election timeouts (rule 3) and of the check-in round
+	// (rule 12). It must differ from start to start.
 	Seed uint64
-	// Voters is the intended number of voters, an odd number. With zero, all learners are promoted
-	// (rule 13).
+	// Voters is the intended number of voters, an odd number. With zero, all learners
+	// are promoted (rule 13).
 	Voters int
-	// SilenceTimeout is how long a voter may leave the leader's messages unanswered before a learner
-	// replaces it (rule 13).
+	// SilenceTimeout is how long a voter may leave the leader's messages unanswered
+	// before a learner replaces it (rule 13).
 	SilenceTimeout time.Duration
 }
 
-// DefaultElectionTimeout and DefaultHeartbeatInterval suit zones a few milliseconds apart and disks
-// that sync within a quarter of a second. A lost leader is replaced within two election times and some
-// retries.
+// DefaultElectionTimeout and DefaultHeartbeatInterval suit zones a few milliseconds
+// apart and disks that sync within a quarter of a second. A lost leader is replaced
+// within two election times and some retries.
 const (
 	DefaultElectionTimeout   = 600 * time.Millisecond
 	DefaultHeartbeatInterval = 120 * time.Millisecond
@@ -245,13 +249,15 @@
 // DefaultSilenceTimeout is longer than the restart of a process with its check-in.
 const DefaultSilenceTimeout = 5 * time.Second
 
-// LeaseDuration returns the duration of a lease, counted from the send time of its heartbeat.
+// LeaseDuration returns the duration of a lease, counted from the send time of its
+// heartbeat.
 func (s Settings) LeaseDuration() time.Duration {
 	return s.ElectionTimeout * 9 / 10
 }
 
 const (
-	// maxAppendBytes limits the entries of one message, so that it blocks a link only briefly.
+	// maxAppendBytes limits the entries of one message, so that it blocks a link only
+	// briefly.
 	maxAppendBytes = 1 << 20
 	// maxUncommitted limits the entries that wait for a quorum. A partitioned leader would
 	// otherwise accumulate proposals whose callers have timed out.
--- a/internal/agreement/hingeshared/shared.go
+++ b/internal/agreement/hingeshared/shared.go
@@ -1,8 +1,10 @@
-// Package hingeshared implements the replicated state machine of a cluster's configuration log. Its state is the configuration
-// (hingeversion) and the list of poison requests, which crash servers (hingepoison).
+// Package hingeshared implements the replicated state machine of a cluster's
+// configuration log. Its state is the configuration (hingeversion) and the list of
+// poison requests, which crash servers (hingepoison).
 //
-//  1. A change of the list is encoded as a CBOR array, a configuration as a map. Logs and snapshots of builds without the
-//     list therefore stay readable, and such builds ignore changes of the list.
+//  1. A change of the list is encoded as a CBOR array, a configuration as a map. Logs
+//     and snapshots of builds without the list therefore stay readable, and such
+//     builds ignore changes of the list.
 //  2. A published list is immutable. Its revision only increases.
 package hingeshared
 
@@ -15,8 +17,8 @@
 	"github.com/swifthinge/swifthinge/internal/decide/hingepoison"
 )
 
-// Machine is the state machine. Its methods must be called from one goroutine. The cells that Documents and
-// PoisonRequests return are safe for concurrent use.
+// Machine is the state machine. Its methods must be called from one goroutine. The
+// cells that Documents and PoisonRequests return are safe for concurrent use.
 type Machine struct {
 	versions *hingeversion.Machine
 	poisons  hingeboard.Cell[hingepoison.List]
@@ -59,7 +61,8 @@
 	majorTypeArray = 0x80
 )
 
-// Apply applies a proposal. One that can't be decoded has no effect, on this host as on all others.
+// Apply applies a proposal. One that can't be decoded has no effect, on this host as
+// on all others.
 func (m *Machine) Apply(index uint64, data []byte) []byte {
 	if len(data) == 0 || data[0]&majorTypeMask != majorTypeArray {
 		return m.versions.Apply(index, data)
--- a/internal/agreement/hingeshared/shared_test.go
+++ b/internal/agreement/hingeshared/shared_test.go
@@ -28,7 +28,8 @@
 	}
 }
 
-// Guards against losing the list when all hosts restart: a poison request would crash more servers before it is detected again.
+// Guards against losing the list when all hosts restart: a poison request would crash
+// more servers before it is detected again.
 func TestListSurvivesARestart(t *testing.T) {
 	m := New()
 	config := hingeversion.Document{
@@ -60,7 +61,8 @@
 	}
 }
 
-// Guards against an upgrade that can't read a log and snapshot without a list, and against a downgrade that can't read one with it.
+// Guards against an upgrade that can't read a log and snapshot without a list, and
+// against a downgrade that can't read one with it.
 func TestStateWithoutAListIsCompatible(t *testing.T) {
 	old := hingeversion.New()
 	d := hingeversion.Document{
--- a/internal/agreement/hingespread/cluster_test.go
+++ b/internal/agreement/hingespread/cluster_test.go
@@ -18,7 +18,6 @@
 	"github.com/swifthinge/swifthinge/internal/link/hingelink"
 )
 
-// process is a running entry host of the simulated cluster.
 type process struct {
 	peer       Peer
 	replicator *Replicator
@@ -28,8 +27,8 @@
 	running    sync.WaitGroup
 }
 
-// cluster is a simulated cluster of entry hosts under a fake clock. Links have a delay of a millisecond,
-// and zones can be cut off without an error on either side.
+// cluster runs under a fake clock. Its links have a delay of a millisecond, and zones
+// can be cut off without an error on either side.
 type cluster struct {
 	t       testing.TB
 	network *hingefake.Network
@@ -46,7 +45,7 @@
 	bytes     map[hingeids.HostID]int
 }
 
-// newCluster starts hosts in three zones. The first host of each zone has a disk.
+// The cluster has three zones. The first host of each has a disk.
 func newCluster(t testing.TB, hosts int) *cluster {
 	c := &cluster{
 		t:         t,
@@ -181,7 +180,7 @@
 	return nil
 }
 
-// change proposes a change until it is accepted, and waits for a leader if there is none.
+// change retries until the change is accepted.
 func (c *cluster) change() hingeids.Revision {
 	for range 100 {
 		l := c.leader()
@@ -215,7 +214,7 @@
 	return *c.process(h).replicator.Applied().Load()
 }
 
-// simLink is a link with a delay, traffic counters and silent partitions between zones.
+// Zones can be partitioned without an error.
 type simLink struct {
 	hingelink.Link
 	cluster *cluster
@@ -245,7 +244,8 @@
 	w.bytes[to] += n
 }
 
-// Call blocks until the context is done if the peer is unreachable, like a connection to a host that failed silently.
+// Call blocks until the context is done if the peer is unreachable, like a connection
+// to a host that failed silently.
 func (l *simLink) Call(
 	ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte,
 ) ([]byte, error) {
--- a/internal/agreement/hingespread/messages.go
+++ b/internal/agreement/hingespread/messages.go
@@ -19,7 +19,6 @@
 	methodLag    hingelink.Method = "spread.lag"
 )
 
-// request is a follower's long poll for a newer revision.
 type request struct {
 	Incarnation hingeids.Incarnation `cbor:"1,keyasint"`
 	Applied     hingeids.Revision    `cbor:"2,keyasint"`
@@ -27,31 +26,35 @@
 	ConfirmNewest bool `cbor:"3,keyasint,omitempty"`
 }
 
-// response is a source's response. Difference is nil if there is no newer revision.
+// Difference is nil if there is no newer revision.
 type response struct {
 	Revision hingeids.Revision `cbor:"1,keyasint"`
 	// HasLeader is set if the source hears a leader (rule 3).
 	HasLeader bool `cbor:"2,keyasint,omitempty"`
-	// NewestConfirmed is set if no newer revision had been accepted when the request arrived.
+	// NewestConfirmed is set if no newer revision had been accepted when the request
+	// arrived.
 	NewestConfirmed bool                    `cbor:"3,keyasint,omitempty"`
 	PollTime        time.Duration           `cbor:"4,keyasint"`
 	Difference      *hingeconfig.Difference `cbor:"5,keyasint,omitempty"`
 }
 
-// revisionRecord is sent to record peers. Revision is in force at the sender, or about to be.
+// revisionRecord is sent to record peers. Revision is in force at the sender, or
+// about to be.
 type revisionRecord struct {
 	Revision hingeids.Revision `cbor:"1,keyasint"`
 }
 
-// recallResponse is a peer's response to a host that starts: its record of the host, if any, and its own configuration.
+// recallResponse is a peer's response to a host that starts: its record of the host,
+// if any, and its own configuration.
 type recallResponse struct {
 	HasRecord bool                   `cbor:"1,keyasint,omitempty"`
 	Recorded  hingeids.Revision      `cbor:"2,keyasint,omitempty"`
 	Documents hingeconfig.Difference `cbor:"3,keyasint"`
 }
 
-// Lag is how far a host is behind, as seen by its source. LastSeen is the time of its last request, LagSince is zero if
-// it isn't behind; both are Unix times in nanoseconds.
+// Lag is how far a host is behind, as seen by its source. LastSeen is the time of its
+// last request, LagSince is zero if it isn't behind; both are Unix times in
+// nanoseconds.
 type Lag struct {
 	Host     hingeids.HostID   `cbor:"1,keyasint" json:"host"`
 	Applied  hingeids.Revision `cbor:"2,keyasint" json:"applied"`
--- a/internal/agreement/hingespread/origin.go
+++ b/internal/agreement/hingespread/origin.go
@@ -21,7 +21,8 @@
 	return d.Machine.Views()
 }
 
-// Read reads the newest index from the leader and waits until the state machine has applied it.
+// Read reads the newest index from the leader and waits until the state machine has
+// applied it.
 func (d DiskOrigin) Read(ctx context.Context) error {
 	_, err := d.Group.Read(ctx)
 	return err
--- a/internal/agreement/hingespread/records.go
+++ b/internal/agreement/hingespread/records.go
@@ -9,7 +9,7 @@
 	"github.com/swifthinge/swifthinge/internal/core/hingeids"
 )
 
-// handleRecord records the revision that a peer has in force or is about to apply (rule 6).
+// handleRecord implements rule 6.
 func (x *Replicator) handleRecord(from hingeids.HostID, body []byte) error {
 	r, err := decode[revisionRecord](body)
 	if err != nil {
@@ -21,7 +21,6 @@
 	return nil
 }
 
-// handleRecall responds to a peer that starts and reaches no quorum.
 func (x *Replicator) handleRecall(from hingeids.HostID) recallResponse {
 	x.mu.Lock()
 	r, found := x.records[from]
@@ -33,8 +32,8 @@
 	}
 }
 
-// sendRecord sends a revision to the record peers and waits until a majority confirms. It keeps a
-// host that crashes right after a change from restarting with the previous revision.
+// sendRecord waits until a majority of the record peers confirms. It keeps a host
+// that crashes right after a change from restarting with the previous revision.
 func (x *Replicator) sendRecord(ctx context.Context, r hingeids.Revision) {
 	if len(x.recordPeers) == 0 {
 		return
@@ -67,8 +66,7 @@
 	}
 }
 
-// resendRecords sends the revision to the record peers periodically, for those that were
-// unreachable or have restarted.
+// resendRecords covers record peers that were unreachable or have restarted.
 func (x *Replicator) resendRecords(ctx context.Context) {
 	ticker := time.NewTicker(recordInterval)
 	defer ticker.Stop()
@@ -92,8 +90,8 @@
 	}
 }
 
-// recallTargets returns the record peers and some of the other peers in turn, which have
-// no record but may offer a newer configuration.
+// The other peers, queried in turn, have no record but may offer a newer
+// configuration.
 func (x *Replicator) recallTargets() []hingeids.HostID {
 	out := slices.Clone(x.recordPeers)
 	for i := range min(recallExtraPeers, len(x.others)) {
@@ -102,7 +100,6 @@
 	return out
 }
 
-// recall queries peers of the zone in parallel for their records of this host.
 func (x *Replicator) recall(ctx context.Context) map[hingeids.HostID]recallResponse {
 	callCtx, stop := context.WithTimeout(ctx, recallTimeout)
 	defer stop()
--- a/internal/agreement/hingespread/selector.go
+++ b/internal/agreement/hingespread/selector.go
@@ -13,15 +13,18 @@
 // State is the configuration in force on a host. A published state is immutable.
 type State struct {
 	View *hingeconfig.View
-	// Ready is set once no earlier incarnation of the host can have applied a newer revision (rule 5).
+	// Ready is set once no earlier incarnation of the host can have applied a newer
+	// revision (rule 5).
 	Ready bool
-	// CutOffSince is when the host found that no source with a leader responds. It is zero while one does.
+	// CutOffSince is when the host found that no source with a leader responds. It is
+	// zero while one does.
 	CutOffSince time.Time
 	// Source is the last source with a leader that responded.
 	Source hingeids.HostID
 }
 
-// sourceSelector selects the source to poll and decides when this host is ready. It does no I/O.
+// sourceSelector selects the source to poll and decides when this host is ready. It
+// does no I/O.
 type sourceSelector struct {
 	state      State
 	sources    []hingeids.HostID
@@ -66,7 +69,7 @@
 // another, because each poll of it may cost a whole timeout.
 const avoidTime = 5 * time.Second
 
-// source returns the source to poll: the next that didn't fail within avoidTime, or the next if all did.
+// source skips sources that failed within avoidTime, unless all did.
 func (s *sourceSelector) source(now time.Time) hingeids.HostID {
 	for range s.sources {
 		if h := s.sources[s.next%len(s.sources)]; !now.Before(s.avoidUntil[h]) {
@@ -77,7 +80,6 @@
 	return s.sources[s.next%len(s.sources)]
 }
 
-// handleFailure records that a source didn't respond.
 func (s *sourceSelector) handleFailure(now time.Time, from hingeids.HostID) {
 	s.avoidUntil[from] = now.Add(avoidTime)
 	s.next++
@@ -85,7 +87,7 @@
 	s.updateCutOff(now)
 }
 
-// handleResponse evaluates a source's response and returns the view to apply, nil if there is nothing newer.
+// handleResponse returns the view to apply, nil if there is nothing newer.
 func (s *sourceSelector) handleResponse(now time.Time, from hingeids.HostID, resp response) *hingeconfig.View {
 	// Limits the time for which a source can delay this host.
 	s.pollTime = min(max(resp.PollTime, minPollTime), maxPollTime)
@@ -110,14 +112,12 @@
 	return next
 }
 
-// updateCutOff sets CutOffSince once all sources have failed in a row.
 func (s *sourceSelector) updateCutOff(now time.Time) {
 	if s.failures >= len(s.sources) && s.state.CutOffSince.IsZero() {
 		s.state.CutOffSince = now
 	}
 }
 
-// allFailed reports whether all sources have failed in a row.
 func (s *sourceSelector) allFailed() bool {
 	return s.failures >= len(s.sources)
 }
@@ -128,8 +128,8 @@
 	return n/2 + 1
 }
 
-// evaluateRecall evaluates the peers' responses (rule 6). It returns the newest
-// configuration that they offer, and whether this host is ready with it.
+// evaluateRecall implements rule 6. It returns the newest configuration that the
+// peers offer, and whether this host is ready with it.
 func (s *sourceSelector) evaluateRecall(responses map[hingeids.HostID]recallResponse) (*hingeconfig.View, bool) {
 	newest := s.state.View
 	recorded := hingeids.Revision(0)
--- a/internal/agreement/hingespread/source.go
+++ b/internal/agreement/hingespread/source.go
@@ -12,22 +12,24 @@
 )
 
 const (
-	// maxDifferenceRevisions is the largest number of revisions for which a difference is sent.
-	// Beyond that, sending all documents is cheaper (rule 2).
+	// maxDifferenceRevisions is the largest number of revisions for which a
+	// difference is sent. Beyond that, sending all documents is cheaper (rule 2).
 	maxDifferenceRevisions = 64
 	// minPollTime and maxPollTime bound how long a source holds a request. A follower
 	// detects a failed source after the poll time and responseGrace, so a change is
-	// in force within three seconds even then. The poll time grows with the number of
-	// followers, which limits the rate of requests on a small host.
+	// in force within three seconds. The poll time grows with the number of
+	// followers, which limits the request rate.
 	minPollTime   = 500 * time.Millisecond
 	maxPollTime   = 2 * time.Second
 	responseGrace = 500 * time.Millisecond
 	// batchDelay is the delay between a change and the response. A disk host that
-	// catches up applies hundreds of changes in a burst, which followers should get in one response.
+	// catches up applies hundreds of changes in a burst, which followers should get
+	// in one response.
 	batchDelay = 5 * time.Millisecond
 	// leaderReadTimeout bounds a read of the newest revision from the leader.
 	leaderReadTimeout = time.Second
-	// maxPollTimeFollowers is the number of followers at which the poll time reaches maxPollTime.
+	// maxPollTimeFollowers is the number of followers at which the poll time reaches
+	// maxPollTime.
 	maxPollTimeFollowers = 200
 )
 
@@ -41,7 +43,6 @@
 	HasLeader() bool
 }
 
-// source responds to the followers of a disk host.
 type source struct {
 	origin    Origin
 	clock     func() time.Time
@@ -49,7 +50,7 @@
 	followers map[hingeids.HostID]followerState
 }
 
-// followerState is a source's state for one follower. lagSince is zero while it isn't behind.
+// lagSince is zero while the follower isn't behind.
 type followerState struct {
 	applied  hingeids.Revision
 	lastSeen time.Time
@@ -88,7 +89,7 @@
 	return encode(resp), nil
 }
 
-// readFromLeader reads the newest revision from the leader. The timeout covers a leader that has failed silently.
+// The timeout covers a leader that has failed silently.
 func (s *source) readFromLeader(ctx context.Context) bool {
 	readCtx, stop := context.WithTimeout(ctx, leaderReadTimeout)
 	defer stop()
@@ -106,7 +107,8 @@
 	return d
 }
 
-// waitForChange returns batchDelay after there is a newer revision, or after the poll time.
+// waitForChange returns batchDelay after there is a newer revision, or after the poll
+// time.
 func (s *source) waitForChange(ctx context.Context, applied hingeids.Revision, pollTime time.Duration) {
 	timer := time.NewTimer(pollTime)
 	defer timer.Stop()
@@ -126,7 +128,7 @@
 	}
 }
 
-// recordFollower records the revision that a follower applies, and returns its poll time.
+// The result is the follower's poll time.
 func (s *source) recordFollower(now time.Time, from hingeids.HostID, applied hingeids.Revision) time.Duration {
 	newest := s.origin.Views().Load().Revision
 	s.mu.Lock()
--- a/internal/agreement/hingespread/spread.go
+++ b/internal/agreement/hingespread/spread.go
@@ -41,9 +41,9 @@
 	// to maxRetryDelay.
 	minRetryDelay = 200 * time.Millisecond
 	maxRetryDelay = time.Second
-	// recallExtraPeers is the number of peers queried at a time in addition to the record
-	// peers. Querying all of them would cause a number of calls quadratic in the size of the
-	// zone when it starts without a quorum.
+	// recallExtraPeers is the number of peers queried at a time in addition to the
+	// record peers. Querying all of them would cause a number of calls quadratic in
+	// the size of the zone when it starts without a quorum.
 	recallExtraPeers = 3
 	// recallTimeout bounds a query of the peers' records.
 	recallTimeout = 500 * time.Millisecond
@@ -51,7 +51,8 @@
 	lagTimeout = 200 * time.Millisecond
 )
 
-// Replicator follows the configuration on one host, and serves it to followers if the host has a disk.
+// Replicator follows the configuration on one host, and serves it to followers if the
+// host has a disk.
 type Replicator struct {
 	settings    Settings
 	link        hingelink.Link
@@ -69,7 +70,8 @@
 	done         chan struct{}
 }
 
-// New returns a host's Replicator and registers its handlers with the link. The origin is nil on a host without a disk.
+// New returns a host's Replicator and registers its handlers with the link. The
+// origin is nil on a host without a disk.
 func New(s Settings, link hingelink.Link, origin Origin) *Replicator {
 	x := &Replicator{
 		settings: s,
@@ -145,7 +147,7 @@
 	x.applied.Store(&s)
 }
 
-// pollOnce polls one source once and applies the response (rule 1).
+// pollOnce implements rule 1.
 func (x *Replicator) pollOnce(ctx context.Context) {
 	source := x.selector.source(x.settings.Clock())
 	resp, err := x.poll(ctx, source)
@@ -186,7 +188,7 @@
 	return decode[response](b)
 }
 
-// call calls a link method, or handles a poll of this host by itself without the link.
+// A poll of this host itself doesn't use the link.
 func (x *Replicator) call(
 	ctx context.Context, to hingeids.HostID, m hingelink.Method, body []byte,
 ) ([]byte, error) {
@@ -196,8 +198,8 @@
 	return x.link.Call(ctx, to, m, body)
 }
 
-// handleCutOff runs when no source is reached. A host that isn't ready queries its
-// peers, a ready one keeps its configuration (rules 6 and 7). It then delays the next round.
+// A host that isn't ready queries its peers, a ready one keeps its configuration
+// (rules 6 and 7). Both then delay the next round.
 func (x *Replicator) handleCutOff(ctx context.Context) {
 	if !x.selector.state.Ready {
 		next, ready := x.selector.evaluateRecall(x.recall(ctx))
@@ -217,8 +219,8 @@
 	}
 }
 
-// apply puts the next view in force, if any. Only a ready host sends its revision to the record
-// peers, since that of another would pass for a record of its earlier incarnation.
+// Only a ready host sends its revision to the record peers, since that of another
+// would pass for a record of its earlier incarnation.
 func (x *Replicator) apply(ctx context.Context, next *hingeconfig.View, proven bool) {
 	s := &x.selector.state
 	becomesReady := proven && !s.Ready
@@ -283,7 +285,7 @@
 	return out
 }
 
-// lagsFrom returns the lags that one disk host reports, nil if it doesn't respond.
+// lagsFrom returns nil if the host doesn't respond.
 func (x *Replicator) lagsFrom(ctx context.Context, h hingeids.HostID) []Lag {
 	if h == x.settings.Self.Host && x.source != nil {
 		return x.source.lags()
--- a/internal/agreement/hingespread/spread_test.go
+++ b/internal/agreement/hingespread/spread_test.go
@@ -23,7 +23,7 @@
 	})
 }
 
-// waitForRevision waits until all peers apply a revision, and returns the time that each took.
+// The result is the time that each peer took.
 func (c *cluster) waitForRevision(r hingeids.Revision, peers []Peer, limit time.Duration) []time.Duration {
 	c.t.Helper()
 	start := time.Now()
@@ -40,8 +40,8 @@
 	return out
 }
 
-// Guards against a host in a cut-off zone that restarts with an older configuration, or doesn't
-// become ready.
+// Guards against a host in a cut-off zone that restarts with an older configuration,
+// or doesn't become ready.
 func TestRestartInACutOffZoneKeepsTheRevision(t *testing.T) {
 	withCluster(t, 9, func(c *cluster) {
 		c.waitForRevision(c.change(), c.peers, time.Second)
@@ -163,8 +163,8 @@
 	})
 }
 
-// Guards against a host that serves an older configuration after a newer one, across partitions
-// and restarts of single hosts.
+// Guards against a host that serves an older configuration after a newer one, across
+// partitions and restarts of single hosts.
 func TestRevisionNeverDecreases(t *testing.T) {
 	for seed := range uint64(12) {
 		synctest.Test(t, func(t *testing.T) {
@@ -198,7 +198,7 @@
 	}
 }
 
-// checkRevisions checks for a duration that the revision of no ready host decreases.
+// The revision of no ready host may decrease.
 func (c *cluster) checkRevisions(newest map[hingeids.HostID]hingeids.Revision, d time.Duration) {
 	for deadline := time.Now().Add(d); time.Now().Before(deadline); time.Sleep(20 * time.Millisecond) {
 		for _, p := range c.peers {
@@ -264,7 +264,8 @@
 	}
 }
 
-// measurePropagation limits the latency of changes, the heap of a host and the traffic of the busiest host, at 14,000 changes per day.
+// measurePropagation limits the latency of changes, the heap of a host and the
+// traffic of the busiest host, at 14,000 changes per day.
 func measurePropagation(t *testing.T, hosts, changes int, limit time.Duration) {
 	withCluster(t, hosts, func(c *cluster) {
 		c.waitForRevision(c.change(), c.peers, 5*time.Second)
--- a/internal/agreement/hingeversion/version.go
+++ b/internal/agreement/hingeversion/version.go
@@ -1,14 +1,16 @@
-// Package hingeversion implements the replicated state machine of a configuration whose
-// version numbers are chosen by its operators.
+// Package hingeversion implements the replicated state machine of a configuration
+// whose version numbers are chosen by its operators.
 //
-//  1. The highest version wins. A document whose version isn't higher than the current one
-//     is accepted without effect. Its operator resent it after a lost acknowledgement, or was
-//     overtaken by another one; an error would say that it was never in force.
+//  1. The highest version wins. A document whose version isn't higher than the
+//     current one is accepted without effect. Its operator resent it after a lost
+//     acknowledgement, or was overtaken by another one; an error would say that it
+//     was never in force.
 //  2. The content of a version never changes. Other content with the current version
 //     has no effect either.
 //  3. A published document is immutable.
 //
-// hingeconfig is the state machine for operators who specify the revision that they change.
+// hingeconfig is the state machine for operators who specify the revision that they
+// change.
 package hingeversion
 
 import (
@@ -28,8 +30,8 @@
 	Body    []byte  `cbor:"2,keyasint"`
 }
 
-// Machine is the state machine. Its methods must be called from one goroutine. The cell that
-// Documents returns is safe for concurrent use.
+// Machine is the state machine. Its methods must be called from one goroutine. The
+// cell that Documents returns is safe for concurrent use.
 type Machine struct {
 	views hingeboard.Cell[Document]
 }
@@ -52,8 +54,8 @@
 	return b, eris.Wrap(err, "encode a configuration document")
 }
 
-// Apply applies a proposed document (rules 1 and 2). It always returns nil. A proposal that can't
-// be decoded has no effect, on this member as on all others.
+// Apply applies a proposed document (rules 1 and 2). It always returns nil. A
+// proposal that can't be decoded has no effect, on this member as on all others.
 func (m *Machine) Apply(_ uint64, data []byte) []byte {
 	var d Document
 	if err := cbor.Unmarshal(data, &d); err == nil && d.Version > m.views.Load().Version {
@@ -72,7 +74,8 @@
 	return b
 }
 
-// Restore replaces the configuration by that of a snapshot. An empty snapshot has no configuration.
+// Restore replaces the configuration by that of a snapshot. An empty snapshot has no
+// configuration.
 func (m *Machine) Restore(snapshot []byte) error {
 	d := Document{}
 	if len(snapshot) > 0 {
--- a/internal/agreement/hingeversion/version_test.go
+++ b/internal/agreement/hingeversion/version_test.go
@@ -15,8 +15,8 @@
 	m.Apply(0, b)
 }
 
-// Guards against a machine that applies the last proposal instead of the highest version, and so
-// restores removed routes when an older change is resent.
+// Guards against a machine that applies the last proposal instead of the highest
+// version, and so restores removed routes when an older change is resent.
 func TestHighestVersionWinsInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		versions := rapid.SliceOfN(rapid.Uint64Range(1, 9), 1, 12).Draw(t, "versions")
@@ -46,8 +46,8 @@
 	})
 }
 
-// Guards against different content under one version, which would leave hosts with different
-// configurations.
+// Guards against different content under one version, which would leave hosts with
+// different configurations.
 func TestSameVersionWithOtherContentIsIgnored(t *testing.T) {
 	m := New()
 	for _, body := range []string{"first", "second"} {
