--- a/internal/agreement/hingegroup/group.go
+++ b/internal/agreement/hingegroup/group.go
@@ -39,7 +39,7 @@
 	JoinOnly bool
 	// Voters is the number of voters to keep; zero means all members (hingelog rule 13).
 	Voters int
-	// ElectionTimeout and Heartbeat are the times of hingelog.Settings; zero means
+	// ElectionTimeout and HeartbeatInterval are those of hingelog.Settings; zero means
 	// the defaults of that package.
 	ElectionTimeout   time.Duration
 	HeartbeatInterval time.Duration
@@ -94,15 +94,14 @@
 // Group is one host's part in a group. On a host without a disk it only forwards
 // proposals and reads to the leader. Its methods may be called from any goroutine.
 type Group struct {
-	settings Settings
-	link     hingelink.Link
-	machine  StateMachine
-	member   *member
-	inbox    chan func(now time.Time)
-	status   hingeboard.Cell[Status]
-	hint     hingeboard.Cell[leaderHint]
-	senders  *senders
-	// extraHosts are hosts to contact besides those of the settings.
+	settings   Settings
+	link       hingelink.Link
+	machine    StateMachine
+	member     *member
+	inbox      chan func(now time.Time)
+	status     hingeboard.Cell[Status]
+	hint       hingeboard.Cell[leaderHint]
+	senders    *senders
 	extraHosts hingeboard.Cell[[]hingeids.HostID]
 	done       chan struct{}
 }
--- a/internal/agreement/hingegroup/member.go
+++ b/internal/agreement/hingegroup/member.go
@@ -14,14 +14,13 @@
 
 // member is the state of a host with a disk. Only the loop uses it.
 type member struct {
-	group     *Group
-	self      hingelog.Member
-	directory hingejournal.Directory
-	journal   *hingejournal.Journal
-	log       *hingelog.Log
-	stored    hingelog.DurableState
-	applied   hingelog.Index
-	// snapshotIndex is the last index in the newest snapshot.
+	group         *Group
+	self          hingelog.Member
+	directory     hingejournal.Directory
+	journal       *hingejournal.Journal
+	log           *hingelog.Log
+	stored        hingelog.DurableState
+	applied       hingelog.Index
 	snapshotIndex hingelog.Index
 	members       hingelog.Members
 	waiters       map[hingelog.Index]waiter
--- a/internal/agreement/hingegroup/memory_test.go
+++ b/internal/agreement/hingegroup/memory_test.go
@@ -13,7 +13,7 @@
 // failures; the tests of hingejournal do.
 type memoryDisk struct {
 	files map[string][]byte
-	// syncTime is the duration of a sync in nanoseconds.
+	// In nanoseconds.
 	syncTime atomic.Int64
 }
 
--- a/internal/agreement/hingegroup/open_test.go
+++ b/internal/agreement/hingegroup/open_test.go
@@ -18,7 +18,7 @@
 
 var errDiskFull = eris.New("no space left on device")
 
-// fillableDisk is a memoryDisk whose writes fail while full is set.
+// Writes fail while full is set.
 type fillableDisk struct {
 	*memoryDisk
 	full bool
--- a/internal/agreement/hingespread/source.go
+++ b/internal/agreement/hingespread/source.go
@@ -25,8 +25,7 @@
 	// batchDelay is the delay between a change and the response. A disk host that
 	// catches up applies hundreds of changes in a burst, which followers should get
 	// in one response.
-	batchDelay = 5 * time.Millisecond
-	// leaderReadTimeout bounds a read of the newest revision from the leader.
+	batchDelay        = 5 * time.Millisecond
 	leaderReadTimeout = time.Second
 	// maxPollTimeFollowers is the number of followers at which the poll time reaches
 	// maxPollTime.
--- a/internal/agreement/hingespread/spread.go
+++ b/internal/agreement/hingespread/spread.go
@@ -34,8 +34,7 @@
 	// maxRecordPeers is the number of peers that record a host's revision (rule 6).
 	maxRecordPeers = 3
 	// recordTimeout bounds how long a change waits for the record peers (rule 6).
-	recordTimeout = 300 * time.Millisecond
-	// recordInterval is the interval at which records are resent.
+	recordTimeout  = 300 * time.Millisecond
 	recordInterval = 5 * time.Second
 	// minRetryDelay is the first delay of a host that reaches no source. It doubles up
 	// to maxRetryDelay.
@@ -45,10 +44,8 @@
 	// record peers. Querying all of them would cause a number of calls quadratic in
 	// the size of the zone when it starts without a quorum.
 	recallExtraPeers = 3
-	// recallTimeout bounds a query of the peers' records.
-	recallTimeout = 500 * time.Millisecond
-	// lagTimeout bounds a query of a disk host for Lag.
-	lagTimeout = 200 * time.Millisecond
+	recallTimeout    = 500 * time.Millisecond
+	lagTimeout       = 200 * time.Millisecond
 )
 
 // Replicator follows the configuration on one host, and serves it to followers if the
@@ -62,8 +59,7 @@
 	peers       []hingeids.HostID
 	recordPeers []hingeids.HostID
 	// others are the peers of the zone that aren't record peers.
-	others []hingeids.HostID
-	// failedRounds counts consecutive rounds in which no source was reached.
+	others       []hingeids.HostID
 	failedRounds int
 	mu           sync.Mutex
 	records      map[hingeids.HostID]hingeids.Revision
--- a/internal/ledger/hingeledger/limits.go
+++ b/internal/ledger/hingeledger/limits.go
@@ -32,7 +32,6 @@
 	}
 }
 
-// maxRetention bounds the retention that a claim may request.
 const maxRetention = 31 * 24 * time.Hour
 
 // entryOverhead is what an entry counts, in bytes, besides its strings and answer. It
--- a/internal/ledger/hingeledger/simcluster_test.go
+++ b/internal/ledger/hingeledger/simcluster_test.go
@@ -153,7 +153,6 @@
 	answer string
 }
 
-// attempt is a granted request for an operation.
 type attempt struct {
 	op          *operation
 	body        string
--- a/internal/membership/hingefollow/follow.go
+++ b/internal/membership/hingefollow/follow.go
@@ -63,8 +63,7 @@
 	responseGrace = 500 * time.Millisecond
 	// leaderReadTimeout bounds the control host's read from the leader (rule 4).
 	leaderReadTimeout = time.Second
-	// retryDelay is the delay after a failed request.
-	retryDelay = 150 * time.Millisecond
+	retryDelay        = 150 * time.Millisecond
 	// removeAfter is how long a host may be unnamed and unresponsive before it is
 	// removed (rule 3).
 	removeAfter = 10 * time.Second
--- a/internal/membership/hingefollow/follow_test.go
+++ b/internal/membership/hingefollow/follow_test.go
@@ -47,7 +47,6 @@
 type directory struct {
 	mu      sync.Mutex
 	records *hingeannounce.Directory
-	// updates counts the responses with records.
 	updates int
 }
 
--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -15,16 +15,15 @@
 // simulation runs the States of several hosts in simulated time, with delays, losses, cut
 // paths, slow hosts, wrong clocks and a registry that a leader changes.
 type simulation struct {
-	random   *rand.Rand
-	now      time.Duration
-	hosts    []*simHost
-	byName   map[hingeids.HostID]*simHost
-	events   []simEvent
-	serial   int
-	loss     float64
-	cuts     map[[2]hingeids.HostID]bool
-	registry Registry
-	// proposing reports that a change of the registry is pending.
+	random    *rand.Rand
+	now       time.Duration
+	hosts     []*simHost
+	byName    map[hingeids.HostID]*simHost
+	events    []simEvent
+	serial    int
+	loss      float64
+	cuts      map[[2]hingeids.HostID]bool
+	registry  Registry
 	proposing bool
 	// bytes and messages count what each host sent.
 	bytes    map[hingeids.HostID]int
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -53,8 +53,7 @@
 	highestSeen hingeids.Incarnation
 	// changeCount counts the changes that require a new View.
 	changeCount uint64
-	// selfEnded reports that this host ended its instance itself.
-	selfEnded bool
+	selfEnded   bool
 }
 
 type peer struct {
@@ -72,7 +71,7 @@
 	grantedUntil time.Time
 	// renewedAt is when this host last renewed the peer's lease.
 	renewedAt time.Time
-	// digestMismatches counts datagrams in a row whose digest differed from the own one.
+	// Counted in a row.
 	digestMismatches int
 }
 
