--- a/internal/membership/hingemembers/sim_test.go
+++ b/internal/membership/hingemembers/sim_test.go
@@ -15,16 +15,15 @@
 // simulation runs the States of several hosts in simulated time, with delays, losses, cut
 // paths, slow hosts, wrong clocks and a registry that a leader changes.
 type simulation struct {
-	random   *rand.Rand
-	now      time.Duration
-	hosts    []*simHost
-	byName   map[hingeids.HostID]*simHost
-	events   []simEvent
-	serial   int
-	loss     float64
-	cuts     map[[2]hingeids.HostID]bool
-	registry Registry
-	// proposing reports that a change of the registry is pending.
+	random    *rand.Rand
+	now       time.Duration
+	hosts     []*simHost
+	byName    map[hingeids.HostID]*simHost
+	events    []simEvent
+	serial    int
+	loss      float64
+	cuts      map[[2]hingeids.HostID]bool
+	registry  Registry
 	proposing bool
 	// bytes and messages count what each host sent.
 	bytes    map[hingeids.HostID]int
@@ -89,7 +88,7 @@
 	return s
 }
 
-// start starts a new instance of a host and adds it to the registry.
+// The new instance is added to the registry.
 func (s *simulation) start(h *simHost) {
 	h.incarnations++
 	h.dead = false
@@ -126,7 +125,7 @@
 	}
 }
 
-// isolated reports whether a host can receive from no voter other than itself.
+// A host is isolated if it can receive from no voter other than itself.
 func (s *simulation) isolated(h *simHost) bool {
 	for _, o := range s.hosts {
 		if o != h && o.config.Voter && !s.cuts[[2]hingeids.HostID{o.config.Instance.Host, h.config.Instance.Host}] {
@@ -249,10 +248,10 @@
 	})
 }
 
-// checkEvery is the interval between checks, in simulated time.
+// In simulated time.
 const checkEvery = 10 * time.Millisecond
 
-// run advances the simulated time to until and calls check, if not nil, at intervals.
+// The check, if not nil, runs at intervals of checkEvery.
 func (s *simulation) run(until time.Duration, check func()) {
 	checked := s.now
 	for len(s.events) > 0 && s.events[0].at <= until {
@@ -267,9 +266,8 @@
 	s.now = until
 }
 
-// recordExpired records an expired instance as the leader of the configuration log does:
-// the change is committed some time after it was proposed, and only if the registry hasn't
-// changed meanwhile.
+// As with the leader of the configuration log, the change is committed some time
+// after it was proposed, and only if the registry hasn't changed meanwhile.
 func (s *simulation) recordExpired(h *simHost) {
 	if h.dead || s.proposing || s.isolated(h) || !sameRegistry(h.state.registry, s.registry) {
 		return
--- a/internal/membership/hingemembers/state.go
+++ b/internal/membership/hingemembers/state.go
@@ -53,8 +53,7 @@
 	highestSeen hingeids.Incarnation
 	// changeCount counts the changes that require a new View.
 	changeCount uint64
-	// selfEnded reports that this host ended its instance itself.
-	selfEnded bool
+	selfEnded   bool
 }
 
 type peer struct {
@@ -72,7 +71,7 @@
 	grantedUntil time.Time
 	// renewedAt is when this host last renewed the peer's lease.
 	renewedAt time.Time
-	// digestMismatches counts datagrams in a row whose digest differed from the own one.
+	// Counted in a row.
 	digestMismatches int
 }
 
@@ -110,8 +109,8 @@
 	return s.instance
 }
 
-// StartInstance replaces this host's instance, which was declared ended, by a new one. The new
-// incarnation is higher than every one received for this host.
+// StartInstance replaces this host's instance, which was declared ended, by a new
+// one. The new incarnation is higher than every one received for this host.
 func (s *State) StartInstance(now time.Time) hingeids.Instance {
 	s.highestSeen = max(s.highestSeen+1, hingeids.Incarnation(now.UnixNano()))
 	s.instance.Incarnation = s.highestSeen
@@ -185,7 +184,6 @@
 	s.queueHost(p.fact, false)
 }
 
-// resetInstance clears what belongs to the peer's previous instance.
 func (p *peer) resetInstance() {
 	p.unansweredSince, p.lastSeen, p.renewedAt = time.Time{}, time.Time{}, time.Time{}
 	p.intervals = hingeannounce.IntervalEstimator{}
