--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -98,9 +98,9 @@
 	sequence   atomic.Uint64
 	instance   atomic.Pointer[hingeids.Instance]
 	requests   requests
-	// betweenInstances says that this host's instance has ended and the next one
+	// instanceEnded says that this host's instance has ended and the next one
 	// has not started.
-	betweenInstances atomic.Bool
+	instanceEnded atomic.Bool
 	draining         atomic.Bool
 	active           atomic.Int64
 	writeTimeout     atomic.Int64
@@ -218,7 +218,7 @@
 		ctx.SetConnectionClose()
 		return
 	}
-	if !s.config.Ready() || s.betweenInstances.Load() {
+	if !s.config.Ready() || s.instanceEnded.Load() {
 		refuse(ctx, id, hingeverdict.New(hingeverdict.NotRun, hingeverdict.CodeNotReady, otherHostRetry,
 			eris.New("this entry host is not ready to serve yet")))
 		return
@@ -267,7 +267,7 @@
 }
 
 func (s *Server) handleReady(ctx *fasthttp.RequestCtx) {
-	if s.draining.Load() || s.betweenInstances.Load() || !s.config.Ready() {
+	if s.draining.Load() || s.instanceEnded.Load() || !s.config.Ready() {
 		ctx.SetStatusCode(fasthttp.StatusServiceUnavailable)
 	}
 }
@@ -343,7 +343,7 @@
 ) (context.Context, func()) {
 	requestCtx, cancel := context.WithDeadline(context.Background(), deadline)
 	remove := s.requests.add(id, cancel)
-	if s.betweenInstances.Load() {
+	if s.instanceEnded.Load() {
 		// EndInstance may have been called before the request was added.
 		cancel()
 	}
--- a/internal/path/hingecaller/instance.go
+++ b/internal/path/hingecaller/instance.go
@@ -41,7 +41,7 @@
 // hosts have declared this instance ended and cancel its requests at the
 // engines, so that no more tokens would arrive.
 func (s *Server) EndInstance() {
-	s.betweenInstances.Store(true)
+	s.instanceEnded.Store(true)
 	s.requests.cancelAll()
 }
 
@@ -52,5 +52,5 @@
 		return
 	}
 	s.instance.Store(&instance)
-	s.betweenInstances.Store(false)
+	s.instanceEnded.Store(false)
 }
