--- a/internal/path/hingecaller/caller.go
+++ b/internal/path/hingecaller/caller.go
@@ -101,11 +101,11 @@
 	// instanceEnded says that this host's instance has ended and the next one
 	// has not started.
 	instanceEnded atomic.Bool
-	draining         atomic.Bool
-	active           atomic.Int64
-	writeTimeout     atomic.Int64
-	listener         *watchedListener
-	done             chan struct{}
+	draining      atomic.Bool
+	active        atomic.Int64
+	writeTimeout  atomic.Int64
+	listener      *watchedListener
+	done          chan struct{}
 }
 
 // Timeouts of a connection. readTimeout covers the whole header and body of a
